--- a/crates/boxoffice/src/keeper.rs
+++ b/crates/boxoffice/src/keeper.rs
@@ -1,5 +1,6 @@
 //! The one who lends: the holder of the duty, for as long as its term is beyond doubt.
 
+use crate::roster::{Life, Member, Place, Roster};
 use crate::{from_micros, micros, nanos, secs, Ask, Lent, Limit, Loan, Phase, Queue, Slow, Time, Turns};
 use crate::{KEPT_BACK_AFTER, LEAD};
 use std::collections::{BTreeMap, BTreeSet};
@@ -58,6 +59,22 @@
     pub nodes: Vec<Node>,
 }
 
+/// A gateway that is agreed on.
+#[derive(Clone, Debug)]
+struct Known {
+    member: Member,
+    has_part: bool,
+    /// When its latest ask was heard, by this keeper; and when it is known to have been in touch, and not to use its even part.
+    heard: Option<Time>,
+    in_touch: Option<Time>,
+    /// Since when it is known here.
+    since: Time,
+    /// Where the latest change of the roster stands that it is known to go by.
+    roster: Place,
+    /// It is to be agreed on that it is gone: it is answered no more.
+    is_gone: bool,
+}
+
 /// The keeper of all stores.
 #[derive(Clone, Debug)]
 pub struct Keeper {
@@ -67,8 +84,7 @@
     stores: BTreeMap<String, Store>,
     /// Tenants whose trial is over, as agreed on.
     over: BTreeSet<String>,
-    /// When each gateway was last heard.
-    gateways: BTreeMap<String, Option<Time>>,
+    gateways: BTreeMap<String, Known>,
 }
 
 impl Keeper {
@@ -80,7 +96,7 @@
         id: u64,
         limits: &BTreeMap<String, Limit>,
         over: &BTreeSet<String>,
-        gateways: &BTreeSet<String>,
+        gateways: &Roster,
     ) -> Self {
         let store = |(name, limit): (&String, &Limit)| {
             // What the one before announced is not known: slow, and at full speed when that has been announced.
@@ -92,8 +108,9 @@
             settles: now + LEAD,
             stores: limits.iter().map(store).collect(),
             over: over.clone(),
-            gateways: gateways.iter().map(|name| (name.clone(), None)).collect(),
+            gateways: BTreeMap::new(),
         };
+        keeper.gateways(now, gateways);
         keeper.change(now);
         keeper
     }
@@ -121,22 +138,49 @@
         self.change(now);
     }
 
-    /// These gateways are known.
-    pub fn gateways(&mut self, all: &BTreeSet<String>) {
-        for name in all {
-            self.gateways.entry(name.clone()).or_insert(None);
+    /// These gateways are agreed on from now on, and no others. One that begins anew is another.
+    pub fn gateways(&mut self, now: Time, all: &Roster) {
+        self.advance(now);
+        self.gateways.retain(|name, known| all.members().get(name) == Some(&known.member));
+        for (name, member) in all.members() {
+            let has_part = all.has_part(member);
+            let new = Known {
+                member: *member,
+                has_part,
+                heard: None,
+                in_touch: None,
+                since: now,
+                roster: 0,
+                is_gone: false,
+            };
+            self.gateways.entry(name.clone()).or_insert(new).has_part = has_part;
         }
     }
 
-    pub fn knows(&self, gateway: &str) -> bool {
-        self.gateways.contains_key(gateway)
+    /// Who joined until there is known to all who have even parts, as far as somebody who has none yet did: to be agreed on.
+    pub fn joined(&self) -> Option<Place> {
+        let having = self.gateways.values().filter(|known| known.has_part);
+        let known_to_all = having.map(|known| known.roster).min().unwrap_or(Place::MAX);
+        let joining = self.gateways.values().filter(|known| !known.has_part);
+        joining.map(|known| known.member.joined).filter(|at| *at <= known_to_all).max()
+    }
+
+    /// Those that were not heard for so long that their even parts have ended: it is to be agreed on that these lives are over. None of
+    /// them is answered from now on.
+    pub fn gone(&mut self, now: Time, after: Time) -> Vec<(String, Life)> {
+        for known in self.gateways.values_mut() {
+            known.is_gone |= now.saturating_sub(known.heard.unwrap_or(known.since)) >= after;
+        }
+        let gone = self.gateways.iter().filter(|(_, known)| known.is_gone);
+        gone.map(|(name, known)| (name.clone(), known.member.life)).collect()
     }
 
-    /// The part of all rates that is to be had: silent gateways may be using their even parts.
-    fn open(&self, now: Time) -> f64 {
-        let silent = |heard: &&Option<Time>| heard.is_none_or(|at| now.saturating_sub(at) >= KEPT_BACK_AFTER);
-        let all = self.gateways.len().max(1);
-        1.0 - self.gateways.values().filter(silent).count() as f64 / all as f64
+    /// The part of all rates that is to be had: silent gateways may be using their even parts, which go over as many at the least as
+    /// have one.
+    pub fn open(&self, now: Time) -> f64 {
+        let silent = |k: &&Known| k.in_touch.is_none_or(|at| now.saturating_sub(at) >= KEPT_BACK_AFTER);
+        let having = || self.gateways.values().filter(|k| k.has_part);
+        1.0 - having().filter(silent).count() as f64 / having().count().max(1) as f64
     }
 
     fn advance(&mut self, now: Time) {
@@ -152,7 +196,7 @@
     /// Changes that are due, by whose trial is over as it is known now.
     fn change(&mut self, now: Time) {
         // Where nobody has been told anything for so long, nobody goes by it.
-        let silent = |at: &Option<Time>| at.is_none_or(|at| now.saturating_sub(at) >= LEAD);
+        let silent = |k: &Known| k.heard.is_none_or(|at| now.saturating_sub(at) >= LEAD);
         let unheard = now >= self.settles && self.gateways.values().all(silent);
         for (name, s) in &mut self.stores {
             if let Some(pace) = &mut s.pace {
@@ -167,14 +211,17 @@
         }
     }
 
-    /// Lends. None to a gateway that is not known: its even part is not kept back yet.
+    /// Lends. None to a gateway that is not known: its even part is not kept back yet; or that is taken for gone.
     pub fn ask(&mut self, now: Time, gateway: &str, ask: &Ask) -> Option<Lent> {
-        if !self.knows(gateway) {
+        if self.gateways.get(gateway).is_none_or(|known| known.is_gone) {
             return None;
         }
         self.advance(now);
         self.change(now);
-        self.gateways.insert(gateway.to_string(), Some(now));
+        let known = self.gateways.get_mut(gateway)?;
+        (known.heard, known.roster) = (Some(now), known.roster.max(ask.roster));
+        // The one after the first answer says that there was one.
+        known.in_touch = (!ask.is_alone).then_some(now);
         let mut loans = Vec::with_capacity(ask.wants.len());
         for want in &ask.wants {
             let Some(s) = self.stores.get_mut(&want.tenant) else { continue };
--- a/crates/boxoffice/src/lib.rs
+++ b/crates/boxoffice/src/lib.rs
@@ -16,11 +16,13 @@
 mod desk;
 mod keeper;
 mod line;
+pub mod roster;
 mod tries;
 
 pub use desk::{Desk, Verdict};
 pub use keeper::{Keeper, Node, Trial};
 pub use line::{Waiter, Word};
+pub use roster::Roster;
 pub use tries::Tries;
 
 use serde::{Deserialize, Serialize};
@@ -34,6 +36,9 @@
 /// A gateway that has heard nothing of the keeper for so long is alone: for [`GOES_ON`] it goes on at [`GOES_ON_AT`] of the
 /// pace that it was lent lately, or at its even part if that is more; from then on it has its even part alone.
 pub const ALONE_AFTER: Time = 300 * MS;
+/// Whoever has not been answered by a keeper for so long has no even part any more: longer than regions lose each other. The keeper
+/// takes it for gone later, also by a clock that is a tenth slower: [`gone_after`]. `docs/design/gone.md`.
+pub const PART_ENDS: Time = 90 * 60_000 * MS;
 /// The keeper keeps back the even part of a gateway that it has not heard for so long: sooner than it may use it.
 pub const KEPT_BACK_AFTER: Time = 200 * MS;
 /// A gateway asks so often at the least, so that the keeper hears it.
@@ -93,6 +98,10 @@
     pub wants: Vec<Want>,
     /// Of tenants that are slowed here.
     pub queues: Vec<Queue>,
+    /// Where the latest change of the roster stands that it goes by.
+    pub roster: roster::Place,
+    /// Nothing has answered it for so long that it has its even part alone: answers may be lost on their way.
+    pub is_alone: bool,
 }
 
 /// What a gateway wants of a slowed tenant's turns.
@@ -154,6 +163,11 @@
     pub later_us: Option<u32>,
 }
 
+/// The keeper takes a gateway for gone that it has not heard for so long, if parts end after `part_ends`.
+pub fn gone_after(part_ends: Time) -> Time {
+    (part_ends + ALONE_AFTER) / 10 * 11
+}
+
 fn secs(t: Time) -> f64 {
     t as f64 / 1e9
 }
--- a/crates/cue/src/fold.rs
+++ b/crates/cue/src/fold.rs
@@ -4,6 +4,7 @@
 #[cfg(test)]
 mod tests;
 
+use boxoffice::Roster;
 use greenroom::Fact;
 use promptbook::Configuration;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -38,7 +39,7 @@
     leaving: BTreeSet<String>,
     /// The same, in the order in which they were heard of.
     left: VecDeque<String>,
-    gateways: Vec<String>,
+    roster: Roster,
 }
 
 impl Fold {
@@ -52,8 +53,9 @@
         self.backends.contains_key(id) && !self.leaving.contains(id)
     }
 
-    pub fn gateways(&self) -> &[String] {
-        &self.gateways
+    /// Which gateways are agreed on.
+    pub fn roster(&self) -> &Roster {
+        &self.roster
     }
 
     /// A prompter's whole word.
@@ -74,7 +76,10 @@
                 doubt.get_or_insert(now);
             }
         }
-        self.set_gateways(scene.gateways, &mut news);
+        if scene.roster.at() > self.roster.at() {
+            self.roster = scene.roster;
+            news.push(News::Gateways);
+        }
         news
     }
 
@@ -84,7 +89,13 @@
             Change::Backend(fact) => self.backend(fact, &mut news),
             Change::Over(id) => self.over(id, &mut news),
             Change::Leaving(id) => self.leaves(id, &mut news),
-            Change::Gateways(all) => self.set_gateways(all, &mut news),
+            // An older word than what is known changes nothing.
+            Change::Roster(at, change) if at > self.roster.at() => {
+                if self.roster.apply(at, &change) {
+                    news.push(News::Gateways);
+                }
+            }
+            Change::Roster(..) => {}
         }
         news
     }
@@ -163,12 +174,4 @@
             news.push(News::Over(id));
         }
     }
-
-    fn set_gateways(&mut self, all: Vec<String>, news: &mut Vec<News>) {
-        // Gateways are only ever added: fewer are an older word.
-        if all.len() > self.gateways.len() {
-            self.gateways = all;
-            news.push(News::Gateways);
-        }
-    }
 }
--- a/crates/cue/src/fold/tests.rs
+++ b/crates/cue/src/fold/tests.rs
@@ -1,6 +1,7 @@
 //! Nothing goes back, and nothing that lives is ended by a word that is not whole.
 
 use super::*;
+use boxoffice::roster;
 
 fn fact(id: &str, sequence: u64, draining: bool) -> Fact {
     let (id, address) = (id.to_string(), format!("{id}:1"));
@@ -93,3 +94,31 @@
     assert_eq!(f.change(Change::Backend(fact("a", 1, false))), []);
     assert_eq!(f.change(Change::Backend(fact("b", 1, true))), []);
 }
+
+/// Gateways come and go: whoever hears it late, or from a slower prompter, goes by the latest all the same.
+#[test]
+fn no_older_list_of_gateways_counts_longer_or_shorter() {
+    let mut f = Fold::default();
+    let change = |at, name: &str, life| (at, roster::Change::There { name: name.into(), life });
+    let gone = |at, name: &str, life| (at, roster::Change::Gone { name: name.into(), life });
+    let log = [change(1, "a", 1), change(5, "b", 1), change(7, "c", 1), gone(9, "a", 1), change(11, "c", 2)];
+    // A scene as of so many changes; and what is told of one.
+    let listed = |until: usize| {
+        let mut roster = Roster::default();
+        log[..until].iter().for_each(|(at, change)| assert!(roster.apply(*at, change)));
+        Scene { roster, ..scene(&[], true) }
+    };
+    let told = |n: usize| Change::Roster(log[n].0, log[n].1.clone());
+    let known = |f: &Fold| f.roster().members().keys().cloned().collect::<Vec<_>>();
+    assert_eq!(f.scene(0, listed(2)), [News::Gateways]);
+    assert_eq!(f.change(told(2)), [News::Gateways]);
+    assert_eq!(f.change(told(3)), [News::Gateways]);
+    assert_eq!(known(&f), ["b", "c"]);
+    assert_eq!(f.scene(0, listed(3)), []);
+    assert_eq!(f.scene(0, listed(1)), []);
+    assert_eq!((f.change(told(2)), f.change(told(0))), (vec![], vec![]));
+    assert_eq!(known(&f), ["b", "c"]);
+    // It begins anew.
+    assert_eq!(f.change(told(4)), [News::Gateways]);
+    assert!(f.roster().knows("c", 2));
+}
--- a/crates/cue/src/follow.rs
+++ b/crates/cue/src/follow.rs
@@ -5,7 +5,7 @@
 use crate::{Time, MS};
 use boxoffice::Lent;
 use callboard::{Follower, Take};
-use promptbook::{Received, Receiver};
+use promptbook::{Life, Place, Received, Receiver};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 use wings::message::{Down, First, Up, FORM};
@@ -35,6 +35,8 @@
 #[derive(Clone, Debug)]
 pub struct Setup {
     pub name: String,
+    /// Drawn when the process began; never 0.
+    pub life: Life,
     pub zone: String,
     pub ip: IpAddr,
 }
@@ -128,6 +130,18 @@
         &self.touch
     }
 
+    /// Its place among the gateways that are agreed on, if it is as it is now, and how many those are.
+    pub fn among(&self) -> (Option<usize>, usize) {
+        let (all, Setup { name, life, .. }) = (self.fold.roster().members(), &self.setup);
+        (all.iter().position(|(known, m)| (known, m.life) == (name, *life)), all.len())
+    }
+
+    /// Over how many gateways its even part goes, 0: it has none; and as of which place of the agreed log.
+    pub fn parts(&self) -> (u32, Place) {
+        let roster = self.fold.roster();
+        (roster.parts(&self.setup.name, self.setup.life), roster.at())
+    }
+
     /// Something that this gateway has seen itself.
     pub fn seen(&mut self, act: impl FnOnce(&mut Fold) -> Vec<News>) -> Vec<News> {
         act(&mut self.fold)
@@ -168,6 +182,7 @@
         First::Gateway {
             form: FORM,
             name: self.setup.name.clone(),
+            life: self.setup.life,
             zone: self.setup.zone.clone(),
             place: self.follower.place(),
             holds: self.holds(),
--- a/crates/promptbook/src/lib.rs
+++ b/crates/promptbook/src/lib.rs
@@ -3,33 +3,32 @@
 #![forbid(unsafe_code)]
 
 mod difference;
+mod earlier;
 mod order;
 mod parcel;
 mod taken;
 
+pub use boxoffice::roster::{Life, Place};
 pub use difference::Difference;
 pub use order::{decide, Verdict, Versions};
 pub use parcel::{Head, Part, Received, Receiver, Sender, Steps, PART, WINDOW};
 pub use taken::{mark, Mark, MARKS};
 
+use boxoffice::{roster, Roster};
 use playbill::Version;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 use taken::Taken;
 
-/// A place in the agreed log.
-pub type Place = u64;
 /// The form of what is kept and sent.
-const FORM: u32 = 1;
+const FORM: u32 = 2;
 /// So many that are leaving are remembered; ids are never used again, and the oldest have long ended.
 const LEAVING: usize = 4096;
 /// A configuration that is no longer stands whole in the log.
 const SHORT: usize = 16 << 10;
 /// The longest that a change comes to.
 const LONGEST: usize = 16 << 20;
-/// So many gateways are known. More are a fault of the platform's.
-const GATEWAYS: usize = 4096;
 /// So many trials are remembered as over; of more, those that ended last.
 const OVER: usize = 4096;
 
@@ -54,10 +53,10 @@
     },
     /// This backend takes no new work for the rest of its life.
     Leaving { instance: String },
-    /// This gateway is there, and has its even part of what is shared.
-    Gateway { name: String },
     /// This end of a tenant's trial has passed, in Unix milliseconds.
     TrialOver { tenant: String, ends: u64 },
+    /// Which gateways there are, and which have their even parts: `docs/design/gone.md`.
+    Roster(roster::Change),
 }
 
 impl Word {
@@ -112,9 +111,8 @@
     configuration: Option<Arc<Configuration>>,
     taken: Taken,
     leaving: BTreeMap<String, Place>,
-    gateways: BTreeSet<String>,
-    /// The latest end of each tenant's trial that has passed, and where that was agreed on. An earlier version, which knows of
-    /// none, reads a book without any.
+    roster: Roster,
+    /// The latest end of each tenant's trial that has passed, and where that was agreed on.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     over: BTreeMap<String, (u64, Place)>,
 }
@@ -129,7 +127,8 @@
         if bytes.is_empty() {
             return Some(Book::new());
         }
-        rmp_serde::from_slice(bytes).ok().filter(|b: &Book| b.form == FORM)
+        let read = rmp_serde::from_slice(bytes).ok().filter(|b: &Book| b.form == FORM);
+        read.or_else(|| earlier::read(bytes))
     }
 
     pub fn write(&self) -> Vec<u8> {
@@ -168,13 +167,9 @@
         self.leaving.keys()
     }
 
-    pub fn gateways(&self) -> &BTreeSet<String> {
-        &self.gateways
-    }
-
-    /// Whether a word on this gateway would change anything.
-    pub fn wants_gateway(&self, name: &str) -> bool {
-        self.gateways.len() < GATEWAYS && !self.gateways.contains(name)
+    /// Which gateways there are.
+    pub fn roster(&self) -> &Roster {
+        &self.roster
     }
 
     /// Whether this end of the tenant's trial has passed.
@@ -232,11 +227,13 @@
                 }
                 Applied::Changed
             }
-            Word::Gateway { name } if self.wants_gateway(name) => {
-                self.gateways.insert(name.clone());
-                Applied::Changed
+            Word::Roster(change) => {
+                if self.roster.apply(place, change) {
+                    Applied::Changed
+                } else {
+                    Applied::Same
+                }
             }
-            Word::Gateway { .. } => Applied::Same,
             Word::TrialOver { tenant, ends } => {
                 if self.is_over(tenant, *ends) {
                     return Applied::Same;
@@ -283,8 +280,8 @@
     #[test]
     fn a_trial_that_is_over_is_so_for_that_end_alone_and_a_book_without_any_is_as_it_was() {
         let mut book = Book::new();
-        book.apply(1, &Word::Gateway { name: "g".into() });
-        // An earlier version's: it has five fields.
+        book.apply(1, &Word::Roster(roster::Change::There { name: "g".into(), life: 3 }));
+        // It has five fields; with trials six.
         assert_eq!(book.write()[0], 0x95);
         assert_eq!(Book::read(&book.write()), Some(book.clone()));
         let word = |ends| Word::TrialOver { tenant: "t".into(), ends };
--- a/crates/promptdesk/src/board.rs
+++ b/crates/promptdesk/src/board.rs
@@ -1,6 +1,7 @@
 //! The agreed book, and news of it and of the cell for those who follow.
 
 use crate::{Defect, Effect, Prompter};
+use boxoffice::roster;
 use callboard::Board;
 use promptbook::{Applied, Book, Configuration, Place, Steps, Word};
 use std::sync::Arc;
@@ -63,9 +64,11 @@
                     self.effects.push(Effect::News);
                 }
                 Word::Leaving { instance } => self.change(Change::Leaving(instance)),
-                Word::Gateway { .. } => {
-                    let all = self.book.gateways().iter().cloned().collect();
-                    self.change(Change::Gateways(all));
+                Word::Roster(change) => {
+                    if let roster::Change::Gone { name, .. } = &change {
+                        log::info!("agreed: {name} is gone");
+                    }
+                    self.change(Change::Roster(place, change));
                 }
                 // Gateways hear of it with their rights.
                 Word::TrialOver { tenant, ends } => {
@@ -109,7 +112,7 @@
             backends: self.cell.facts().cloned().collect(),
             whole: self.cell.is_whole(self.now),
             leaving,
-            gateways: self.book.gateways().iter().cloned().collect(),
+            roster: self.book.roster().clone(),
         };
         let place = self.news.end();
         (place, Down::Scene { place, scene: Box::new(scene) })
--- a/crates/promptdesk/src/defect.rs
+++ b/crates/promptdesk/src/defect.rs
@@ -51,12 +51,14 @@
     PulseHidesNewest,
     /// Nobody who is not among the first voters ever votes.
     NewcomerNeverVotes,
+    /// The keeper gives a silent gateway's even part away after a tenth of the time.
+    GoneTooSoon,
 }
 
 #[cfg(feature = "rehearsal")]
 impl Defect {
     /// All of them.
-    pub const ALL: [Defect; 24] = [
+    pub const ALL: [Defect; 25] = [
         Defect::SendBeforeSync,
         Defect::ReadAlone,
         Defect::AckBeforeAgreed,
@@ -81,6 +83,7 @@
         Defect::SceneForgetsDrains,
         Defect::PulseHidesNewest,
         Defect::NewcomerNeverVotes,
+        Defect::GoneTooSoon,
     ];
 }
 
--- a/crates/promptdesk/src/followers.rs
+++ b/crates/promptdesk/src/followers.rs
@@ -1,8 +1,9 @@
 //! Gateways that follow: a scene, then changes, the configuration in parts, a pulse, and their asks for rights.
 
 use crate::{Defect, Effect, Prompter, Time, MS};
+use boxoffice::roster;
 use callboard::Place;
-use promptbook::{Sender, Word};
+use promptbook::{Life, Sender, Word};
 use wings::message::{Down, Peer, Up};
 
 /// A gateway is told how fresh this prompter is so often.
@@ -15,6 +16,7 @@
 pub(crate) struct Follower {
     /// Tells its connections apart: the newest counts.
     link: u64,
+    life: Life,
     place: Option<Place>,
     sender: Sender,
     /// The latest number that it has said: pulses bear it.
@@ -24,18 +26,19 @@
 }
 
 impl Prompter {
-    /// A gateway follows from now on, and says how far it has followed this prompter, where the configuration that it holds stands, and
+    /// This life of a gateway's follows from now on, and says how far it has followed this prompter, where the configuration that it holds stands, and
     /// a number for its first pulse. The link's number.
     pub fn follow(
         &mut self,
-        name: &str,
+        (name, life): (&str, Life),
         place: Option<Place>,
         holds: promptbook::Place,
         contact: u64,
     ) -> u64 {
         self.links += 1;
         let (link, sender) = (self.links, Sender::new(holds));
-        self.followers.insert(name.into(), Follower { link, place, sender, contact, missing: Vec::new() });
+        self.followers
+            .insert(name.into(), Follower { link, life, place, sender, contact, missing: Vec::new() });
         self.links
     }
 
@@ -83,9 +86,9 @@
     /// is shared.
     pub fn pulse(&mut self, now: Time, name: &str, link: u64) -> Option<Down> {
         self.now = now;
-        let contact = self.follower(name, link)?.contact;
-        if self.book.wants_gateway(name) {
-            self.pass_on(Word::Gateway { name: name.into() }.write());
+        let Follower { contact, life, .. } = *self.follower(name, link)?;
+        if self.book.roster().wants(name, life) {
+            self.pass_on(Word::Roster(roster::Change::There { name: name.into(), life }).write());
         }
         let touch_ms = u32::try_from(self.untouched_for(now) / 1_000_000).unwrap_or(u32::MAX);
         let newest = match self.book.configuration() {
--- a/crates/promptdesk/src/lib.rs
+++ b/crates/promptdesk/src/lib.rs
@@ -59,6 +59,8 @@
     pub seeds: Vec<String>,
     /// How often a backend is heard.
     pub beat: Time,
+    /// When the even part of a gateway ends that no keeper answers: [`boxoffice::PART_ENDS`].
+    pub part_ends: Time,
     /// What a configuration says of tenants.
     pub terms: fn(&[u8]) -> Terms,
     /// Chance: of the agreement's time-outs, and this life's number.
--- a/crates/promptdesk/src/orders.rs
+++ b/crates/promptdesk/src/orders.rs
@@ -66,6 +66,7 @@
         match waiter {
             Waiter::Read(call) => self.calls.contains_key(&call),
             Waiter::Order(job) => self.jobs.contains_key(&job),
+            Waiter::Term(_) => false,
         }
     }
 }
--- a/crates/promptdesk/src/peers.rs
+++ b/crates/promptdesk/src/peers.rs
@@ -1,7 +1,9 @@
 //! What other prompters say: handed to the agreement, the cell, the office, the founding.
 
 use crate::{Defect, Prompter, Time, MS};
+use boxoffice::roster::Change;
 use curtain::Wall;
+use promptbook::Word;
 use std::net::IpAddr;
 use understudy::{Id, Input};
 use wings::message::{Down, Peer};
@@ -60,6 +62,9 @@
             Peer::Beats { facts, again } => self.beats(&from.name, facts, again),
             Peer::Unknown { instances } => self.beats_wanted(&from.name, &instances),
             Peer::Over { instance } => self.over(&instance),
+            // That a gateway is gone is a leader's own word alone: docs/design/gone.md.
+            Peer::Propose { word }
+                if matches!(Word::read(&word), Some(Word::Roster(Change::Gone { .. }))) => {}
             Peer::Propose { word } => self.put(Input::Propose { tag: 0, word }),
             Peer::Contact { number } => self.contact_asked(&from.name, number),
             Peer::Contacted { number, age, agreed } => self.contact.told(number, age, agreed),
--- a/crates/promptdesk/src/rights.rs
+++ b/crates/promptdesk/src/rights.rs
@@ -1,9 +1,11 @@
 //! Tenants' rights in the leader's term, and the ends of their trials by the clocks of a majority.
 
+use crate::turns::Waiter;
 use crate::{Defect, Prompter, Time, MS};
-use boxoffice::{Ask, Keeper, Lent, Trial};
+use boxoffice::roster::Change;
+use boxoffice::{gone_after, Ask, Keeper, Lent, Trial};
 use curtain::{Clocks, Terms, Wall};
-use promptbook::Place;
+use promptbook::{Place, Word};
 use std::collections::BTreeSet;
 use std::rc::Rc;
 use understudy::{Input, Term};
@@ -17,9 +19,8 @@
 struct Office {
     term: Term,
     keeper: Keeper,
-    /// Of the book that its limits, trials and gateways are from: the configuration's place, the latest trial's, how many
-    /// gateways.
-    as_of: (Place, Place, usize),
+    /// Of the book that its limits, trials and gateways are from: the configuration's place, the latest trial's, the roster's.
+    as_of: (Place, Place, Place),
 }
 
 #[derive(Debug)]
@@ -59,9 +60,9 @@
         self.rights.terms.1.clone()
     }
 
-    fn as_of(&self) -> (Place, Place, usize) {
+    fn as_of(&self) -> (Place, Place, Place) {
         let book = &self.book;
-        (book.configuration().map_or(0, |c| c.place), book.over_at(), book.gateways().len())
+        (book.configuration().map_or(0, |c| c.place), book.over_at(), book.roster().at())
     }
 
     /// The term in which it lends at this moment, if it does: for as long as that is beyond doubt.
@@ -80,29 +81,56 @@
             Some(office) => office,
             None => {
                 log::info!("rights: lending in term {term}");
-                let keeper = Keeper::begin(now, term, &terms.limits, &over(book), book.gateways());
+                let keeper = Keeper::begin(now, term, &terms.limits, &over(book), book.roster());
                 Office { term, keeper, as_of }
             }
         };
         let office = self.rights.office.insert(office);
         if std::mem::replace(&mut office.as_of, as_of) != as_of {
             office.keeper.limits(now, &terms.limits, &over(book));
-            office.keeper.gateways(book.gateways());
+            office.keeper.gateways(now, book.roster());
         }
         #[cfg(feature = "rehearsal")]
         if self.defect == Some(Defect::EvenPartsLentToo) {
             let nothing = Ask::default();
-            book.gateways().iter().for_each(|g| drop(office.keeper.ask(now, g, &nothing)));
+            book.roster().members().keys().for_each(|g| drop(office.keeper.ask(now, g, &nothing)));
         }
         office.keeper.ask(now, gateway, ask)
     }
 
+    /// The part of all rates that it lends at this moment.
+    pub fn open(&self, now: Time) -> f64 {
+        let term = self.lends(now);
+        let office = self.rights.office.as_ref().filter(|o| Some(o.term) == term);
+        office.map_or(0.0, |o| o.keeper.open(now))
+    }
+
     /// How trials stand, if this one lends.
     pub fn trials(&self, now: Time) -> Vec<Trial> {
         let lends = self.rights.office.as_ref().filter(|o| self.duty.is_leader && o.term == self.duty.term);
         lends.map(|o| o.keeper.trials(now)).unwrap_or_default()
     }
 
+    /// Even parts begin and end: whoever has joined has one once all others that have know of it; gateways that were silent for so long
+    /// in this term that theirs have ended are agreed to be gone, in this term or not at all.
+    fn look_at_parts(&mut self) {
+        let Some(term) = self.lends(self.now) else { return };
+        let Some(office) = self.rights.office.as_mut().filter(|o| o.term == term) else { return };
+        let after = gone_after(self.setup.part_ends);
+        #[cfg(feature = "rehearsal")]
+        let after = if self.defect == Some(Defect::GoneTooSoon) { after / 10 } else { after };
+        let (gone, joined) = (office.keeper.gone(self.now, after), office.keeper.joined());
+        // Each may be lost; it is said again.
+        for (name, life) in gone {
+            let word = Word::Roster(Change::Gone { name, life }).write();
+            self.ask(Input::Propose { tag: 0, word }, Waiter::Term(term));
+        }
+        if let Some(until) = joined {
+            let word = Word::Roster(Change::Parts { until }).write();
+            self.put(Input::Propose { tag: 0, word });
+        }
+    }
+
     /// The leader has those agreed on to be over whose end has passed.
     pub(crate) fn look_at_trials(&mut self) {
         if self.rights.looks_at > self.now {
@@ -114,6 +142,7 @@
         if !leads {
             return;
         }
+        self.look_at_parts();
         self.rights.clocks.hear(self.now, &self.setup.me.name, self.wall);
         let mut voters: BTreeSet<&str> = self.duty.members.keys().map(String::as_str).collect();
         if self.has(Defect::HoldersClock) {
--- a/crates/promptdesk/src/turns.rs
+++ b/crates/promptdesk/src/turns.rs
@@ -38,6 +38,8 @@
 pub(crate) enum Waiter {
     Read(u64),
     Order(u64),
+    /// Nobody; it is proposed in this term or not at all.
+    Term(Term),
 }
 
 /// What has come of something that was asked of the agreement.
@@ -168,6 +170,9 @@
     }
 
     fn take(&mut self, input: Input, waiter: Option<Waiter>, outputs: &mut Vec<Output>) {
+        if matches!(waiter, Some(Waiter::Term(term)) if term != self.core.term() || !self.core.is_holder()) {
+            return;
+        }
         self.turns.tag += 1;
         let tag = self.turns.tag;
         let input = match input {
@@ -181,7 +186,7 @@
             }
             return;
         }
-        if let Some(waiter) = waiter {
+        if let Some(waiter) = waiter.filter(|w| !matches!(w, Waiter::Term(_))) {
             if self.turns.waiting.len() >= QUEUE {
                 // Some have long given up waiting.
                 let (orders, turns) = (&self.orders, &mut self.turns);
@@ -438,6 +443,7 @@
         match waiter {
             Waiter::Read(call) => self.read_done(call, done),
             Waiter::Order(job) => self.order_done(job, done),
+            Waiter::Term(_) => {}
         }
     }
 }
--- a/crates/promptdesk/tests/alone.rs
+++ b/crates/promptdesk/tests/alone.rs
@@ -18,6 +18,7 @@
         first: true,
         seeds: vec!["10.0.0.1".into(), "10.0.0.2".into(), "10.0.0.3".into()],
         beat: BEAT,
+        part_ends: 5_400_000 * MS,
         terms: |_| Terms::default(),
         seed: 7,
     };
@@ -104,6 +105,7 @@
         first: false,
         seeds: vec!["10.0.0.9".into()],
         beat: BEAT,
+        part_ends: 5_400_000 * MS,
         terms: |_| Terms::default(),
         seed: 7,
     };
--- a/crates/prompter/src/followers.rs
+++ b/crates/prompter/src/followers.rs
@@ -2,6 +2,7 @@
 
 use crate::driver::{Driver, Outlet};
 use callboard::Place;
+use promptbook::Life;
 use promptdesk::PULSE;
 use std::future::ready;
 use std::rc::Rc;
@@ -18,14 +19,14 @@
 /// holds.
 pub async fn serve(
     driver: Rc<Driver>,
-    name: String,
+    (name, life): (String, Life),
     (place, holds, contact): (Option<Place>, promptbook::Place, u64),
     mut reader: Reader,
     mut writer: Writer,
 ) {
     let (handed, mut answers) = mpsc::channel(QUEUE);
     let room = Rc::new(Notify::new());
-    let link = driver.with(|p, _| p.follow(&name, place, holds, contact));
+    let link = driver.with(|p, _| p.follow((&name, life), place, holds, contact));
     driver.outlets.borrow_mut().insert(name.clone(), Outlet { link, handed, room: room.clone() });
     let tell = async {
         let mut changes = driver.news();
--- a/crates/prompter/src/inquiry.rs
+++ b/crates/prompter/src/inquiry.rs
@@ -34,7 +34,7 @@
             configuration: book.configuration().map(|c| (c.version, c.place)),
             backends: cell.facts().count(),
             leaving: book.leaving().count(),
-            gateways: book.gateways().len(),
+            gateways: book.roster().members().len(),
             followers: prompter.followers().map(|(name, _)| name.clone()).collect(),
             prompters: prompter.prompters(),
         },
@@ -48,7 +48,9 @@
                 by.map(|(name, _)| name.clone()).collect()
             };
             let follows = |g: &String| prompter.followers().any(|(name, _)| name == g);
-            Answer::Gateways(book.gateways().iter().map(|g| (g.clone(), follows(g), missed(g))).collect())
+            Answer::Gateways(
+                book.roster().members().keys().map(|g| (g.clone(), follows(g), missed(g))).collect(),
+            )
         }
         Query::Configuration => {
             let text = book.configuration().map(|c| String::from_utf8_lossy(&c.body).into_owned());
--- a/crates/prompter/src/main.rs
+++ b/crates/prompter/src/main.rs
@@ -117,6 +117,7 @@
         first: settings.own.initial_start,
         seeds: settings.seeds().iter().map(ToString::to_string).collect(),
         beat: (settings.platform.heartbeat_interval_ms * 1e6) as promptdesk::Time,
+        part_ends: boxoffice::PART_ENDS,
         terms: |body| Playbill::read(body).map(|p| Terms::of(&p)).unwrap_or_default(),
         seed,
     }
@@ -162,8 +163,8 @@
             reader.known();
             match first {
                 Ok(Ok(Some(First::Prompter { form: FORM, id }))) => links.hear(id, reader).await,
-                Ok(Ok(Some(First::Gateway { form: FORM, name, place, holds, contact, .. }))) => {
-                    followers::serve(driver, name, (place, holds, contact), reader, writer).await;
+                Ok(Ok(Some(First::Gateway { form: FORM, name, life, place, holds, contact, .. }))) => {
+                    followers::serve(driver, (name, life), (place, holds, contact), reader, writer).await;
                 }
                 Ok(Ok(Some(First::Shell { form: FORM }))) => inquiry::serve(driver, reader, writer).await,
                 // Of another form, or nobody's.
--- a/crates/proscenium/src/main.rs
+++ b/crates/proscenium/src/main.rs
@@ -74,7 +74,8 @@
     let zone = zones.iter().position(|z| *z == settings.own.zone).unwrap_or(zones.len()) as u32;
     let rights = Rights::new();
     let own = &settings.own;
-    let me = cue::Setup { name: own.node_name.clone(), zone: own.zone.clone(), ip: own.ip_address };
+    let (name, ip) = (own.node_name.clone(), own.ip_address);
+    let me = cue::Setup { name, life: seed.max(1), zone: own.zone.clone(), ip };
     let playing = Playing::new(rights.clone(), me, zone);
     let sockets = settings.own.limits.max_file_descriptors.saturating_sub(200 + RESERVED).max(64);
     let wire = wire::Backward::default();
--- a/crates/proscenium/src/playing.rs
+++ b/crates/proscenium/src/playing.rs
@@ -39,7 +39,6 @@
     pools: RefCell<Pools>,
     settings: RefCell<Settings>,
     driver: RefCell<Option<Rc<Driver>>>,
-    me: String,
     prompter: Cell<Option<IpAddr>>,
 }
 
@@ -73,7 +72,6 @@
         };
         Rc::new(Playing {
             rights,
-            me: me.name.clone(),
             follow: RefCell::new(Follow::new(me)),
             table: RefCell::default(),
             attempts: Rc::new(RefCell::new(sorts.all().iter().map(|s| s.attempts).collect())),
@@ -216,16 +214,14 @@
     }
 
     fn gateways(&self) {
-        let follow = self.follow.borrow();
-        let all = follow.fold().gateways();
-        let mine = all.iter().position(|name| *name == self.me);
-        self.rights.gateways(mine.map_or(0, |_| all.len() as u32));
+        let (mine, all) = self.follow.borrow().among();
+        let (parts, roster) = self.follow.borrow().parts();
+        self.rights.gateways(parts, roster);
         // Of many backends each gateway keeps to some, by its place among the gateways.
         if let (Some(me), Some(driver)) = (mine, &*self.driver.borrow()) {
-            driver.neighbours(Some((me as u32, all.len() as u32)));
+            driver.neighbours(Some((me as u32, all as u32)));
         }
-        self.settings.borrow_mut().gateways = all.len().max(1) as u32;
-        drop(follow);
+        self.settings.borrow_mut().gateways = all.max(1) as u32;
         self.reconfigure();
     }
 
--- a/crates/proscenium/src/rights.rs
+++ b/crates/proscenium/src/rights.rs
@@ -1,5 +1,6 @@
 //! The desk's sockets: asks go up the link to the prompter, requests wait here for a unit.
 
+use boxoffice::roster::Place;
 use boxoffice::{Ask, Desk, Lent, Limit, Verdict, Waiter, Word};
 use granite_interface::{Allowance, Name, RequestId};
 use granite_stage::driver::Driver;
@@ -50,8 +51,8 @@
         self.desk.borrow_mut().limits(self.now(), limits);
     }
 
-    pub fn gateways(&self, gateways: u32) {
-        self.desk.borrow_mut().gateways(gateways);
+    pub fn gateways(&self, gateways: u32, roster: Place) {
+        self.desk.borrow_mut().gateways(gateways, roster);
     }
 
     pub fn lent(&self, lent: &Lent) {
--- a/crates/rehearsal/src/defect.rs
+++ b/crates/rehearsal/src/defect.rs
@@ -19,6 +19,8 @@
     PaceIgnored,
     /// At its start one takes its snapshot and nothing of the log behind it.
     LogCutAtStart,
+    /// A gateway's even part does not end, however long nobody answers it.
+    PartWithoutEnd,
 }
 
 impl Defect {
@@ -32,6 +34,7 @@
             Defect::RefusedAtOnce,
             Defect::PaceIgnored,
             Defect::LogCutAtStart,
+            Defect::PartWithoutEnd,
         ];
         promptdesk::Defect::ALL.into_iter().map(Defect::Prompter).chain(own)
     }
--- a/crates/rehearsal/src/gateways.rs
+++ b/crates/rehearsal/src/gateways.rs
@@ -41,7 +41,7 @@
     pub fn new(g: usize, zone: &str, seeds: &[usize]) -> Self {
         let ip = IpAddr::V4(Ipv4Addr::new(10, 9, 0, g as u8 + 1));
         let name = format!("g{g}");
-        let setup = Setup { name: name.clone(), zone: zone.into(), ip };
+        let setup = Setup { name: name.clone(), life: 1, zone: zone.into(), ip };
         let mut gateway = Gateway {
             name,
             follow: Follow::new(setup.clone()),
@@ -67,12 +67,18 @@
 
     /// Another process of the same name. What was meant for the one before is nobody's.
     pub fn begin_anew(&mut self) {
+        self.setup.life += 1;
         self.follow = Follow::new(self.setup.clone());
         self.link = None;
         self.number += 1;
         self.busy = 0;
     }
 
+    /// The life that it has.
+    pub fn life(&self) -> u64 {
+        self.setup.life
+    }
+
     /// When it hears something of so many bytes that is sent now, behind what is on its way.
     pub fn arrives(&mut self, now: Time, bytes: usize, delay: Time) -> Time {
         let takes = self.rate.map_or(0.0, |rate| bytes as f64 / rate * 1e9) as Time;
--- a/crates/rehearsal/src/guest.rs
+++ b/crates/rehearsal/src/guest.rs
@@ -66,6 +66,13 @@
         Guest { unaware: (0..gateways).collect(), ..Guest::default() }
     }
 
+    /// Another process of this gateway's begins: who waited there is gone.
+    pub fn begins_anew(&mut self, g: usize) {
+        self.held.retain(|_, at| *at != g);
+        self.waits.remove(&g);
+        self.unaware.insert(g);
+    }
+
     /// One gateway's turn: `comes`: a new request does.
     pub fn turn(
         &mut self,
--- a/crates/rehearsal/src/machine.rs
+++ b/crates/rehearsal/src/machine.rs
@@ -32,6 +32,8 @@
     /// It starts with the whole system, for the first time.
     pub first: bool,
     pub zone: String,
+    /// Even parts end so soon: no world lasts for hours.
+    pub part_ends: Time,
     pub terms: fn(&[u8]) -> Terms,
     /// The log is folded into the state at so many entries.
     pub fold: usize,
@@ -133,6 +135,7 @@
             first: self.told.first && self.life == 1,
             seeds: self.told.seeds.clone(),
             beat: BEAT,
+            part_ends: self.told.part_ends,
             terms: self.told.terms,
             seed,
         };
--- a/crates/rehearsal/src/rules.rs
+++ b/crates/rehearsal/src/rules.rs
@@ -24,6 +24,8 @@
     TwoLend(u64, u64),
     /// More of a tenant's requests passed in five seconds than its limit allows.
     Quota { passed: u32, most: f64 },
+    /// Gateways together have more of what is shared than there is, if each were alone.
+    Parts { sum: f64 },
     /// A gateway in touch refused a tenant for its pace within 100 ms of another's letting it go at full speed.
     Both { refuses: usize, full: usize },
     /// A tenant went at full speed that long after its trial was agreed to be over, in ms.
@@ -135,7 +137,7 @@
                 }
             }
             Word::Leaving { instance } => drop(self.drains.insert(instance.clone())),
-            Word::Gateway { .. } | Word::TrialOver { .. } => {}
+            Word::Roster(_) | Word::TrialOver { .. } => {}
         }
         Ok(())
     }
@@ -270,6 +272,15 @@
     }
 }
 
+/// Even parts that gateways have at the same moment.
+pub fn parts(all: impl Iterator<Item = f64>) -> Result<(), Broken> {
+    let sum: f64 = all.sum();
+    if sum > 1.0 + 1e-9 {
+        return Err(Broken::Parts { sum });
+    }
+    Ok(())
+}
+
 /// How many there were in the last five seconds, with this one.
 fn window(list: &mut VecDeque<Time>, now: Time) -> u32 {
     list.push_back(now);
--- a/crates/rehearsal/src/system.rs
+++ b/crates/rehearsal/src/system.rs
@@ -503,12 +503,14 @@
             return Ok(());
         }
         let gateway = &mut self.gateways[g];
-        let First::Gateway { name, place, holds, contact, .. } = gateway.follow.begin(now, ip, true) else {
+        let First::Gateway { name, life: own, place, holds, contact, .. } =
+            gateway.follow.begin(now, ip, true)
+        else {
             return Ok(());
         };
         gateway.heard = now;
         let life = self.machines[n].life;
-        let theirs = self.machines[n].with(|p| p.follow(&name, place, holds, contact)).unwrap_or(0);
+        let theirs = self.machines[n].with(|p| p.follow((&name, own), place, holds, contact)).unwrap_or(0);
         let link = Link { number, at: n, life, theirs };
         self.gateways[g].link = Some(link);
         self.at(now + SILENT, Event::Silent { g, number });
--- a/crates/wings/src/message.rs
+++ b/crates/wings/src/message.rs
@@ -1,10 +1,10 @@
 //! What processes of the system say to each other. The first message on a connection tells which it is and in which form
 //! it speaks; what is of another form ends the connection.
 
-use boxoffice::{Ask, Lent};
+use boxoffice::{roster, Ask, Lent, Roster};
 use callboard::Place;
 use greenroom::Fact;
-use promptbook::{Part, Place as AgreedPlace};
+use promptbook::{Life, Part, Place as AgreedPlace};
 use serde::{Deserialize, Serialize};
 use understudy::{FoundingSaid, Id, Members, Message, Term};
 
@@ -20,6 +20,8 @@
     Gateway {
         form: u32,
         name: String,
+        /// Drawn when its process began.
+        life: Life,
         zone: String,
         place: Option<Place>,
         /// Where the configuration that it holds stands in the agreed log; 0: it holds none.
@@ -208,7 +210,7 @@
     /// Whether there are no backends but these: a prompter that has just begun does not know yet.
     pub whole: bool,
     pub leaving: Vec<String>,
-    pub gateways: Vec<String>,
+    pub roster: Roster,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -218,5 +220,6 @@
     Over(String),
     /// It takes nothing new any more.
     Leaving(String),
-    Gateways(Vec<String>),
+    /// The roster changed at this place of the agreed log.
+    Roster(AgreedPlace, roster::Change),
 }
