--- a/crates/prompter/src/disk.rs
+++ b/crates/prompter/src/disk.rs
@@ -6,6 +6,8 @@
 pub(crate) mod folder;
 mod generation;
 #[cfg(test)]
+mod golden_tests;
+#[cfg(test)]
 pub(crate) mod stand_in;
 pub(crate) mod storage;
 #[cfg(test)]
--- /dev/null
+++ b/crates/prompter/src/disk/golden_tests.rs
@@ -0,0 +1,136 @@
+//! A folder that an earlier version wrote is opened with all that it held, and the same is written byte for byte.
+
+use super::folder::{Directory, Folder};
+use super::storage::Storage;
+use super::*;
+use compatibility::{Golden, RECORD_VARIABLE};
+use promptbook::{Book, Word};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
+use understudy::{Entry, Id, Members, Said, Snapshot};
+
+const NAME: &str = "10.0.0.1";
+const ID: u64 = 77;
+
+/// The folder as it was written by version 0.1.0 before names were changed.
+fn recorded() -> PathBuf {
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../compatibility/golden/agreement")
+}
+
+fn members() -> Members {
+    [(NAME.to_string(), ID), ("10.0.0.2".to_string(), 78), ("10.0.0.3".to_string(), 79)].into()
+}
+
+fn configuration(base: u32, bytes: usize) -> Said {
+    let body = (0..bytes).map(|n| (n % 251) as u8).collect();
+    Said::Word(Word::Configuration { base, version: base + 1, body }.write())
+}
+
+/// Entries of each kind, with configurations that stand where they are, as values, and as files of their own.
+fn stored() -> Stored {
+    let mut book = Book::new();
+    book.apply(2, &Word::Configuration { base: 0, version: 1, body: vec![b'x'; 5000] });
+    book.apply(3, &Word::Leaving { instance: "i-1".into() });
+    let said = [
+        Said::Nothing,
+        Said::Members(members()),
+        configuration(1, 1000),
+        configuration(2, 9000),
+        configuration(3, 70_000),
+        Said::Joint { old: members(), new: Members::new() },
+    ];
+    Stored {
+        term: 5,
+        vote: Some(Id { name: "10.0.0.2".into(), disk: 78 }),
+        snapshot: Snapshot { place: 3, term: 4, members: members(), state: book.write() },
+        entries: said.into_iter().map(|said| Entry { term: 5, said }).collect(),
+        agreed: 4,
+    }
+}
+
+fn facts() -> Vec<Fact> {
+    vec![Fact { id: "i-1".into(), address: "10.1.0.1:9000".into(), slots: 3, sequence: 4, ..Fact::default() }]
+}
+
+fn open(path: &Path) -> (Storage, Held) {
+    let folder = Directory::new(path.to_path_buf()).unwrap();
+    Storage::open(Arc::new(folder) as Arc<dyn Folder>, NAME, ID).unwrap()
+}
+
+/// An empty folder of this test's own.
+fn scratch(test: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("granitethread-{test}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&path);
+    std::fs::create_dir_all(&path).unwrap();
+    path
+}
+
+fn write(path: &Path) {
+    let (mut storage, _) = open(path);
+    storage.whole(&stored()).unwrap();
+    storage.keep(&facts());
+    storage.rest();
+}
+
+fn copy(from: &Path, to: &Path) {
+    for entry in std::fs::read_dir(from).unwrap() {
+        let entry = entry.unwrap();
+        std::fs::copy(entry.path(), to.join(entry.file_name())).unwrap();
+    }
+}
+
+fn rows(path: &Path) -> Vec<(String, Vec<u8>)> {
+    let database = Database::open(path).unwrap();
+    let read = database.begin_read().unwrap();
+    let mut rows = Vec::new();
+    for name in ["agreed", "values"] {
+        let table = read.open_table(TableDefinition::<&[u8], &[u8]>::new(name)).unwrap();
+        for row in table.iter().unwrap() {
+            let (key, value) = row.unwrap();
+            let key: String = key.value().iter().map(|b| format!("{b:02x}")).collect();
+            rows.push((format!("{name}:{key}"), value.value().to_vec()));
+        }
+    }
+    rows
+}
+
+#[test]
+fn a_folder_of_the_version_before_is_opened_with_all_that_it_held() {
+    if std::env::var_os(RECORD_VARIABLE).is_some() && !recorded().exists() {
+        std::fs::create_dir_all(recorded()).unwrap();
+        write(&recorded());
+    }
+    let path = scratch("opened");
+    copy(&recorded(), &path);
+    let (_, held) = open(&path);
+    assert_eq!((held.id, held.stored, held.cell), (ID, stored(), facts()));
+    std::fs::remove_dir_all(path).unwrap();
+}
+
+#[test]
+fn the_same_state_is_written_as_the_same_rows_and_files() {
+    let mut golden = Golden::open("stored-rows");
+    let path = scratch("written");
+    write(&path);
+    let names = |path: &Path| {
+        let entries = std::fs::read_dir(path).unwrap().map(|e| e.unwrap().file_name());
+        let mut names: Vec<_> = entries.collect();
+        names.sort();
+        names
+    };
+    assert_eq!(names(&path), names(&recorded()));
+    for name in names(&path) {
+        let name = name.to_str().unwrap();
+        if !name.starts_with("agreed-") {
+            assert!(
+                std::fs::read(path.join(name)).unwrap() == std::fs::read(recorded().join(name)).unwrap(),
+                "{name}"
+            );
+        }
+    }
+    let rows = rows(&path.join("agreed-00000001"));
+    for (name, bytes) in &rows {
+        golden.assert_bytes(name, bytes);
+    }
+    assert_eq!(golden.len(), rows.len());
+    std::fs::remove_dir_all(path).unwrap();
+}
