--- a/crates/prompter/src/disk/golden_tests.rs
+++ b/crates/control/control-plane/src/disk/golden_tests.rs
@@ -13,7 +13,7 @@
 
 /// The folder as it was written by version 0.1.0 before names were changed.
 fn recorded() -> PathBuf {
-    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../compatibility/golden/agreement")
+    PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../testing/compatibility/golden/agreement")
 }
 
 fn members() -> Members {
--- a/crates/operator/src/lib.rs
+++ b/crates/service/operator/src/lib.rs
@@ -663,6 +663,6 @@
     /// The file in the repository is what the program takes by default.
     #[test]
     fn the_file_in_the_repository_says_what_is_so_anyway() {
-        assert_eq!(read(include_str!("../../../deploy/operator.toml")).unwrap(), Operator::default());
+        assert_eq!(read(include_str!("../../../../deploy/operator.toml")).unwrap(), Operator::default());
     }
 }
--- a/crates/rig/src/program.rs
+++ b/crates/testing/test-harness/src/program.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// The example of a gateway's own file that stands in the repository.
-pub const EXAMPLE: &str = include_str!("../../../deploy/gateway.example.json");
+pub const EXAMPLE: &str = include_str!("../../../../deploy/gateway.example.json");
 
 /// Where the program stands: beside this one, built first when cargo started this one.
 ///
