--- a/benches/passthrough.rs
+++ b/benches/passthrough.rs
@@ -7,10 +7,6 @@
 //! `SERVERS`, `CONNECTIONS`, `REQUESTS` and `ROUNDS` set the sizes (10, 64, 30000, 5).
 
 use bytes::Bytes;
-use granite_rig::demo::request;
-use granite_rig::fleet::{good, serve};
-use granite_rig::peers::{list, Client, Discovery};
-use granite_rig::program::{Program, EXAMPLE};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::SendRequest;
@@ -28,6 +24,10 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Instant;
+use test_harness::demo::request;
+use test_harness::fleet::{good, serve};
+use test_harness::peers::{list, Client, Discovery};
+use test_harness::program::{Program, EXAMPLE};
 use tokio::net::{TcpListener, TcpStream};
 
 type Fault = Box<dyn Error + Send + Sync>;
--- a/crates/common/process/src/message.rs
+++ b/crates/common/messages/src/message.rs
@@ -1,12 +1,12 @@
 //! What processes of the system say to each other. The first message on a connection tells which it is and in which form
 //! it speaks; what is of another form ends the connection.
 
-use boxoffice::{Ask, Lent};
-use callboard::Place;
-use greenroom::Fact;
-use promptbook::{Part, Place as AgreedPlace};
+use change_log::Place;
+use consensus::{FoundingSaid, Id, Members, Message, Term};
+use control_state::{Part, Place as AgreedPlace};
+use quota::{Ask, Lent};
+use registry::Fact;
 use serde::{Deserialize, Serialize};
-use understudy::{FoundingSaid, Id, Members, Message, Term};
 
 /// The form of all messages here.
 pub const FORM: u32 = 4;
@@ -126,7 +126,7 @@
         #[serde(with = "serde_bytes")]
         word: Vec<u8>,
     },
-    /// To the holder: am I heard, and what is agreed on? ([`callboard::Contact`])
+    /// To the holder: am I heard, and what is agreed on? ([`change_log::Contact`])
     Contact {
         number: u64,
     },
--- a/crates/common/quota/tests/trials.rs
+++ b/crates/common/quota/tests/trials.rs
@@ -1,7 +1,7 @@
 //! A trial runs out over six gateways: nobody goes at full speed beside one that refuses, waits are alike, the pace is kept,
 //! whoever is cut off, and whoever keeps.
 
-use boxoffice::{Desk, Keeper, Lent, Limit, Slow, Time, Verdict, Waiter, Word, GAP};
+use quota::{Desk, Keeper, Lent, Limit, Slow, Time, Verdict, Waiter, Word, GAP};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
@@ -164,7 +164,7 @@
     let seen = play(&Play::default());
     never_both(&seen);
     let last = seen.full.iter().map(|f| f.1).max().unwrap();
-    assert!((6 * S * STEP..6 * S * STEP + boxoffice::LEAD).contains(&last), "{last}");
+    assert!((6 * S * STEP..6 * S * STEP + quota::LEAD).contains(&last), "{last}");
     assert!(!seen.refused.is_empty(), "three times the pace was asked for");
     let paced = seen.paced.iter().filter(|p| p.1 + p.2 > 8 * S * STEP).count() as f64;
     assert!((0.93..1.02).contains(&(paced / (20.0 * 8.0))), "the pace is had: {paced} in 8 s");
@@ -196,7 +196,7 @@
         let seen = play(&Play { cut, ..Play::default() });
         never_both(&seen);
         let last = seen.full.iter().filter(|f| f.0 < 2).map(|f| f.1).max().unwrap();
-        assert!(last <= (6 * S * STEP + boxoffice::LEAD).min(from * STEP + boxoffice::ALONE_AFTER + STEP));
+        assert!(last <= (6 * S * STEP + quota::LEAD).min(from * STEP + quota::ALONE_AFTER + STEP));
         assert!(most_in(&seen, 5000 * MS) <= 20 * 5 + 20, "{}", most_in(&seen, 5000 * MS));
     }
 }
@@ -207,8 +207,8 @@
         let seen = play(&Play { keepers: vec![keeper], ..Play::default() });
         never_both(&seen);
         let last = seen.full.iter().map(|f| f.1).max().unwrap();
-        assert!(last < 6 * S * STEP + boxoffice::LEAD, "{last}");
-        let settles = keeper * STEP..keeper * STEP + boxoffice::LEAD;
+        assert!(last < 6 * S * STEP + quota::LEAD, "{last}");
+        let settles = keeper * STEP..keeper * STEP + quota::LEAD;
         assert!(!seen.refused.iter().any(|r| settles.contains(&r.1)));
         assert!(most_in(&seen, 5000 * MS) <= 20 * 5 + 20, "{}", most_in(&seen, 5000 * MS));
     }
@@ -219,7 +219,7 @@
     let over = vec![6 * S..7 * S, 7 * S + 40..7 * S + 100, 8 * S..u64::MAX];
     let seen = play(&Play { over, ..Play::default() });
     never_both(&seen);
-    assert!(seen.full.iter().any(|f| f.1 > 7 * S * STEP + boxoffice::LEAD), "fast again");
+    assert!(seen.full.iter().any(|f| f.1 > 7 * S * STEP + quota::LEAD), "fast again");
     assert!(seen.full.iter().all(|f| f.1 < 9 * S * STEP), "and slow again");
 }
 
--- a/crates/control/change-log/tests/contact.rs
+++ b/crates/control/change-log/tests/contact.rs
@@ -1,6 +1,6 @@
 //! What proves that a prompter holds all that is agreed on, and what does not.
 
-use callboard::Contact;
+use change_log::Contact;
 
 const MS: u64 = 1_000_000;
 
--- a/crates/control/consensus/tests/common/mod.rs
+++ b/crates/control/consensus/tests/common/mod.rs
@@ -3,12 +3,12 @@
 
 pub mod net;
 
+use consensus::{
+    Core, Defect, Entry, Id, Input, Members, Message, Output, Place, Said, Save, Stored, Term, Time,
+};
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
-use understudy::{
-    Core, Defect, Entry, Id, Input, Members, Message, Output, Place, Said, Save, Stored, Term, Time,
-};
 
 pub const MS: Time = 1_000_000;
 
--- a/crates/control/consensus/tests/common/net.rs
+++ b/crates/control/consensus/tests/common/net.rs
@@ -1,10 +1,10 @@
 //! Members on a simulated network with clocks: delays, bandwidth, cuts, and knocks twice a second.
 
 use super::{id, Member, Seen, MS};
+use consensus::{Body, Id, Input, Members, Message, Output, Time};
 use fastrand::Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
-use understudy::{Body, Id, Input, Members, Message, Output, Time};
 
 const STEP: Time = 10 * MS;
 
@@ -36,7 +36,7 @@
         Body::Append { entries, .. } => entries
             .iter()
             .map(|e| match &e.said {
-                understudy::Said::Word(word) => word.len() as u64 + 16,
+                consensus::Said::Word(word) => word.len() as u64 + 16,
                 _ => 64,
             })
             .sum(),
--- a/crates/control/consensus/tests/disk.rs
+++ b/crates/control/consensus/tests/disk.rs
@@ -1,7 +1,7 @@
 //! A voter whose disk does not save: it promises nothing, hands its duty on, and goes on hearing what is agreed on.
 
+use consensus::{Core, Id, Input, Members, Output, Place, Stored, Time};
 use std::collections::VecDeque;
-use understudy::{Core, Id, Input, Members, Output, Place, Stored, Time};
 
 const MS: Time = 1_000_000;
 const STEP: Time = 5 * MS;
--- a/crates/control/consensus/tests/founding.rs
+++ b/crates/control/consensus/tests/founding.rs
@@ -1,8 +1,8 @@
 //! Seeds agree on who votes at the first start, whatever is lost and whoever ends.
 
+use consensus::{Founding, FoundingSaid, Id, Members};
 use fastrand::Rng;
 use std::collections::BTreeSet;
-use understudy::{Founding, FoundingSaid, Id, Members};
 
 fn id(name: &str) -> Id {
     Id { name: name.into(), disk: 1 }
--- a/crates/control/consensus/tests/replace.rs
+++ b/crates/control/consensus/tests/replace.rs
@@ -4,7 +4,7 @@
 
 use common::net::Net;
 use common::MS;
-use understudy::Input;
+use consensus::Input;
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
@@ -188,7 +188,7 @@
 fn a_founder_that_dies_at_once_leaves_others_who_found() {
     let mut net = Net::empty(9);
     NAMES.iter().for_each(|name| net.join(name));
-    let members: understudy::Members = net.members.iter().map(|m| (m.id.name.clone(), m.id.disk)).collect();
+    let members: consensus::Members = net.members.iter().map(|m| (m.id.name.clone(), m.id.disk)).collect();
     // The first by name dies before it hears that it is to found, and is back much later with what it had: nothing.
     net.stop("a");
     for n in 1..3 {
@@ -198,11 +198,11 @@
     assert!(net.agrees_within(1_000));
     net.start("a");
     net.run(1_000);
-    assert!(net.member("a").core.as_ref().is_some_and(understudy::Core::is_member));
+    assert!(net.member("a").core.as_ref().is_some_and(consensus::Core::is_member));
     // One that has only voted when it is told founds as well: whom it voted for may be gone for good.
     let mut net = Net::empty(10);
     NAMES.iter().for_each(|name| net.join(name));
-    let members: understudy::Members = net.members.iter().map(|m| (m.id.name.clone(), m.id.disk)).collect();
+    let members: consensus::Members = net.members.iter().map(|m| (m.id.name.clone(), m.id.disk)).collect();
     net.take(0, Input::Found { members: members.clone() });
     net.run(10);
     net.stop("a");
--- a/crates/control/consensus/tests/slow.rs
+++ b/crates/control/consensus/tests/slow.rs
@@ -4,7 +4,7 @@
 
 use common::net::Net;
 use common::MS;
-use understudy::Input;
+use consensus::Input;
 
 /// 2 Mbit/s, in bytes a second.
 const SLOW: u64 = 250_000;
@@ -150,14 +150,14 @@
 
 #[test]
 fn what_makes_no_sense_is_taken_for_nothing() {
-    use understudy::{Body, Id, Message, Whole};
+    use consensus::{Body, Id, Message, Whole};
     let mut net = Net::founded(4, &["a", "b", "c"]);
     let (other, leader) = pair(&net);
     let (n, term) = (net.at(&other), net.term());
     let from = net.member(&leader).id.clone();
     let to = net.member(&other).id.clone();
     let state = |at: u64, size: u64, bytes: Vec<u8>| {
-        let whole = Whole::Snapshot { place: 99, term, members: understudy::Members::new() };
+        let whole = Whole::Snapshot { place: 99, term, members: consensus::Members::new() };
         Body::Part { whole, size, at, bytes, round: 0 }
     };
     let said = [
--- a/crates/control/consensus/tests/small.rs
+++ b/crates/control/consensus/tests/small.rs
@@ -5,11 +5,11 @@
 mod common;
 
 use common::{id, Broken, Member, Seen, MS};
+use consensus::{Body, Defect, Id, Input, Members, Message};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
-use understudy::{Body, Defect, Id, Input, Members, Message};
 
 /// How often each may happen in a world.
 #[derive(Clone, Copy, Debug, Hash)]
@@ -253,7 +253,7 @@
 
     /// The clocks of a leader go on by a round, others' stand still.
     fn pulse(&mut self, n: usize) -> Result<(), Broken> {
-        Arc::make_mut(&mut self.members[n]).now += understudy::PULSE;
+        Arc::make_mut(&mut self.members[n]).now += consensus::PULSE;
         self.take(n, Input::Tick).map(drop)
     }
 
--- a/crates/control/control-node/src/backends.rs
+++ b/crates/control/control-node/src/backends.rs
@@ -1,8 +1,8 @@
 //! The cell's backends: their beats, first-hand and passed on, and who is silent.
 
 use crate::{Defect, Effect, Prompter, Time, MS};
-use greenroom::{Fact, Heard};
-use wings::message::{Change, Peer};
+use messages::message::{Change, Peer};
+use registry::{Fact, Heard};
 
 /// What was heard of beats is passed on so often.
 const BEATS: Time = 400 * MS;
--- a/crates/control/control-node/src/board.rs
+++ b/crates/control/control-node/src/board.rs
@@ -1,10 +1,10 @@
 //! The agreed book, and news of it and of the cell for those who follow.
 
 use crate::{Defect, Effect, Prompter};
-use callboard::Board;
-use promptbook::{Applied, Book, Configuration, Place, Steps, Word};
+use change_log::Board;
+use control_state::{Applied, Book, Configuration, Place, Steps, Word};
+use messages::message::{Change, Down, Scene};
 use std::sync::Arc;
-use wings::message::{Change, Down, Scene};
 
 /// Changes that a follower may be behind without a scene.
 const CHANGES: usize = 1024;
@@ -24,12 +24,12 @@
         News { board: Board::new(seed, CHANGES), lives: seed, steps: Steps::default() }
     }
 
-    pub fn end(&self) -> callboard::Place {
+    pub fn end(&self) -> change_log::Place {
         self.board.end()
     }
 
     /// What came since; none if a scene is wanted.
-    pub fn since(&self, place: callboard::Place) -> Option<Vec<Change>> {
+    pub fn since(&self, place: change_log::Place) -> Option<Vec<Change>> {
         self.board.since(place).map(|c| c.cloned().collect())
     }
 }
@@ -101,7 +101,7 @@
     }
 
     /// All that is known.
-    pub(crate) fn scene(&self) -> (callboard::Place, Down) {
+    pub(crate) fn scene(&self) -> (change_log::Place, Down) {
         // Of those who have ended nobody needs to hear, but a gateway may know of one from elsewhere.
         let leaving =
             self.book.leaving().filter(|_| !self.has(Defect::SceneForgetsDrains)).cloned().collect();
--- a/crates/control/control-node/src/calls.rs
+++ b/crates/control/control-node/src/calls.rs
@@ -1,7 +1,7 @@
 //! Calls of backends. Operators' are in `orders`.
 
 use crate::{Effect, Prompter, Reply, Time};
-use greenroom::Fact;
+use registry::Fact;
 
 impl Prompter {
     /// A backend's beat, which is at times the word that it leaves.
--- a/crates/control/control-node/src/contact.rs
+++ b/crates/control/control-node/src/contact.rs
@@ -1,7 +1,7 @@
-//! Contact with a majority, as far as it can be proven: [`callboard::Contact`].
+//! Contact with a majority, as far as it can be proven: [`change_log::Contact`].
 
 use crate::{Defect, Prompter, Time, MS};
-use wings::message::Peer;
+use messages::message::Peer;
 
 /// The leader is asked for proof so often.
 const ASKS: Time = 150 * MS;
--- a/crates/control/control-node/src/defect.rs
+++ b/crates/control/control-node/src/defect.rs
@@ -53,7 +53,7 @@
     NewcomerNeverVotes,
 }
 
-#[cfg(feature = "rehearsal")]
+#[cfg(feature = "simulation")]
 impl Defect {
     /// All of them.
     pub const ALL: [Defect; 24] = [
@@ -87,9 +87,9 @@
 impl crate::Prompter {
     /// Whether this defect was planted; never in what ships.
     pub(crate) fn has(&self, _defect: Defect) -> bool {
-        #[cfg(feature = "rehearsal")]
+        #[cfg(feature = "simulation")]
         return self.defect == Some(_defect);
-        #[cfg(not(feature = "rehearsal"))]
+        #[cfg(not(feature = "simulation"))]
         false
     }
 }
--- a/crates/control/control-node/src/drains.rs
+++ b/crates/control/control-node/src/drains.rs
@@ -2,9 +2,9 @@
 
 use crate::orders::{ANSWERED, WAITING};
 use crate::{Defect, Effect, Prompter, Reply, Time, MS};
-use promptbook::Word;
-use understudy::Input;
-use wings::message::Peer;
+use consensus::Input;
+use control_state::Word;
+use messages::message::Peer;
 
 /// Something that was passed on to the leader is passed on again after so long.
 const AGAIN: Time = 150 * MS;
--- a/crates/control/control-node/src/duty.rs
+++ b/crates/control/control-node/src/duty.rs
@@ -1,7 +1,7 @@
 //! Who leads, as the agreement told last.
 
 use crate::{Effect, Prompter, Time, MS};
-use understudy::{Id, Members, Term};
+use consensus::{Id, Members, Term};
 
 /// Whoever is told to end says so again so often.
 pub(crate) const LEAVE: Time = 100 * MS;
--- a/crates/control/control-node/src/followers.rs
+++ b/crates/control/control-node/src/followers.rs
@@ -1,9 +1,9 @@
 //! Gateways that follow: a scene, then changes, the configuration in parts, a pulse, and their asks for rights.
 
 use crate::{Defect, Effect, Prompter, Time, MS};
-use callboard::Place;
-use promptbook::{Sender, Word};
-use wings::message::{Down, Peer, Up};
+use change_log::Place;
+use control_state::{Sender, Word};
+use messages::message::{Down, Peer, Up};
 
 /// A gateway is told how fresh this prompter is so often.
 pub const PULSE: Time = 200 * MS;
@@ -30,7 +30,7 @@
         &mut self,
         name: &str,
         place: Option<Place>,
-        holds: promptbook::Place,
+        holds: control_state::Place,
         contact: u64,
     ) -> u64 {
         self.links += 1;
--- a/crates/control/control-node/src/founder.rs
+++ b/crates/control/control-node/src/founder.rs
@@ -1,11 +1,11 @@
-//! The first start of all: the seeds agree on who votes ([`understudy::Founding`]). The first by name stands once it has heard
+//! The first start of all: the seeds agree on who votes ([`consensus::Founding`]). The first by name stands once it has heard
 //! of all seeds and of nobody new for a while, the next ones if nothing comes of that. All who are to vote found then, each on
 //! its own disk. A machine that begins again, or whose disk was lost, is not at its first start.
 
 use crate::{Prompter, Setup, Time, MS};
+use consensus::{Founding, FoundingSaid, Id, Input, Members};
+use messages::message::Peer;
 use std::collections::{BTreeMap, BTreeSet};
-use understudy::{Founding, FoundingSaid, Id, Input, Members};
-use wings::message::Peer;
 
 const LOOK: Time = 50 * MS;
 /// The core is founded when nobody new has been heard of for so long, by the first seed; by each next one so much later.
--- a/crates/control/control-node/src/lib.rs
+++ b/crates/control/control-node/src/lib.rs
@@ -25,25 +25,25 @@
 pub use turns::{Work, LONG};
 
 use board::News;
-use boxoffice::Lent;
 use bytes::Bytes;
-use callboard::Contact;
-use curtain::{Terms, Wall};
+use change_log::Contact;
+use consensus::{Core, Id, Input, Output, Stored};
+use control_state::{Book, Configuration};
 use drains::Drain;
 use followers::Follower;
 use founder::Founder;
-use greenroom::{Cell, Fact};
+use messages::message::{Down, Peer};
 use orders::Orders;
-use promptbook::{Book, Configuration};
+use quota::Lent;
+use registry::{Cell, Fact};
 use rights::Rights;
 use std::collections::BTreeMap;
 use std::sync::Arc;
+use trial::{Terms, Wall};
 use turns::Turns;
-use understudy::{Core, Id, Input, Output, Stored};
-use wings::message::{Down, Peer};
 
 /// Nanoseconds on the driver's steady clock.
-pub type Time = understudy::Time;
+pub type Time = consensus::Time;
 pub(crate) const MS: Time = 1_000_000;
 
 /// What a prompter is told at its start.
@@ -104,12 +104,12 @@
 }
 
 /// What was applied, for whoever plays it.
-#[cfg(feature = "rehearsal")]
+#[cfg(feature = "simulation")]
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    Word(promptbook::Place, Vec<u8>),
+    Word(control_state::Place, Vec<u8>),
     /// The book as a whole, as of this place.
-    Book(promptbook::Place),
+    Book(control_state::Place),
 }
 
 pub struct Prompter {
@@ -142,10 +142,10 @@
     /// Told to end: when it says so again.
     leaves_at: Option<Time>,
     effects: Vec<Effect>,
-    #[cfg(feature = "rehearsal")]
+    #[cfg(feature = "simulation")]
     defect: Option<Defect>,
     /// What was applied, in order, since it was last taken.
-    #[cfg(feature = "rehearsal")]
+    #[cfg(feature = "simulation")]
     pub journal: Vec<Applied>,
 }
 
@@ -156,7 +156,7 @@
     }
 
     /// The same with a defect planted from the start.
-    #[cfg(feature = "rehearsal")]
+    #[cfg(feature = "simulation")]
     pub fn defective(
         setup: Setup,
         stored: Stored,
@@ -168,9 +168,9 @@
     }
 
     fn begin(setup: Setup, stored: Stored, lives: Vec<Fact>, now: Time, _defect: Option<Defect>) -> Self {
-        #[cfg(feature = "rehearsal")]
+        #[cfg(feature = "simulation")]
         let born = if _defect == Some(Defect::NoSilenceAfterStart) { 0 } else { now };
-        #[cfg(not(feature = "rehearsal"))]
+        #[cfg(not(feature = "simulation"))]
         let born = now;
         let mut core = Core::new(setup.me.clone(), stored, setup.seed, born);
         // What was read is to be saved once before anything rests on it.
@@ -200,9 +200,9 @@
             links: 0,
             leaves_at: None,
             effects: Vec::new(),
-            #[cfg(feature = "rehearsal")]
+            #[cfg(feature = "simulation")]
             defect: _defect,
-            #[cfg(feature = "rehearsal")]
+            #[cfg(feature = "simulation")]
             journal: Vec::new(),
             core,
             setup,
--- a/crates/control/control-node/src/orders.rs
+++ b/crates/control/control-node/src/orders.rs
@@ -1,12 +1,12 @@
 //! Operators' orders and reads: each order is under way once, whoever asks for it and how often; what it comes to is
-//! [`promptbook::decide`]'s.
+//! [`control_state::decide`]'s.
 
 use crate::turns::{Done, Waiter};
 use crate::{Defect, Effect, Prompter, Reply, Time, MS};
 use bytes::Bytes;
-use promptbook::{decide, mark, Mark, Verdict, Versions, Word};
+use consensus::{Input, Term};
+use control_state::{decide, mark, Mark, Verdict, Versions, Word};
 use std::collections::{BTreeMap, VecDeque};
-use understudy::{Input, Term};
 
 /// A caller goes elsewhere after a second of silence: each call is answered within so long.
 pub(crate) const ANSWERED: Time = 850 * MS;
--- a/crates/control/control-node/src/peers.rs
+++ b/crates/control/control-node/src/peers.rs
@@ -1,10 +1,10 @@
 //! What other prompters say: handed to the agreement, the cell, the office, the founding.
 
 use crate::{Defect, Prompter, Time, MS};
-use curtain::Wall;
+use consensus::{Id, Input};
+use messages::message::{Down, Peer};
 use std::net::IpAddr;
-use understudy::{Id, Input};
-use wings::message::{Down, Peer};
+use trial::Wall;
 
 /// Other prompters are told who this one is so often.
 pub const HELLO: Time = 500 * MS;
--- a/crates/control/control-node/src/rights.rs
+++ b/crates/control/control-node/src/rights.rs
@@ -1,12 +1,12 @@
 //! Tenants' rights in the leader's term, and the ends of their trials by the clocks of a majority.
 
 use crate::{Defect, Prompter, Time, MS};
-use boxoffice::{Ask, Keeper, Lent, Trial};
-use curtain::{Clocks, Terms, Wall};
-use promptbook::Place;
+use consensus::{Input, Term};
+use control_state::Place;
+use quota::{Ask, Keeper, Lent, Trial};
 use std::collections::BTreeSet;
 use std::rc::Rc;
-use understudy::{Input, Term};
+use trial::{Clocks, Terms, Wall};
 
 /// Trials are looked at so often while some have yet to end; else seldom.
 const LOOK: Time = 100 * MS;
@@ -89,7 +89,7 @@
             office.keeper.limits(now, &terms.limits, &over(book));
             office.keeper.gateways(book.gateways());
         }
-        #[cfg(feature = "rehearsal")]
+        #[cfg(feature = "simulation")]
         if self.defect == Some(Defect::EvenPartsLentToo) {
             let nothing = Ask::default();
             book.gateways().iter().for_each(|g| drop(office.keeper.ask(now, g, &nothing)));
--- a/crates/control/control-node/src/standing.rs
+++ b/crates/control/control-node/src/standing.rs
@@ -4,10 +4,10 @@
 #[cfg(test)]
 mod tests;
 
-use understudy::Time;
+use consensus::Time;
 
 const MS: Time = 1_000_000;
-/// The agreement waits so long for a save. Less than the others wait for a leader that is silent, [`understudy::PATIENCE`].
+/// The agreement waits so long for a save. Less than the others wait for a leader that is silent, [`consensus::PATIENCE`].
 pub const WAIT: Time = 400 * MS;
 /// A disk that refused is tried again after so long, and after twice that each time, up to [`LATER`].
 const AGAIN: Time = 200 * MS;
--- a/crates/control/control-node/src/standing/tests.rs
+++ b/crates/control/control-node/src/standing/tests.rs
@@ -8,7 +8,7 @@
     assert!(!standing.works() && standing.is_due(0));
     assert!(!standing.saving());
     assert_eq!(standing.done(30 * MS), Some(30 * MS));
-    assert!(standing.works() && standing.next_due() == understudy::Time::MAX);
+    assert!(standing.works() && standing.next_due() == consensus::Time::MAX);
     standing.missed();
     assert!(standing.works(), "nothing is missed while it works");
 
--- a/crates/control/control-node/src/turns.rs
+++ b/crates/control/control-node/src/turns.rs
@@ -3,10 +3,10 @@
 
 use crate::standing::{Standing, WAIT};
 use crate::{Defect, Effect, Prompter, Time};
-use promptbook::{Applied, Book, Word};
+use consensus::{Input, Output, Place, Save, Stored, Term};
+use control_state::{Applied, Book, Word};
+use messages::message::Peer;
 use std::collections::{BTreeMap, VecDeque};
-use understudy::{Input, Output, Place, Save, Stored, Term};
-use wings::message::Peer;
 
 /// Inputs taken in one turn, so that their saves share a sync.
 const TURN: usize = 64;
@@ -402,7 +402,7 @@
     /// A word that was agreed on.
     pub(crate) fn fold_in(&mut self, place: Place, word: &[u8]) -> Applied {
         self.turns.applied = place;
-        #[cfg(feature = "rehearsal")]
+        #[cfg(feature = "simulation")]
         self.journal.push(crate::Applied::Word(place, word.to_vec()));
         self.apply(place, word)
     }
@@ -410,7 +410,7 @@
     /// The book as a whole, as of this place of the log.
     pub(crate) fn install(&mut self, place: Place, state: &[u8]) {
         self.turns.applied = place;
-        #[cfg(feature = "rehearsal")]
+        #[cfg(feature = "simulation")]
         self.journal.push(crate::Applied::Book(place));
         self.replace_book(place, state);
     }
@@ -444,8 +444,8 @@
 
 /// What is to be saved, in bytes.
 fn bytes(outputs: &[Output]) -> usize {
-    let entry = |e: &understudy::Entry| match &e.said {
-        understudy::Said::Word(word) => word.len(),
+    let entry = |e: &consensus::Entry| match &e.said {
+        consensus::Said::Word(word) => word.len(),
         _ => 0,
     };
     let one = |output: &Output| match output {
--- a/crates/control/control-node/tests/alone.rs
+++ b/crates/control/control-node/tests/alone.rs
@@ -1,10 +1,10 @@
 //! A prompter that is cut off from all others.
 
-use curtain::Terms;
-use greenroom::Fact;
-use promptdesk::{Effect, Prompter, Reply, Setup, Time};
-use understudy::{Body, Id, Message, Stored};
-use wings::message::Peer;
+use consensus::{Body, Id, Message, Stored};
+use control_node::{Effect, Prompter, Reply, Setup, Time};
+use messages::message::Peer;
+use registry::Fact;
+use trial::Terms;
 
 const MS: Time = 1_000_000;
 const BEAT: Time = 1000 * MS;
--- a/crates/control/control-plane/src/control.rs
+++ b/crates/control/control-plane/src/control.rs
@@ -2,7 +2,7 @@
 
 use crate::driver::Driver;
 use bytes::{Bytes, BytesMut};
-use greenroom::Fact;
+use control_node::Reply as Said;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONTENT_TYPE, LOCATION, RETRY_AFTER};
@@ -10,7 +10,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use promptdesk::Reply as Said;
+use registry::Fact;
 use serde::Deserialize;
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -166,7 +166,7 @@
 
     async fn caller(self: Rc<Self>, stream: TcpStream) {
         self.callers.set(self.callers.get() + 1);
-        if wings::net::notice(&stream).is_ok() {
+        if process::net::notice(&stream).is_ok() {
             let service = service_fn(|request| async { Ok::<_, Infallible>(self.call(request).await) });
             let http =
                 http1::Builder::new().max_buf_size(16 << 10).serve_connection(TokioIo::new(stream), service);
--- a/crates/control/control-plane/src/disk.rs
+++ b/crates/control/control-plane/src/disk.rs
@@ -13,17 +13,17 @@
 #[cfg(test)]
 mod tests;
 
+use consensus::Stored;
+use control_node::Work;
 use displaydoc::Display;
 use folder::{Directory, Folder};
-use greenroom::Fact;
-use promptdesk::Work;
+use registry::Fact;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::{mpsc, Arc, Mutex, PoisonError};
 use std::time::Duration;
 use storage::Storage;
 use tokio::sync::oneshot;
-use understudy::Stored;
 
 /// Our own in the folder that we are given.
 const FOLDER: &str = "agreement";
--- a/crates/control/control-plane/src/disk/blobs.rs
+++ b/crates/control/control-plane/src/disk/blobs.rs
@@ -3,8 +3,8 @@
 
 use super::folder::Folder;
 use super::Fault;
-use promptbook::{Book, Word};
-use promptdesk::LONG;
+use control_node::LONG;
+use control_state::{Book, Word};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/control/control-plane/src/disk/cell.rs
+++ b/crates/control/control-plane/src/disk/cell.rs
@@ -1,7 +1,7 @@
 //! The cell's lives, for the next start: soft, in two files by turns, so that one of them is whole whenever power is lost.
 
 use super::folder::{Data, Folder};
-use greenroom::Fact;
+use registry::Fact;
 use sha2::{Digest, Sha256};
 use std::io;
 use std::sync::Arc;
--- a/crates/control/control-plane/src/disk/generation.rs
+++ b/crates/control/control-plane/src/disk/generation.rs
@@ -4,13 +4,13 @@
 use super::blobs::{Digest, Piece, Values};
 use super::folder::{Data, Folder};
 use super::Fault;
+use consensus::{Id, Members, Place, Term};
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, Table, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::sync::{Arc, Mutex};
-use understudy::{Id, Members, Place, Term};
 
 /// The most that such a file takes, in bytes: the entries behind the snapshot and the values that they name, which the leader
 /// bounds to half of it.
@@ -65,7 +65,7 @@
     pub state: Vec<Piece>,
 }
 
-/// A save as it is kept, see [`understudy::Save`].
+/// A save as it is kept, see [`consensus::Save`].
 pub enum Save {
     Term(Term, Option<Id>),
     Entries(Place, Vec<Entry>),
--- a/crates/control/control-plane/src/disk/golden_tests.rs
+++ b/crates/control/control-plane/src/disk/golden_tests.rs
@@ -4,9 +4,9 @@
 use super::storage::Storage;
 use super::*;
 use compatibility::{Golden, RECORD_VARIABLE};
-use promptbook::{Book, Word};
+use consensus::{Entry, Id, Members, Said, Snapshot};
+use control_state::{Book, Word};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
-use understudy::{Entry, Id, Members, Said, Snapshot};
 
 const NAME: &str = "10.0.0.1";
 const ID: u64 = 77;
--- a/crates/control/control-plane/src/disk/storage.rs
+++ b/crates/control/control-plane/src/disk/storage.rs
@@ -6,10 +6,10 @@
 use super::folder::Folder;
 use super::generation::{self, Entry, Generation, Owner, Said, Snapshot};
 use super::{Fault, Held};
-use greenroom::Fact;
+use consensus::{Place, Save, Stored};
+use registry::Fact;
 use std::collections::BTreeSet;
 use std::sync::Arc;
-use understudy::{Place, Save, Stored};
 
 /// Bytes on the disk at the most, whatever comes: blobs, two generations, one that made no sense, and the cell's two files.
 pub const MOST: u64 = blobs::MOST + 3 * generation::MOST + 2 * cell::MOST as u64;
@@ -179,10 +179,10 @@
                 let mut kept = Vec::new();
                 for entry in entries {
                     let said = match &entry.said {
-                        understudy::Said::Nothing => Said::Nothing,
-                        understudy::Said::Members(members) => Said::Members(members.clone()),
-                        understudy::Said::Joint { old, new } => Said::Joint(old.clone(), new.clone()),
-                        understudy::Said::Word(word) => Said::Word(self.blobs.put(folder, word, values)?),
+                        consensus::Said::Nothing => Said::Nothing,
+                        consensus::Said::Members(members) => Said::Members(members.clone()),
+                        consensus::Said::Joint { old, new } => Said::Joint(old.clone(), new.clone()),
+                        consensus::Said::Word(word) => Said::Word(self.blobs.put(folder, word, values)?),
                     };
                     kept.push(Entry { term: entry.term, said });
                 }
@@ -225,16 +225,16 @@
     let mut entries = Vec::new();
     for entry in &held.entries {
         let said = match &entry.said {
-            Said::Nothing => understudy::Said::Nothing,
-            Said::Members(members) => understudy::Said::Members(members.clone()),
-            Said::Joint(old, new) => understudy::Said::Joint { old: old.clone(), new: new.clone() },
-            Said::Word(pieces) => understudy::Said::Word(blobs.get(folder, pieces, &held.values)?),
+            Said::Nothing => consensus::Said::Nothing,
+            Said::Members(members) => consensus::Said::Members(members.clone()),
+            Said::Joint(old, new) => consensus::Said::Joint { old: old.clone(), new: new.clone() },
+            Said::Word(pieces) => consensus::Said::Word(blobs.get(folder, pieces, &held.values)?),
         };
-        entries.push(understudy::Entry { term: entry.term, said });
+        entries.push(consensus::Entry { term: entry.term, said });
     }
     let s = &held.snapshot;
     let state = blobs.get(folder, &s.state, &held.values)?;
-    let snapshot = understudy::Snapshot { place: s.place, term: s.term, members: s.members.clone(), state };
+    let snapshot = consensus::Snapshot { place: s.place, term: s.term, members: s.members.clone(), state };
     let stored = Stored { term: held.term, vote: held.vote.clone(), snapshot, entries, agreed: held.agreed };
     Ok(Some((held, stored)))
 }
--- a/crates/control/control-plane/src/disk/tests.rs
+++ b/crates/control/control-plane/src/disk/tests.rs
@@ -4,11 +4,11 @@
 use super::stand_in::{Loss, Mood, StandIn};
 use super::storage::{Storage, MOST};
 use super::*;
-use fastrand::Rng;
-use promptbook::{Book, Word};
-use understudy::{
+use consensus::{
     Body, Core, Entry, Id, Input, Members, Message, Output, Place, Said, Save, Snapshot, Stored, Term,
 };
+use control_state::{Book, Word};
+use fastrand::Rng;
 
 const NAME: &str = "10.0.0.1";
 const ID: u64 = 77;
--- a/crates/control/control-plane/src/driver.rs
+++ b/crates/control/control-plane/src/driver.rs
@@ -5,8 +5,9 @@
 mod tests;
 
 use crate::disk::{Disk, Done, Fault};
-use promptbook::Versions;
-use promptdesk::{Effect, Prompter, Reply, Time};
+use control_node::{Effect, Prompter, Reply, Time};
+use control_state::Versions;
+use messages::message::{Down, Peer};
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
@@ -15,7 +16,6 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::{sleep_until, Instant};
-use wings::message::{Down, Peer};
 
 /// Larger configurations are checked on another thread: 700 KB take 80 ms of a core, 8 MB 0.4 s, and this one has rounds to answer.
 const CHECKED_HERE: usize = 64 << 10;
--- a/crates/control/control-plane/src/driver/tests.rs
+++ b/crates/control/control-plane/src/driver/tests.rs
@@ -4,13 +4,13 @@
 use crate::disk::folder::Folder;
 use crate::disk::stand_in::{Loss, Mood, StandIn};
 use crate::disk::storage::Storage;
-use promptbook::Word;
-use promptdesk::Setup;
+use consensus::{Id, Members};
+use control_node::Setup;
+use control_state::Word;
 use std::future::Future;
 use std::path::PathBuf;
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::timeout;
-use understudy::{Id, Members};
 
 /// Nothing takes so long.
 const LONG_ENOUGH: Duration = Duration::from_secs(20);
@@ -75,7 +75,7 @@
             first: true,
             seeds: Vec::new(),
             beat: 1_000_000_000,
-            terms: |_| curtain::Terms::default(),
+            terms: |_| trial::Terms::default(),
             seed: self.starts,
         };
         let driver = Driver::new(Prompter::new(setup, held.stored, held.cell, 0), disk, Arc::new(check));
@@ -164,7 +164,7 @@
     }
 
     /// Has a word agreed on, by whoever leads.
-    async fn take(&self, word: &Word, stands: impl Fn(&promptbook::Book) -> bool) {
+    async fn take(&self, word: &Word, stands: impl Fn(&control_state::Book) -> bool) {
         let taken = async {
             while !self.leader().is_some_and(|n| stands(self.one(n).driver.prompter().book())) {
                 if let Some(leader) = self.leader() {
--- a/crates/control/control-plane/src/followers.rs
+++ b/crates/control/control-plane/src/followers.rs
@@ -1,15 +1,15 @@
 //! Gateways that follow: what they are told goes out as they can take it, what they say comes in.
 
 use crate::driver::{Driver, Outlet};
-use callboard::Place;
-use promptdesk::PULSE;
+use change_log::Place;
+use control_node::PULSE;
+use messages::frame::{Reader, Writer};
+use messages::message::Up;
 use std::future::ready;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{interval, MissedTickBehavior};
-use wings::frame::{Reader, Writer};
-use wings::message::Up;
 
 /// Answers that wait for a gateway; it asks again for what is lost.
 const QUEUE: usize = 64;
@@ -19,7 +19,7 @@
 pub async fn serve(
     driver: Rc<Driver>,
     name: String,
-    (place, holds, contact): (Option<Place>, promptbook::Place, u64),
+    (place, holds, contact): (Option<Place>, control_state::Place, u64),
     mut reader: Reader,
     mut writer: Writer,
 ) {
--- a/crates/control/control-plane/src/inquiry.rs
+++ b/crates/control/control-plane/src/inquiry.rs
@@ -1,14 +1,14 @@
 //! Questions of the shell's, answered from what this prompter knows; each answer says how fresh that is.
 
 use crate::driver::Driver;
-use curtain::Terms;
-use promptbook::Book;
-use promptdesk::{Prompter, Time};
+use control_node::{Prompter, Time};
+use control_state::Book;
+use messages::frame::{Reader, Writer};
+use messages::message::{Answer, Query, Told, Trial};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
-use wings::frame::{Reader, Writer};
-use wings::message::{Answer, Query, Told, Trial};
+use trial::Terms;
 
 /// A shell that asks nothing for so long is let go.
 const SILENT: Duration = Duration::from_secs(600);
@@ -61,8 +61,8 @@
 }
 
 /// What is agreed on, with what the keeper knows, if that is this prompter.
-fn trials(now: u64, terms: &Terms, book: &Book, kept: &[boxoffice::Trial]) -> Vec<Trial> {
-    let trial = |e: &curtain::Ending| {
+fn trials(now: u64, terms: &Terms, book: &Book, kept: &[quota::Trial]) -> Vec<Trial> {
+    let trial = |e: &trial::Ending| {
         let slow = terms.limits.get(&e.tenant).and_then(|l| l.slow)?;
         let kept = kept.iter().find(|k| k.tenant == e.tenant);
         let nodes = kept.map(|k| k.nodes.as_slice()).unwrap_or_default().iter();
--- a/crates/control/control-plane/src/links.rs
+++ b/crates/control/control-plane/src/links.rs
@@ -2,17 +2,17 @@
 //! to say. What comes is handed to the prompter.
 
 use crate::driver::{wall, Driver};
-use promptdesk::HELLO;
+use consensus::Id;
+use control_node::HELLO;
+use messages::frame::{self, Reader};
+use messages::message::{First, Peer, FORM};
+use process::net::connect;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, Instant, MissedTickBehavior};
-use understudy::Id;
-use wings::frame::{self, Reader};
-use wings::message::{First, Peer, FORM};
-use wings::net::connect;
 
 /// Messages that wait for a link; more are lost, as on a network.
 const QUEUE: usize = 512;
--- a/crates/control/control-plane/src/main.rs
+++ b/crates/control/control-plane/src/main.rs
@@ -9,14 +9,18 @@
 mod inquiry;
 mod links;
 
+use configuration::{Checker, Playbill};
+use consensus::Id;
 use control::Control;
-use curtain::Terms;
+use control_node::{Prompter, Setup};
+use control_state::Versions;
 use disk::Disk;
 use driver::{Check, Driver};
 use links::Links;
-use playbill::{Checker, Playbill};
-use promptbook::Versions;
-use promptdesk::{Prompter, Setup};
+use messages::frame;
+use messages::message::{First, FORM};
+use process::net::listen;
+use process::settings::{self, Settings};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -27,11 +31,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use understudy::Id;
-use wings::frame;
-use wings::message::{First, FORM};
-use wings::net::listen;
-use wings::settings::{self, Settings};
+use trial::Terms;
 
 /// How long a connection may take to say whose it is.
 const FIRST: Duration = Duration::from_secs(2);
@@ -43,10 +43,15 @@
 const LAST: Duration = Duration::from_millis(1200);
 
 fn main() -> ExitCode {
-    wings::command::main("prompter", "granitethread's control plane", env!("CARGO_PKG_VERSION"), run)
+    process::command::main(
+        "granitethread-control-plane",
+        "granitethread's control plane",
+        env!("CARGO_PKG_VERSION"),
+        run,
+    )
 }
 
-async fn run(settings: Settings, ring: wings::ring::Ring) -> Result<(), String> {
+async fn run(settings: Settings, ring: process::ring::Ring) -> Result<(), String> {
     let signals = |kind| signal(kind).map_err(|e| format!("cannot listen for signals: {e}"));
     let (mut term, mut int) = (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
     let (mut hup, mut usr1) = (signals(SignalKind::hangup())?, signals(SignalKind::user_defined1())?);
@@ -116,7 +121,7 @@
         votes: settings.own.data_directory.is_some(),
         first: settings.own.initial_start,
         seeds: settings.seeds().iter().map(ToString::to_string).collect(),
-        beat: (settings.platform.heartbeat_interval_ms * 1e6) as promptdesk::Time,
+        beat: (settings.platform.heartbeat_interval_ms * 1e6) as control_node::Time,
         terms: |body| Playbill::read(body).map(|p| Terms::of(&p)).unwrap_or_default(),
         seed,
     }
@@ -151,7 +156,7 @@
             sleep(Duration::from_millis(5)).await;
             continue;
         };
-        if open.get() >= MET || wings::net::notice(&stream).is_err() {
+        if open.get() >= MET || process::net::notice(&stream).is_err() {
             continue;
         }
         let (driver, links, open) = (driver.clone(), links.clone(), open.clone());
--- a/crates/control/control-plane/tests/wire/core.rs
+++ b/crates/control/control-plane/tests/wire/core.rs
@@ -57,7 +57,7 @@
     }
 
     pub fn start(&mut self, n: usize) {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_prompter"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_granitethread-control-plane"));
         command.env("GRANITETHREAD_BOOT", self.folder.join(format!("{n}.toml")));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
         self.programs[n] = Some(command.spawn().unwrap());
--- a/crates/control/control-plane/tests/wire/followers.rs
+++ b/crates/control/control-plane/tests/wire/followers.rs
@@ -2,13 +2,13 @@
 //! which has lost the others cannot prove what it tells.
 
 use crate::core::{configuration, Core, PATIENCE};
-use promptbook::{Configuration, Place, Received, Receiver};
+use control_state::{Configuration, Place, Received, Receiver};
+use messages::frame::{self, Reader, Writer};
+use messages::message::{Down, First, Up, FORM};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
-use wings::frame::{self, Reader, Writer};
-use wings::message::{Down, First, Up, FORM};
 
 struct Gateway {
     reader: Reader,
--- a/crates/control/control-state/src/lib.rs
+++ b/crates/control/control-state/src/lib.rs
@@ -12,7 +12,7 @@
 pub use parcel::{Head, Part, Received, Receiver, Sender, Steps, PART, WINDOW};
 pub use taken::{mark, Mark, MARKS};
 
-use playbill::Version;
+use configuration::Version;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/control/control-state/src/order.rs
+++ b/crates/control/control-state/src/order.rs
@@ -2,7 +2,7 @@
 //! agreed on when the order came, and has a [`Verdict::Propose`] agreed on.
 
 use crate::{Applied, Book, Word};
-use playbill::Version;
+use configuration::Version;
 
 /// What a sound configuration says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/control/control-state/src/parcel.rs
+++ b/crates/control/control-state/src/parcel.rs
@@ -4,7 +4,7 @@
 
 use crate::taken::{mark, Mark};
 use crate::{Configuration, Difference, Place};
-use playbill::Version;
+use configuration::Version;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use std::collections::VecDeque;
--- a/crates/control/control-state/src/taken.rs
+++ b/crates/control/control-state/src/taken.rs
@@ -1,6 +1,6 @@
 //! Which configurations have been taken: a mark of each, the latest [`MARKS`] of them.
 
-use playbill::Version;
+use configuration::Version;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::VecDeque;
--- a/crates/control/control-state/tests/changes.rs
+++ b/crates/control/control-state/tests/changes.rs
@@ -1,6 +1,6 @@
 //! A long configuration in the agreed log, as a change of the one before.
 
-use promptbook::{Applied, Book, Word};
+use control_state::{Applied, Book, Word};
 
 fn body(version: u32, routes: usize, moved: usize) -> Vec<u8> {
     let route =
--- a/crates/control/control-state/tests/gateways.rs
+++ b/crates/control/control-state/tests/gateways.rs
@@ -1,6 +1,6 @@
 //! Gateways are agreed on, as many as there may be.
 
-use promptbook::{Applied, Book, Word};
+use control_state::{Applied, Book, Word};
 
 #[test]
 fn beyond_the_most_nothing_is_asked_for_again_and_again() {
--- a/crates/control/control-state/tests/orders.rs
+++ b/crates/control/control-state/tests/orders.rs
@@ -1,6 +1,6 @@
 //! What becomes of an operator's order: the order of the questions, and what is known again for how long.
 
-use promptbook::{decide, Applied, Book, Verdict, Versions, Word, MARKS};
+use control_state::{decide, Applied, Book, Verdict, Versions, Word, MARKS};
 
 fn body(base: u32, version: u32, by: &str) -> Vec<u8> {
     format!("{base} {version} {by}").into_bytes()
--- a/crates/control/control-state/tests/parcels.rs
+++ b/crates/control/control-state/tests/parcels.rs
@@ -1,6 +1,6 @@
 //! A configuration on its way to a follower: what is sent, what it holds, and what goes wrong on the way.
 
-use promptbook::{Configuration, Difference, Part, Received, Receiver, Sender, Steps, PART, WINDOW};
+use control_state::{Configuration, Difference, Part, Received, Receiver, Sender, Steps, PART, WINDOW};
 use std::sync::Arc;
 
 /// A configuration of so many routes in the bench's form; `moved` is served by another service.
--- a/crates/control/trial/src/lib.rs
+++ b/crates/control/trial/src/lib.rs
@@ -2,9 +2,9 @@
 //! too soon or keeps it from ending. And what tenants may do by a configuration. `docs/design/trials.md`. No I/O.
 #![forbid(unsafe_code)]
 
-use boxoffice::{Limit, Slow};
-use playbill::{Playbill, Trial};
-use promptbook::{Book, Word};
+use configuration::{Playbill, Trial};
+use control_state::{Book, Word};
+use quota::{Limit, Slow};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Nanoseconds on the caller's steady clock.
--- a/crates/data/data-plane/src/company.rs
+++ b/crates/data/data-plane/src/company.rs
@@ -2,7 +2,8 @@
 //! before removal (`crates/fleet`). It says who is believed to live; no rule rests on it. A gateway that reaches no prompter
 //! looks among them for one that does.
 
-use granite_fleet::{Config, Input, Keys, Output, State, Time, View, MOST_BYTES};
+use membership::{Config, Input, Keys, Output, State, Time, View, MOST_BYTES};
+use process::settings::Settings;
 use std::cell::RefCell;
 use std::io::ErrorKind;
 use std::net::{IpAddr, SocketAddr};
@@ -10,7 +11,6 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, sleep_until, Instant};
-use wings::settings::Settings;
 
 /// Between two probes: who is gone is known after some ten seconds, and hundreds of gateways on narrow links do not notice it.
 const PERIOD: Time = 2_000_000_000;
--- a/crates/data/data-plane/src/door.rs
+++ b/crates/data/data-plane/src/door.rs
@@ -3,17 +3,17 @@
 use crate::playing::Playing;
 use crate::rights::Pass;
 use crate::wire::{strip_hops, ATTEMPT, CREDENTIAL, REMAINING, TARGET, TENANT};
-use granite_interface::{Allowance, Name, Time};
-use granite_lifecycle::connection::Patience;
-use granite_stage::backends::{Content, Outgoing};
-use granite_stage::driver::{Answer, Incoming};
-use granite_stage::fronts::http1::{plain, unsound, Door, Payload, Unsound};
+use configuration::{Kind, Route};
 use http_body_util::Full;
 use hyper::body::Incoming as IncomingBody;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, EXPECT, HOST, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode, Uri};
-use playbill::{Kind, Route};
+use interface::{Allowance, Name, Time};
+use lifecycle::connection::Patience;
+use proxy::backends::{Content, Outgoing};
+use proxy::driver::{Answer, Incoming};
+use proxy::fronts::http1::{plain, unsound, Door, Payload, Unsound};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -106,7 +106,7 @@
         }
         let id = self.next.replace(self.next.get() + 1);
         let priority = tenant.and_then(|t| t.priority).unwrap_or(route.priority);
-        let request = granite_engine::Incoming {
+        let request = engine::Incoming {
             id,
             class: self.playing.class(route),
             plan: Playing::rank(priority),
--- a/crates/data/data-plane/src/follow.rs
+++ b/crates/data/data-plane/src/follow.rs
@@ -1,18 +1,18 @@
-//! The link to a prompter: [`cue::Follow`] says which, and what to make of what it tells.
+//! The link to a prompter: [`subscription::Follow`] says which, and what to make of what it tells.
 
 use crate::company::Company;
 use crate::playing::Playing;
-use cue::{Effect, End, LONG_WORD, SILENT};
+use messages::frame;
+use messages::message::{Down, Up};
+use process::net::connect;
+use process::settings::{self, Settings};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
+use subscription::{Effect, End, LONG_WORD, SILENT};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout_at, Instant};
-use wings::frame;
-use wings::message::{Down, Up};
-use wings::net::connect;
-use wings::settings::{self, Settings};
 
 const PAUSE: Duration = Duration::from_millis(40);
 const QUEUE: usize = 32;
--- a/crates/data/data-plane/src/house.rs
+++ b/crates/data/data-plane/src/house.rs
@@ -1,9 +1,9 @@
 //! The decision module as the system uses it: the design's, under the routes' bounds on attempts and the shared budget of
 //! further tries. No I/O.
 
-use boxoffice::Tries;
-use granite_interface::{Action, Effect, Ending, Event, Module, Name, RequestId, Settings, Time};
 use granitehub::Gateway;
+use interface::{Action, Effect, Ending, Event, Module, Name, RequestId, Settings, Time};
+use quota::Tries;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -107,7 +107,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use granite_interface::{AttemptEnd, Class, Group, Health, Node, Plan, Request, Scope};
+    use interface::{AttemptEnd, Class, Group, Health, Node, Plan, Request, Scope};
 
     const MS: Time = 1_000_000;
 
--- a/crates/data/data-plane/src/main.rs
+++ b/crates/data/data-plane/src/main.rs
@@ -16,15 +16,17 @@
 
 use company::Company;
 use door::Front;
+use engine::Figures;
 use follow::Follow;
-use granite_engine::Figures;
-use granite_interface::Module;
-use granite_stage::backends::{Backends, Limits};
-use granite_stage::driver::{Driver, Setup};
-use granite_stage::fronts::{http1, Budget};
-use granite_stage::handover::Link;
 use house::House;
+use interface::Module;
 use playing::Playing;
+use process::net::{listen, UNHEARD};
+use process::settings::Settings;
+use proxy::backends::{Backends, Limits};
+use proxy::driver::{Driver, Setup};
+use proxy::fronts::{http1, Budget};
+use proxy::handover::Link;
 use rights::Rights;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -33,8 +35,6 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
-use wings::net::{listen, UNHEARD};
-use wings::settings::Settings;
 
 const MS: u64 = 1_000_000;
 /// Descriptors that are neither clients nor backends: streams, listeners, links, readings.
@@ -53,10 +53,15 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 fn main() -> ExitCode {
-    wings::command::main("proscenium", "granitethread's data plane", env!("CARGO_PKG_VERSION"), run)
+    process::command::main(
+        "granitethread-data-plane",
+        "granitethread's data plane",
+        env!("CARGO_PKG_VERSION"),
+        run,
+    )
 }
 
-async fn run(settings: Settings, ring: wings::ring::Ring) -> Result<(), String> {
+async fn run(settings: Settings, ring: process::ring::Ring) -> Result<(), String> {
     let signals = |kind| signal(kind).map_err(|e| format!("cannot listen for signals: {e}"));
     let (mut term, mut int) = (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
     // A settings file is read anew whenever no prompter is found, so word that it has changed asks for nothing more.
@@ -74,7 +79,7 @@
     let zone = zones.iter().position(|z| *z == settings.own.zone).unwrap_or(zones.len()) as u32;
     let rights = Rights::new();
     let own = &settings.own;
-    let me = cue::Setup { name: own.node_name.clone(), zone: own.zone.clone(), ip: own.ip_address };
+    let me = subscription::Setup { name: own.node_name.clone(), zone: own.zone.clone(), ip: own.ip_address };
     let playing = Playing::new(rights.clone(), me, zone);
     let sockets = settings.own.limits.max_file_descriptors.saturating_sub(200 + RESERVED).max(64);
     let wire = wire::Backward::default();
--- a/crates/data/data-plane/src/playing.rs
+++ b/crates/data/data-plane/src/playing.rs
@@ -3,20 +3,20 @@
 use crate::pools::{Pools, POOLS};
 use crate::rights::Rights;
 use crate::sorts::{Sort, Sorts};
-use cue::{Fold, Follow, News, Setup};
-use curtain::Terms;
-use granite_interface::{Effect, Plan, Scope, Settings};
-use granite_stage::driver::Driver;
-use granite_stage::list::{List, State, Target};
-use greenroom::Fact;
-use playbill::{Playbill, Route, Table};
+use configuration::{Playbill, Route, Table};
+use interface::{Effect, Plan, Scope, Settings};
+use messages::message::Up;
+use proxy::driver::Driver;
+use proxy::list::{List, State, Target};
+use registry::Fact;
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
 use std::rc::Rc;
 use std::time::Duration;
+use subscription::{Fold, Follow, News, Setup};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use wings::message::Up;
+use trial::Terms;
 
 /// Ranks of requests: the highest has this weight, each lower one less by one.
 const RANKS: usize = 8;
@@ -125,7 +125,7 @@
     }
 
     /// Its following of prompters.
-    pub fn follow<T>(&self, act: impl FnOnce(&mut Follow, cue::Time) -> T) -> T {
+    pub fn follow<T>(&self, act: impl FnOnce(&mut Follow, subscription::Time) -> T) -> T {
         act(&mut self.follow.borrow_mut(), self.rights.now())
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// The driver's time in so long.
-    pub fn time_in(&self, after: Duration) -> granite_interface::Time {
+    pub fn time_in(&self, after: Duration) -> interface::Time {
         self.driver.borrow().as_ref().map_or(0, |d| d.time(Instant::now() + after))
     }
 
--- a/crates/data/data-plane/src/relay.rs
+++ b/crates/data/data-plane/src/relay.rs
@@ -2,6 +2,7 @@
 //! looked at.
 
 use crate::playing::Playing;
+use process::net::{connect, notice};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,7 +11,6 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
-use wings::net::{connect, notice};
 
 /// So many at once; one more is closed and tries another gateway.
 const MOST: usize = 8;
--- a/crates/data/data-plane/src/rights.rs
+++ b/crates/data/data-plane/src/rights.rs
@@ -1,15 +1,15 @@
 //! The desk's sockets: asks go up the link to the prompter, requests wait here for a unit.
 
-use boxoffice::{Ask, Desk, Lent, Limit, Verdict, Waiter, Word};
-use granite_interface::{Allowance, Name, RequestId};
-use granite_stage::driver::Driver;
+use interface::{Allowance, Name, RequestId};
+use messages::message::Up;
+use proxy::driver::Driver;
+use quota::{Ask, Desk, Lent, Limit, Verdict, Waiter, Word};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::{sleep_until, timeout_at, Instant};
-use wings::message::Up;
 
 /// How a request that may pass goes on.
 pub enum Pass {
--- a/crates/data/data-plane/src/sorts.rs
+++ b/crates/data/data-plane/src/sorts.rs
@@ -4,8 +4,8 @@
 #[cfg(test)]
 mod tests;
 
-use granite_interface::{Class, Effect, Group};
-use playbill::{Kind, Route};
+use configuration::{Kind, Route};
+use interface::{Class, Effect, Group};
 
 /// Sorts that are told apart at once. Each costs the module some numbers for each backend.
 pub const CLASSES: usize = 64;
--- a/crates/data/data-plane/src/wire.rs
+++ b/crates/data/data-plane/src/wire.rs
@@ -1,11 +1,11 @@
 //! How backends of the system are spoken to (`PROTOCOL.md`, Backends).
 
-use granite_interface::{Ending, Name};
-use granite_lifecycle::upstream::{Begins, Echo};
-use granite_stage::backends::{Content, Outcome, Outgoing, Served, Wire};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
+use interface::{Ending, Name};
+use lifecycle::upstream::{Begins, Echo};
+use proxy::backends::{Content, Outcome, Outgoing, Served, Wire};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/data/subscription/src/fold.rs
+++ b/crates/data/subscription/src/fold.rs
@@ -4,11 +4,11 @@
 #[cfg(test)]
 mod tests;
 
-use greenroom::Fact;
-use promptbook::Configuration;
+use control_state::Configuration;
+use messages::message::{Change, Scene};
+use registry::Fact;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
-use wings::message::{Change, Scene};
 
 /// Nanoseconds on the caller's steady clock.
 pub type Time = u64;
--- a/crates/data/subscription/src/follow.rs
+++ b/crates/data/subscription/src/follow.rs
@@ -3,12 +3,12 @@
 use crate::fold::{Fold, News};
 use crate::touch::Touch;
 use crate::{Time, MS};
-use boxoffice::Lent;
-use callboard::{Follower, Take};
-use promptbook::{Received, Receiver};
+use change_log::{Follower, Take};
+use control_state::{Received, Receiver};
+use messages::message::{Down, First, Up, FORM};
+use quota::Lent;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
-use wings::message::{Down, First, Up, FORM};
 
 /// A prompter says something each 200 ms; a long word is no silence while its bytes come, for so long at the most.
 pub const SILENT: Time = 700 * MS;
--- a/crates/data/subscription/src/touch.rs
+++ b/crates/data/subscription/src/touch.rs
@@ -3,8 +3,8 @@
 //! said, not from when it came.
 
 use crate::{Time, MS};
-use callboard::Contact;
-use promptbook::Place;
+use change_log::Contact;
+use control_state::Place;
 
 /// Refusals of our own for what the configuration does not know rest on one that is known to be the newest of late.
 const FRESH: Time = 1500 * MS;
--- a/crates/data/subscription/tests/follow.rs
+++ b/crates/data/subscription/tests/follow.rs
@@ -1,11 +1,11 @@
 //! Which prompter a gateway follows, and how far it takes its word. Stories that `rehearsal` told first.
 
-use cue::{Effect, End, Follow, Setup, Time};
-use promptbook::{Configuration, Sender, Steps, PART};
+use control_state::{Configuration, Sender, Steps, PART};
+use messages::message::{Down, First, Up};
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 use std::sync::Arc;
-use wings::message::{Down, First, Up};
+use subscription::{Effect, End, Follow, Setup, Time};
 
 const MS: Time = 1_000_000;
 
--- a/crates/gateway/engine/src/admission.rs
+++ b/crates/gateway/engine/src/admission.rs
@@ -4,9 +4,9 @@
 //! sends it, or keeps a way past the module. A subsystem that comes later gets a field here, is asked in
 //! [`Admission::consider`], and is told of the request's end in [`Admission::over`]; nothing else changes.
 
-use granite_forward::{Account, Mode, Verdict};
-use granite_interface::{Allowance, Name, Request, RequestId, Time};
-use granite_plan::message::{Grant, Report};
+use forward::{Account, Mode, Verdict};
+use interface::{Allowance, Name, Request, RequestId, Time};
+use plan::message::{Grant, Report};
 use std::collections::HashMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
--- a/crates/gateway/engine/src/lib.rs
+++ b/crates/gateway/engine/src/lib.rs
@@ -7,16 +7,14 @@
 mod admission;
 mod words;
 
-pub use granite_lifecycle::{Final, Listed, Reply, Step};
+pub use lifecycle::{Final, Listed, Reply, Step};
 pub use words::{Calls, Counts, Entry, Error, Facts, Incoming, Input, Notice, Output, Totals};
 
 use admission::Admission;
-use granite_forward::{Account, Mode};
-use granite_interface::{
-    Action, AttemptEnd, Event, Health, Module, Name, Request, RequestId, Scope, Settings, Time,
-};
-use granite_lifecycle::{self as lifecycle, Arrival, Limits, Lives, Order, Told};
-use granite_maintenance::{Bans, NeverListed};
+use forward::{Account, Mode};
+use interface::{Action, AttemptEnd, Event, Health, Module, Name, Request, RequestId, Scope, Settings, Time};
+use lifecycle::{self as lifecycle, Arrival, Limits, Lives, Order, Told};
+use maintenance::{Bans, NeverListed};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/gateway/engine/src/words.rs
+++ b/crates/gateway/engine/src/words.rs
@@ -1,8 +1,8 @@
 //! What goes in and out of an [`crate::Engine`], in plain values.
 
-use granite_interface::{Allowance, Ending, Load, Name, Node, RequestId, Scope, Time};
-use granite_lifecycle::{Final, Reply, Step};
-use granite_plan::message::{Grant, Report};
+use interface::{Allowance, Ending, Load, Name, Node, RequestId, Scope, Time};
+use lifecycle::{Final, Reply, Step};
+use plan::message::{Grant, Report};
 use std::fmt;
 use std::net::SocketAddr;
 
@@ -113,7 +113,7 @@
     /// The account of allowances panicked, and a new one has begun.
     AccountPanicked,
     /// An attempt told what can't be; it was ended.
-    Attempt(granite_lifecycle::Wrong),
+    Attempt(lifecycle::Wrong),
 }
 
 impl fmt::Display for Notice {
@@ -131,7 +131,7 @@
 }
 
 /// An input without a meaning in the present state. Nothing has changed.
-pub type Error = granite_lifecycle::Wrong;
+pub type Error = lifecycle::Wrong;
 
 /// Final answers, and clients that went without theirs (failed).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/gateway/engine/tests/engine.rs
+++ b/crates/gateway/engine/tests/engine.rs
@@ -1,8 +1,8 @@
 //! A whole gateway as a value, with the real module and with one that a test plays.
 
-use granite_engine::{Calls, Engine, Facts, Figures, Final, Incoming, Input, Notice, Output, Reply, Step};
-use granite_interface::{Action, Event, Module, RequestId};
+use engine::{Calls, Engine, Facts, Figures, Final, Incoming, Input, Notice, Output, Reply, Step};
 use granitehub::{Class, Effect, Ending, Gateway, Group, Health, Node, Plan, Scope, Settings, Time};
+use interface::{Action, Event, Module, RequestId};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -60,7 +60,7 @@
         spread: 1,
         repeat: false,
         pool: 0,
-        allowance: granite_interface::Allowance::Unknown,
+        allowance: interface::Allowance::Unknown,
         open: false,
     }
 }
--- a/crates/gateway/forward/examples/growth.rs
+++ b/crates/gateway/forward/examples/growth.rs
@@ -2,10 +2,10 @@
 //! active, each through three forwarders. CPU of the planner and of one forwarder for a second of their time, and
 //! bytes a second for each forwarder, sealed as on the wire.
 
-use granite_forward::Account;
-use granite_interface::{Name, Time};
-use granite_plan::wire::{Link, Message, Side, LATEST};
-use granite_plan::{Allowance, Planner, Terms};
+use forward::Account;
+use interface::{Name, Time};
+use plan::wire::{Link, Message, Side, LATEST};
+use plan::{Allowance, Planner, Terms};
 use std::time::{Duration, Instant};
 
 const SECONDS: u64 = 4;
--- a/crates/gateway/forward/src/lib.rs
+++ b/crates/gateway/forward/src/lib.rs
@@ -14,7 +14,7 @@
 macro_rules! planted {
     ($name:literal) => {{
         #[cfg(feature = "defects")]
-        let on = granite_plan::defects::active($name);
+        let on = plan::defects::active($name);
         #[cfg(not(feature = "defects"))]
         let on = false;
         on
@@ -23,11 +23,11 @@
 
 mod own;
 
-use granite_interface::{Name, Time};
-use granite_plan::message::{Entry, Grant, Instance, Report, Seat, CEILING, QUOTA, SLOTS};
-use granite_plan::Terms;
 use indexmap::IndexMap;
+use interface::{Name, Time};
 use own::Own;
+use plan::message::{Entry, Grant, Instance, Report, Seat, CEILING, QUOTA, SLOTS};
+use plan::Terms;
 use std::collections::VecDeque;
 use std::fmt;
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/gateway/forward/src/own.rs
+++ b/crates/gateway/forward/src/own.rs
@@ -1,9 +1,9 @@
 //! One customer at one forwarder: its lease, or its part of the forwarder's own share.
 
 use crate::Verdict;
-use granite_interface::{Name, Time};
-use granite_plan::message::{Amounts, Entry, Lease, Seat, CEILING, QUOTA, SLOTS};
-use granite_plan::Terms;
+use interface::{Name, Time};
+use plan::message::{Amounts, Entry, Lease, Seat, CEILING, QUOTA, SLOTS};
+use plan::Terms;
 
 /// For how many ticks of its demand a lease is kept; what is beyond twice that goes back.
 const KEEP: f64 = 4.0;
--- a/crates/gateway/handover/src/bans.rs
+++ b/crates/gateway/handover/src/bans.rs
@@ -1,6 +1,6 @@
 //! The bans by hand, as one process of a gateway leaves them for the other.
 
-use granite_interface::{Name, Time};
+use interface::{Name, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
--- a/crates/gateway/handover/tests/handover.rs
+++ b/crates/gateway/handover/tests/handover.rs
@@ -1,4 +1,4 @@
-use granite_handover::{read, write, Garbled, Input, Role, LONGEST};
+use handover::{read, write, Garbled, Input, Role, LONGEST};
 use std::collections::BTreeMap;
 
 #[test]
--- a/crates/gateway/lifecycle/benches/life.rs
+++ b/crates/gateway/lifecycle/benches/life.rs
@@ -1,8 +1,8 @@
 //! What one request's whole life costs in the machine: received, sent, written, answered, over.
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
-use granite_interface::{Effect, Ending, Group, RequestId};
-use granite_lifecycle::{Arrival, Input, Limits, Listed, Lives, Order, Reply, Step};
+use interface::{Effect, Ending, Group, RequestId};
+use lifecycle::{Arrival, Input, Limits, Listed, Lives, Order, Reply, Step};
 
 fn lives(held: RequestId) -> Lives {
     let mut lives = Lives::new(Limits { attempts: 3, grace: 5, key_margin: 1 });
--- a/crates/gateway/lifecycle/src/connection.rs
+++ b/crates/gateway/lifecycle/src/connection.rs
@@ -12,7 +12,7 @@
 //!
 //! A head may come while the answer before it is still being written: bytes keep their order.
 
-use granite_interface::Time;
+use interface::Time;
 use std::fmt;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/gateway/lifecycle/src/drain.rs
+++ b/crates/gateway/lifecycle/src/drain.rs
@@ -4,7 +4,7 @@
 //! becomes whole later (a body that came slowly on a connection from before) is taken too, and has what is left: it
 //! gets its one truthful answer before the end, and is not cut by it.
 
-use granite_interface::Time;
+use interface::Time;
 
 /// So long after it was told clients may still come.
 pub const WINDOW: Time = 500_000_000;
--- a/crates/gateway/lifecycle/src/fleet.rs
+++ b/crates/gateway/lifecycle/src/fleet.rs
@@ -1,6 +1,6 @@
 //! What the server list says of who may be written to.
 
-use granite_interface::Name;
+use interface::Name;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/gateway/lifecycle/src/lib.rs
+++ b/crates/gateway/lifecycle/src/lib.rs
@@ -9,11 +9,11 @@
 //!
 //! The first two take an input with the time at which it happened and give orders to whoever owns the sockets. An
 //! input that has no meaning in the present state is a typed error and changes nothing. The program runs on
-//! these machines and `granitethread-check` explores them: they are the same code.
+//! these machines and `model-check` explores them: they are the same code.
 //!
 //! ```
-//! use granite_interface::{Effect, Group};
-//! use granite_lifecycle::{Arrival, Final, Input, Limits, Lives, Order};
+//! use interface::{Effect, Group};
+//! use lifecycle::{Arrival, Final, Input, Limits, Lives, Order};
 //!
 //! let mut lives = Lives::new(Limits { attempts: 3, grace: 5, key_margin: 1 });
 //! let mut orders = Vec::new();
--- a/crates/gateway/lifecycle/src/request.rs
+++ b/crates/gateway/lifecycle/src/request.rs
@@ -10,7 +10,7 @@
 
 use crate::fleet::Fleet;
 use crate::words::{Arrival, Final, Input, Limits, Order, Reply, Step, Told, Wrong};
-use granite_interface::{Effect, Ending, Group, Name, RequestId, Time};
+use interface::{Effect, Ending, Group, Name, RequestId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/gateway/lifecycle/src/upstream.rs
+++ b/crates/gateway/lifecycle/src/upstream.rs
@@ -7,7 +7,7 @@
 //! | `Busy` | never | `Idle`, if nothing stands behind it | the answer's | `Closed` |
 //! | `Closed` | never | - | - | - |
 
-use granite_interface::Time;
+use interface::Time;
 
 /// From how much of a request on a backend may have begun to work on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/gateway/lifecycle/src/words.rs
+++ b/crates/gateway/lifecycle/src/words.rs
@@ -1,7 +1,7 @@
 //! What goes in and out of [`crate::Lives`], in plain values.
 
 use crate::fleet::Listed;
-use granite_interface::{Effect, Ending, Group, Name, RequestId, Time};
+use interface::{Effect, Ending, Group, Name, RequestId, Time};
 use std::fmt;
 use std::net::SocketAddr;
 
--- a/crates/gateway/lifecycle/tests/hard_cases.rs
+++ b/crates/gateway/lifecycle/tests/hard_cases.rs
@@ -1,8 +1,8 @@
 //! The hard cases of a request's life, each told as a story. The checker explores them all; these say what is
 //! wanted in words.
 
-use granite_interface::{Effect, Ending, Group, Name, RequestId, Time};
-use granite_lifecycle::{Arrival, Final, Input, Limits, Listed, Lives, Order, Reply, Step, Told, Wrong};
+use interface::{Effect, Ending, Group, Name, RequestId, Time};
+use lifecycle::{Arrival, Final, Input, Limits, Listed, Lives, Order, Reply, Step, Told, Wrong};
 
 const ID: RequestId = 7;
 const DEADLINE: Time = 100;
--- a/crates/gateway/maintenance/src/lib.rs
+++ b/crates/gateway/maintenance/src/lib.rs
@@ -1,8 +1,8 @@
 //! Bans by hand, laid over discovery's list: a banned server is, to all behind the list, one that drains. No I/O.
 //!
 //! ```
-//! use granite_interface::{Health, Node};
-//! use granite_maintenance::Bans;
+//! use interface::{Health, Node};
+//! use maintenance::Bans;
 //!
 //! let mut bans = Bans::default();
 //! assert!(bans.enter(10, "s-1").is_err(), "no list has named it");
@@ -14,7 +14,7 @@
 //! ```
 #![forbid(unsafe_code)]
 
-use granite_interface::{Health, Name, Node, Time};
+use interface::{Health, Name, Node, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
--- a/crates/gateway/maintenance/tests/bans.rs
+++ b/crates/gateway/maintenance/tests/bans.rs
@@ -1,7 +1,7 @@
 //! What the call says binds until the call back, whatever discovery says in between.
 
-use granite_interface::{Health, Name, Node};
-use granite_maintenance::{Bans, NeverListed, MOST_NAMES};
+use interface::{Health, Name, Node};
+use maintenance::{Bans, NeverListed, MOST_NAMES};
 use std::collections::BTreeMap;
 
 fn bans(names: &[&str]) -> Bans {
--- a/crates/gateway/fleet/benches/datagram.rs
+++ b/crates/gateway/membership/benches/datagram.rs
@@ -1,7 +1,7 @@
 //! What one datagram costs the view: a ping that is read, verified, believed and answered, among so many members.
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
-use granite_fleet::{Config, Input, Keys, Output, View};
+use membership::{Config, Input, Keys, Output, View};
 use std::cell::Cell;
 use std::net::SocketAddr;
 
--- a/crates/gateway/plan/src/lib.rs
+++ b/crates/gateway/plan/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use planner::{CustomerState, Planner, PlannerState, Refused};
 
-use granite_interface::Time;
+use interface::Time;
 
 /// What a plan allows one customer over all forwarders. A rate, depth or number of 0 means no such limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
--- a/crates/gateway/plan/src/message.rs
+++ b/crates/gateway/plan/src/message.rs
@@ -3,7 +3,7 @@
 //! Counters run up and are never taken back, so that a message lost, doubled or late does no harm: whoever
 //! hears the next one knows all that the last one said.
 
-use granite_interface::Name;
+use interface::Name;
 
 /// A forwarder's place among those that may exist, from 0.
 pub type Seat = u16;
--- a/crates/gateway/plan/src/planner.rs
+++ b/crates/gateway/plan/src/planner.rs
@@ -3,7 +3,7 @@
 use crate::message::{Grant, Instance, Lease, Report, Seat, CEILING, QUOTA, SLOTS};
 use crate::pool::{Pool, Shares, Whose};
 use crate::Terms;
-use granite_interface::{Name, Time};
+use interface::{Name, Time};
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
 use std::panic::{catch_unwind, AssertUnwindSafe};
--- a/crates/gateway/plan/src/pool.rs
+++ b/crates/gateway/plan/src/pool.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{Amounts, Entry, Lease, Seat, CEILING, QUOTA, SLOTS};
 use crate::Terms;
-use granite_interface::Time;
+use interface::Time;
 
 /// The shares that a planner counts: those of seats whose loans outlast a lease granted now.
 #[derive(Clone, Debug, Default)]
--- a/crates/gateway/plan/src/wire.rs
+++ b/crates/gateway/plan/src/wire.rs
@@ -8,8 +8,8 @@
 //! without a gap. Integers are big-endian.
 
 use crate::message::{Amounts, Entry, Grant, Instance, Lease, Report};
-use granite_interface::Name;
 use hmac::{Hmac, Mac};
+use interface::Name;
 use sha2::Sha256;
 use std::fmt;
 
--- a/crates/gateway/plan/tests/wire.rs
+++ b/crates/gateway/plan/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: what is said arrives, and nothing else does.
 
-use granite_plan::message::{Entry, Grant, Instance, Lease, Report};
-use granite_plan::wire::{Fault, Link, Message, Side, LATEST, MOST_BYTES, OLDEST};
+use plan::message::{Entry, Grant, Instance, Lease, Report};
+use plan::wire::{Fault, Link, Message, Side, LATEST, MOST_BYTES, OLDEST};
 use proptest::prelude::*;
 
 const KEY: &[u8] = b"a key of sixteen and more bytes";
--- a/crates/gateway/proxy/src/backends/answer.rs
+++ b/crates/gateway/proxy/src/backends/answer.rs
@@ -3,11 +3,11 @@
 use super::relay::Stream;
 use super::Outgoing;
 use bytes::Bytes;
-use granite_interface::{Ending, Load, Name};
-use granite_lifecycle::upstream::{Begins, Echo};
 use hyper::header::HeaderMap;
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
+use interface::{Ending, Load, Name};
+use lifecycle::upstream::{Begins, Echo};
 use std::time::Duration;
 
 /// How an attempt ended and what came back.
--- a/crates/gateway/proxy/src/backends/connection.rs
+++ b/crates/gateway/proxy/src/backends/connection.rs
@@ -2,13 +2,13 @@
 
 use super::upload::Sent;
 use super::{Note, Progress};
-use granite_interface::Time;
-use granite_lifecycle::Upstream;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
+use interface::Time;
+use lifecycle::Upstream;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::error::Error;
--- a/crates/gateway/proxy/src/backends/mod.rs
+++ b/crates/gateway/proxy/src/backends/mod.rs
@@ -22,11 +22,11 @@
 
 use crate::list::{State, Target};
 use connection::{Connection, Counted, Link, Slot};
-use granite_interface::{Name, Scope, Time};
-use granite_lifecycle::upstream::Freshness;
-use granite_lifecycle::Upstream;
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
+use interface::{Name, Scope, Time};
+use lifecycle::upstream::Freshness;
+use lifecycle::Upstream;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/gateway/proxy/src/backends/progress.rs
+++ b/crates/gateway/proxy/src/backends/progress.rs
@@ -1,6 +1,6 @@
 //! How far an attempt has come, counted where its bytes pass.
 
-use granite_interface::Ending;
+use interface::Ending;
 use std::cell::Cell;
 use std::future::Future;
 use std::pin::pin;
--- a/crates/gateway/proxy/src/backends/relay.rs
+++ b/crates/gateway/proxy/src/backends/relay.rs
@@ -3,9 +3,9 @@
 use super::connection::{broke_off, drive, Connection};
 use super::{Backends, Progress};
 use bytes::Bytes;
-use granite_interface::{Ending, Name};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
+use interface::{Ending, Name};
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/gateway/proxy/src/backends/request.rs
+++ b/crates/gateway/proxy/src/backends/request.rs
@@ -3,9 +3,9 @@
 use super::answer::Wire;
 use super::upload::Sent;
 use super::{Progress, Upload};
-use granite_interface::Name;
 use hyper::header::{HeaderMap, CONTENT_LENGTH};
 use hyper::{Method, Request, Uri};
+use interface::Name;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/gateway/proxy/src/backends/tests.rs
+++ b/crates/gateway/proxy/src/backends/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::fronts::Budget;
 use bytes::Bytes;
-use granite_interface::Ending;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Response, Uri};
+use interface::Ending;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket};
 
--- a/crates/gateway/proxy/src/backends/upload.rs
+++ b/crates/gateway/proxy/src/backends/upload.rs
@@ -3,8 +3,8 @@
 use super::Progress;
 use crate::fronts::Part;
 use bytes::Bytes;
-use granite_lifecycle::upstream::Begins;
 use hyper::body::{Body, Frame, SizeHint};
+use lifecycle::upstream::Begins;
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/gateway/proxy/src/driver.rs
+++ b/crates/gateway/proxy/src/driver.rs
@@ -10,14 +10,14 @@
 use crate::list::{Held, List, State, Target};
 use attempt::Attempt;
 use clock::Clock;
-use granite_engine::{
+use engine::{
     Calls, Engine, Entry, Error, Facts, Figures, Final, Input, Make, Notice, Output, Reply, Step, Totals,
 };
-use granite_forward::{Account, Mode};
-use granite_interface::{Allowance, Ending, Health, Module, Name, Node, RequestId, Scope, Settings, Time};
-use granite_maintenance::NeverListed;
-use granite_plan::message::{Grant, Report};
+use forward::{Account, Mode};
 use hyper::StatusCode;
+use interface::{Allowance, Ending, Health, Module, Name, Node, RequestId, Scope, Settings, Time};
+use maintenance::NeverListed;
+use plan::message::{Grant, Report};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -47,7 +47,7 @@
 
 /// A client's request that the server found well-formed.
 pub struct Incoming {
-    pub request: granite_engine::Incoming,
+    pub request: engine::Incoming,
     pub arrived: Instant,
     pub outgoing: Outgoing,
 }
--- a/crates/gateway/proxy/src/driver/attempt.rs
+++ b/crates/gateway/proxy/src/driver/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::{Answer, Driver};
 use crate::backends::{Exchanged, Outcome, Outgoing, Progress};
-use granite_interface::{Ending, Name, RequestId, Time};
+use interface::{Ending, Name, RequestId, Time};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::pin::Pin;
--- a/crates/gateway/proxy/src/driver/clock.rs
+++ b/crates/gateway/proxy/src/driver/clock.rs
@@ -1,6 +1,6 @@
 //! The engine's clock.
 
-use granite_interface::Time;
+use interface::Time;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/crates/gateway/proxy/src/handover.rs
+++ b/crates/gateway/proxy/src/handover.rs
@@ -1,9 +1,9 @@
 //! The thin link between two processes of one gateway at an upgrade: a lock that tells who lives, and a file of bans,
-//! in the folder that both are given. What they mean is settled in `granite_handover`.
+//! in the folder that both are given. What they mean is settled in `handover`.
 
 use crate::driver::Driver;
-use granite_handover::{Input, Role};
-use granite_interface::{Name, Time};
+use handover::{Input, Role};
+use interface::{Name, Time};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions, TryLockError};
@@ -125,7 +125,7 @@
 }
 
 fn store(folder: &Path, bans: &BTreeMap<Name, Time>) -> io::Result<()> {
-    replace(folder, BANS, &granite_handover::write(bans))
+    replace(folder, BANS, &handover::write(bans))
 }
 
 /// Whole, then in place of the old one: nobody reads half of it.
@@ -137,7 +137,7 @@
 
 fn read(folder: &Path) -> Result<Option<BTreeMap<Name, Time>>, String> {
     let text = read_file(folder, BANS).map_err(|e| e.to_string())?;
-    text.map(|t| granite_handover::read(&t).map_err(|e| e.to_string())).transpose()
+    text.map(|t| handover::read(&t).map_err(|e| e.to_string())).transpose()
 }
 
 /// What is longer than any text of ours is read so far only, and fails.
@@ -147,6 +147,6 @@
         file => file?,
     };
     let mut text = Vec::new();
-    file.take(granite_handover::LONGEST as u64 + 1).read_to_end(&mut text)?;
+    file.take(handover::LONGEST as u64 + 1).read_to_end(&mut text)?;
     Ok(Some(text))
 }
--- a/crates/gateway/proxy/src/list.rs
+++ b/crates/gateway/proxy/src/list.rs
@@ -1,6 +1,6 @@
 //! The list of backends as discovery words it. Plain values: the configuration holds one, the watch brings more.
 
-use granite_interface::{Health, Node, Scope};
+use interface::{Health, Node, Scope};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/gateway/proxy/tests/answers.rs
+++ b/crates/gateway/proxy/tests/answers.rs
@@ -1,19 +1,19 @@
 //! Whose an answer is and what is sent twice, over real sockets: a gateway's driver and connections before backends that
 //! keep to a script. The module that speaks here sends everything again, whatever it does; what holds is not its doing.
 
-use granite_engine::Figures;
-use granite_interface::{
-    Action, Allowance, Class, Effect, Ending, Event, Group, Module, Name, Plan, RequestId, Scope, Settings,
-    Time,
-};
-use granite_lifecycle::upstream::{Begins, Echo};
-use granite_stage::backends::{Backends, Content, Limits, Outcome, Outgoing, Served, Upload, Wire};
-use granite_stage::driver::{Answer, Driver, Incoming, Setup};
-use granite_stage::fronts::Budget;
-use granite_stage::list::{List, State, Target};
+use engine::Figures;
 use hyper::header::HeaderMap;
 use hyper::http::response::Parts;
 use hyper::{Method, Response, Uri};
+use interface::{
+    Action, Allowance, Class, Effect, Ending, Event, Group, Module, Name, Plan, RequestId, Scope, Settings,
+    Time,
+};
+use lifecycle::upstream::{Begins, Echo};
+use proxy::backends::{Backends, Content, Limits, Outcome, Outgoing, Served, Upload, Wire};
+use proxy::driver::{Answer, Driver, Incoming, Setup};
+use proxy::fronts::Budget;
+use proxy::list::{List, State, Target};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -138,7 +138,7 @@
     /// What a client hears that sends `name` as its attempt's id and waits for so long.
     async fn ask_for(&self, wait: Time, class: usize, name: &'static str, body: usize) -> String {
         let id = self.next.replace(self.next.get() + 1);
-        let request = granite_engine::Incoming {
+        let request = engine::Incoming {
             id,
             class,
             plan: 0,
--- a/crates/gateway/route/benches/route.rs
+++ b/crates/gateway/route/benches/route.rs
@@ -1,8 +1,8 @@
 //! Nanoseconds a match at 10 to 10,000 routes, and a subset at 1,000 servers.
 
 use criterion::{criterion_group, criterion_main, Criterion};
-use granite_interface::Name;
-use granite_route::{Ask, Route, Split, Subset, Table};
+use interface::Name;
+use route::{Ask, Route, Split, Subset, Table};
 use std::hint::black_box;
 
 fn table(n: usize) -> Table {
--- a/crates/gateway/route/src/eject.rs
+++ b/crates/gateway/route/src/eject.rs
@@ -1,7 +1,7 @@
 //! Outlier ejection: servers that fail far more than their pool does are left alone for a while, a stated share of
 //! the pool at most; and where too few are left, all are used (panic), since then the failing is not theirs.
 
-use granite_interface::{Name, Time};
+use interface::{Name, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Stated figures.
--- a/crates/gateway/route/src/pool.rs
+++ b/crates/gateway/route/src/pool.rs
@@ -1,6 +1,6 @@
 //! Pools: which servers of the list are whose.
 
-use granite_interface::Name;
+use interface::Name;
 use std::collections::BTreeMap;
 
 /// What is known of a server beside its name: zone, model, group and whatever else a list may say.
--- a/crates/gateway/route/src/subset.rs
+++ b/crates/gateway/route/src/subset.rs
@@ -16,7 +16,7 @@
 //! server goes; rendezvous subsets move least and spread servers by chance: with 64 gateways, 1000 servers and 32
 //! each, some server is kept by none and another by eight.
 
-use granite_interface::Name;
+use interface::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// One gateway's servers, in the order in which the subset widens.
--- a/crates/gateway/route/tests/placing.rs
+++ b/crates/gateway/route/tests/placing.rs
@@ -1,11 +1,11 @@
 //! Splits, subsets, zones and ejection: their bounds, counted.
 
-use granite_interface::Name;
-use granite_route::eject::{Ejector, Limits};
-use granite_route::subset::{size, Subset};
-use granite_route::zone::{parts, Spill, Zone};
-use granite_route::{Selector, Shadow, Split};
+use interface::Name;
 use proptest::prelude::*;
+use route::eject::{Ejector, Limits};
+use route::subset::{size, Subset};
+use route::zone::{parts, Spill, Zone};
+use route::{Selector, Shadow, Split};
 use std::collections::{BTreeMap, BTreeSet};
 
 const SEC: u64 = 1_000_000_000;
--- a/crates/gateway/route/tests/table.rs
+++ b/crates/gateway/route/tests/table.rs
@@ -1,7 +1,7 @@
 //! The table against a naive matcher, its precedence line by line, and what is refused at load.
 
-use granite_route::{Ask, Error, Route, Split, Table};
 use proptest::prelude::*;
+use route::{Ask, Error, Route, Split, Table};
 
 fn route(line: usize, host: Option<&str>, prefix: &str) -> Route {
     Route {
--- a/crates/service/background/tests/pace.rs
+++ b/crates/service/background/tests/pace.rs
@@ -1,7 +1,7 @@
 //! A fleet before one discovery service of fixed capacity, on a virtual clock: calls are served in turn, one that
 //! has waited too long fails and is worked off all the same.
 
-use granite_background::{Pace, Service};
+use background::{Pace, Service};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
--- a/crates/service/operator/src/lib.rs
+++ b/crates/service/operator/src/lib.rs
@@ -5,9 +5,9 @@
 //! of the file takes effect then.
 //!
 //! ```
-//! let defaults = granite_operator::read("").expect("an empty file switches nothing on");
+//! let defaults = operator::read("").expect("an empty file switches nothing on");
 //! assert_eq!(defaults.lifecycle.module_grace.as_millis(), 5);
-//! let trouble = granite_operator::read("[lifecycle]\nkey_margin_ms = 7000\n").unwrap_err();
+//! let trouble = operator::read("[lifecycle]\nkey_margin_ms = 7000\n").unwrap_err();
 //! assert_eq!(trouble.to_string(), "2: lifecycle.key_margin_ms: 7000 is out of range: 0 to 1000 is wanted");
 //! ```
 #![forbid(unsafe_code)]
--- a/crates/testing/compatibility/tests/messages.rs
+++ b/crates/testing/compatibility/tests/messages.rs
@@ -1,12 +1,12 @@
 //! Messages between processes of the system: `rmp-serde` writes an enum's variants by name and a struct's fields by place.
 
-use boxoffice::{Ask, Lent, Loan, Phase, Queue, Turns, Want};
-use callboard::Place;
+use change_log::Place;
 use compatibility::Golden;
-use greenroom::Fact;
-use promptbook::{Head, Part};
-use understudy::{Body, Entry, FoundingSaid, Id, Members, Message, Said, Whole};
-use wings::message::{Answer, Change, Down, First, Peer, Query, Scene, Told, Trial, Up, FORM};
+use consensus::{Body, Entry, FoundingSaid, Id, Members, Message, Said, Whole};
+use control_state::{Head, Part};
+use messages::message::{Answer, Change, Down, First, Peer, Query, Scene, Told, Trial, Up, FORM};
+use quota::{Ask, Lent, Loan, Phase, Queue, Turns, Want};
+use registry::Fact;
 
 fn id(n: u64) -> Id {
     Id { name: format!("10.0.0.{n}"), disk: 1000 + n }
--- a/crates/testing/compatibility/tests/service.rs
+++ b/crates/testing/compatibility/tests/service.rs
@@ -2,11 +2,11 @@
 //! forwarders, a gateway's snapshot, the operators' file.
 
 use compatibility::Golden;
-use granite_fleet::wire::{Datagram, Message, Rider, BUCKETS};
-use granite_fleet::{Keys, Record, Role, State};
-use granite_plan::message::{Entry, Grant, Instance, Lease, Report};
-use granite_plan::wire::{Link, Message as PlanMessage, Side, LATEST, OLDEST};
-use granite_snapshot::{decode, encode, Author, Kind, Section};
+use membership::wire::{Datagram, Message, Rider, BUCKETS};
+use membership::{Keys, Record, Role, State};
+use plan::message::{Entry, Grant, Instance, Lease, Report};
+use plan::wire::{Link, Message as PlanMessage, Side, LATEST, OLDEST};
+use snapshot::{decode, encode, Author, Kind, Section};
 
 const KEY: &[u8] = b"a key of sixteen bytes and more";
 
@@ -126,7 +126,7 @@
 fn the_operators_file_is_understood_as_before() {
     let mut golden = Golden::open("operator");
     let text = include_str!("../golden/operator.toml");
-    let operator = granite_operator::read(text).expect("a sound file");
+    let operator = operator::read(text).expect("a sound file");
     assert_eq!(operator.pools.len(), 2);
     assert_eq!(operator.routes.len(), 2);
     assert!(operator.planner.is_none() && operator.forwarder.is_some());
--- a/crates/testing/compatibility/tests/state.rs
+++ b/crates/testing/compatibility/tests/state.rs
@@ -1,7 +1,7 @@
 //! The replicated state and its commands, as they stand in the log, in snapshots and on disks.
 
 use compatibility::Golden;
-use promptbook::{mark, Applied, Book, Word};
+use control_state::{mark, Applied, Book, Word};
 
 fn configuration(base: u32, version: u32, fill: u8) -> Word {
     Word::Configuration { base, version, body: vec![fill; 20] }
--- a/crates/testing/control-sim/src/backends.rs
+++ b/crates/testing/control-sim/src/backends.rs
@@ -3,7 +3,7 @@
 use crate::machine::BEAT;
 use crate::{Time, MS};
 use fastrand::Rng;
-use greenroom::Fact;
+use registry::Fact;
 
 /// A life.
 #[derive(Clone, Debug)]
--- a/crates/testing/control-sim/src/defect.rs
+++ b/crates/testing/control-sim/src/defect.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     /// In a prompter itself.
-    Prompter(promptdesk::Defect),
+    Prompter(control_node::Defect),
     /// A machine whose disk was lost comes back as the voter that it was.
     WipedVotes,
     /// A gateway that is alone passes whatever comes.
@@ -33,11 +33,11 @@
             Defect::PaceIgnored,
             Defect::LogCutAtStart,
         ];
-        promptdesk::Defect::ALL.into_iter().map(Defect::Prompter).chain(own)
+        control_node::Defect::ALL.into_iter().map(Defect::Prompter).chain(own)
     }
 
     /// As it is planted in a prompter; none: it is planted in the world.
-    pub fn planted(self) -> Option<promptdesk::Defect> {
+    pub fn planted(self) -> Option<control_node::Defect> {
         match self {
             Defect::Prompter(planted) => Some(planted),
             _ => None,
--- a/crates/testing/control-sim/src/gateways.rs
+++ b/crates/testing/control-sim/src/gateways.rs
@@ -1,9 +1,9 @@
-//! Gateways that follow prompters: the program's own [`cue::Follow`], with simulated links.
+//! Gateways that follow prompters: the program's own [`subscription::Follow`], with simulated links.
 
 use crate::machine::address;
 use crate::Time;
-use cue::{Follow, Setup};
 use std::net::{IpAddr, Ipv4Addr};
+use subscription::{Follow, Setup};
 
 /// A link to a prompter.
 #[derive(Clone, Copy, Debug)]
@@ -83,8 +83,8 @@
 }
 
 /// What is sent to it, in bytes, roughly.
-pub fn bytes(down: &wings::message::Down) -> usize {
-    use wings::message::Down;
+pub fn bytes(down: &messages::message::Down) -> usize {
+    use messages::message::Down;
     match down {
         Down::Configuration(part) => 60 + part.bytes.len(),
         Down::Scene { scene, .. } => 60 + 120 * scene.backends.len() + 20 * scene.leaving.len(),
--- a/crates/testing/control-sim/src/growth.rs
+++ b/crates/testing/control-sim/src/growth.rs
@@ -3,14 +3,14 @@
 
 mod pieces;
 
-use boxoffice::{Ask, Desk, Keeper, Limit, Verdict};
-use greenroom::Fact;
-use promptbook::Configuration;
+use control_state::Configuration;
+use messages::message::{Change, Down, Peer, Scene, Up};
+use quota::{Ask, Desk, Keeper, Limit, Verdict};
+use registry::Fact;
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
-use wings::message::{Change, Down, Peer, Scene, Up};
 
 const MS: u64 = 1_000_000;
 /// Gateways, backends, tenants, routes: the two small sites, the two grown ones, a fleet beyond them, the operators' size.
@@ -122,9 +122,9 @@
         gateways: names.iter().cloned().collect(),
     };
     // The configuration comes behind it, in parts of its bytes.
-    let scene = bytes(&Down::Scene { place: callboard::Place::default(), scene: Box::new(scene) })
+    let scene = bytes(&Down::Scene { place: change_log::Place::default(), scene: Box::new(scene) })
         + configuration(routes, tenants).body.len();
-    let from = callboard::Place::default();
+    let from = change_log::Place::default();
     let change = bytes(&Down::Changes { from, changes: vec![Change::Backend(fact(3))] });
     let prompters = pieces::prompters(gateways);
     let beats: Vec<(String, u64)> = (0..backends / prompters).map(|n| (fact(n).id, 40)).collect();
--- a/crates/testing/control-sim/src/growth/pieces.rs
+++ b/crates/testing/control-sim/src/growth/pieces.rs
@@ -1,15 +1,15 @@
 //! Each piece by the one size that it grows with, the others small: a slope is the difference of two lines.
 
 use super::{bytes, configuration, fact, gateways, limits, spent, tenant, MS};
-use boxoffice::{Ask, Desk, Keeper, Verdict, Want};
-use curtain::Terms;
-use greenroom::{Cell, Heard};
-use playbill::{Checker, Playbill, Table};
-use promptbook::{mark, Book, Configuration, Difference, Steps, Word};
+use configuration::{Checker, Playbill, Table};
+use consensus::{Body, Entry, Id, Members, Message, Said};
+use control_state::{mark, Book, Configuration, Difference, Steps, Word};
+use messages::message::{Change, Down, Peer, Scene};
+use quota::{Ask, Desk, Keeper, Verdict, Want};
+use registry::{Cell, Heard};
 use std::collections::BTreeSet;
 use std::hint::black_box;
-use understudy::{Body, Entry, Id, Members, Message, Said};
-use wings::message::{Change, Down, Peer, Scene};
+use trial::Terms;
 
 /// Of the operators' size.
 pub(super) const SERVICES: usize = 290;
@@ -100,7 +100,7 @@
     });
     for all in [100, 1000] {
         held("1,024 changes, each the list of gateways", format!("{all} gateways"), NOW, &|| {
-            let mut board = callboard::Board::new(1, 1024);
+            let mut board = change_log::Board::new(1, 1024);
             let list: Vec<String> = names.iter().take(all).cloned().collect();
             (0..1024).for_each(|_| board.append(Change::Gateways(list.clone())));
             Box::new(board)
@@ -292,7 +292,7 @@
             let Some(ask) = desk.ask(now) else { continue };
             made += spent() - before;
             let Some(lent) = keeper.ask(now, "edge-long-bien-0", &ask) else { continue };
-            told += bytes(&wings::message::Up::Ask(ask)) + bytes(&Down::Lent(lent.clone()));
+            told += bytes(&messages::message::Up::Ask(ask)) + bytes(&Down::Lent(lent.clone()));
             let before = spent();
             desk.lent(now, &lent);
             taken += spent() - before;
@@ -315,7 +315,7 @@
 /// What a prompter tells one follower: bytes, and the time to put it into a frame.
 fn changes() -> Vec<String> {
     let mut lines = head("What one follower is told", &["what", "size", "bytes", "made, us"]);
-    let from = callboard::Place::default();
+    let from = change_log::Place::default();
     let mut told = |what: &str, size: String, down: &Down| {
         lines.push(format!(
             "| {what} | {size} | {} | {:.1} |",
--- a/crates/testing/control-sim/src/guest.rs
+++ b/crates/testing/control-sim/src/guest.rs
@@ -3,10 +3,10 @@
 use crate::defect::Defect;
 use crate::rules::{Broken, Seen};
 use crate::{Time, MS};
-use boxoffice::{Desk, Limit, Slow, Verdict, Waiter, Word};
-use curtain::{Ending, Terms, Wall};
 use fastrand::Rng;
+use quota::{Desk, Limit, Slow, Verdict, Waiter, Word};
 use std::collections::{BTreeMap, BTreeSet};
+use trial::{Ending, Terms, Wall};
 
 /// A tenant whose requests come through all gateways, and its limit.
 pub const HOT: &str = "t";
--- a/crates/testing/control-sim/src/ledger.rs
+++ b/crates/testing/control-sim/src/ledger.rs
@@ -2,8 +2,8 @@
 
 use crate::rules::Broken;
 use crate::Time;
-use playbill::Version;
-use promptbook::{mark, Mark, Place, Versions, Word};
+use configuration::Version;
+use control_state::{mark, Mark, Place, Versions, Word};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -79,16 +79,16 @@
 
 impl Reply {
     /// What a prompter says.
-    pub fn of(reply: &promptdesk::Reply) -> Reply {
+    pub fn of(reply: &control_node::Reply) -> Reply {
         match reply {
-            promptdesk::Reply::Acknowledged => Reply::Taken,
-            promptdesk::Reply::Conflict { .. } => Reply::Other,
-            promptdesk::Reply::Invalid(_) => Reply::Invalid,
-            promptdesk::Reply::Stands(held) => {
+            control_node::Reply::Acknowledged => Reply::Taken,
+            control_node::Reply::Conflict { .. } => Reply::Other,
+            control_node::Reply::Invalid(_) => Reply::Invalid,
+            control_node::Reply::Stands(held) => {
                 Reply::Stands(held.as_ref().map(|c| (c.version, c.body.clone())))
             }
-            promptdesk::Reply::Elsewhere(name) => Reply::Elsewhere(name.clone()),
-            promptdesk::Reply::Later => Reply::Later,
+            control_node::Reply::Elsewhere(name) => Reply::Elsewhere(name.clone()),
+            control_node::Reply::Later => Reply::Later,
         }
     }
 }
--- a/crates/testing/control-sim/src/long.rs
+++ b/crates/testing/control-sim/src/long.rs
@@ -12,12 +12,12 @@
 use crate::system::{Event, Seen, System};
 use crate::world::Story;
 use crate::{Time, MS};
-use cue::News;
-use curtain::Terms;
+use consensus::{Members, Said, Stored};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
-use understudy::{Members, Said, Stored};
+use subscription::News;
+use trial::Terms;
 
 /// `contactMs`: so long after the last event the core is settled.
 const CONTACT: Time = 3_000 * MS;
@@ -338,14 +338,14 @@
 
     // ---- Machines ----
 
-    fn answered(&mut self, n: usize, call: u64, said: &promptdesk::Reply) -> Result<(), Broken> {
+    fn answered(&mut self, n: usize, call: u64, said: &control_node::Reply) -> Result<(), Broken> {
         let now = self.now;
         match self.calls.remove(&call) {
             Some(Caller::Operator { operator, ask, came }) => {
                 self.operator_answered(n, call, operator, &ask, came, Reply::of(said))
             }
             Some(Caller::Backend { b, id, drains }) => {
-                let acknowledged = *said == promptdesk::Reply::Acknowledged;
+                let acknowledged = *said == control_node::Reply::Acknowledged;
                 if acknowledged && drains {
                     self.ledger.drained(&id)?;
                     if self.backends[b].id == id {
--- a/crates/testing/control-sim/src/machine.rs
+++ b/crates/testing/control-sim/src/machine.rs
@@ -3,12 +3,12 @@
 use crate::defect::Defect;
 use crate::rules::Broken;
 use crate::{Time, MS};
-use curtain::{Terms, Wall};
-use greenroom::Fact;
-use promptbook::{Book, Place};
-use promptdesk::{Applied, Duty, Effect, Prompter, Setup, Work};
+use consensus::{Core, Entry, Id, Save, Stored};
+use control_node::{Applied, Duty, Effect, Prompter, Setup, Work};
+use control_state::{Book, Place};
+use registry::Fact;
 use std::collections::VecDeque;
-use understudy::{Core, Entry, Id, Save, Stored};
+use trial::{Terms, Wall};
 
 /// How often backends are heard here.
 pub const BEAT: Time = 1000 * MS;
--- a/crates/testing/control-sim/src/main.rs
+++ b/crates/testing/control-sim/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays seeds: `rehearsal --seeds 1000`, `rehearsal --seed 7 --story`, `rehearsal --defect wiped-votes`.
 #![forbid(unsafe_code)]
 
-use rehearsal::{play, play_pairs, Broken, Defect, Story};
+use control_sim::{play, play_pairs, Broken, Defect, Story};
 use std::ops::Range;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -38,7 +38,7 @@
         return ExitCode::SUCCESS;
     }
     if told.opt_present("growth") {
-        rehearsal::growth::table().iter().for_each(|l| println!("{l}"));
+        control_sim::growth::table().iter().for_each(|l| println!("{l}"));
         return ExitCode::SUCCESS;
     }
     let number = |name: &str, usual: u64| told.opt_get_default(name, usual);
--- a/crates/testing/control-sim/src/operators.rs
+++ b/crates/testing/control-sim/src/operators.rs
@@ -3,8 +3,8 @@
 
 use crate::ledger::{Ask, Order, Reply};
 use crate::{Time, MS};
+use configuration::Version;
 use fastrand::Rng;
-use playbill::Version;
 
 /// A caller goes on to another machine after so much silence.
 pub const SILENCE: Time = 1000 * MS;
--- a/crates/testing/control-sim/src/rules.rs
+++ b/crates/testing/control-sim/src/rules.rs
@@ -1,11 +1,11 @@
 //! What must hold after each step.
 
 use crate::{guest, Time};
-use boxoffice::{Slow, ASK_EVERY, GAP, LEAD};
-use curtain::Wall;
-use promptbook::{Place, Word};
+use control_state::{Place, Word};
+use quota::{Slow, ASK_EVERY, GAP, LEAD};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
+use trial::Wall;
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/testing/control-sim/src/system.rs
+++ b/crates/testing/control-sim/src/system.rs
@@ -8,17 +8,17 @@
 use crate::net::Net;
 use crate::rules::Broken;
 use crate::{Time, MS};
-use boxoffice::Lent;
-use cue::{End, News, SILENT};
-use curtain::Wall;
+use consensus::{Body, Id, Said};
+use control_node::{Applied, Effect, Prompter, Reply, HELLO, PULSE};
+use control_state::{Place, Versions};
 use fastrand::Rng;
-use promptbook::{Place, Versions};
-use promptdesk::{Applied, Effect, Prompter, Reply, HELLO, PULSE};
+use messages::message::{Down, First, Peer, Up};
+use quota::Lent;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::IpAddr;
-use understudy::{Body, Id, Said};
-use wings::message::{Down, First, Peer, Up};
+use subscription::{End, News, SILENT};
+use trial::Wall;
 
 /// Who is not linked yet is dialled so often.
 const DIALS: Time = 100 * MS;
@@ -612,10 +612,10 @@
         gateway.heard = now;
         for effect in gateway.follow.hear(now, *down, Vec::new) {
             match effect {
-                cue::Effect::News(news) => self.seen.push_back(Seen::News { g, news }),
-                cue::Effect::Lent(lent) => self.seen.push_back(Seen::Lent { g, lent }),
-                cue::Effect::Say(up) => self.say(g, link, up),
-                cue::Effect::Leave(end) => return self.end_link(g, end),
+                subscription::Effect::News(news) => self.seen.push_back(Seen::News { g, news }),
+                subscription::Effect::Lent(lent) => self.seen.push_back(Seen::Lent { g, lent }),
+                subscription::Effect::Say(up) => self.say(g, link, up),
+                subscription::Effect::Leave(end) => return self.end_link(g, end),
             }
         }
     }
--- a/crates/testing/control-sim/src/world.rs
+++ b/crates/testing/control-sim/src/world.rs
@@ -9,14 +9,14 @@
 use crate::rules::{Broken, Seen};
 use crate::system::{Event, Seen as Happened, System};
 use crate::{Time, MS};
-use boxoffice::{Desk, Verdict};
-use cue::News;
+use control_node::Reply;
+use control_state::Word;
 use fastrand::Rng;
-use promptbook::Word;
-use promptdesk::Reply;
+use messages::message::Up;
+use quota::{Desk, Verdict};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::{Deref, DerefMut};
-use wings::message::Up;
+use subscription::News;
 
 /// How long a seed is played, and how long nothing goes wrong at its end.
 const LENGTH: Time = 16_000 * MS;
@@ -431,7 +431,7 @@
             self.machines.iter_mut().for_each(|n| n.skew = n.skew.clamp(-20, 20));
             self.stepped = self.now;
         }
-        if stepped || self.now < self.stepped + curtain::OLD + 500 * MS {
+        if stepped || self.now < self.stepped + trial::OLD + 500 * MS {
             return;
         }
         let by = if self.rng.bool() { self.rng.i64(500..5000) } else { self.rng.i64(5000..4_000_000) };
@@ -480,7 +480,7 @@
             .machines
             .iter()
             .filter(|node| node.votes)
-            .all(|node| node.core().is_some_and(understudy::Core::is_member) && node.frozen_until <= now);
+            .all(|node| node.core().is_some_and(consensus::Core::is_member) && node.frozen_until <= now);
         if !self.machines[n].votes || self.wiped_at.iter().any(recent) || !all_in {
             return;
         }
--- a/crates/testing/control-sim/tests/rehearsal.rs
+++ b/crates/testing/control-sim/tests/rehearsal.rs
@@ -1,8 +1,8 @@
 //! Seeds and defects. `rehearsal --seed N --story` plays a seed by hand.
 
+use control_node::Defect as Planted;
+use control_sim::{is_long, play, play_pairs, Defect};
 use googletest::prelude::*;
-use promptdesk::Defect as Planted;
-use rehearsal::{is_long, play, play_pairs, Defect};
 use std::panic::catch_unwind;
 
 const SEEDS: u64 = 1000;
--- a/crates/testing/fleet-sim/src/days.rs
+++ b/crates/testing/fleet-sim/src/days.rs
@@ -8,9 +8,6 @@
 use crate::world::WORK;
 use crate::{play, Stats};
 use fastrand::Rng;
-use granite_rig::fleet::{lock, not_started, Cores, Meter};
-use granite_rig::peers::{read, Client, Discovery, Message};
-use granite_rig::program::{locate, Program, EXAMPLE};
 use serde_json::{json, Value};
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
@@ -19,6 +16,9 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use test_harness::fleet::{lock, not_started, Cores, Meter};
+use test_harness::peers::{read, Client, Discovery, Message};
+use test_harness::program::{locate, Program, EXAMPLE};
 
 /// The days that are played side by side.
 pub const DAYS: [&str; 4] = ["calm", "crash", "cold", "flood"];
@@ -126,7 +126,7 @@
 fn config(spec: &Spec, me: usize) -> String {
     let mut config: Value = serde_json::from_str(EXAMPLE).expect("the example is JSON");
     let settings = spec.settings(me);
-    let plan = |p: &granite_interface::Plan| {
+    let plan = |p: &interface::Plan| {
         json!({
             "name": p.name, "quota_rate": p.rate, "depth": p.depth, "value_factor": p.value_factor,
             "never_over_rate": p.ceiling_rate, "ceiling_burst": p.ceiling_burst,
@@ -386,7 +386,7 @@
             lock(&self.books.asked).insert(id, (first.customer, first.units));
             lock(&self.counts).asked += 1;
             let account = format!("{:016x}", 1 + first.customer);
-            let text = granite_rig::demo::request(
+            let text = test_harness::demo::request(
                 CLASSES[first.class],
                 id,
                 &plan.name,
--- a/crates/testing/fleet-sim/src/defects.rs
+++ b/crates/testing/fleet-sim/src/defects.rs
@@ -1,9 +1,9 @@
 //! Defects of the deciding parts, planted by name. The shipped program is built without them.
 
-use granite_interface::Settings;
-use granite_lifecycle::defects as lifecycle;
-use granite_plan::defects as planning;
-use granite_snapshot::defects as memory;
+use interface::Settings;
+use lifecycle::defects as lifecycle;
+use plan::defects as planning;
+use snapshot::defects as memory;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// Defects that a fleet shows, and in which world.
--- a/crates/testing/fleet-sim/src/experiment.rs
+++ b/crates/testing/fleet-sim/src/experiment.rs
@@ -21,7 +21,7 @@
 use crate::record::{Second, QUANTILES};
 use crate::spec::MS;
 use crate::{play, Outcome, Spec};
-use granite_interface::Time;
+use interface::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/testing/fleet-sim/src/main.rs
+++ b/crates/testing/fleet-sim/src/main.rs
@@ -1,16 +1,16 @@
-//! `granitethread-sim`: whole fleets on a virtual clock.
+//! `fleet-sim`: whole fleets on a virtual clock.
 //!
 //! Exit status: 0 if every rule held, 1 if one broke, 2 for a command line that won't do.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use granite_sim::compare::{compare, Difference};
-use granite_sim::experiment::{read_rows, write_csv, Experiment, Row, FIGURES};
-use granite_sim::members;
-use granite_sim::shrink::shrink;
-use granite_sim::story::Story;
-use granite_sim::world::play_cut;
-use granite_sim::{days, defects, play, report, spec, Spec, Stats, Violation};
+use fleet_sim::compare::{compare, Difference};
+use fleet_sim::experiment::{read_rows, write_csv, Experiment, Row, FIGURES};
+use fleet_sim::members;
+use fleet_sim::shrink::shrink;
+use fleet_sim::story::Story;
+use fleet_sim::world::play_cut;
+use fleet_sim::{days, defects, play, report, spec, Spec, Stats, Violation};
 use indicatif::ProgressBar;
 use serde_json::json;
 use std::io::Write;
@@ -21,7 +21,7 @@
 use std::time::Instant;
 
 #[derive(Parser)]
-#[command(name = "granitethread-sim", version, about = "Whole fleets of gateways on a virtual clock")]
+#[command(name = "fleet-sim", version, about = "Whole fleets of gateways on a virtual clock")]
 struct Args {
     #[command(subcommand)]
     command: Command,
@@ -230,7 +230,7 @@
 }
 
 fn wrong(what: &str) -> ExitCode {
-    eprintln!("granitethread-sim: {what}");
+    eprintln!("fleet-sim: {what}");
     ExitCode::from(2)
 }
 
--- a/crates/testing/fleet-sim/src/members.rs
+++ b/crates/testing/fleet-sim/src/members.rs
@@ -1,8 +1,8 @@
 //! The world `members`: views of a fleet on a virtual network that loses, delays, doubles, cuts and replays, with
 //! members that are killed, stopped, restarted and told to leave. Everything comes from the seed.
 
-use granite_fleet::wire::Message;
-use granite_fleet::{Config, Input, Keys, Output, State, Time, View};
+use membership::wire::Message;
+use membership::{Config, Input, Keys, Output, State, Time, View};
 use serde::Serialize;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -292,7 +292,7 @@
         let running = self.running();
         let dead = |n: &usize| {
             let view = self.nodes[*n].view.as_ref();
-            let of = |m: granite_fleet::Member| {
+            let of = |m: membership::Member| {
                 let state = m.record.state == State::Dead;
                 state
                     && running.iter().any(|r| {
--- a/crates/testing/fleet-sim/src/mind.rs
+++ b/crates/testing/fleet-sim/src/mind.rs
@@ -2,8 +2,8 @@
 //! silent, or panics. What the engine guards must hold all the same.
 
 use fastrand::Rng;
-use granite_interface::{Action, Event, Health, Module, Name, RequestId, Scope, Time};
 use granitehub::Gateway;
+use interface::{Action, Event, Health, Module, Name, RequestId, Scope, Time};
 use serde::Deserialize;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/testing/fleet-sim/src/observer.rs
+++ b/crates/testing/fleet-sim/src/observer.rs
@@ -1,8 +1,8 @@
 //! Sees everything and shares no code with the engine: what was taken, sent, run, answered. A rule that is broken
 //! stops the run. Each rule stands beside its words.
 
-use granite_engine::Final;
-use granite_interface::{Effect, Time};
+use engine::Final;
+use interface::{Effect, Time};
 use std::collections::BTreeMap;
 use std::fmt;
 
--- a/crates/testing/fleet-sim/src/quota.rs
+++ b/crates/testing/fleet-sim/src/quota.rs
@@ -1,6 +1,6 @@
 //! Quotas as one store of the whole for each customer, which no gateway can see: the yardstick.
 
-use granite_interface::{Plan, Time};
+use interface::{Plan, Time};
 use std::collections::BTreeMap;
 
 #[derive(Debug, Default)]
--- a/crates/testing/fleet-sim/src/record.rs
+++ b/crates/testing/fleet-sim/src/record.rs
@@ -1,7 +1,7 @@
 //! What a run leaves behind beside its counts: latencies, work by server, and a line a second.
 
-use granite_interface::Time;
 use hdrhistogram::Histogram;
+use interface::Time;
 use serde::{Deserialize, Serialize};
 
 /// Latencies are told up to a minute, in microseconds, to three digits.
--- a/crates/testing/fleet-sim/src/servers.rs
+++ b/crates/testing/fleet-sim/src/servers.rs
@@ -1,6 +1,6 @@
 //! Job servers: cores, a waiting room, a cold start, and what can go wrong with them. No network here.
 
-use granite_interface::Time;
+use interface::Time;
 use std::collections::VecDeque;
 
 /// Capacity of a server that has just started, as a part of the whole, and how long until it is warm.
--- a/crates/testing/fleet-sim/src/spec.rs
+++ b/crates/testing/fleet-sim/src/spec.rs
@@ -1,8 +1,8 @@
 //! What a world is made of. Named worlds are the usual ones; a seed draws the rest.
 
 use crate::mind::Choice;
-use granite_interface::{Class, Effect, Group, Plan, Settings, Time};
-use granite_plan::{Allowance, Terms};
+use interface::{Class, Effect, Group, Plan, Settings, Time};
+use plan::{Allowance, Terms};
 
 pub const MS: Time = 1_000_000;
 
--- a/crates/testing/fleet-sim/src/trace.rs
+++ b/crates/testing/fleet-sim/src/trace.rs
@@ -1,6 +1,6 @@
 //! What happened, as a digest that two runs can be compared by, and as a story that a person can read.
 
-use granite_interface::Time;
+use interface::Time;
 use sha2::{Digest, Sha256};
 use std::fmt::Write as _;
 
--- a/crates/testing/fleet-sim/src/world.rs
+++ b/crates/testing/fleet-sim/src/world.rs
@@ -17,13 +17,13 @@
 use crate::shrink::Cuts;
 use crate::spec::{plan_of, Spec, MS};
 use crate::trace::Trace;
+use engine::{Engine, Entry, Facts, Figures, Final, Incoming, Input, Notice, Output, Reply, Step};
 use fastrand::Rng;
-use granite_engine::{Engine, Entry, Facts, Figures, Final, Incoming, Input, Notice, Output, Reply, Step};
-use granite_forward::Account;
-use granite_interface::{Ending, Health, Name, Node, Scope, Time};
-use granite_plan::message::{Grant, Report};
-use granite_plan::{Planner, Terms};
+use forward::Account;
 use granitehub::Gateway;
+use interface::{Ending, Health, Name, Node, Scope, Time};
+use plan::message::{Grant, Report};
+use plan::{Planner, Terms};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 
--- a/crates/testing/fleet-sim/src/world/clients.rs
+++ b/crates/testing/fleet-sim/src/world/clients.rs
@@ -87,7 +87,7 @@
             spread: self.spec.gateways.min(SET) as u32,
             repeat: ask.tries > 0,
             pool: 0,
-            allowance: granite_interface::Allowance::Unknown,
+            allowance: interface::Allowance::Unknown,
         };
         let (customer, units) = (ask.customer, ask.units);
         self.trace.tell(now, || {
@@ -120,7 +120,7 @@
     }
 
     /// The quota that a customer's tries are taken from.
-    pub(super) fn plan(&self, customer: usize) -> granite_interface::Plan {
+    pub(super) fn plan(&self, customer: usize) -> interface::Plan {
         self.spec.settings(0).plans.swap_remove(plan_of(customer))
     }
 
--- a/crates/testing/fleet-sim/src/world/memory.rs
+++ b/crates/testing/fleet-sim/src/world/memory.rs
@@ -1,8 +1,8 @@
 //! What a gateway leaves on its disk while it lives, and what its next life makes of it.
 
 use super::*;
-use granite_snapshot::age::{join, split, Quota, Times};
-use granite_snapshot::{decode, encode, Author, Kind, Section};
+use snapshot::age::{join, split, Quota, Times};
+use snapshot::{decode, encode, Author, Kind, Section};
 
 /// So many snapshots back a disk that lies about syncs may go.
 const KEPT: usize = 8;
--- a/crates/testing/fleet-sim/tests/members.rs
+++ b/crates/testing/fleet-sim/tests/members.rs
@@ -1,10 +1,10 @@
 //! Stories of a fleet's view on a virtual network, each with the bound that it promises; and that each planted defect
 //! is seen by one of them.
 
-use granite_fleet::defects::{plant, Defect, ALL};
-use granite_fleet::wire::Message;
-use granite_fleet::State;
-use granite_sim::members::{address, random, read, traffic, Net, MS, S};
+use fleet_sim::members::{address, random, read, traffic, Net, MS, S};
+use membership::defects::{plant, Defect, ALL};
+use membership::wire::Message;
+use membership::State;
 
 /// So many that have found each other.
 fn fleet(size: usize, seed: u64) -> Result<Net, String> {
@@ -385,7 +385,7 @@
         println!("{defect:?}: {}", found.map_or("", |(name, _)| name));
     }
     assert_eq!(ALL.len(), 12);
-    assert!(!granite_fleet::defects::active(Defect::LeaveNotTold));
+    assert!(!membership::defects::active(Defect::LeaveNotTold));
 }
 
 /// Beliefs in a death of somebody healthy in half a minute of 20% loss, and how long a crash took to be known (ms).
--- a/crates/testing/fleet-sim/tests/sim.rs
+++ b/crates/testing/fleet-sim/tests/sim.rs
@@ -1,9 +1,9 @@
 //! The simulator holds the rules over a small set of seeds, sees what is planted, and does the same twice.
 
-use granite_sim::shrink::shrink;
-use granite_sim::story::Story;
-use granite_sim::world::play_cut;
-use granite_sim::{defects, play, Spec};
+use fleet_sim::shrink::shrink;
+use fleet_sim::story::Story;
+use fleet_sim::world::play_cut;
+use fleet_sim::{defects, play, Spec};
 use std::sync::{Mutex, PoisonError};
 
 /// Defects are the process's, so that one test runs at a time.
@@ -40,7 +40,7 @@
     assert_eq!(runs[0].0, include_str!("digest").trim(), "the digest of planners, seed 7, 10 s");
 }
 
-/// A few of those that are quickly found; `granitethread-sim explore --defect NAME` finds the others.
+/// A few of those that are quickly found; `fleet-sim explore --defect NAME` finds the others.
 #[test]
 fn planted_defects_break_a_rule() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
@@ -118,7 +118,7 @@
         assert_eq!(day.violation, None, "{name}");
         assert_ne!(day.digest, calm.digest, "{name}");
     }
-    let goodput = |o: &granite_sim::Outcome| o.stats.worth_served / o.stats.worth_asked;
+    let goodput = |o: &fleet_sim::Outcome| o.stats.worth_served / o.stats.worth_asked;
     let cold = play(&world("cold"), 3, false);
     assert!(goodput(&cold) < goodput(&calm), "{} {}", goodput(&cold), goodput(&calm));
     assert!(goodput(&calm) <= 1.0 && goodput(&calm) > 0.5, "{}", goodput(&calm));
--- a/crates/testing/fleet-sim/tests/vast.rs
+++ b/crates/testing/fleet-sim/tests/vast.rs
@@ -1,7 +1,7 @@
 //! A hundred gateways before sixty servers of which six in ten start cold: what each does by itself must be right for
 //! all of them together.
 
-use granite_sim::{play, Spec};
+use fleet_sim::{play, Spec};
 
 #[test]
 fn a_fleet_uses_its_cold_servers_and_pushes_none_over() {
--- a/crates/testing/model-check/src/clients.rs
+++ b/crates/testing/model-check/src/clients.rs
@@ -1,8 +1,8 @@
 //! The world round a client's connection: a client that may say half a head, pipeline, stop in a body, not
 //! read, or leave; SIGTERM in every state; and the budget that wants its place.
-//! `granite_lifecycle::Connection` itself is what is explored.
+//! `lifecycle::Connection` itself is what is explored.
 
-use granite_lifecycle::connection::{spare, Close, Connection, Input, Order, Patience, SETTLE, STUCK};
+use lifecycle::connection::{spare, Close, Connection, Input, Order, Patience, SETTLE, STUCK};
 use stateright::{Model, Property};
 
 #[derive(Clone)]
--- a/crates/testing/model-check/src/drains.rs
+++ b/crates/testing/model-check/src/drains.rs
@@ -1,9 +1,9 @@
 //! The world round a gateway's end: a request that becomes whole at any moment before and after the drain was told,
-//! with any time its settings allow, at servers that answer late or never. `granite_lifecycle::Drain` itself is what
+//! with any time its settings allow, at servers that answer late or never. `lifecycle::Drain` itself is what
 //! is explored. Left out: several requests (they don't know of each other here) and the listener's queue, which is
 //! the system's.
 
-use granite_lifecycle::drain::{Drain, ROOM, WINDOW};
+use lifecycle::drain::{Drain, ROOM, WINDOW};
 use stateright::{Model, Property};
 
 const MS: u64 = 1_000_000;
--- a/crates/testing/model-check/src/main.rs
+++ b/crates/testing/model-check/src/main.rs
@@ -13,7 +13,7 @@
 mod worlds;
 
 use clap::Parser;
-use granite_lifecycle::defects;
+use lifecycle::defects;
 use serde::Serialize;
 use stateright::{Checker, HasDiscoveries, Model};
 use std::fmt::Debug;
@@ -23,7 +23,7 @@
 use std::time::{Duration, Instant};
 
 #[derive(Parser)]
-#[command(name = "granitethread-check", version, about)]
+#[command(name = "model-check", version, about)]
 struct Args {
     /// Explore the whole worlds (three attempts) in place of the small ones (two)
     #[arg(long)]
@@ -166,14 +166,14 @@
     }
     if let Some(wanted) = &args.defect {
         let Some((defect, ..)) = defects::ALL.iter().find(|(_, name, _)| name == wanted) else {
-            eprintln!("granitethread-check: no defect is named {wanted:?}; --list-defects prints the names");
+            eprintln!("model-check: no defect is named {wanted:?}; --list-defects prints the names");
             return ExitCode::from(2);
         };
         defects::plant(Some(*defect));
     }
     let todo = jobs(&args);
     if todo.is_empty() {
-        eprintln!("granitethread-check: no world's name begins with {:?}", args.world.unwrap_or_default());
+        eprintln!("model-check: no world's name begins with {:?}", args.world.unwrap_or_default());
         return ExitCode::from(2);
     }
     let started = Instant::now();
--- a/crates/testing/model-check/src/mind.rs
+++ b/crates/testing/model-check/src/mind.rs
@@ -2,9 +2,9 @@
 //! handed its events and speaks when it is its turn.
 
 use crate::world::World;
-use granite_interface::{Action, AttemptEnd, Class, Event, Health, Node, Plan, Scope, Settings, Time};
-use granite_lifecycle::{Input, Listed, Told};
 use granitehub::Gateway;
+use interface::{Action, AttemptEnd, Class, Event, Health, Node, Plan, Scope, Settings, Time};
+use lifecycle::{Input, Listed, Told};
 use std::hash::{Hash, Hasher};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/testing/model-check/src/rules.rs
+++ b/crates/testing/model-check/src/rules.rs
@@ -2,7 +2,7 @@
 //! it happen (`Broken`); what a state shows is read off the state.
 
 use crate::world::{Asked, State, World, DEADLINE, GRACE};
-use granite_lifecycle::Input;
+use lifecycle::Input;
 use stateright::Property;
 
 /// What can be seen only while it happens.
@@ -171,8 +171,8 @@
                 Input::Ended {
                     id,
                     attempt: number,
-                    ending: granite_interface::Ending::Pass,
-                    reply: granite_lifecycle::Reply::Good,
+                    ending: interface::Ending::Pass,
+                    reply: lifecycle::Reply::Good,
                 },
             ]
             .into_iter()
--- a/crates/testing/model-check/src/upstreams.rs
+++ b/crates/testing/model-check/src/upstreams.rs
@@ -1,13 +1,13 @@
 //! The world round kept connections to one backend: whose the bytes on them are, what has run and what was sent twice. The
 //! backend may begin a request with its head, go on after a reset, answer twice, the second time late, refuse without an
 //! id, and reset or fall silent at any point; the decision module says anything at any time.
-//! `granite_lifecycle::Upstream` and `Lives` themselves are what is explored. Times, drains, keyed requests and leaves are
+//! `lifecycle::Upstream` and `Lives` themselves are what is explored. Times, drains, keyed requests and leaves are
 //! the other worlds'.
 
-use granite_interface::{Effect, Ending, Group, RequestId};
-use granite_lifecycle::defects::Defect;
-use granite_lifecycle::upstream::{Begins, Echo};
-use granite_lifecycle::{Arrival, Final, Input, Limits, Listed, Lives, Order, Reply, Step, Upstream};
+use interface::{Effect, Ending, Group, RequestId};
+use lifecycle::defects::Defect;
+use lifecycle::upstream::{Begins, Echo};
+use lifecycle::{Arrival, Final, Input, Limits, Listed, Lives, Order, Reply, Step, Upstream};
 use stateright::{Model, Property};
 
 /// A request's head and body are so long.
--- a/crates/testing/model-check/src/world.rs
+++ b/crates/testing/model-check/src/world.rs
@@ -1,10 +1,10 @@
 //! The world round the life of a request: clients, attempts on two servers, their list, time, and a decision
-//! module that is either an adversary or the real one. `granite_lifecycle::Lives` itself is what is explored.
+//! module that is either an adversary or the real one. `lifecycle::Lives` itself is what is explored.
 
 use crate::mind::Mind;
 use crate::rules::{self, Broken};
-use granite_interface::{Effect, Ending, Event, Group, Name, Request, RequestId, Scope, Time};
-use granite_lifecycle::{Arrival, Final, Input, Limits, Listed, Lives, Order, Reply, Step, Told, Wrong};
+use interface::{Effect, Ending, Event, Group, Name, Request, RequestId, Scope, Time};
+use lifecycle::{Arrival, Final, Input, Limits, Listed, Lives, Order, Reply, Step, Told, Wrong};
 use stateright::{Model, Property};
 use std::net::SocketAddr;
 
--- a/crates/testing/model-check/src/worlds.rs
+++ b/crates/testing/model-check/src/worlds.rs
@@ -1,7 +1,7 @@
 //! The worlds that are explored, small for CI and whole.
 
 use crate::world::World;
-use granite_interface::{Effect, Group};
+use interface::{Effect, Group};
 
 fn world(name: &'static str, effect: Effect) -> World {
     World {
--- a/crates/testing/model-check/tests/check.rs
+++ b/crates/testing/model-check/tests/check.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 
 fn check(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_granitethread-check")).args(args).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_model-check")).args(args).output().expect("it runs")
 }
 
 fn last_line(output: &Output) -> Value {
--- a/crates/testing/model-check/tests/leases.rs
+++ b/crates/testing/model-check/tests/leases.rs
@@ -1,10 +1,10 @@
 //! Stories of leases: a planner and accounts, step by step, without a network. Each shows in a few steps what a
 //! rule of the pool is for, and that a defect in it passes an allowance.
 
-use granite_forward::{Account, Mode, Verdict};
-use granite_interface::{Name, Time};
-use granite_plan::message::{Entry, Lease, Report, Seat};
-use granite_plan::{defects, Allowance, Planner, Terms};
+use forward::{Account, Mode, Verdict};
+use interface::{Name, Time};
+use plan::message::{Entry, Lease, Report, Seat};
+use plan::{defects, Allowance, Planner, Terms};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 const MS: Time = 1_000_000;
@@ -187,7 +187,7 @@
     let _one = alone();
     let mut terms = Terms::new(2, vec![slots(2.0)]);
     terms.attempt = 10_000 * MS;
-    let customers = 2 * granite_forward::MOST_ENTRIES;
+    let customers = 2 * forward::MOST_ENTRIES;
     let story = || {
         let mut room = Room::new(&terms, 100_000);
         room.pass(terms.lease + terms.attempt_over());
--- a/crates/testing/model-check/tests/storms.rs
+++ b/crates/testing/model-check/tests/storms.rs
@@ -5,10 +5,10 @@
 //! planners are killed, paused and restarted empty; forwarders too. Clocks differ in rate by the stated bound.
 
 use fastrand::Rng;
-use granite_forward::{Account, Mode, Verdict, Wrong};
-use granite_interface::{Name, Time};
-use granite_plan::message::{Grant, Instance, Lease, Report, Seat};
-use granite_plan::{defects, Allowance, Planner, Terms};
+use forward::{Account, Mode, Verdict, Wrong};
+use interface::{Name, Time};
+use plan::message::{Grant, Instance, Lease, Report, Seat};
+use plan::{defects, Allowance, Planner, Terms};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/testing/test-harness/src/comeback.rs
+++ b/crates/testing/test-harness/src/comeback.rs
@@ -91,7 +91,7 @@
         for n in 0..GATEWAYS {
             let operator = if keeps {
                 let number = crate::peers::NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-                let folder = format!("granitethread-rig-{}-{number}-{name}-{n}", std::process::id());
+                let folder = format!("test-harness-{}-{number}-{name}-{n}", std::process::id());
                 let folder = std::env::temp_dir().join(folder);
                 std::fs::create_dir(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
                 folders.0.push(folder.clone());
--- a/crates/testing/test-harness/src/lib.rs
+++ b/crates/testing/test-harness/src/lib.rs
@@ -1,5 +1,5 @@
 //! Scripted neighbours, load and scenarios around the real program, all on loopback. Tests use the neighbours,
-//! `granitethread-rig` plays the scenarios.
+//! `test-harness` plays the scenarios.
 #![forbid(unsafe_code)]
 
 pub mod bed;
--- a/crates/testing/test-harness/src/main.rs
+++ b/crates/testing/test-harness/src/main.rs
@@ -1,19 +1,19 @@
-//! `granitethread-rig`: scenarios around the real program, on loopback.
+//! `test-harness`: scenarios around the real program, on loopback.
 //!
 //! Exit status: 0 if every bound held, 1 if one did not or the scenario could not be played, 2 for a command
 //! line that won't do.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
-use granite_rig::scenario::{Play, Size, ALL};
 use std::io::Write;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
+use test_harness::scenario::{Play, Size, ALL};
 
 #[derive(Parser)]
-#[command(name = "granitethread-rig", version, about = "Scenarios around the real gateway, all on loopback")]
+#[command(name = "test-harness", version, about = "Scenarios around the real gateway, all on loopback")]
 struct Args {
     /// `list`, `demo`, or the name of a scenario
     name: String,
@@ -45,7 +45,7 @@
 }
 
 fn wrong(what: &str) -> ExitCode {
-    eprintln!("granitethread-rig: {what}");
+    eprintln!("test-harness: {what}");
     ExitCode::from(2)
 }
 
@@ -67,7 +67,7 @@
     match demo(&stop, say) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
-            eprintln!("granitethread-rig: {what}");
+            eprintln!("test-harness: {what}");
             ExitCode::FAILURE
         }
     }
@@ -82,8 +82,8 @@
             ALL.iter().for_each(|s| say(&format!("{:12} {}", s.name, s.about)));
             return ExitCode::SUCCESS;
         }
-        "demo" => return demo(granite_rig::demo::run, args.seconds),
-        "system" => return demo(granite_rig::house::demo, args.seconds),
+        "demo" => return demo(test_harness::demo::run, args.seconds),
+        "system" => return demo(test_harness::house::demo, args.seconds),
         _ => {}
     }
     let Some(scenario) = ALL.iter().find(|s| s.name == args.name) else {
@@ -107,7 +107,7 @@
     let figures = match (scenario.run)(&play) {
         Ok(figures) => figures,
         Err(what) => {
-            eprintln!("granitethread-rig: {what}");
+            eprintln!("test-harness: {what}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/testing/test-harness/src/planners.rs
+++ b/crates/testing/test-harness/src/planners.rs
@@ -126,8 +126,7 @@
 impl Files {
     pub fn add(&mut self, name: &str, text: &str, mode: u32) -> Result<PathBuf, String> {
         let number = crate::peers::NUMBER.fetch_add(1, Ordering::Relaxed);
-        let path =
-            std::env::temp_dir().join(format!("granitethread-rig-{}-{number}-{name}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("test-harness-{}-{number}-{name}", std::process::id()));
         let file = std::fs::OpenOptions::new().write(true).create_new(true).mode(mode).open(&path);
         file.and_then(|mut f| f.write_all(text.as_bytes()))
             .map_err(|e| format!("{}: {e}", path.display()))?;
--- a/crates/testing/test-harness/src/program.rs
+++ b/crates/testing/test-harness/src/program.rs
@@ -66,8 +66,8 @@
 pub fn locate_system() -> Result<(PathBuf, PathBuf), String> {
     let (gateway, testing) = place()?;
     let folder = gateway.parent().unwrap_or(Path::new("."));
-    let both = [folder.join("proscenium"), folder.join("prompter")];
-    let packages = &["--package", "proscenium", "--package", "prompter"];
+    let both = [folder.join("granitethread-data-plane"), folder.join("granitethread-control-plane")];
+    let packages = &["--package", "data-plane", "--package", "control-plane"];
     if !testing || !both.iter().all(|p| p.exists()) {
         if let Some(mut build) = build(folder.ends_with("release"), packages) {
             cargo(&mut build)?;
@@ -267,7 +267,7 @@
 /// What starts it, with its configuration in a file of its own.
 fn command(program: &Path, config: &str, discovery: SocketAddr) -> Result<(Command, PathBuf), String> {
     let number = crate::peers::NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-    let name = format!("granitethread-rig-{}-{number}.json", std::process::id());
+    let name = format!("test-harness-{}-{number}.json", std::process::id());
     let file = env::temp_dir().join(name);
     std::fs::write(&file, config).map_err(|e| format!("{}: {e}", file.display()))?;
     let mut command = Command::new(program);
--- a/crates/testing/test-harness/src/scale/hollow.rs
+++ b/crates/testing/test-harness/src/scale/hollow.rs
@@ -5,7 +5,8 @@
 use crate::fleet::lock;
 use crate::house::House;
 use crate::scenario::Play;
-use boxoffice::{Ask, Want};
+use messages::message::{Change, Down, First, Up, FORM};
+use quota::{Ask, Want};
 use serde_json::json;
 use std::collections::HashSet;
 use std::io;
@@ -20,7 +21,6 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
-use wings::message::{Change, Down, First, Up, FORM};
 
 /// As a gateway asks: so often, of so many tenants, where it takes 150 requests a second.
 const ASK: Duration = Duration::from_millis(100);
--- a/crates/testing/test-harness/src/upgrade.rs
+++ b/crates/testing/test-harness/src/upgrade.rs
@@ -77,7 +77,7 @@
 impl Folder {
     fn new() -> Result<Self, String> {
         let number = crate::peers::NUMBER.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("granitethread-rig-{}-{number}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("test-harness-{}-{number}", std::process::id()));
         std::fs::create_dir(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(Folder(path))
     }
--- a/crates/testing/test-harness/tests/scenarios.rs
+++ b/crates/testing/test-harness/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! The scenarios hold with any seed, and fail with each of their defects.
 
-use granite_rig::scenario::{Play, Scenario, Size, ALL};
 use std::time::Duration;
+use test_harness::scenario::{Play, Scenario, Size, ALL};
 
 fn play(scenario: &Scenario, seed: u64, defect: Option<&str>) -> Vec<String> {
     let time = Duration::from_secs(scenario.test_seconds);
@@ -31,7 +31,7 @@
     }
 }
 
-/// Defects of the program itself: `cargo test --release -p granite-rig --test scenarios -- --ignored`.
+/// Defects of the program itself: `cargo test --release -p test-harness --test scenarios -- --ignored`.
 #[test]
 #[ignore = "a build of its own, and some three minutes"]
 fn every_defect_of_the_program_is_seen() {
--- a/crates/tools/granitethread-ctl/src/main.rs
+++ b/crates/tools/granitethread-ctl/src/main.rs
@@ -5,15 +5,15 @@
 mod operator;
 mod show;
 
+use messages::frame;
+use messages::message::{Answer, First, Query, Told, FORM};
+use process::net::connect;
 use std::collections::BTreeSet;
 use std::io::Write;
 use std::net::{IpAddr, SocketAddr};
 use std::process::ExitCode;
 use std::time::Duration;
 use tokio::time::timeout;
-use wings::frame;
-use wings::message::{Answer, First, Query, Told, FORM};
-use wings::net::connect;
 
 /// A prompter that says nothing for so long is not reached.
 const WAIT: Duration = Duration::from_millis(1500);
--- a/crates/tools/granitethread-ctl/src/operator.rs
+++ b/crates/tools/granitethread-ctl/src/operator.rs
@@ -93,7 +93,7 @@
 /// The first thing that is wrong with it, and where.
 pub fn check(file: &str) -> Result<String, String> {
     let text = std::fs::read(file).map_err(|e| format!("{file}: {e}"))?;
-    let playbill = playbill::check(&text).map_err(|e| format!("{file}: {e}"))?;
+    let playbill = configuration::check(&text).map_err(|e| format!("{file}: {e}"))?;
     let (routes, tenants) = (playbill.routes.len(), playbill.tenants.len());
     Ok(format!(
         "{file}: sound: version {:08x} on {:08x}, {routes} routes, {tenants} tenants",
@@ -125,8 +125,9 @@
 pub async fn trial(controls: &[SocketAddr], tenant: &str, words: &[&str]) -> Result<String, String> {
     for _ in 0..AGAIN {
         let mut all = read(controls).await?.ok_or("there is no configuration yet")?;
-        let version =
-            playbill::Playbill::read(all.to_string().as_bytes()).map_err(|e| e.to_string())?.config_version;
+        let version = configuration::Playbill::read(all.to_string().as_bytes())
+            .map_err(|e| e.to_string())?
+            .config_version;
         set_trial(&mut all, tenant, words)?;
         let next = version.checked_add(1).ok_or("versions are used up")?;
         all["baseVersion"] = json!(format!("{version:08x}"));
--- a/crates/tools/granitethread-ctl/src/show.rs
+++ b/crates/tools/granitethread-ctl/src/show.rs
@@ -1,8 +1,8 @@
 //! Answers in words and as JSON.
 
+use messages::message::{Answer, Query, Told, Trial};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
-use wings::message::{Answer, Query, Told, Trial};
 
 /// A prompter that has not known of a majority for so long, in ms, may tell what is old.
 const FRESH_MS: u64 = 1000;
--- a/src/bin/granitethread/allowance/forwarder.rs
+++ b/src/bin/granitethread/allowance/forwarder.rs
@@ -2,12 +2,12 @@
 //! decides; a planner that is slow to read is skipped, not waited for.
 
 use super::{key, nonce, random, receive, terms};
-use granite_forward::Account;
-use granite_operator::{Allowances, Forwarder};
-use granite_plan::message::Report;
-use granite_plan::wire::{Link, Message, Side};
-use granite_stage::driver::Driver;
+use forward::Account;
 use granitehub::{Settings, Time};
+use operator::{Allowances, Forwarder};
+use plan::message::Report;
+use plan::wire::{Link, Message, Side};
+use proxy::driver::Driver;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/bin/granitethread/allowance/mod.rs
+++ b/src/bin/granitethread/allowance/mod.rs
@@ -1,12 +1,12 @@
-//! Planners and forwarders on sockets: the terms, the key, and connections that carry `granite_plan`'s wire.
+//! Planners and forwarders on sockets: the terms, the key, and connections that carry `plan`'s wire.
 
 pub mod forwarder;
 pub mod planner;
 
-use granite_operator::Allowances;
-use granite_plan::wire::{Fault, Link, Message, LEAST_KEY};
-use granite_plan::{Allowance, Terms};
 use granitehub::Settings;
+use operator::Allowances;
+use plan::wire::{Fault, Link, Message, LEAST_KEY};
+use plan::{Allowance, Terms};
 use std::io::Read;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
--- a/src/bin/granitethread/allowance/planner.rs
+++ b/src/bin/granitethread/allowance/planner.rs
@@ -2,9 +2,6 @@
 
 use super::{key, nonce, random, receive, terms};
 use bytes::Bytes;
-use granite_operator::{Allowances, Planner as Own};
-use granite_plan::wire::{Link, Message, Side};
-use granite_plan::{Planner, PlannerState};
 use granitehub::{Settings, Time};
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -12,6 +9,9 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use operator::{Allowances, Planner as Own};
+use plan::wire::{Link, Message, Side};
+use plan::{Planner, PlannerState};
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::future::Future;
--- a/src/bin/granitethread/api.rs
+++ b/src/bin/granitethread/api.rs
@@ -1,15 +1,15 @@
 //! What clients' requests mean here: `/ready`, `/api`, the figures in a request's head.
 
 use crate::routes::Routes;
-use granite_stage::backends::{Content, Outgoing};
-use granite_stage::driver::{Answer, Driver, Incoming};
-use granite_stage::fronts::http1::{plain, unsound, Door, Payload, Unsound};
 use granitehub::{Effect, Settings};
 use http_body_util::Full;
 use hyper::body::Incoming as IncomingBody;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, HOST, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode, Uri};
+use proxy::backends::{Content, Outgoing};
+use proxy::driver::{Answer, Driver, Incoming};
+use proxy::fronts::http1::{plain, unsound, Door, Payload, Unsound};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -37,7 +37,7 @@
     /// None if a header is missing or malformed, a figure is out of the range that the settings allow, or the
     /// method does not fit the class. The module relies on it: one wild figure would spoil its averages for
     /// everybody.
-    fn figures(&self, head: &Parts) -> Option<granite_engine::Incoming> {
+    fn figures(&self, head: &Parts) -> Option<engine::Incoming> {
         let h = &head.headers;
         let class_name = text(h, "request-class")?;
         let class = self.classes.iter().position(|(name, ..)| name == class_name)?;
@@ -66,17 +66,17 @@
         if !(units > 0.0 && units <= most && (1..=gateways).contains(&spread) && first < gateways) {
             return None;
         }
-        Some(granite_engine::Incoming {
+        Some(engine::Incoming {
             id: hex(text(h, "request-id")?)?,
             class,
             plan,
             customer: account.into(),
-            timeout: wait.min(longest).as_nanos() as granite_interface::Time,
+            timeout: wait.min(longest).as_nanos() as interface::Time,
             units,
             spread,
             repeat: h.get("client-retry").is_some_and(|v| v == "1"),
             pool: 0,
-            allowance: granite_interface::Allowance::Unknown,
+            allowance: interface::Allowance::Unknown,
             open: false,
         })
     }
--- a/src/bin/granitethread/config.rs
+++ b/src/bin/granitethread/config.rs
@@ -1,8 +1,8 @@
 //! What a gateway is told at its start: the file that `LB_CONFIG` names.
 
 use crate::admin::CALLERS;
-use granite_stage::list::List;
 use granitehub::{settings, Settings};
+use proxy::list::List;
 use serde::Deserialize;
 use serde_json::Value;
 use std::env;
--- a/src/bin/granitethread/discovery.rs
+++ b/src/bin/granitethread/discovery.rs
@@ -1,13 +1,13 @@
 //! The watch on the list of backends.
 
+use background::Pace;
 use bytes::Bytes;
-use granite_background::Pace;
-use granite_stage::list::List;
 use granitehub::Scope;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::Request;
 use hyper_util::rt::TokioIo;
+use proxy::list::List;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/bin/granitethread/fleet.rs
+++ b/src/bin/granitethread/fleet.rs
@@ -1,9 +1,9 @@
 //! The view of the fleet on a socket: datagrams and the time go in, what it says goes out. Nothing is decided here.
 
 use crate::allowance;
-use granite_fleet::{Config, Input, Keys, Output, Role, Settled, State, Time, View, MOST_BYTES};
-use granite_operator::{Fleet as Table, Operator};
-use granite_stage::driver::Driver;
+use membership::{Config, Input, Keys, Output, Role, Settled, State, Time, View, MOST_BYTES};
+use operator::{Fleet as Table, Operator};
+use proxy::driver::Driver;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::io::ErrorKind;
@@ -201,7 +201,7 @@
         let health = view.health();
         let settled = view.settled();
         let ms = |since: Time| now.saturating_sub(since.max(START)) / 1_000_000;
-        let member = |m: granite_fleet::Member| {
+        let member = |m: membership::Member| {
             let r = m.record;
             json!({
                 "name": &*r.name, "life": r.life, "state": word(r.state), "for_ms": ms(m.since),
@@ -233,8 +233,8 @@
 #[cfg(feature = "defects")]
 fn plant() -> Result<(), String> {
     let Some(name) = std::env::var_os("GRANITETHREAD_DEFECT") else { return Ok(()) };
-    let defect = name.to_str().and_then(granite_fleet::defects::named);
-    granite_fleet::defects::plant(Some(defect.ok_or(format!("no defect is named {}", name.display()))?));
+    let defect = name.to_str().and_then(membership::defects::named);
+    membership::defects::plant(Some(defect.ok_or(format!("no defect is named {}", name.display()))?));
     Ok(())
 }
 
--- a/src/bin/granitethread/log.rs
+++ b/src/bin/granitethread/log.rs
@@ -1,6 +1,6 @@
 //! The log: events with fields, on standard error. Plain text by default, one JSON object a line by a setting.
 
-use granite_operator::LogFormat;
+use operator::LogFormat;
 use std::fmt;
 use tracing::field::{Field, Visit};
 use tracing::{Event, Level, Subscriber};
--- a/src/bin/granitethread/main.rs
+++ b/src/bin/granitethread/main.rs
@@ -15,18 +15,18 @@
 
 use admin::Admin;
 use api::Api;
+use background::{Pace, Service};
 use clap::{Parser, Subcommand};
 use discovery::News;
+use engine::Figures;
 use fleet::Fleet;
-use granite_background::{Pace, Service};
-use granite_engine::Figures;
-use granite_fleet::Role;
-use granite_operator::{LogFormat, Operator};
-use granite_stage::backends::{self, Backends};
-use granite_stage::driver::{Driver, Setup};
-use granite_stage::fronts::{http1, Budget};
-use granite_stage::handover::Link;
 use granitehub::{Gateway, Module, Time};
+use membership::Role;
+use operator::{LogFormat, Operator};
+use proxy::backends::{self, Backends};
+use proxy::driver::{Driver, Setup};
+use proxy::fronts::{http1, Budget};
+use proxy::handover::Link;
 use snapshot::Snapshots;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -127,7 +127,7 @@
 fn operator(file: &Path) -> Result<Operator, String> {
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    granite_operator::read(&text).map_err(|trouble| format!("{name}:{trouble}"))
+    operator::read(&text).map_err(|trouble| format!("{name}:{trouble}"))
 }
 
 fn start() -> Result<(), String> {
@@ -267,7 +267,7 @@
 
 /// The listening socket that whoever started this process left open for it.
 fn inherit(number: &str) -> Result<TcpListener, String> {
-    let listener = granite_inherit::listener(number)?;
+    let listener = inherit::listener(number)?;
     listener.set_nonblocking(true).map_err(|e| e.to_string())?;
     TcpListener::from_std(listener).map_err(|e| e.to_string())
 }
--- a/src/bin/granitethread/routes.rs
+++ b/src/bin/granitethread/routes.rs
@@ -1,12 +1,12 @@
 //! The operators' routes and pools as the program uses them: whose a request is, and whose a server.
 
-use granite_operator::{Operator, Pool};
-use granite_route::{Ask, Route, Selector, Split, Table};
-use granite_stage::list::Target;
 use granitehub::{Class, Effect, Group, Settings};
 use hyper::header::HeaderMap;
 use hyper::http::uri::PathAndQuery;
 use hyper::Uri;
+use operator::{Operator, Pool};
+use proxy::list::Target;
+use route::{Ask, Route, Selector, Split, Table};
 use std::collections::BTreeMap;
 
 /// The one path where no route is written.
@@ -149,7 +149,7 @@
     fn routes(text: &str) -> Result<Routes, String> {
         let class = |name| Class::new(name, 1, 1, Effect::Safe, Group::All);
         let settings = Settings { classes: vec![class("quote"), class("confirm")], ..Settings::default() };
-        Routes::new(&granite_operator::read(text).expect("it can be read"), &settings)
+        Routes::new(&operator::read(text).expect("it can be read"), &settings)
     }
 
     fn place(r: &Routes, uri: &str, host: &str, class: usize) -> Option<(usize, String)> {
@@ -198,7 +198,7 @@
         let error = |text: &str| routes(text).err().expect("it won't do");
         assert_eq!(error(&TEXT.replace("[\"quote\"]", "[\"quota\"]")), "line 7: no class is named \"quota\"");
         assert!(error(&TEXT.replace("*.example", "*")).starts_with("line 12: host is"));
-        let operator = |text: &str| granite_operator::read(text).expect("it can be read");
+        let operator = |text: &str| operator::read(text).expect("it can be read");
         assert_eq!(Routes::check(&operator(TEXT)), Ok(()));
         assert!(Routes::check(&operator(&TEXT.replace("*.example", "*"))).is_err());
     }
--- a/src/bin/granitethread/snapshot.rs
+++ b/src/bin/granitethread/snapshot.rs
@@ -1,15 +1,15 @@
 //! Snapshots on the disk: read at the start, written by a thread of their own. What they mean, and what may be made of
-//! old ones, is settled in `granite_snapshot`.
+//! old ones, is settled in `snapshot`.
 
-use granite_handover::Role;
-use granite_operator::Snapshot as Table;
-use granite_snapshot::age::{join, list_counts, split, Quota, Times};
-use granite_snapshot::files::{keep, load, save, Folder};
-use granite_snapshot::{decode, encode, inspect, Author, Kind, Section};
-use granite_stage::driver::Driver;
-use granite_stage::list::List;
 use granitehub::Settings;
+use handover::Role;
+use operator::Snapshot as Table;
+use proxy::driver::Driver;
+use proxy::list::List;
 use serde_json::json;
+use snapshot::age::{join, list_counts, split, Quota, Times};
+use snapshot::files::{keep, load, save, Folder};
+use snapshot::{decode, encode, inspect, Author, Kind, Section};
 use std::fs::File;
 use std::io::{Read, Write};
 use std::path::Path;
@@ -107,7 +107,7 @@
 
 fn hand_over(to: &SyncSender<Memory>, driver: &Driver) -> Handed {
     let at = driver.time(Instant::now());
-    let (module, bans) = (driver.leave(), granite_handover::write(&driver.bans()));
+    let (module, bans) = (driver.leave(), handover::write(&driver.bans()));
     let memory = Memory { at, module, bans, list: driver.held_list() };
     match to.try_send(memory) {
         Ok(()) => Handed::Taken,
@@ -167,7 +167,7 @@
         Some(Err(e)) => warn!(cause = %e, "snapshot: list: {e}; begun without"),
         Some(Ok(_)) | None => {}
     }
-    let bans = section(Kind::Bans).map(granite_handover::read);
+    let bans = section(Kind::Bans).map(handover::read);
     match bans {
         Some(Ok(bans)) => driver.adopt_bans(&bans),
         Some(Err(e)) => warn!(cause = %e, "snapshot: bans: {e}; begun without"),
@@ -187,7 +187,7 @@
 pub fn show(file: &Path, as_json: bool) -> Result<(), String> {
     let wrong = |e: std::io::Error| format!("{}: {e}", file.display());
     let mut bytes = Vec::new();
-    let most = granite_snapshot::MOST_BYTES as u64 + 1;
+    let most = snapshot::MOST_BYTES as u64 + 1;
     File::open(file).map_err(wrong)?.take(most).read_to_end(&mut bytes).map_err(wrong)?;
     let read = inspect(&bytes).map_err(|refused| format!("{}: {refused}", file.display()))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
--- a/src/bin/granitethread/wire.rs
+++ b/src/bin/granitethread/wire.rs
@@ -1,9 +1,9 @@
 //! How this gateway's backends are spoken to.
 
-use granite_stage::backends::{Content, Outcome, Outgoing, Served, Wire};
 use granitehub::{Ending, Load, Name};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_ENCODING, CONTENT_TYPE};
 use hyper::Response;
+use proxy::backends::{Content, Outcome, Outgoing, Served, Wire};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -75,8 +75,8 @@
 mod tests {
     use super::*;
     use bytes::Bytes;
-    use granite_stage::backends::Upload;
     use hyper::{Method, Uri};
+    use proxy::backends::Upload;
     use std::cell::RefCell;
 
     /// The header is the simulator's figure less 1, in percent; units are the true ones.
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -11,7 +11,7 @@
 use crate::interface::*;
 use crate::settings::check;
 use fastrand::Rng;
-use granite_route::subset::{self, Subset};
+use route::subset::{self, Subset};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -24,9 +24,9 @@
 pub mod decide;
 pub mod settings;
 
-pub use decide::Gateway;
 /// Settings, events, actions, ids and times: a crate of its own, so that other deciding parts speak of the same.
-pub use granite_interface as interface;
+pub use ::interface;
+pub use decide::Gateway;
 pub use interface::*;
 
 impl Module for Gateway {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -2,13 +2,13 @@
 
 mod support;
 
-use granite_rig::program::{Program, EXAMPLE};
 use std::net::UdpSocket;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant};
 use support::{list, Discovery, LIMIT};
+use test_harness::program::{Program, EXAMPLE};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_granitethread");
 
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,10 +1,10 @@
 //! Routes and pools on loopback sockets, as the operators write them.
 
-use granite_rig::peers::{ask, Backend, Client, Discovery};
-use granite_rig::planners::Files;
-use granite_rig::program::{Program, EXAMPLE};
 use std::net::SocketAddr;
 use std::path::Path;
+use test_harness::peers::{ask, Backend, Client, Discovery};
+use test_harness::planners::Files;
+use test_harness::program::{Program, EXAMPLE};
 
 const FILE: &str = r#"
 [[pool]]
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -3,13 +3,13 @@
 
 mod support;
 
-use granite_rig::program::{Program, EXAMPLE};
-use granite_snapshot::{inspect, Kind};
+use snapshot::{inspect, Kind};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use support::{ask, list, Backend, Client, Discovery, LIMIT};
+use test_harness::program::{Program, EXAMPLE};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_granitethread");
 const FILE: &str = "granitethread.snapshot";
@@ -138,7 +138,7 @@
     // Killed as soon as the drain is on the disk, long before the next second.
     discovery.tell(2, told(2, "Terminating"));
     let until = Instant::now() + LIMIT;
-    let listed = |read: granite_snapshot::Read| read.sections[&Kind::List].clone().expect("a list");
+    let listed = |read: snapshot::Read| read.sections[&Kind::List].clone().expect("a list");
     let holds = |bytes: Vec<u8>| {
         String::from_utf8_lossy(&listed(inspect(&bytes).expect("whole"))).contains("Terminating")
     };
@@ -157,13 +157,13 @@
     drop(second);
     let old = std::fs::read(folder.file()).expect("the snapshot");
     let old = inspect(&old).expect("a snapshot");
-    let author = granite_snapshot::Author { at: now() - 700_000_000_000, ..old.author.clone() };
-    let section = |(kind, bytes): (&Kind, &Result<Vec<u8>, _>)| granite_snapshot::Section {
+    let author = snapshot::Author { at: now() - 700_000_000_000, ..old.author.clone() };
+    let section = |(kind, bytes): (&Kind, &Result<Vec<u8>, _>)| snapshot::Section {
         kind: *kind,
         bytes: bytes.clone().expect("sound"),
     };
     let sections: Vec<_> = old.sections.iter().map(section).collect();
-    std::fs::write(folder.file(), granite_snapshot::encode(&author, &sections)).expect("it can be written");
+    std::fs::write(folder.file(), snapshot::encode(&author, &sections)).expect("it can be written");
     let third = Program::start_member(Path::new(PROGRAM), EXAMPLE, silent.address, &operators, None);
     let third = third.expect("it starts");
     let ready = Client::connect(third.address).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,6 @@
 //! The real program among the rig's scripted neighbours. Each test program uses a part of it.
 #![allow(dead_code)]
 
-pub use granite_rig::peers::*;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::OwnedFd;
@@ -10,6 +9,7 @@
 use std::sync::atomic::Ordering;
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
+pub use test_harness::peers::*;
 
 const CONFIG: &str = r#"{"name":"n0","listen":"127.0.0.1:0","discovery":"DISCOVERY","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":MEMORY,"sockets":SOCKETS},
