--- a/crates/common/configuration/src/check.rs
+++ b/crates/common/configuration/src/check.rs
@@ -1,34 +1,35 @@
 //! Whether what an operator sends is sound.
 
-use crate::{Fault, Playbill, Tenant};
-use jsonschema::Validator;
+use crate::{Configuration, ConfigurationError, Tenant};
 use serde_json::Value;
 use std::collections::{HashMap, HashSet};
 
 const SCHEMA: &str = include_str!("../schema/configuration.json");
 
 /// The schema, compiled.
-pub struct Checker(Validator);
+pub struct Validator(jsonschema::Validator);
 
-impl Default for Checker {
+impl Default for Validator {
     fn default() -> Self {
         let schema: Value = serde_json::from_str(SCHEMA).expect("the schema is JSON");
-        Checker(jsonschema::draft7::new(&schema).expect("the schema is one"))
+        Validator(jsonschema::draft7::new(&schema).expect("the schema is one"))
     }
 }
 
-impl Checker {
+impl Validator {
     /// Reads a configuration whole: against the schema, then what a schema can't say.
     ///
     /// # Errors
     /// The first thing that is wrong with it.
-    pub fn check(&self, body: &[u8]) -> Result<Playbill, Fault> {
-        let value: Value = serde_json::from_slice(body).map_err(|e| Fault::Unread(e.to_string()))?;
+    pub fn validate(&self, body: &[u8]) -> Result<Configuration, ConfigurationError> {
+        let value: Value =
+            serde_json::from_slice(body).map_err(|e| ConfigurationError::Malformed(e.to_string()))?;
         if let Err(e) = self.0.validate(&value) {
-            return Err(Fault::Schema(e.instance_path.to_string(), e.to_string()));
+            return Err(ConfigurationError::Schema(e.instance_path.to_string(), e.to_string()));
         }
-        let playbill: Playbill = serde_json::from_value(value).map_err(|e| Fault::Unread(e.to_string()))?;
-        meaning(&playbill)?;
+        let playbill: Configuration =
+            serde_json::from_value(value).map_err(|e| ConfigurationError::Malformed(e.to_string()))?;
+        validate_semantics(&playbill)?;
         Ok(playbill)
     }
 }
@@ -37,11 +38,11 @@
 ///
 /// # Errors
 /// The first thing that is wrong with it.
-pub fn check(body: &[u8]) -> Result<Playbill, Fault> {
-    Checker::default().check(body)
+pub fn check(body: &[u8]) -> Result<Configuration, ConfigurationError> {
+    Validator::default().validate(body)
 }
 
-fn meaning(playbill: &Playbill) -> Result<(), Fault> {
+fn validate_semantics(playbill: &Configuration) -> Result<(), ConfigurationError> {
     let services: HashSet<&str> = playbill.services.iter().map(|s| s.name.as_str()).collect();
     let mut places = HashMap::new();
     for r in &playbill.routes {
@@ -49,17 +50,17 @@
         let targets = r.target_service.iter().chain(r.weighted_targets.iter().map(|w| &w.target_service));
         let mut targets = targets.peekable();
         if targets.peek().is_none() {
-            return Err(Fault::NoTarget(name()));
+            return Err(ConfigurationError::NoTarget(name()));
         }
         if let Some(unknown) = targets.find(|t| !services.contains(t.as_str())) {
-            return Err(Fault::NoService(name(), unknown.clone()));
+            return Err(ConfigurationError::UnknownService(name(), unknown.clone()));
         }
         if r.target_service.is_none() && r.weighted_targets.iter().all(|w| w.weight <= 0.0) {
-            return Err(Fault::NoWeight(name()));
+            return Err(ConfigurationError::NoWeight(name()));
         }
         let place = (r.host.to_ascii_lowercase(), r.path_prefix.as_str());
         if let Some(other) = places.insert(place, &r.name) {
-            return Err(Fault::SamePlace(other.clone(), name()));
+            return Err(ConfigurationError::DuplicateRoute(other.clone(), name()));
         }
     }
     let mut keys = HashMap::new();
@@ -67,25 +68,25 @@
         for key in &tenant.api_keys {
             let other = keys.insert(key.as_str(), &tenant.name);
             if let Some(other) = other.filter(|other| **other != tenant.name) {
-                return Err(Fault::SharedKey(other.clone(), tenant.name.clone()));
+                return Err(ConfigurationError::SharedKey(other.clone(), tenant.name.clone()));
             }
         }
     }
-    playbill.tenants.iter().try_for_each(trial)
+    playbill.tenants.iter().try_for_each(validate_trial)
 }
 
 /// Whether a tenant's trial has an end, and a pace behind it that stays within its limits (`docs/design/trials.md`).
-fn trial(tenant: &Tenant) -> Result<(), Fault> {
+fn validate_trial(tenant: &Tenant) -> Result<(), ConfigurationError> {
     let Some(trial) = &tenant.trial else { return Ok(()) };
     let name = || tenant.name.clone();
     if trial.ends_ms().is_none() {
-        return Err(Fault::NoTime(name(), trial.ends_at.clone()));
+        return Err(ConfigurationError::InvalidTrialEnd(name(), trial.ends_at.clone()));
     }
     if tenant.rate_per_s > 0.0 && trial.pace_per_s > tenant.rate_per_s {
-        return Err(Fault::PaceOverRate(name()));
+        return Err(ConfigurationError::PaceOverRate(name()));
     }
     if tenant.rate_per_s > 0.0 && 2.0 * trial.pace_per_s * trial.wait_ms / 1000.0 > tenant.burst_size {
-        return Err(Fault::WaitOverBurst(name()));
+        return Err(ConfigurationError::WaitOverBurst(name()));
     }
     Ok(())
 }
@@ -106,7 +107,7 @@
             "tenants": [{"name": "t1", "apiKeys": ["k"], "priority": 1, "ratePerS": 146, "burstSize": 146}]})
     }
 
-    fn told(change: impl FnOnce(&mut Value)) -> Result<Playbill, Fault> {
+    fn told(change: impl FnOnce(&mut Value)) -> Result<Configuration, ConfigurationError> {
         let mut value = sound();
         change(&mut value);
         check(value.to_string().as_bytes())
@@ -128,18 +129,24 @@
         let end = "2026-12-31T23:00:00Z";
         let sound = trial(end, 5.0, 2000.0).unwrap();
         assert_eq!(sound.tenants[0].trial.as_ref().unwrap().ends_ms(), Some(1_798_758_000_000));
-        assert_eq!(trial("tomorrow", 5.0, 0.0), Err(Fault::NoTime("t1".into(), "tomorrow".into())));
-        assert_eq!(trial(end, 147.0, 0.0), Err(Fault::PaceOverRate("t1".into())));
-        assert_eq!(trial(end, 40.0, 2000.0), Err(Fault::WaitOverBurst("t1".into())));
-        assert!(matches!(trial(end, 0.0, 0.0), Err(Fault::Schema(..))), "a pace of nothing shuts it out");
-        assert!(matches!(trial(end, 5.0, 60_000.0), Err(Fault::Schema(..))));
+        assert_eq!(
+            trial("tomorrow", 5.0, 0.0),
+            Err(ConfigurationError::InvalidTrialEnd("t1".into(), "tomorrow".into()))
+        );
+        assert_eq!(trial(end, 147.0, 0.0), Err(ConfigurationError::PaceOverRate("t1".into())));
+        assert_eq!(trial(end, 40.0, 2000.0), Err(ConfigurationError::WaitOverBurst("t1".into())));
+        assert!(
+            matches!(trial(end, 0.0, 0.0), Err(ConfigurationError::Schema(..))),
+            "a pace of nothing shuts it out"
+        );
+        assert!(matches!(trial(end, 5.0, 60_000.0), Err(ConfigurationError::Schema(..))));
     }
 
     #[test]
     fn whatever_is_wrong_is_found() {
         let route = |key: &'static str, value: Value| move |v: &mut Value| v["routes"][0][key] = value;
         let unread = check(&sound().to_string().as_bytes()[..200]);
-        assert!(matches!(unread, Err(Fault::Unread(_))), "cut short");
+        assert!(matches!(unread, Err(ConfigurationError::Malformed(_))), "cut short");
         for fault in [
             told(route("weightedTargets", json!([{"targetService": "s", "weight": -1}]))),
             told(route("pathPrefix", json!("a/"))),
@@ -149,13 +156,13 @@
             told(|v| v["configVersion"] = json!("xyz")),
             told(|v| v["routes"] = json!({})),
         ] {
-            assert!(matches!(fault, Err(Fault::Schema(..))), "{fault:?}");
+            assert!(matches!(fault, Err(ConfigurationError::Schema(..))), "{fault:?}");
         }
         let unknown = told(route("targetService", json!("nobody")));
-        assert_eq!(unknown, Err(Fault::NoService("a".into(), "nobody".into())));
-        assert_eq!(told(route("weightedTargets", json!([]))), Err(Fault::NoTarget("a".into())));
+        assert_eq!(unknown, Err(ConfigurationError::UnknownService("a".into(), "nobody".into())));
+        assert_eq!(told(route("weightedTargets", json!([]))), Err(ConfigurationError::NoTarget("a".into())));
         let nothing = json!([{"targetService": "s", "weight": 0}, {"targetService": "t", "weight": 0}]);
-        assert_eq!(told(route("weightedTargets", nothing)), Err(Fault::NoWeight("a".into())));
+        assert_eq!(told(route("weightedTargets", nothing)), Err(ConfigurationError::NoWeight("a".into())));
         let one = json!([{"targetService": "s", "weight": 0}, {"targetService": "t", "weight": 1}]);
         assert!(told(route("weightedTargets", one)).is_ok());
         let shared = |key: &'static str| {
@@ -164,7 +171,7 @@
                 tenants.push(json!({"name": "t2", "apiKeys": [key, key]}));
             })
         };
-        assert_eq!(shared("k"), Err(Fault::SharedKey("t1".into(), "t2".into())));
+        assert_eq!(shared("k"), Err(ConfigurationError::SharedKey("t1".into(), "t2".into())));
         assert!(shared("l").is_ok(), "twice with one tenant");
         let twice = told(|v| {
             let mut same = v["routes"][0].clone();
@@ -172,6 +179,6 @@
             same["host"] = json!("H.example");
             v["routes"].as_array_mut().unwrap().push(same);
         });
-        assert_eq!(twice, Err(Fault::SamePlace("a".into(), "b".into())));
+        assert_eq!(twice, Err(ConfigurationError::DuplicateRoute("a".into(), "b".into())));
     }
 }
--- a/crates/common/configuration/src/lib.rs
+++ b/crates/common/configuration/src/lib.rs
@@ -9,8 +9,8 @@
 mod table;
 
 #[cfg(feature = "check")]
-pub use check::{check, Checker};
-pub use table::{Table, Target};
+pub use check::{check, Validator};
+pub use table::{RouteTable, Target};
 
 use displaydoc::Display;
 use serde::{Deserialize, Deserializer};
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum RouteKind {
     /// May run more than once.
     Safe,
     /// At most once.
@@ -29,7 +29,7 @@
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Weighted {
+pub struct WeightedTarget {
     pub target_service: String,
     pub weight: f64,
 }
@@ -40,7 +40,7 @@
     pub name: String,
     pub host: String,
     pub path_prefix: String,
-    pub route_kind: Kind,
+    pub route_kind: RouteKind,
     /// The longest that a request is held; 0: no longer than its client waits.
     #[serde(default)]
     pub timeout_ms: f64,
@@ -58,7 +58,7 @@
     #[serde(default)]
     pub target_service: Option<String>,
     #[serde(default)]
-    pub weighted_targets: Vec<Weighted>,
+    pub weighted_targets: Vec<WeightedTarget>,
 }
 
 fn one() -> u32 {
@@ -79,16 +79,16 @@
 /// What clients are held to.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Limits {
+pub struct ClientLimits {
     pub max_header_bytes: u64,
     pub max_body_bytes: u64,
     pub header_timeout_ms: f64,
     pub idle_timeout_ms: f64,
 }
 
-impl Default for Limits {
+impl Default for ClientLimits {
     fn default() -> Self {
-        Limits {
+        ClientLimits {
             max_header_bytes: 16 << 10,
             max_body_bytes: 32 << 20,
             header_timeout_ms: 3000.0,
@@ -142,7 +142,7 @@
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Playbill {
+pub struct Configuration {
     #[serde(deserialize_with = "version")]
     pub config_version: Version,
     /// What it builds on; 0 is before the first.
@@ -151,7 +151,7 @@
     pub routes: Vec<Route>,
     pub services: Vec<Service>,
     #[serde(default)]
-    pub limits: Limits,
+    pub limits: ClientLimits,
     /// Without any, requests need no key.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
@@ -159,38 +159,38 @@
 
 /// What is wrong with a configuration.
 #[derive(Clone, Debug, Display, PartialEq)]
-pub enum Fault {
+pub enum ConfigurationError {
     /// it cannot be read: {0}
-    Unread(String),
+    Malformed(String),
     /// at {0}: {1}
     Schema(String, String),
     /// route {0}: no service is named {1}
-    NoService(String, String),
+    UnknownService(String, String),
     /// route {0}: it names no service
     NoTarget(String),
     /// route {0}: all its targets have the weight 0
     NoWeight(String),
     /// routes {0} and {1} have the same host and prefix
-    SamePlace(String, String),
+    DuplicateRoute(String, String),
     /// tenants {0} and {1} have a key in common
     SharedKey(String, String),
     /// tenant {0}: {1:?} is no time like 2026-12-31T23:00:00Z
-    NoTime(String, String),
+    InvalidTrialEnd(String, String),
     /// tenant {0}: its trial's pacePerS is more than its ratePerS
     PaceOverRate(String),
     /// tenant {0}: twice its trial's pacePerS over waitMs does not fit into its burstSize
     WaitOverBurst(String),
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for ConfigurationError {}
 
-impl Playbill {
+impl Configuration {
     /// Reads what was checked.
     ///
     /// # Errors
     /// [`Fault::Unread`], if it is none.
-    pub fn read(body: &[u8]) -> Result<Playbill, Fault> {
-        serde_json::from_slice(body).map_err(|e| Fault::Unread(e.to_string()))
+    pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
+        serde_json::from_slice(body).map_err(|e| ConfigurationError::Malformed(e.to_string()))
     }
 }
 
--- a/crates/common/configuration/src/table.rs
+++ b/crates/common/configuration/src/table.rs
@@ -1,12 +1,12 @@
 //! What a configuration says of a request: its route, its backends' service, its tenant.
 
-use crate::{Playbill, Route, Tenant, Version};
+use crate::{Configuration, Route, Tenant, Version};
 use std::collections::HashMap;
 
 /// A configuration made ready for requests.
 #[derive(Debug)]
-pub struct Table {
-    playbill: Playbill,
+pub struct RouteTable {
+    playbill: Configuration,
     /// By host in small letters: routes, the longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
     keys: HashMap<String, usize>,
@@ -15,8 +15,8 @@
 /// One of a route's services.
 pub type Target<'a> = &'a str;
 
-impl Table {
-    pub fn new(playbill: Playbill) -> Self {
+impl RouteTable {
+    pub fn new(playbill: Configuration) -> Self {
         let mut hosts: HashMap<String, Vec<usize>> = HashMap::new();
         for (n, r) in playbill.routes.iter().enumerate() {
             hosts.entry(r.host.to_ascii_lowercase()).or_default().push(n);
@@ -26,14 +26,14 @@
         }
         let keys = playbill.tenants.iter().enumerate();
         let keys = keys.flat_map(|(n, t)| t.api_keys.iter().map(move |k| (k.clone(), n))).collect();
-        Table { hosts, keys, playbill }
+        RouteTable { hosts, keys, playbill }
     }
 
     pub fn version(&self) -> Version {
         self.playbill.config_version
     }
 
-    pub fn playbill(&self) -> &Playbill {
+    pub fn configuration(&self) -> &Configuration {
         &self.playbill
     }
 
@@ -49,7 +49,7 @@
     }
 
     /// Whether requests need a key, but for those on public routes.
-    pub fn wants_keys(&self) -> bool {
+    pub fn requires_api_key(&self) -> bool {
         !self.playbill.tenants.is_empty()
     }
 
@@ -86,14 +86,14 @@
 mod tests {
     use super::*;
 
-    fn table() -> Table {
+    fn table() -> RouteTable {
         let text = r#"{"configVersion":"1","routes":[
             {"name":"all","host":"a.example","pathPrefix":"/","routeKind":"safe","targetService":"s"},
             {"name":"deep","host":"a.example","pathPrefix":"/x/y/","routeKind":"unsafe",
              "weightedTargets":[{"targetService":"s","weight":0},{"targetService":"t","weight":3},{"targetService":"u","weight":1}]},
             {"name":"x","host":"A.example","pathPrefix":"/x/","routeKind":"safe","targetService":"s"}],
             "services":[],"tenants":[{"name":"t1","apiKeys":["k1","k2"]}]}"#;
-        Table::new(Playbill::read(text.as_bytes()).unwrap())
+        RouteTable::new(Configuration::parse(text.as_bytes()).unwrap())
     }
 
     #[test]
@@ -117,6 +117,6 @@
     #[test]
     fn a_key_is_its_tenants() {
         assert_eq!(table().tenant("k2").map(|t| t.name.as_str()), Some("t1"));
-        assert!(table().wants_keys() && table().tenant("k3").is_none());
+        assert!(table().requires_api_key() && table().tenant("k3").is_none());
     }
 }
--- a/crates/common/messages/src/frame.rs
+++ b/crates/common/messages/src/frame.rs
@@ -16,61 +16,64 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
 /// The longest that is read of one who has not said who it is: what it claims is set aside for it.
-const STRANGER: usize = 4 << 10;
+const MAX_UNIDENTIFIED_FRAME_BYTES: usize = 4 << 10;
 /// The longest message. A configuration of thousands of routes fits; what claims to be longer ends the connection.
-pub const LONGEST: usize = 16 << 20;
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
 fn codec(longest: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(longest).new_codec()
 }
 
-pub struct Reader {
-    frames: FramedRead<Heard, LengthDelimitedCodec>,
-    heard: Rc<Cell<Instant>>,
+pub struct FrameReader {
+    frames: FramedRead<ActivityTracker, LengthDelimitedCodec>,
+    last_activity: Rc<Cell<Instant>>,
 }
 
 /// Notes when bytes come: a long message on a slow link is no silence.
-struct Heard {
-    from: OwnedReadHalf,
-    at: Rc<Cell<Instant>>,
+struct ActivityTracker {
+    inner: OwnedReadHalf,
+    last_activity: Rc<Cell<Instant>>,
 }
 
-impl AsyncRead for Heard {
+impl AsyncRead for ActivityTracker {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
-        let polled = Pin::new(&mut self.from).poll_read(cx, buf);
+        let polled = Pin::new(&mut self.inner).poll_read(cx, buf);
         if buf.filled().len() > before {
-            self.at.set(Instant::now());
+            self.last_activity.set(Instant::now());
         }
         polled
     }
 }
 
-pub struct Writer(FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>);
+pub struct FrameWriter(FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>);
 
 /// The two ends of a connection. Its reader takes short messages only, until it is told that the other is known.
-pub fn split(stream: TcpStream) -> (Reader, Writer) {
+pub fn split(stream: TcpStream) -> (FrameReader, FrameWriter) {
     let (read, write) = stream.into_split();
     let heard = Rc::new(Cell::new(Instant::now()));
-    let read = Heard { from: read, at: heard.clone() };
+    let read = ActivityTracker { inner: read, last_activity: heard.clone() };
     // A link at rest holds no large buffers.
-    let frames = FramedRead::with_capacity(read, codec(STRANGER), 2048);
-    (Reader { frames, heard }, Writer(FramedWrite::new(write, codec(LONGEST))))
+    let frames = FramedRead::with_capacity(read, codec(MAX_UNIDENTIFIED_FRAME_BYTES), 2048);
+    (
+        FrameReader { frames, last_activity: heard },
+        FrameWriter(FramedWrite::new(write, codec(MAX_FRAME_BYTES))),
+    )
 }
 
-impl Reader {
+impl FrameReader {
     /// The other side is one of ours: what it says may be long.
-    pub fn known(&mut self) {
-        self.frames.decoder_mut().set_max_frame_length(LONGEST);
+    pub fn accept_long_frames(&mut self) {
+        self.frames.decoder_mut().set_max_frame_length(MAX_FRAME_BYTES);
     }
 
     /// When bytes came last.
-    pub fn heard(&self) -> Instant {
-        self.heard.get()
+    pub fn last_activity(&self) -> Instant {
+        self.last_activity.get()
     }
 
     /// The next message; none at the connection's end.
@@ -84,7 +87,7 @@
     }
 }
 
-impl Writer {
+impl FrameWriter {
     /// # Errors
     /// The connection's.
     pub async fn write<M: Serialize>(&mut self, message: &M) -> io::Result<()> {
@@ -129,7 +132,7 @@
         let long = "x".repeat(100_000);
         writer.write(&"who").await.unwrap();
         assert_eq!(reader.read::<String>().await.unwrap().as_deref(), Some("who"));
-        reader.known();
+        reader.accept_long_frames();
         let (told, heard) = tokio::join!(writer.write(&long), reader.read::<String>());
         told.unwrap();
         assert_eq!(heard.unwrap(), Some(long));
@@ -144,8 +147,8 @@
     async fn a_long_message_on_a_slow_link_is_heard_while_its_bytes_come() {
         let (one, mut two) = pair().await;
         let (mut reader, _one) = split(one);
-        reader.known();
-        let begun = reader.heard();
+        reader.accept_long_frames();
+        let begun = reader.last_activity();
         let message = rmp_serde::to_vec(&"x".repeat(5000)).unwrap();
         two.write_all(&(message.len() as u32).to_be_bytes()).await.unwrap();
         for piece in message.chunks(1000) {
@@ -153,7 +156,10 @@
             two.write_all(piece).await.unwrap();
             // The whole does not come within this; its bytes do.
             let _ = timeout(Duration::from_millis(1), reader.read::<String>()).await;
-            assert!(reader.heard() > begun && reader.heard().elapsed() < Duration::from_millis(100));
+            assert!(
+                reader.last_activity() > begun
+                    && reader.last_activity().elapsed() < Duration::from_millis(100)
+            );
         }
         assert!(begun.elapsed() > Duration::from_millis(2000), "longer than a silence that ends a link");
     }
--- a/crates/common/messages/src/message.rs
+++ b/crates/common/messages/src/message.rs
@@ -1,31 +1,32 @@
 //! What processes of the system say to each other. The first message on a connection tells which it is and in which form
 //! it speaks; what is of another form ends the connection.
 
-use change_log::Place;
-use consensus::{FoundingSaid, Id, Members, Message, Term};
-use control_state::{Part, Place as AgreedPlace};
-use quota::{Ask, Lent};
-use registry::Fact;
+use change_log::Offset;
+use consensus::{FoundingSaid, Message, NodeId, Term, VoterSet};
+use control_state::{ConfigurationChunk, LogIndex as AgreedPlace};
+use quota::{LeaseGrant, LeaseRequest};
+use registry::Heartbeat;
 use serde::{Deserialize, Serialize};
 
 /// The form of all messages here.
-pub const FORM: u32 = 4;
+pub const MESSAGE_FORMAT: u32 = 4;
 
 /// The first on a connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum First {
+pub enum Greeting {
     /// A prompter: what follows is [`Peer`].
-    Prompter { form: u32, id: Id },
+    #[serde(rename = "Prompter")]
+    ControlPlane { form: u32, id: NodeId },
     /// A gateway: what follows is [`Up`], and [`Down`] the other way.
     Gateway {
         form: u32,
         name: String,
         zone: String,
-        place: Option<Place>,
+        offset: Option<Offset>,
         /// Where the configuration that it holds stands in the agreed log; 0: it holds none.
-        holds: AgreedPlace,
+        configuration_index: AgreedPlace,
         /// As with [`Up::Contact`].
-        contact: u64,
+        contact_number: u64,
     },
     /// The shell: what follows is [`Query`], and [`Told`] the other way.
     Shell { form: u32 },
@@ -43,180 +44,183 @@
 
 /// What a prompter says of itself and of what it knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Told {
-    pub by: String,
+pub struct QueryResponse {
+    #[serde(rename = "by")]
+    pub node: String,
     pub zone: String,
     /// How long ago it last knew of a majority, in ms; none: not since it began. Older than a second: its word may be old.
-    pub touch_ms: Option<u64>,
-    pub answer: Answer,
+    #[serde(rename = "touch_ms")]
+    pub quorum_contact_ms: Option<u64>,
+    pub answer: QueryAnswer,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Answer {
+pub enum QueryAnswer {
     Status {
         id: String,
         term: Term,
-        holder: Option<String>,
+        #[serde(rename = "holder")]
+        leader: Option<String>,
         voters: Vec<String>,
         /// Of the configuration that is agreed on: its version, and its place in the log.
         configuration: Option<(u32, u64)>,
         backends: usize,
-        leaving: usize,
+        #[serde(rename = "leaving")]
+        draining: usize,
         gateways: usize,
         followers: Vec<String>,
-        prompters: Vec<(String, String)>,
+        #[serde(rename = "prompters")]
+        control_nodes: Vec<(String, String)>,
     },
     /// With whether each is leaving.
-    Backends(Vec<(Fact, bool)>),
+    Backends(Vec<(Heartbeat, bool)>),
     /// With whether each follows this prompter, and which of those who do believe it to be gone.
     Gateways(Vec<(String, bool, Vec<String>)>),
     /// As the operator sent it.
     Configuration(Option<String>),
-    Trials(Vec<Trial>),
+    Trials(Vec<TrialReport>),
 }
 
 /// A tenant's trial, as a prompter knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Trial {
+pub struct TrialReport {
     pub tenant: String,
     /// In Unix milliseconds.
-    pub ends: u64,
+    #[serde(rename = "ends")]
+    pub ends_at: u64,
     /// Whether that has been agreed to have passed.
-    pub over: bool,
-    pub pace: f64,
-    pub wait_ms: u64,
+    #[serde(rename = "over")]
+    pub expired: bool,
+    #[serde(rename = "pace")]
+    pub rate: f64,
+    #[serde(rename = "wait_ms")]
+    pub max_wait_ms: u64,
     /// By the keeper alone: whether it is slowed now, in how many ms that changes, and what gateways said of it: name, how
     /// many ms ago, how many wait there, for how many ms those waited that went lately.
-    pub now: Option<(bool, Option<u64>)>,
-    pub nodes: Vec<(String, u64, u32, u64)>,
+    #[serde(rename = "now")]
+    pub throttle: Option<(bool, Option<u64>)>,
+    #[serde(rename = "nodes")]
+    pub gateways: Vec<(String, u64, u32, u64)>,
 }
 
 /// A prompter to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Peer {
+pub enum ControlMessage {
     /// Who it is, whether it is at the first start of all, whether it has a disk and so
     /// a vote, and whom it knows, each with its zone. Again each second.
     Hello {
-        id: Id,
+        id: NodeId,
         zone: String,
-        first: bool,
-        votes: bool,
-        known: Vec<(String, String)>,
+        initial_start: bool,
+        can_vote: bool,
+        known_nodes: Vec<(String, String)>,
         /// Its time of day, in Unix milliseconds.
-        wall: u64,
+        unix_ms: u64,
     },
     /// Among seeds at the first start of all: who is to vote.
-    Founding(FoundingSaid),
+    #[serde(rename = "Founding")]
+    Bootstrap(FoundingSaid),
     /// From a seed that knows what was agreed on there: these are the voters.
-    Found {
-        members: Members,
-    },
-    Agree(Message),
+    #[serde(rename = "Found")]
+    BootstrapChosen { voters: VoterSet },
+    #[serde(rename = "Agree")]
+    Consensus(Message),
     /// Beats since the last: those that say something new whole, of the others id and sequence.
-    Beats {
-        facts: Vec<Fact>,
-        again: Vec<(String, u64)>,
-    },
+    #[serde(rename = "Beats")]
+    Heartbeats { changed: Vec<Heartbeat>, unchanged: Vec<(String, u64)> },
     /// This backend has said that its life is over.
-    Over {
-        instance: String,
-    },
+    #[serde(rename = "Over")]
+    Deregistered { instance: String },
     /// To the holder: something to agree on. It may be lost; who wants it asks again.
     Propose {
         #[serde(with = "serde_bytes")]
-        word: Vec<u8>,
+        command: Vec<u8>,
     },
     /// To the holder: am I heard, and what is agreed on? ([`change_log::Contact`])
-    Contact {
-        number: u64,
-    },
+    #[serde(rename = "Contact")]
+    ContactRequest { number: u64 },
     /// The holder's answer: a majority was in contact with it so long ago, in ns, and all that was agreed on by then stands up
     /// to this place.
-    Contacted {
-        number: u64,
-        age: u64,
-        agreed: AgreedPlace,
-    },
+    #[serde(rename = "Contacted")]
+    ContactResponse { number: u64, age: u64, commit_index: AgreedPlace },
     /// To the holder: a gateway's ask.
-    Ask {
-        gateway: String,
-        ask: Ask,
-    },
+    #[serde(rename = "Ask")]
+    LeaseRequest { gateway: String, request: LeaseRequest },
     /// The holder's answer, of its term.
-    Lent {
-        gateway: String,
-        term: Term,
-        lent: Lent,
-    },
+    #[serde(rename = "Lent")]
+    LeaseGrant { gateway: String, term: Term, grant: LeaseGrant },
     /// Backends that were named by id alone, and are not known here: their facts are wanted.
-    Unknown {
-        instances: Vec<String>,
-    },
+    #[serde(rename = "Unknown")]
+    UnknownInstances { instances: Vec<String> },
 }
 
 /// A gateway to its prompter.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Up {
-    Ask(Ask),
+pub enum GatewayMessage {
+    #[serde(rename = "Ask")]
+    LeaseRequest(LeaseRequest),
     /// Gateways that it suspects or believes to be gone, whenever that changes.
-    Company {
-        missing: Vec<String>,
-    },
+    #[serde(rename = "Company")]
+    MissingGateways { missing: Vec<String> },
     /// So many bytes have come of what leads to the configuration of this place.
-    Got {
-        place: AgreedPlace,
-        bytes: u32,
-    },
+    #[serde(rename = "Got")]
+    ChunkReceived { index: AgreedPlace, received: u32 },
     /// It does not hold what a difference is to: the whole configuration is wanted.
-    Lacks,
+    #[serde(rename = "Lacks")]
+    BaseMissing,
     /// The next pulse is to bear this number, so that the gateway knows how old that is at the most.
-    Contact {
-        number: u64,
-    },
+    #[serde(rename = "Contact")]
+    ContactNumber { number: u64 },
 }
 
 /// A prompter to a gateway that follows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Down {
+pub enum GatewayUpdate {
     /// All that is known, as of this place.
-    Scene {
-        place: Place,
-        scene: Box<Scene>,
+    #[serde(rename = "Scene")]
+    Snapshot {
+        offset: Offset,
+        snapshot: Box<FleetSnapshot>,
     },
     Changes {
-        from: Place,
-        changes: Vec<Change>,
+        from: Offset,
+        changes: Vec<FleetChange>,
     },
     /// The next part of a newer configuration.
-    Configuration(Part),
+    #[serde(rename = "Configuration")]
+    ConfigurationChunk(ConfigurationChunk),
     /// Each 200 ms: all that was agreed on by so many ms ago is known to this prompter, and of that the newest configuration
     /// stands at this place (0: there is none); and which prompters there are, by address, each with its zone, if that is known.
-    Pulse {
+    #[serde(rename = "Pulse")]
+    Heartbeat {
         /// The latest number that the gateway has said.
-        contact: u64,
-        touch_ms: u32,
-        newest: AgreedPlace,
-        prompters: Vec<(String, String)>,
+        contact_number: u64,
+        quorum_contact_ms: u32,
+        newest_configuration: AgreedPlace,
+        control_nodes: Vec<(String, String)>,
     },
-    Lent(Lent),
+    #[serde(rename = "Lent")]
+    LeaseGrant(LeaseGrant),
 }
 
 /// All that a gateway follows, but for the configuration, which comes in parts.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Scene {
-    pub backends: Vec<Fact>,
+pub struct FleetSnapshot {
+    pub backends: Vec<Heartbeat>,
     /// Whether there are no backends but these: a prompter that has just begun does not know yet.
-    pub whole: bool,
-    pub leaving: Vec<String>,
+    pub complete: bool,
+    pub draining: Vec<String>,
     pub gateways: Vec<String>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Change {
-    Backend(Fact),
+pub enum FleetChange {
+    Backend(Heartbeat),
     /// Its life is over.
-    Over(String),
+    #[serde(rename = "Over")]
+    BackendRemoved(String),
     /// It takes nothing new any more.
-    Leaving(String),
+    #[serde(rename = "Leaving")]
+    BackendDraining(String),
     Gateways(Vec<String>),
 }
--- a/crates/common/process/src/net.rs
+++ b/crates/common/process/src/net.rs
@@ -8,8 +8,8 @@
 use tokio::time::timeout;
 
 /// A machine without power says nothing: what was written and is not acknowledged for so long ends the connection.
-pub const UNHEARD: Duration = Duration::from_millis(900);
-const CONNECT: Duration = Duration::from_millis(200);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(900);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 const BACKLOG: u32 = 1024;
 
 /// Listens, also where a process before this one has connections in their last throes.
@@ -31,9 +31,10 @@
 /// # Errors
 /// The system's, or that it took too long.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let stream =
-        timeout(CONNECT, TcpStream::connect(address)).await.map_err(|_| io::ErrorKind::TimedOut)??;
-    notice(&stream)?;
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
+        .await
+        .map_err(|_| io::ErrorKind::TimedOut)??;
+    detect_dead_peer(&stream)?;
     Ok(stream)
 }
 
@@ -41,10 +42,10 @@
 ///
 /// # Errors
 /// The system's.
-pub fn notice(stream: &TcpStream) -> io::Result<()> {
+pub fn detect_dead_peer(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new().with_time(Duration::from_secs(1)).with_interval(Duration::from_secs(1));
     socket.set_tcp_keepalive(&probes.with_retries(2))?;
-    socket.set_tcp_user_timeout(Some(UNHEARD))
+    socket.set_tcp_user_timeout(Some(PEER_TIMEOUT))
 }
--- a/crates/common/process/src/ring.rs
+++ b/crates/common/process/src/ring.rs
@@ -8,36 +8,36 @@
 use std::time::Instant;
 
 /// Lines that are kept, each cut at so many bytes: 64 KiB at the most.
-const LINES: usize = 256;
-const LONGEST: usize = 256;
+const MAX_LINES: usize = 256;
+const MAX_LINE_BYTES: usize = 256;
 
 /// The ring. Clones share it.
 #[derive(Clone)]
-pub struct Ring {
+pub struct LogRing {
     lines: Arc<Mutex<VecDeque<String>>>,
-    begun: Instant,
+    started: Instant,
 }
 
-impl Ring {
+impl LogRing {
     fn new() -> Self {
-        Ring { lines: Arc::default(), begun: Instant::now() }
+        LogRing { lines: Arc::default(), started: Instant::now() }
     }
 
     fn push(&self, mut line: String) {
-        let mut end = line.len().min(LONGEST);
+        let mut end = line.len().min(MAX_LINE_BYTES);
         while !line.is_char_boundary(end) {
             end -= 1;
         }
         line.truncate(end);
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        if lines.len() == LINES {
+        if lines.len() == MAX_LINES {
             lines.pop_front();
         }
         lines.push_back(line);
     }
 
     /// Writes out what it holds, and lets go of it. `why` is its heading.
-    pub fn write_out(&self, why: &str, to: &mut impl Write) {
+    pub fn dump(&self, why: &str, to: &mut impl Write) {
         let lines = std::mem::take(&mut *self.lines.lock().unwrap_or_else(PoisonError::into_inner));
         // A log that can't be written is no reason to end.
         let _ = writeln!(to, "ring: {why}, {} lines", lines.len());
@@ -49,18 +49,18 @@
 }
 
 /// The part of the dispatch that keeps lines: whoever writes to standard error stands beside it.
-struct Keep(Ring);
+struct RingLogger(LogRing);
 
-impl Log for Keep {
+impl Log for RingLogger {
     fn enabled(&self, _: &Metadata<'_>) -> bool {
         true
     }
 
     fn log(&self, record: &Record<'_>) {
-        let ms = self.0.begun.elapsed().as_millis();
+        let ms = self.0.started.elapsed().as_millis();
         self.0.push(format!("{ms} {} {}", record.level(), record.args()));
         if record.level() == log::Level::Error {
-            self.0.write_out("an error", &mut std::io::stderr().lock());
+            self.0.dump("an error", &mut std::io::stderr().lock());
         }
     }
 
@@ -68,9 +68,9 @@
 }
 
 /// Starts the log of a process.
-pub fn start(program: &'static str, verbose: bool) -> Ring {
-    let ring = Ring::new();
-    let begun = ring.begun;
+pub fn start_logging(program: &'static str, verbose: bool) -> LogRing {
+    let ring = LogRing::new();
+    let begun = ring.started;
     let loud = fern::Dispatch::new()
         .level(if verbose { LevelFilter::Info } else { LevelFilter::Warn })
         .format(move |out, message, record| {
@@ -81,15 +81,16 @@
             ));
         })
         .chain(std::io::stderr());
-    let kept =
-        fern::Dispatch::new().level(LevelFilter::Info).chain(Box::new(Keep(ring.clone())) as Box<dyn Log>);
+    let kept = fern::Dispatch::new()
+        .level(LevelFilter::Info)
+        .chain(Box::new(RingLogger(ring.clone())) as Box<dyn Log>);
     // A second start in one process, as in tests, leaves the first in place.
     let _ = fern::Dispatch::new().chain(loud).chain(kept).apply();
     let dying = ring.clone();
     let usual = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         usual(panic);
-        dying.write_out("a panic", &mut std::io::stderr().lock());
+        dying.dump("a panic", &mut std::io::stderr().lock());
     }));
     ring
 }
@@ -100,15 +101,15 @@
 
     #[test]
     fn a_ring_holds_the_latest_lines_cut_to_their_most_and_gives_them_once() {
-        let ring = Ring::new();
-        (0..LINES + 5).for_each(|n| ring.push(format!("line {n} {}", "é".repeat(LONGEST))));
+        let ring = LogRing::new();
+        (0..MAX_LINES + 5).for_each(|n| ring.push(format!("line {n} {}", "é".repeat(MAX_LINE_BYTES))));
         let mut out = Vec::new();
-        ring.write_out("test", &mut out);
+        ring.dump("test", &mut out);
         let text = String::from_utf8(out).unwrap();
-        assert!(text.starts_with(&format!("ring: test, {LINES} lines\nring: line 5 ")));
-        assert!(text.lines().all(|l| l.len() <= LONGEST + 6));
+        assert!(text.starts_with(&format!("ring: test, {MAX_LINES} lines\nring: line 5 ")));
+        assert!(text.lines().all(|l| l.len() <= MAX_LINE_BYTES + 6));
         let mut again = Vec::new();
-        ring.write_out("test", &mut again);
+        ring.dump("test", &mut again);
         assert_eq!(again, b"ring: test, 0 lines\n");
     }
 }
--- a/crates/common/process/src/settings.rs
+++ b/crates/common/process/src/settings.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 
 /// Names the file.
-pub const VARIABLE: &str = "GRANITETHREAD_BOOT";
-const USUAL: &str = "/etc/granitethread/settings.toml";
+pub const PATH_VARIABLE: &str = "GRANITETHREAD_BOOT";
+const DEFAULT_PATH: &str = "/etc/granitethread/settings.toml";
 const SCHEMA: &str = include_str!("../schema/settings.json");
 
 /// What a process is told.
@@ -17,18 +17,18 @@
 #[serde(rename_all = "camelCase")]
 pub struct Settings {
     #[serde(rename = "ownIdentity")]
-    pub own: Own,
+    pub identity: Identity,
     #[serde(rename = "networkTerms")]
-    pub net: Net,
+    pub network: Network,
     #[serde(default, rename = "platformTerms")]
     pub platform: Platform,
     #[serde(default, rename = "contractTerms")]
-    pub terms: Terms,
+    pub contract: Contract,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Own {
+pub struct Identity {
     pub node_name: String,
     pub ip_address: IpAddr,
     pub zone: String,
@@ -39,30 +39,30 @@
     #[serde(default)]
     pub data_directory: Option<PathBuf>,
     #[serde(default)]
-    pub limits: Limits,
+    pub limits: ResourceLimits,
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Limits {
+pub struct ResourceLimits {
     pub memory_mb: f64,
     pub max_file_descriptors: usize,
 }
 
-impl Default for Limits {
+impl Default for ResourceLimits {
     fn default() -> Self {
-        Limits { memory_mb: 256.0, max_file_descriptors: 1024 }
+        ResourceLimits { memory_mb: 256.0, max_file_descriptors: 1024 }
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Net {
+pub struct Network {
     /// The first and the last.
     pub internal_port_range: (u16, u16),
     /// `controlPlane` addresses of machines that serve it, or served it when the file was written.
     pub seed_nodes: Vec<SocketAddr>,
-    pub listen_addresses: Listen,
+    pub listen_addresses: ListenAddresses,
     /// Regions by zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
@@ -70,7 +70,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub struct Listen {
+pub struct ListenAddresses {
     pub front_http1: Option<SocketAddr>,
     pub readiness: Option<SocketAddr>,
     pub control_plane: Option<SocketAddr>,
@@ -90,7 +90,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct Terms {
+pub struct Contract {
     pub bounds: Bounds,
 }
 
@@ -113,18 +113,18 @@
 
 /// What is wrong with a settings file.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
-pub enum Fault {
+pub enum SettingsError {
     /// {0}: {1}
-    Unread(String, String),
+    Malformed(String, String),
     /// {0}: at {1}: {2}
     Schema(String, String, String),
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SettingsError {}
 
 /// The file's path: the variable's, or the usual one.
-pub fn path() -> PathBuf {
-    std::env::var_os(VARIABLE).map_or_else(|| USUAL.into(), PathBuf::from)
+pub fn settings_path() -> PathBuf {
+    std::env::var_os(PATH_VARIABLE).map_or_else(|| DEFAULT_PATH.into(), PathBuf::from)
 }
 
 impl Settings {
@@ -132,10 +132,11 @@
     ///
     /// # Errors
     /// What is wrong with it, in one line.
-    pub fn load(path: &Path) -> Result<Settings, Fault> {
+    pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Fault::Unread(name.clone(), e.to_string()))?;
-        Settings::read(&name, &text)
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| SettingsError::Malformed(name.clone(), e.to_string()))?;
+        Settings::parse(&name, &text)
     }
 
     /// Reads the text of a file of this name. What the types accept is taken as it is; only what they do not is held
@@ -143,11 +144,11 @@
     ///
     /// # Errors
     /// What is wrong with it, in one line.
-    pub fn read(name: &str, text: &str) -> Result<Settings, Fault> {
-        let unread = |e: String| Fault::Unread(name.into(), e.trim_end().replace('\n', " "));
+    pub fn parse(name: &str, text: &str) -> Result<Settings, SettingsError> {
+        let unread = |e: String| SettingsError::Malformed(name.into(), e.trim_end().replace('\n', " "));
         match toml::from_str::<Settings>(text) {
             Ok(settings) => Ok(settings),
-            Err(e) => Settings::check(name, text).and(Err(unread(e.to_string()))),
+            Err(e) => Settings::validate(name, text).and(Err(unread(e.to_string()))),
         }
     }
 
@@ -155,39 +156,39 @@
     ///
     /// # Errors
     /// What is wrong with it, in one line.
-    pub fn check(name: &str, text: &str) -> Result<Settings, Fault> {
-        let unread = |e: String| Fault::Unread(name.into(), e.trim_end().replace('\n', " "));
+    pub fn validate(name: &str, text: &str) -> Result<Settings, SettingsError> {
+        let unread = |e: String| SettingsError::Malformed(name.into(), e.trim_end().replace('\n', " "));
         let value: Value = toml::from_str(text).map_err(|e| unread(e.to_string()))?;
         let schema: Value = serde_json::from_str(SCHEMA).expect("the schema is JSON");
         let options = jsonschema::draft7::options();
         let schema = options.build(&schema).expect("the schema is one");
         if let Err(e) = schema.validate(&value) {
             let place = e.instance_path.to_string();
-            return Err(Fault::Schema(name.into(), place, e.to_string()));
+            return Err(SettingsError::Schema(name.into(), place, e.to_string()));
         }
         serde_json::from_value(value).map_err(|e| unread(e.to_string()))
     }
 
     /// Where prompters hear each other and their gateways; the same on all machines.
-    pub fn prompters_port(&self) -> u16 {
-        self.net.internal_port_range.0
+    pub fn control_port(&self) -> u16 {
+        self.network.internal_port_range.0
     }
 
     /// Where gateways let others through to their prompter, if the range has room for it.
-    pub fn relays_port(&self) -> Option<u16> {
-        let (first, last) = self.net.internal_port_range;
+    pub fn relay_port(&self) -> Option<u16> {
+        let (first, last) = self.network.internal_port_range;
         (first < last).then(|| first + 1)
     }
 
     /// Where gateways probe each other, if the range has room for it.
-    pub fn company_port(&self) -> Option<u16> {
-        let (first, last) = self.net.internal_port_range;
+    pub fn membership_port(&self) -> Option<u16> {
+        let (first, last) = self.network.internal_port_range;
         (last >= first.saturating_add(2)).then(|| first + 2)
     }
 
     /// The seeds' machines.
-    pub fn seeds(&self) -> Vec<IpAddr> {
-        self.net.seed_nodes.iter().map(SocketAddr::ip).collect()
+    pub fn seed_addresses(&self) -> Vec<IpAddr> {
+        self.network.seed_nodes.iter().map(SocketAddr::ip).collect()
     }
 }
 
@@ -219,24 +220,24 @@
 
     #[test]
     fn fields_that_nobody_knows_are_let_pass_and_defaults_stand_in() {
-        let s = Settings::read("f", TEXT).unwrap();
-        assert_eq!((s.prompters_port(), s.seeds().len(), s.own.initial_start), (7660, 2, true));
-        assert_eq!((s.own.data_directory, s.terms.bounds.drain_ms), (None, 2500.0));
+        let s = Settings::parse("f", TEXT).unwrap();
+        assert_eq!((s.control_port(), s.seed_addresses().len(), s.identity.initial_start), (7660, 2, true));
+        assert_eq!((s.identity.data_directory, s.contract.bounds.drain_ms), (None, 2500.0));
     }
 
     #[test]
     fn what_lacks_or_will_not_do_is_one_line_with_its_place() {
         let line =
-            |from: &str, to: &str| Settings::read("f", &TEXT.replace(from, to)).unwrap_err().to_string();
+            |from: &str, to: &str| Settings::parse("f", &TEXT.replace(from, to)).unwrap_err().to_string();
         assert!(line("zone = \"a\"", "").starts_with("f: at /ownIdentity: "));
         assert!(line("[7660, 7675]", "[7660]").starts_with("f: at /networkTerms/internalPortRange: "));
         assert!(line("10.2.0.3:8407", "nowhere").starts_with("f: "));
         let negative = TEXT.replace("graceS = 6", "graceS = -6");
-        assert!(Settings::check("f", &negative)
+        assert!(Settings::validate("f", &negative)
             .unwrap_err()
             .to_string()
             .starts_with("f: at /contractTerms/bounds/graceS"));
-        assert_eq!(Settings::check("f", TEXT), Settings::read("f", TEXT));
+        assert_eq!(Settings::validate("f", TEXT), Settings::parse("f", TEXT));
         for line in [line("zone = \"a\"", "zone ="), line("graceS = 6", "graceS = \"x\"")] {
             assert!(!line.contains('\n'), "{line:?}");
         }
--- a/crates/common/quota/src/desk.rs
+++ b/crates/common/quota/src/desk.rs
@@ -1,171 +1,173 @@
 //! A gateway's part: the chance, the units that it was lent, its even part when it hears nothing.
 
-use crate::line::{Line, Standing, Waiter, Word};
-use crate::{from_micros, secs, Ask, Lent, Limit, Slow, Time, Want};
-use crate::{ALONE_AFTER, ASK_EVERY, GOES_ON, GOES_ON_AT, LENT_FOR, MS};
+use crate::line::{CoordinatorContact, QueueOutcome, QueuedRequest, ThrottleQueue};
+use crate::{from_micros, to_seconds, LeaseGrant, LeaseRequest, Limit, Time, TrialPace, UnitRequest};
+use crate::{
+    CONTINUATION_PERIOD, CONTINUATION_RATIO, GRANT_LIFETIME, ISOLATION_TIMEOUT, MS, REQUEST_INTERVAL,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A request waits so long for a unit at the most: a little longer than it takes to know that one is alone.
-const PATIENCE: Time = 320 * MS;
+const MAX_UNIT_WAIT: Time = 320 * MS;
 /// Alone, a request that waits looks again so often.
-const LOOK: Time = 40 * MS;
+const ISOLATED_RETRY_INTERVAL: Time = 40 * MS;
 /// How long the pace of what was lent is remembered, in seconds.
-const PACE: f64 = 2.0;
+const GRANT_RATE_WINDOW_S: f64 = 2.0;
 /// Asked for again after so long without an answer, while somebody waits.
-const AGAIN: Time = 40 * MS;
+const URGENT_REQUEST_INTERVAL: Time = 40 * MS;
 /// Units are asked for ahead for so long, in seconds.
-const AHEAD: f64 = 0.2;
+const PREFETCH_S: f64 = 0.2;
 /// How long the own demand is remembered, in seconds.
-const MEMORY: f64 = 1.0;
+const DEMAND_WINDOW_S: f64 = 1.0;
 /// The highest chance: somebody must come past it, or nothing is known of what is asked.
-const HIGHEST: f64 = 0.98;
+const MAX_REFUSAL_PROBABILITY: f64 = 0.98;
 /// The store counts as empty with less than this part of the burst in it.
-const EMPTY: f64 = 0.02;
+const EMPTY_BUCKET_RATIO: f64 = 0.02;
 /// Asks whose sending time is remembered.
-const ASKS: usize = 64;
+const MAX_TRACKED_REQUESTS: usize = 64;
 
 /// The word on one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Decision {
     /// A unit is taken for it.
     Granted,
     /// One is asked for: look again when there is news, or at `until` at the latest.
     Wait { until: Time },
     /// Come back after so long.
-    Refused { advice: Time },
+    Refused { retry_after: Time },
     /// The tenant is slowed: it goes on by [`Desk::enter`], if it can wait for so long at the most.
-    Slowed { wait: Time },
+    Throttled { max_wait: Time },
 }
 
 #[derive(Clone, Debug)]
-struct Tenant {
+struct TenantQuota {
     limit: Limit,
     /// Units lent, by when they end.
-    stock: VecDeque<(Time, u32)>,
+    grants: VecDeque<(Time, u32)>,
     /// The even part's store.
-    even: f64,
-    even_at: Time,
-    chance: f64,
+    fallback_units: f64,
+    fallback_updated: Time,
+    refusal_probability: f64,
     /// Requests a second that come past the chance here.
     demand: f64,
-    demand_at: Time,
+    demand_updated: Time,
     /// Lent units a second that passed here.
-    pace: f64,
-    pace_at: Time,
+    grant_rate: f64,
+    grant_rate_updated: Time,
     waiting: u32,
-    asked: u32,
-    back: u32,
+    arrivals: u32,
+    returned: u32,
     /// Of a tenant with a trial.
-    line: Option<Line>,
+    throttle: Option<ThrottleQueue>,
 }
 
 /// A gateway's desk.
 #[derive(Clone, Debug)]
-pub struct Desk {
-    tenants: BTreeMap<String, Tenant>,
+pub struct QuotaClient {
+    tenants: BTreeMap<String, TenantQuota>,
     /// Over how many gateways the even parts go; 0 while this one is none of them.
-    gateways: u32,
+    gateway_count: u32,
     /// When the latest ask was sent that was answered.
-    heard: Option<Time>,
+    last_contact: Option<Time>,
     /// Who answered it, and when that one first did.
-    keeper: (u64, Time),
-    number: u64,
+    coordinator: (u64, Time),
+    last_request: u64,
     sent: VecDeque<(u64, Time)>,
-    next_ask: Time,
+    next_request_at: Time,
     urgent: bool,
 }
 
-impl Desk {
+impl QuotaClient {
     pub fn new(now: Time) -> Self {
-        Desk {
+        QuotaClient {
             tenants: BTreeMap::new(),
-            gateways: 0,
-            heard: None,
-            keeper: (0, 0),
-            number: 0,
+            gateway_count: 0,
+            last_contact: None,
+            coordinator: (0, 0),
+            last_request: 0,
             sent: VecDeque::new(),
-            next_ask: now,
+            next_request_at: now,
             urgent: false,
         }
     }
 
     /// The limits are these from now on.
-    pub fn limits(&mut self, now: Time, limits: &BTreeMap<String, Limit>) {
+    pub fn set_limits(&mut self, now: Time, limits: &BTreeMap<String, Limit>) {
         self.tenants.retain(|name, _| limits.contains_key(name));
         for (name, limit) in limits {
-            let fresh = Tenant {
+            let fresh = TenantQuota {
                 limit: *limit,
-                stock: VecDeque::new(),
-                even: 0.0,
-                even_at: now,
-                chance: 0.0,
+                grants: VecDeque::new(),
+                fallback_units: 0.0,
+                fallback_updated: now,
+                refusal_probability: 0.0,
                 demand: 0.0,
-                demand_at: now,
-                pace: 0.0,
-                pace_at: now,
+                demand_updated: now,
+                grant_rate: 0.0,
+                grant_rate_updated: now,
                 waiting: 0,
-                asked: 0,
-                back: 0,
-                line: None,
+                arrivals: 0,
+                returned: 0,
+                throttle: None,
             };
             let t = self.tenants.entry(name.clone()).or_insert(fresh);
             t.limit = *limit;
-            match (&mut t.line, limit.slow) {
-                (Some(line), Some(slow)) => (line.slow, line.leaving) = (slow, false),
-                (Some(line), None) => line.leaving = true,
-                (line, Some(slow)) => *line = Some(Line::new(slow, false)),
+            match (&mut t.throttle, limit.after_trial) {
+                (Some(line), Some(slow)) => (line.pace, line.trial_removed) = (slow, false),
+                (Some(line), None) => line.trial_removed = true,
+                (line, Some(slow)) => *line = Some(ThrottleQueue::new(slow, false)),
                 (None, None) => {}
             }
         }
     }
 
     /// How many gateways are agreed on, if this one is among them; else 0.
-    pub fn gateways(&mut self, gateways: u32) {
-        self.gateways = gateways;
+    pub fn set_gateway_count(&mut self, gateways: u32) {
+        self.gateway_count = gateways;
     }
 
     /// Whether it has its even part alone.
-    pub fn is_alone(&self, now: Time) -> bool {
-        self.heard.is_none_or(|at| now.saturating_sub(at) >= ALONE_AFTER)
+    pub fn is_isolated(&self, now: Time) -> bool {
+        self.last_contact.is_none_or(|at| now.saturating_sub(at) >= ISOLATION_TIMEOUT)
     }
 
     /// May this request pass? `draw`: 0 to 1, by chance; `since`: when it was first asked, if it waited.
-    pub fn spend(&mut self, now: Time, name: &str, draw: f64, since: Option<Time>) -> Verdict {
-        let alone = self.is_alone(now);
-        let gateways = self.gateways;
-        let Some(t) = self.tenants.get_mut(name) else { return Verdict::Granted };
+    pub fn acquire(&mut self, now: Time, name: &str, draw: f64, since: Option<Time>) -> Decision {
+        let alone = self.is_isolated(now);
+        let gateways = self.gateway_count;
+        let Some(t) = self.tenants.get_mut(name) else { return Decision::Granted };
         if since.is_some() {
             t.waiting = t.waiting.saturating_sub(1);
         }
-        if let Some(line) = t.line.as_ref().filter(|line| line.is_slow(now)) {
-            return Verdict::Slowed { wait: line.slow.wait };
+        if let Some(line) = t.throttle.as_ref().filter(|line| line.is_throttled(now)) {
+            return Decision::Throttled { max_wait: line.pace.max_wait };
         }
         if t.limit.rate <= 0.0 {
-            return Verdict::Granted;
+            return Decision::Granted;
         }
         if since.is_none() {
-            if draw < t.chance && !alone {
+            if draw < t.refusal_probability && !alone {
                 // What comes past it tells what is asked; this one does not.
-                return Verdict::Refused { advice: advice(&t.limit, t.chance) };
+                return Decision::Refused { retry_after: advice(&t.limit, t.refusal_probability) };
             }
-            t.comes(now);
+            t.record_arrival(now);
         }
-        let alone_from = self.heard.map_or(0, |at| at + ALONE_AFTER);
-        if t.take(now) || alone && t.alone(now, alone_from, gateways) {
-            return Verdict::Granted;
+        let alone_from = self.last_contact.map_or(0, |at| at + ISOLATION_TIMEOUT);
+        if t.take_granted_unit(now) || alone && t.take_fallback_unit(now, alone_from, gateways) {
+            return Decision::Granted;
         }
-        let last = since.unwrap_or(now) + PATIENCE;
+        let last = since.unwrap_or(now) + MAX_UNIT_WAIT;
         if now >= last {
             return refused(&t.limit);
         }
         t.waiting += 1;
         self.urgent = !alone;
-        let look = if alone { now + LOOK } else { alone_from.max(now + MS) };
-        Verdict::Wait { until: look.min(last) }
+        let look = if alone { now + ISOLATED_RETRY_INTERVAL } else { alone_from.max(now + MS) };
+        Decision::Wait { until: look.min(last) }
     }
 
     /// A request that waited is not there any more.
-    pub fn left(&mut self, name: &str) {
+    pub fn cancel_wait(&mut self, name: &str) {
         if let Some(t) = self.tenants.get_mut(name) {
             t.waiting = t.waiting.saturating_sub(1);
         }
@@ -175,28 +177,31 @@
     ///
     /// # Errors
     /// Too many do: come back after so long.
-    pub fn enter(&mut self, name: &str, waiter: Waiter) -> Result<(), Time> {
-        let Some(line) = self.tenants.get_mut(name).and_then(|t| t.line.as_mut()) else { return Err(0) };
-        if !line.enter(waiter) {
-            return Err(line.slow.wait);
+    pub fn enqueue(&mut self, name: &str, waiter: QueuedRequest) -> Result<(), Time> {
+        let Some(line) = self.tenants.get_mut(name).and_then(|t| t.throttle.as_mut()) else { return Err(0) };
+        if !line.enqueue(waiter) {
+            return Err(line.pace.max_wait);
         }
         self.urgent = true;
         Ok(())
     }
 
     /// Whose word it is now, one at a time: the tenant, the request, what becomes of it.
-    pub fn poll(&mut self, now: Time) -> Option<(String, u64, Word)> {
-        let standing = Standing { alone_since: self.alone_since(now), gateways: self.gateways };
+    pub fn next_outcome(&mut self, now: Time) -> Option<(String, u64, QueueOutcome)> {
+        let standing = CoordinatorContact {
+            isolated_since: self.isolated_since(now),
+            gateway_count: self.gateway_count,
+        };
         for (name, t) in &mut self.tenants {
-            let Some(line) = t.line.as_mut().filter(|line| !line.is_empty()) else { continue };
-            let said = if line.is_slow(now) {
-                line.poll(now, standing)
+            let Some(line) = t.throttle.as_mut().filter(|line| !line.is_empty()) else { continue };
+            let said = if line.is_throttled(now) {
+                line.next_outcome(now, standing)
             } else {
                 // What waited for a turn goes at full speed, by units like any other.
-                line.forget(now);
-                let may = !line.is_empty() && (t.limit.rate <= 0.0 || t.take(now));
-                let line = t.line.as_mut().filter(|_| may);
-                line.and_then(|line| line.release(now)).map(|id| (id, Word::Go))
+                line.drop_expired(now);
+                let may = !line.is_empty() && (t.limit.rate <= 0.0 || t.take_granted_unit(now));
+                let line = t.throttle.as_mut().filter(|_| may);
+                line.and_then(|line| line.release_first(now)).map(|id| (id, QueueOutcome::Proceed))
             };
             if let Some((id, word)) = said {
                 return Some((name.clone(), id, word));
@@ -206,30 +211,30 @@
     }
 
     /// The one that was to go is not there any more: its turn, or its unit, is another's.
-    pub fn again(&mut self, now: Time, name: &str) {
+    pub fn return_turn(&mut self, now: Time, name: &str) {
         let Some(t) = self.tenants.get_mut(name) else { return };
-        match &mut t.line {
-            Some(line) if line.is_slow(now) => line.again(now),
-            _ => t.back += 1,
+        match &mut t.throttle {
+            Some(line) if line.is_throttled(now) => line.return_turn(now),
+            _ => t.returned += 1,
         }
     }
 
     /// When [`Desk::poll`] has something new to say, if nothing is heard until then.
-    pub fn next_poll(&self, now: Time) -> Option<Time> {
-        let alone_at = self.heard.map_or(0, |at| at + ALONE_AFTER);
-        self.tenants.values().filter_map(|t| t.line.as_ref()?.next_due(now, alone_at)).min()
+    pub fn next_outcome_at(&self, now: Time) -> Option<Time> {
+        let alone_at = self.last_contact.map_or(0, |at| at + ISOLATION_TIMEOUT);
+        self.tenants.values().filter_map(|t| t.throttle.as_ref()?.next_due(now, alone_at)).min()
     }
 
-    fn alone_since(&self, now: Time) -> Option<Time> {
-        self.is_alone(now).then(|| self.heard.map_or(0, |at| at + ALONE_AFTER))
+    fn isolated_since(&self, now: Time) -> Option<Time> {
+        self.is_isolated(now).then(|| self.last_contact.map_or(0, |at| at + ISOLATION_TIMEOUT))
     }
 
     /// The unit of a request that was not sent after all.
-    pub fn give_back(&mut self, now: Time, name: &str) {
+    pub fn return_unit(&mut self, now: Time, name: &str) {
         if let Some(t) = self.tenants.get_mut(name) {
             // It may have ended meanwhile, so it is not spent here again; the keeper gets it back.
             let _ = now;
-            t.back += 1;
+            t.returned += 1;
         }
     }
 
@@ -238,158 +243,166 @@
         if self.urgent {
             0
         } else {
-            self.next_ask
+            self.next_request_at
         }
     }
 
     /// What is to be asked for now, if it is time.
-    pub fn ask(&mut self, now: Time) -> Option<Ask> {
+    pub fn next_request(&mut self, now: Time) -> Option<LeaseRequest> {
         if now < self.next_due() {
             return None;
         }
         let mut waits = false;
         let (mut wants, mut queues) = (Vec::new(), Vec::new());
-        let number = self.number + 1;
+        let number = self.last_request + 1;
         for (name, t) in &mut self.tenants {
-            t.expire(now);
-            let slow = t.line.as_ref().is_some_and(|line| line.is_slow(now));
-            if let Some(line) = t.line.as_mut().filter(|_| slow) {
-                queues.extend(line.queue(now, number, name));
-                waits |= line.lacks();
+            t.expire_grants(now);
+            let slow = t.throttle.as_ref().is_some_and(|line| line.is_throttled(now));
+            if let Some(line) = t.throttle.as_mut().filter(|_| slow) {
+                queues.extend(line.turn_request(now, number, name));
+                waits |= line.needs_turns();
             }
-            let waiting = t.waiting + t.line.as_ref().filter(|_| !slow).map_or(0, Line::len);
+            let waiting = t.waiting + t.throttle.as_ref().filter(|_| !slow).map_or(0, ThrottleQueue::len);
             waits |= waiting > 0;
-            let stock: u32 = t.stock.iter().map(|s| s.1).sum();
-            let ahead = (t.demand(now) * AHEAD) as u32;
+            let stock: u32 = t.grants.iter().map(|s| s.1).sum();
+            let ahead = (t.demand(now) * PREFETCH_S) as u32;
             let units = if waiting > 0 { (waiting + ahead).saturating_sub(stock) } else { 0 };
-            if units > 0 || t.asked > 0 || t.back > 0 || t.chance > 0.0 {
-                let (asked, back) = (std::mem::take(&mut t.asked), std::mem::take(&mut t.back));
-                wants.push(Want { tenant: name.clone(), units, asked, back });
+            if units > 0 || t.arrivals > 0 || t.returned > 0 || t.refusal_probability > 0.0 {
+                let (asked, back) = (std::mem::take(&mut t.arrivals), std::mem::take(&mut t.returned));
+                wants.push(UnitRequest { tenant: name.clone(), units, arrivals: asked, returned: back });
             }
         }
-        self.number = number;
-        self.sent.push_back((self.number, now));
-        if self.sent.len() > ASKS {
+        self.last_request = number;
+        self.sent.push_back((self.last_request, now));
+        if self.sent.len() > MAX_TRACKED_REQUESTS {
             self.sent.pop_front();
         }
         self.urgent = false;
-        self.next_ask = now + if waits { AGAIN } else { ASK_EVERY };
-        Some(Ask { number, wants, queues })
+        self.next_request_at = now + if waits { URGENT_REQUEST_INTERVAL } else { REQUEST_INTERVAL };
+        Some(LeaseRequest { number, units: wants, turns: queues })
     }
 
     /// The keeper's answer. Whether somebody who waits may go on.
-    pub fn lent(&mut self, now: Time, lent: &Lent) -> bool {
+    pub fn on_grant(&mut self, now: Time, lent: &LeaseGrant) -> bool {
         // An answer to what nobody remembers asking has ended.
         let Some((_, sent)) = self.sent.iter().find(|(n, _)| *n == lent.number).copied() else {
             return false;
         };
         self.sent.retain(|(n, _)| *n != lent.number);
-        let newest = self.heard.is_none_or(|at| sent >= at);
-        if newest && lent.keeper != self.keeper.0 {
-            self.keeper = (lent.keeper, now);
+        let newest = self.last_contact.is_none_or(|at| sent >= at);
+        if newest && lent.coordinator != self.coordinator.0 {
+            self.coordinator = (lent.coordinator, now);
         }
-        let keeper_since = self.keeper.1;
-        self.heard = self.heard.max(Some(sent));
-        let ends = sent + LENT_FOR;
+        let keeper_since = self.coordinator.1;
+        self.last_contact = self.last_contact.max(Some(sent));
+        let ends = sent + GRANT_LIFETIME;
         let mut news = false;
         for (name, t) in &mut self.tenants {
             let phase = lent.phases.iter().find(|p| p.tenant == *name);
-            if let (None, Some(p)) = (&t.line, phase) {
+            if let (None, Some(p)) = (&t.throttle, phase) {
                 // The configuration that puts it on trial has yet to come.
-                let slow = Slow { pace: p.pace.max(0.001), wait: from_micros(p.wait_us) };
-                t.line = Some(Line::new(slow, true));
+                let slow = TrialPace { rate: p.rate.max(0.001), max_wait: from_micros(p.max_wait_us) };
+                t.throttle = Some(ThrottleQueue::new(slow, true));
             }
-            let Some(line) = &mut t.line else { continue };
+            let Some(line) = &mut t.throttle else { continue };
             if newest {
-                line.phase(now, sent, phase, keeper_since);
-                if phase.is_none() && line.leaving && line.is_empty() && !line.is_slow(now) {
-                    t.line = None;
+                line.on_phase(now, sent, phase, keeper_since);
+                if phase.is_none() && line.trial_removed && line.is_empty() && !line.is_throttled(now) {
+                    t.throttle = None;
                     continue;
                 }
             }
             if let Some(turns) = lent.turns.iter().find(|turns| turns.tenant == *name) {
-                line.given(now, lent.number, lent.keeper, turns);
+                line.on_turns(now, lent.number, lent.coordinator, turns);
             }
             news |= !line.is_empty();
         }
-        for loan in &lent.loans {
+        for loan in &lent.units {
             let Some(t) = self.tenants.get_mut(&loan.tenant) else { continue };
             let rate = t.limit.rate.max(1e-9);
             // The design's chance: none while the store holds units.
-            let asked = f64::from(loan.metered) / (1.0 - t.chance);
-            let empty = f64::from(loan.left) < (EMPTY * t.limit.burst).max(1.0);
-            let wanted = if empty { (1.0 - rate / asked.max(1e-9)).clamp(0.0, HIGHEST) } else { 0.0 };
+            let asked = f64::from(loan.arrival_rate) / (1.0 - t.refusal_probability);
+            let empty = f64::from(loan.remaining) < (EMPTY_BUCKET_RATIO * t.limit.burst).max(1.0);
+            let wanted =
+                if empty { (1.0 - rate / asked.max(1e-9)).clamp(0.0, MAX_REFUSAL_PROBABILITY) } else { 0.0 };
             // The meter is late and smooth: the chance follows it by halves.
-            t.chance = if wanted < 0.01 && t.chance < 0.02 { 0.0 } else { (t.chance + wanted) / 2.0 };
+            t.refusal_probability = if wanted < 0.01 && t.refusal_probability < 0.02 {
+                0.0
+            } else {
+                (t.refusal_probability + wanted) / 2.0
+            };
             if ends > now && loan.units > 0 {
-                t.stock.push_back((ends, loan.units));
+                t.grants.push_back((ends, loan.units));
             }
             news |= t.waiting > 0 && loan.units > 0;
         }
-        let lacks = |t: &Tenant| t.waiting > 0 || t.line.as_ref().is_some_and(Line::lacks);
+        let lacks =
+            |t: &TenantQuota| t.waiting > 0 || t.throttle.as_ref().is_some_and(ThrottleQueue::needs_turns);
         if self.tenants.values().any(lacks) {
-            self.next_ask = self.next_ask.min(now + AGAIN);
+            self.next_request_at = self.next_request_at.min(now + URGENT_REQUEST_INTERVAL);
         }
         news
     }
 }
 
-impl Tenant {
+impl TenantQuota {
     fn demand(&self, now: Time) -> f64 {
-        self.demand * (-secs(now.saturating_sub(self.demand_at)) / MEMORY).exp()
+        self.demand * (-to_seconds(now.saturating_sub(self.demand_updated)) / DEMAND_WINDOW_S).exp()
     }
 
-    fn comes(&mut self, now: Time) {
-        self.demand = self.demand(now) + 1.0 / MEMORY;
-        self.demand_at = now;
-        self.asked += 1;
+    fn record_arrival(&mut self, now: Time) {
+        self.demand = self.demand(now) + 1.0 / DEMAND_WINDOW_S;
+        self.demand_updated = now;
+        self.arrivals += 1;
     }
 
-    fn expire(&mut self, now: Time) {
-        while self.stock.front().is_some_and(|(ends, _)| *ends <= now) {
-            self.back += self.stock.pop_front().map_or(0, |s| s.1);
+    fn expire_grants(&mut self, now: Time) {
+        while self.grants.front().is_some_and(|(ends, _)| *ends <= now) {
+            self.returned += self.grants.pop_front().map_or(0, |s| s.1);
         }
     }
 
-    fn take(&mut self, now: Time) -> bool {
-        self.expire(now);
-        let Some(first) = self.stock.front_mut() else { return false };
+    fn take_granted_unit(&mut self, now: Time) -> bool {
+        self.expire_grants(now);
+        let Some(first) = self.grants.front_mut() else { return false };
         first.1 -= 1;
         if first.1 == 0 {
-            self.stock.pop_front();
+            self.grants.pop_front();
         }
-        let keep = (-secs(now.saturating_sub(self.pace_at)) / PACE).exp();
-        (self.pace, self.pace_at) = (self.pace * keep + 1.0 / PACE, now);
+        let keep = (-to_seconds(now.saturating_sub(self.grant_rate_updated)) / GRANT_RATE_WINDOW_S).exp();
+        (self.grant_rate, self.grant_rate_updated) =
+            (self.grant_rate * keep + 1.0 / GRANT_RATE_WINDOW_S, now);
         true
     }
 
     /// A unit of one's own, of what flows since this gateway has been alone.
-    fn alone(&mut self, now: Time, since: Time, gateways: u32) -> bool {
+    fn take_fallback_unit(&mut self, now: Time, since: Time, gateways: u32) -> bool {
         if gateways == 0 {
             return false;
         }
         let part = 1.0 / f64::from(gateways);
         let most = (0.5 * self.limit.burst * part).max(1.0);
-        if self.even_at < since {
-            (self.even, self.even_at) = (0.0, since);
+        if self.fallback_updated < since {
+            (self.fallback_units, self.fallback_updated) = (0.0, since);
         }
         let even = self.limit.rate * part;
         // While it is alone nothing is lent, so that its pace stays what it was.
-        let goes_on = (GOES_ON_AT * self.pace).max(even);
-        let turn = (since + GOES_ON).clamp(self.even_at, now);
-        let gained = goes_on * secs(turn - self.even_at) + even * secs(now - turn);
-        self.even = (self.even + gained).min(most.max(GOES_ON_AT * self.pace));
-        self.even_at = now;
-        let there = self.even >= 1.0;
+        let goes_on = (CONTINUATION_RATIO * self.grant_rate).max(even);
+        let turn = (since + CONTINUATION_PERIOD).clamp(self.fallback_updated, now);
+        let gained = goes_on * to_seconds(turn - self.fallback_updated) + even * to_seconds(now - turn);
+        self.fallback_units =
+            (self.fallback_units + gained).min(most.max(CONTINUATION_RATIO * self.grant_rate));
+        self.fallback_updated = now;
+        let there = self.fallback_units >= 1.0;
         if there {
-            self.even -= 1.0;
+            self.fallback_units -= 1.0;
         }
         there
     }
 }
 
-fn refused(limit: &Limit) -> Verdict {
-    Verdict::Refused { advice: advice(limit, 0.0) }
+fn refused(limit: &Limit) -> Decision {
+    Decision::Refused { retry_after: advice(limit, 0.0) }
 }
 
 /// When a unit should be there: a few units' time, the longer the more are refused.
@@ -401,7 +414,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Keeper;
+    use crate::QuotaCoordinator;
     use std::collections::BTreeSet;
 
     const S: Time = 1_000_000_000;
@@ -418,11 +431,11 @@
     /// How many passed in each 10 ms, and how many were turned away.
     fn play(rate: f64, asked: f64, cut: std::ops::Range<u64>, new_keeper: u64) -> (Vec<u32>, u32) {
         let (all, limits) = (names(6), limits(rate, rate));
-        let mut keeper = Keeper::begin(0, 1, &limits, &BTreeSet::new(), &all);
-        let mut desks: Vec<Desk> = (0..6).map(|_| Desk::new(0)).collect();
+        let mut keeper = QuotaCoordinator::new(0, 1, &limits, &BTreeSet::new(), &all);
+        let mut desks: Vec<QuotaClient> = (0..6).map(|_| QuotaClient::new(0)).collect();
         desks.iter_mut().for_each(|d| {
-            d.limits(0, &limits);
-            d.gateways(6);
+            d.set_limits(0, &limits);
+            d.set_gateway_count(6);
         });
         let (mut passed, mut refused, mut x) = (Vec::new(), 0, 12345u64);
         let mut draw = move || {
@@ -433,7 +446,7 @@
         for step in 0..3000u64 {
             let now = step * 10 * MS;
             if step == new_keeper {
-                keeper = Keeper::begin(now, step, &limits, &BTreeSet::new(), &all);
+                keeper = QuotaCoordinator::new(now, step, &limits, &BTreeSet::new(), &all);
             }
             let mut through = 0;
             for (g, desk) in desks.iter_mut().enumerate() {
@@ -443,16 +456,16 @@
                     tries.push(None);
                 }
                 for since in tries {
-                    match desk.spend(now, "t", draw(), since) {
-                        Verdict::Granted => through += 1,
-                        Verdict::Refused { .. } => refused += 1,
-                        Verdict::Wait { .. } => waits[g].push(since.unwrap_or(now)),
-                        Verdict::Slowed { .. } => unreachable!("it has no trial"),
+                    match desk.acquire(now, "t", draw(), since) {
+                        Decision::Granted => through += 1,
+                        Decision::Refused { .. } => refused += 1,
+                        Decision::Wait { .. } => waits[g].push(since.unwrap_or(now)),
+                        Decision::Throttled { .. } => unreachable!("it has no trial"),
                     }
                 }
-                if let Some(ask) = desk.ask(now).filter(|_| reached) {
-                    let lent = keeper.ask(now, &format!("g{g}"), &ask).expect("it is known");
-                    desk.lent(now, &lent);
+                if let Some(ask) = desk.next_request(now).filter(|_| reached) {
+                    let lent = keeper.grant(now, &format!("g{g}"), &ask).expect("it is known");
+                    desk.on_grant(now, &lent);
                 }
             }
             passed.push(through);
@@ -486,19 +499,22 @@
 
     #[test]
     fn units_end_and_go_back() {
-        let mut desk = Desk::new(0);
-        desk.limits(0, &limits(10.0, 10.0));
-        assert!(!matches!(desk.spend(0, "t", 0.5, None), Verdict::Granted), "nothing is known yet");
-        let ask = desk.ask(0).expect("it is time");
-        desk.lent(MS, &Lent { number: ask.number, ..Lent::default() });
-        assert!(matches!(desk.spend(MS, "t", 0.5, None), Verdict::Wait { .. }));
-        let ask = desk.ask(MS).expect("somebody waits");
-        let loan = crate::Loan { tenant: "t".into(), units: 3, left: 5.0, metered: 1.0 };
-        assert!(desk.lent(2 * MS, &Lent { number: ask.number, loans: vec![loan], ..Lent::default() }));
-        assert_eq!(desk.spend(3 * MS, "t", 0.5, Some(MS)), Verdict::Granted);
+        let mut desk = QuotaClient::new(0);
+        desk.set_limits(0, &limits(10.0, 10.0));
+        assert!(!matches!(desk.acquire(0, "t", 0.5, None), Decision::Granted), "nothing is known yet");
+        let ask = desk.next_request(0).expect("it is time");
+        desk.on_grant(MS, &LeaseGrant { number: ask.number, ..LeaseGrant::default() });
+        assert!(matches!(desk.acquire(MS, "t", 0.5, None), Decision::Wait { .. }));
+        let ask = desk.next_request(MS).expect("somebody waits");
+        let loan = crate::UnitGrant { tenant: "t".into(), units: 3, remaining: 5.0, arrival_rate: 1.0 };
+        assert!(desk.on_grant(
+            2 * MS,
+            &LeaseGrant { number: ask.number, units: vec![loan], ..LeaseGrant::default() }
+        ));
+        assert_eq!(desk.acquire(3 * MS, "t", 0.5, Some(MS)), Decision::Granted);
         // Awake from a freeze: the two others have ended, whatever the desk thinks of the time between.
-        assert!(!matches!(desk.spend(S, "t", 0.5, None), Verdict::Granted));
-        let ask = desk.ask(S).expect("it is time");
-        assert_eq!(ask.wants[0].back, 2);
+        assert!(!matches!(desk.acquire(S, "t", 0.5, None), Decision::Granted));
+        let ask = desk.next_request(S).expect("it is time");
+        assert_eq!(ask.units[0].returned, 2);
     }
 }
--- a/crates/common/quota/src/tries.rs
+++ b/crates/common/quota/src/tries.rs
@@ -4,33 +4,33 @@
 use std::collections::BTreeMap;
 
 /// The part of the allowed ratio that is used: windows slide, and what is earned in one may be spent in the next.
-const USED: f64 = 0.5;
+const USED_RATIO: f64 = 0.5;
 /// The most that one gateway holds for a service.
-const MOST: f64 = 2.0;
+const MAX_BALANCE: f64 = 2.0;
 
 /// Further tries that may be made, by service. Nothing is there at the start: whoever is started again and again earns no
 /// more than one that runs.
 #[derive(Clone, Debug)]
-pub struct Tries {
+pub struct RetryBudget {
     ratio: f64,
-    held: BTreeMap<usize, f64>,
+    balances: BTreeMap<usize, f64>,
 }
 
-impl Tries {
+impl RetryBudget {
     /// `ratio`: what is allowed for each request.
     pub fn new(ratio: f64) -> Self {
-        Tries { ratio: ratio.max(0.0), held: BTreeMap::new() }
+        RetryBudget { ratio: ratio.max(0.0), balances: BTreeMap::new() }
     }
 
     /// A request for this service was sent for the first time.
-    pub fn earn(&mut self, service: usize) {
-        let held = self.held.entry(service).or_default();
-        *held = (*held + USED * self.ratio).min(MOST);
+    pub fn deposit(&mut self, service: usize) {
+        let held = self.balances.entry(service).or_default();
+        *held = (*held + USED_RATIO * self.ratio).min(MAX_BALANCE);
     }
 
     /// One more try, if there is one.
-    pub fn spend(&mut self, service: usize) -> bool {
-        let held = self.held.entry(service).or_default();
+    pub fn withdraw(&mut self, service: usize) -> bool {
+        let held = self.balances.entry(service).or_default();
         let there = *held >= 1.0;
         if there {
             *held -= 1.0;
@@ -48,16 +48,16 @@
         let (gateways, requests) = (13, 100);
         let mut spent = 0;
         for _ in 0..gateways {
-            let mut tries = Tries::new(0.2);
+            let mut tries = RetryBudget::new(0.2);
             for _ in 0..requests {
-                tries.earn(0);
-                spent += u32::from(tries.spend(0));
+                tries.deposit(0);
+                spent += u32::from(tries.withdraw(0));
             }
         }
         assert!(spent > 0 && f64::from(spent) <= 0.2 * f64::from(gateways * requests));
-        let mut tries = Tries::new(0.2);
-        (0..1000).for_each(|_| tries.earn(7));
-        assert_eq!((0..10).filter(|_| tries.spend(7)).count(), 2, "no more than two are held");
-        assert!(!tries.spend(8), "another service's are another's");
+        let mut tries = RetryBudget::new(0.2);
+        (0..1000).for_each(|_| tries.deposit(7));
+        assert_eq!((0..10).filter(|_| tries.withdraw(7)).count(), 2, "no more than two are held");
+        assert!(!tries.withdraw(8), "another service's are another's");
     }
 }
--- a/crates/common/quota/tests/trials.rs
+++ b/crates/common/quota/tests/trials.rs
@@ -1,7 +1,10 @@
 //! A trial runs out over six gateways: nobody goes at full speed beside one that refuses, waits are alike, the pace is kept,
 //! whoever is cut off, and whoever keeps.
 
-use quota::{Desk, Keeper, Lent, Limit, Slow, Time, Verdict, Waiter, Word, GAP};
+use quota::{
+    Decision, LeaseGrant, Limit, QueueOutcome, QueuedRequest, QuotaClient, QuotaCoordinator, Time, TrialPace,
+    PHASE_GAP,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 
@@ -56,20 +59,20 @@
 }
 
 fn play(p: &Play) -> Seen {
-    let slow = Slow { pace: p.pace, wait: p.wait };
-    let limit = Limit { slow: Some(slow), ..Limit::new(100.0, 100.0) };
+    let slow = TrialPace { rate: p.pace, max_wait: p.wait };
+    let limit = Limit { after_trial: Some(slow), ..Limit::new(100.0, 100.0) };
     let limits = BTreeMap::from([("t".to_string(), limit)]);
     let names: BTreeSet<String> = (0..GATEWAYS).map(|g| format!("g{g}")).collect();
     let agreed = |step: u64| -> BTreeSet<String> {
         p.over.iter().filter(|r| r.contains(&step)).map(|_| "t".to_string()).collect()
     };
-    let mut keeper = Keeper::begin(0, 1, &limits, &agreed(0), &names);
-    let mut desks: Vec<Desk> = (0..GATEWAYS).map(|_| Desk::new(0)).collect();
+    let mut keeper = QuotaCoordinator::new(0, 1, &limits, &agreed(0), &names);
+    let mut desks: Vec<QuotaClient> = (0..GATEWAYS).map(|_| QuotaClient::new(0)).collect();
     desks.iter_mut().for_each(|d| {
-        d.limits(0, &limits);
-        d.gateways(GATEWAYS as u32);
+        d.set_limits(0, &limits);
+        d.set_gateway_count(GATEWAYS as u32);
     });
-    let mut answers: Vec<(u64, usize, Lent)> = Vec::new();
+    let mut answers: Vec<(u64, usize, LeaseGrant)> = Vec::new();
     let mut waits: Vec<Vec<Time>> = vec![Vec::new(); GATEWAYS];
     let mut held: BTreeMap<u64, (usize, Time, bool)> = BTreeMap::new();
     let (mut seen, mut rng, mut next) = (Seen::default(), fastrand::Rng::with_seed(7), 0);
@@ -77,13 +80,13 @@
         let now = step * STEP;
         let over = agreed(step);
         if p.keepers.contains(&step) {
-            keeper = Keeper::begin(now, step, &limits, &over, &names);
+            keeper = QuotaCoordinator::new(now, step, &limits, &over, &names);
         }
         let nobody = p.keepers.iter().any(|k| (k.saturating_sub(S / 2)..*k).contains(&step));
-        keeper.limits(now, &limits, &over);
+        keeper.set_limits(now, &limits, &over);
         answers.retain(|(at, g, lent)| {
             if *at == step {
-                desks[*g].lent(now, lent);
+                desks[*g].on_grant(now, lent);
             }
             *at > step
         });
@@ -95,38 +98,39 @@
                 tries.push(None);
             }
             for since in tries {
-                match desks[g].spend(now, "t", 1.0, since) {
-                    Verdict::Granted => seen.full.push((g, now)),
-                    Verdict::Refused { .. } => {}
-                    Verdict::Wait { .. } => waits[g].push(since.unwrap_or(now)),
-                    Verdict::Slowed { wait } => {
+                match desks[g].acquire(now, "t", 1.0, since) {
+                    Decision::Granted => seen.full.push((g, now)),
+                    Decision::Refused { .. } => {}
+                    Decision::Wait { .. } => waits[g].push(since.unwrap_or(now)),
+                    Decision::Throttled { max_wait: wait } => {
                         next += 1;
                         let pressing = rng.f64() < p.pressing;
                         let by = pressing.then_some(now + 400 * MS);
-                        let waiter = Waiter { id: next, since: now, until: now + wait, by };
-                        assert!(desks[g].enter("t", waiter).is_ok());
+                        let waiter =
+                            QueuedRequest { id: next, enqueued_at: now, deadline: now + wait, urgent_by: by };
+                        assert!(desks[g].enqueue("t", waiter).is_ok());
                         held.insert(next, (g, now, pressing));
                     }
                 }
             }
-            let slow = desks[g].spend(now, "t", 1.0, None);
-            let is_slow = matches!(slow, Verdict::Slowed { .. });
-            if matches!(slow, Verdict::Wait { .. }) {
-                desks[g].left("t");
+            let slow = desks[g].acquire(now, "t", 1.0, None);
+            let is_slow = matches!(slow, Decision::Throttled { .. });
+            if matches!(slow, Decision::Wait { .. }) {
+                desks[g].cancel_wait("t");
             }
-            while let Some((_, id, word)) = desks[g].poll(now) {
+            while let Some((_, id, word)) = desks[g].next_outcome(now) {
                 let (_, since, pressing) = held.remove(&id).expect("it waits");
                 match word {
-                    Word::Go if is_slow => seen.paced.push((g, since, now - since, pressing)),
-                    Word::Go => seen.full.push((g, now)),
-                    Word::Refused { advice } => {
+                    QueueOutcome::Proceed if is_slow => seen.paced.push((g, since, now - since, pressing)),
+                    QueueOutcome::Proceed => seen.full.push((g, now)),
+                    QueueOutcome::Refused { retry_after: advice } => {
                         assert!(advice > 0 && now - since < p.wait, "{advice}, {}", now - since);
-                        seen.refused.push((g, now, !cut && !desks[g].is_alone(now)));
+                        seen.refused.push((g, now, !cut && !desks[g].is_isolated(now)));
                     }
                 }
             }
-            if let Some(ask) = desks[g].ask(now).filter(|_| !cut && !nobody) {
-                let lent = keeper.ask(now, &format!("g{g}"), &ask).expect("it is known");
+            if let Some(ask) = desks[g].next_request(now).filter(|_| !cut && !nobody) {
+                let lent = keeper.grant(now, &format!("g{g}"), &ask).expect("it is known");
                 answers.push((step + 1 + rng.u64(..4), g, lent));
             }
         }
@@ -137,7 +141,7 @@
 /// No two within the promised gap, one at full speed and one refused in touch.
 fn never_both(seen: &Seen) {
     for (g, at, touch) in &seen.refused {
-        let beside = seen.full.iter().find(|(other, full)| other != g && full.abs_diff(*at) < GAP);
+        let beside = seen.full.iter().find(|(other, full)| other != g && full.abs_diff(*at) < PHASE_GAP);
         assert!(!touch || beside.is_none(), "{beside:?} at full speed beside {g} that refuses at {at}");
     }
 }
@@ -164,7 +168,7 @@
     let seen = play(&Play::default());
     never_both(&seen);
     let last = seen.full.iter().map(|f| f.1).max().unwrap();
-    assert!((6 * S * STEP..6 * S * STEP + quota::LEAD).contains(&last), "{last}");
+    assert!((6 * S * STEP..6 * S * STEP + quota::PHASE_NOTICE).contains(&last), "{last}");
     assert!(!seen.refused.is_empty(), "three times the pace was asked for");
     let paced = seen.paced.iter().filter(|p| p.1 + p.2 > 8 * S * STEP).count() as f64;
     assert!((0.93..1.02).contains(&(paced / (20.0 * 8.0))), "the pace is had: {paced} in 8 s");
@@ -196,7 +200,9 @@
         let seen = play(&Play { cut, ..Play::default() });
         never_both(&seen);
         let last = seen.full.iter().filter(|f| f.0 < 2).map(|f| f.1).max().unwrap();
-        assert!(last <= (6 * S * STEP + quota::LEAD).min(from * STEP + quota::ALONE_AFTER + STEP));
+        assert!(
+            last <= (6 * S * STEP + quota::PHASE_NOTICE).min(from * STEP + quota::ISOLATION_TIMEOUT + STEP)
+        );
         assert!(most_in(&seen, 5000 * MS) <= 20 * 5 + 20, "{}", most_in(&seen, 5000 * MS));
     }
 }
@@ -207,8 +213,8 @@
         let seen = play(&Play { keepers: vec![keeper], ..Play::default() });
         never_both(&seen);
         let last = seen.full.iter().map(|f| f.1).max().unwrap();
-        assert!(last < 6 * S * STEP + quota::LEAD, "{last}");
-        let settles = keeper * STEP..keeper * STEP + quota::LEAD;
+        assert!(last < 6 * S * STEP + quota::PHASE_NOTICE, "{last}");
+        let settles = keeper * STEP..keeper * STEP + quota::PHASE_NOTICE;
         assert!(!seen.refused.iter().any(|r| settles.contains(&r.1)));
         assert!(most_in(&seen, 5000 * MS) <= 20 * 5 + 20, "{}", most_in(&seen, 5000 * MS));
     }
@@ -219,7 +225,7 @@
     let over = vec![6 * S..7 * S, 7 * S + 40..7 * S + 100, 8 * S..u64::MAX];
     let seen = play(&Play { over, ..Play::default() });
     never_both(&seen);
-    assert!(seen.full.iter().any(|f| f.1 > 7 * S * STEP + quota::LEAD), "fast again");
+    assert!(seen.full.iter().any(|f| f.1 > 7 * S * STEP + quota::PHASE_NOTICE), "fast again");
     assert!(seen.full.iter().all(|f| f.1 < 9 * S * STEP), "and slow again");
 }
 
@@ -237,54 +243,56 @@
 
 #[test]
 fn a_turn_whose_client_is_gone_is_the_next_ones() {
-    let slow = Slow { pace: 25.0, wait: 2000 * MS };
-    let limits = BTreeMap::from([("t".to_string(), Limit { slow: Some(slow), ..Limit::new(50.0, 50.0) })]);
+    let slow = TrialPace { rate: 25.0, max_wait: 2000 * MS };
+    let limits =
+        BTreeMap::from([("t".to_string(), Limit { after_trial: Some(slow), ..Limit::new(50.0, 50.0) })]);
     let names = BTreeSet::from(["g0".to_string()]);
     let over = BTreeSet::from(["t".to_string()]);
-    let mut keeper = Keeper::begin(0, 1, &limits, &over, &names);
-    let mut desk = Desk::new(0);
-    desk.limits(0, &limits);
-    desk.gateways(1);
+    let mut keeper = QuotaCoordinator::new(0, 1, &limits, &over, &names);
+    let mut desk = QuotaClient::new(0);
+    desk.set_limits(0, &limits);
+    desk.set_gateway_count(1);
     let start = 1000 * MS;
     for id in [1, 2] {
-        let waiter = Waiter { id, since: start, until: start + 2000 * MS, by: None };
-        desk.enter("t", waiter).unwrap();
+        let waiter = QueuedRequest { id, enqueued_at: start, deadline: start + 2000 * MS, urgent_by: None };
+        desk.enqueue("t", waiter).unwrap();
     }
-    let ask = desk.ask(start).expect("somebody waits");
-    desk.lent(start, &keeper.ask(start, "g0", &ask).unwrap());
-    assert_eq!(desk.poll(start), Some(("t".into(), 1, Word::Go)));
-    assert_eq!(desk.poll(start), None, "the second's turn is 40 ms later");
-    desk.again(start, "t");
-    assert_eq!(desk.poll(start), Some(("t".into(), 2, Word::Go)));
-    let ask = desk.ask(start + 100 * MS).expect("it is time");
-    assert_eq!(ask.queues[0].back, 1, "the turn that nobody wants any more");
+    let ask = desk.next_request(start).expect("somebody waits");
+    desk.on_grant(start, &keeper.grant(start, "g0", &ask).unwrap());
+    assert_eq!(desk.next_outcome(start), Some(("t".into(), 1, QueueOutcome::Proceed)));
+    assert_eq!(desk.next_outcome(start), None, "the second's turn is 40 ms later");
+    desk.return_turn(start, "t");
+    assert_eq!(desk.next_outcome(start), Some(("t".into(), 2, QueueOutcome::Proceed)));
+    let ask = desk.next_request(start + 100 * MS).expect("it is time");
+    assert_eq!(ask.turns[0].returned, 1, "the turn that nobody wants any more");
 }
 
 /// A thousand who wait, of whom hundreds go each second, take next to nothing of a core.
 #[test]
 fn a_long_line_is_cheap() {
-    let slow = Slow { pace: 500.0, wait: 2000 * MS };
-    let limits = BTreeMap::from([("t".to_string(), Limit { slow: Some(slow), ..Limit::new(0.0, 0.0) })]);
+    let slow = TrialPace { rate: 500.0, max_wait: 2000 * MS };
+    let limits =
+        BTreeMap::from([("t".to_string(), Limit { after_trial: Some(slow), ..Limit::new(0.0, 0.0) })]);
     let names = BTreeSet::from(["g0".to_string()]);
-    let mut keeper = Keeper::begin(0, 1, &limits, &BTreeSet::from(["t".to_string()]), &names);
-    let mut desk = Desk::new(0);
-    desk.limits(0, &limits);
-    desk.gateways(1);
+    let mut keeper = QuotaCoordinator::new(0, 1, &limits, &BTreeSet::from(["t".to_string()]), &names);
+    let mut desk = QuotaClient::new(0);
+    desk.set_limits(0, &limits);
+    desk.set_gateway_count(1);
     let (mut id, mut gone, mut polls) = (0, 0, 0);
     for step in 100..1100u64 {
         let now = step * 10 * MS;
         for _ in 0..8 {
             id += 1;
-            let waiter = Waiter { id, since: now, until: now + 2000 * MS, by: None };
+            let waiter = QueuedRequest { id, enqueued_at: now, deadline: now + 2000 * MS, urgent_by: None };
             // A full line is refused, and that is all.
-            let _ = desk.enter("t", waiter);
+            let _ = desk.enqueue("t", waiter);
         }
-        while let Some((_, _, word)) = desk.poll(now) {
+        while let Some((_, _, word)) = desk.next_outcome(now) {
             polls += 1;
-            gone += u32::from(word == Word::Go);
+            gone += u32::from(word == QueueOutcome::Proceed);
         }
-        if let Some(ask) = desk.ask(now) {
-            desk.lent(now, &keeper.ask(now, "g0", &ask).unwrap());
+        if let Some(ask) = desk.next_request(now) {
+            desk.on_grant(now, &keeper.grant(now, "g0", &ask).unwrap());
         }
     }
     assert!((4500..5600).contains(&gone), "{gone} went in ten seconds");
--- a/crates/control/consensus/src/founding.rs
+++ b/crates/control/consensus/src/founding.rs
@@ -2,7 +2,7 @@
 //! log. Single-decree Paxos (Lamport, 2001), in memory alone: a process that begins again is not at its first start any
 //! more and answers nothing here, so that none forgets what it has promised. No I/O and no clock.
 
-use crate::words::{Id, Members};
+use crate::words::{NodeId, VoterSet};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,7 +11,7 @@
 
 /// Among seeds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Said {
+pub enum BootstrapMessage {
     /// Who answers takes part in no earlier ballot any more.
     Prepare {
         ballot: Ballot,
@@ -19,80 +19,81 @@
     /// It does so; what it has accepted in the latest ballot before.
     Promise {
         ballot: Ballot,
-        accepted: Option<(Ballot, Members)>,
+        accepted: Option<(Ballot, VoterSet)>,
     },
     Accept {
         ballot: Ballot,
-        members: Members,
+        members: VoterSet,
     },
     Accepted {
         ballot: Ballot,
     },
     /// It has promised a later one.
-    Late {
+    #[serde(rename = "Late")]
+    Rejected {
         promised: Ballot,
     },
 }
 
 /// A seed at the first start.
 #[derive(Clone, Debug, Default)]
-pub struct Founding {
-    me: String,
+pub struct Bootstrap {
+    name: String,
     seeds: BTreeSet<String>,
     promised: Ballot,
-    accepted: Option<(Ballot, Members)>,
+    accepted: Option<(Ballot, VoterSet)>,
     /// Its own try.
-    own: Option<Own>,
+    proposal: Option<Proposal>,
 }
 
 #[derive(Clone, Debug)]
-struct Own {
+struct Proposal {
     ballot: Ballot,
-    members: Members,
-    promises: BTreeMap<String, Option<(Ballot, Members)>>,
+    members: VoterSet,
+    promises: BTreeMap<String, Option<(Ballot, VoterSet)>>,
     accepted: BTreeSet<String>,
 }
 
-impl Founding {
+impl Bootstrap {
     pub fn new(me: &str, seeds: impl IntoIterator<Item = String>) -> Self {
-        Founding { me: me.into(), seeds: seeds.into_iter().collect(), ..Founding::default() }
+        Bootstrap { name: me.into(), seeds: seeds.into_iter().collect(), ..Bootstrap::default() }
     }
 
     /// Stands for these voters, or for what has been agreed on already; what to say to whom.
-    pub fn stand(&mut self, members: Members) -> Vec<(String, Said)> {
-        let ballot = (self.promised.0 + 1, self.me.clone());
+    pub fn propose(&mut self, members: VoterSet) -> Vec<(String, BootstrapMessage)> {
+        let ballot = (self.promised.0 + 1, self.name.clone());
         let (promises, accepted) = (BTreeMap::new(), BTreeSet::new());
-        self.own = Some(Own { ballot: ballot.clone(), members, promises, accepted });
-        let to_all = self.to_all(&Said::Prepare { ballot });
-        self.hear_own(to_all)
+        self.proposal = Some(Proposal { ballot: ballot.clone(), members, promises, accepted });
+        let to_all = self.to_all(&BootstrapMessage::Prepare { ballot });
+        self.deliver_own(to_all)
     }
 
     /// What is agreed on, if this one knows it.
-    pub fn agreed(&self) -> Option<&Members> {
-        let own = self.own.as_ref()?;
+    pub fn chosen(&self) -> Option<&VoterSet> {
+        let own = self.proposal.as_ref()?;
         (2 * own.accepted.len() > self.seeds.len()).then_some(&own.members)
     }
 
     /// Another seed at its first start says something.
-    pub fn hear(&mut self, from: &Id, said: Said) -> Vec<(String, Said)> {
+    pub fn on_message(&mut self, from: &NodeId, said: BootstrapMessage) -> Vec<(String, BootstrapMessage)> {
         if !self.seeds.contains(&from.name) {
             return Vec::new();
         }
-        let answers = self.take(&from.name, said);
-        self.hear_own(answers)
+        let answers = self.handle(&from.name, said);
+        self.deliver_own(answers)
     }
 
-    fn to_all(&self, said: &Said) -> Vec<(String, Said)> {
+    fn to_all(&self, said: &BootstrapMessage) -> Vec<(String, BootstrapMessage)> {
         self.seeds.iter().map(|seed| (seed.clone(), said.clone())).collect()
     }
 
     /// What it says to itself is heard at once.
-    fn hear_own(&mut self, mut said: Vec<(String, Said)>) -> Vec<(String, Said)> {
+    fn deliver_own(&mut self, mut said: Vec<(String, BootstrapMessage)>) -> Vec<(String, BootstrapMessage)> {
         let mut out = Vec::new();
         while let Some((to, what)) = said.pop() {
-            if to == self.me {
-                let me = self.me.clone();
-                said.extend(self.take(&me, what));
+            if to == self.name {
+                let me = self.name.clone();
+                said.extend(self.handle(&me, what));
             } else {
                 out.push((to, what));
             }
@@ -100,27 +101,29 @@
         out
     }
 
-    fn take(&mut self, from: &str, said: Said) -> Vec<(String, Said)> {
+    fn handle(&mut self, from: &str, said: BootstrapMessage) -> Vec<(String, BootstrapMessage)> {
         let answer = |said| vec![(from.to_string(), said)];
         match said {
-            Said::Prepare { ballot } if ballot < self.promised => {
-                answer(Said::Late { promised: self.promised.clone() })
+            BootstrapMessage::Prepare { ballot } if ballot < self.promised => {
+                answer(BootstrapMessage::Rejected { promised: self.promised.clone() })
             }
-            Said::Prepare { ballot } => {
+            BootstrapMessage::Prepare { ballot } => {
                 self.promised = ballot.clone();
-                answer(Said::Promise { ballot, accepted: self.accepted.clone() })
+                answer(BootstrapMessage::Promise { ballot, accepted: self.accepted.clone() })
             }
-            Said::Accept { ballot, .. } if ballot < self.promised => {
-                answer(Said::Late { promised: self.promised.clone() })
+            BootstrapMessage::Accept { ballot, .. } if ballot < self.promised => {
+                answer(BootstrapMessage::Rejected { promised: self.promised.clone() })
             }
-            Said::Accept { ballot, members } => {
+            BootstrapMessage::Accept { ballot, members } => {
                 self.promised = ballot.clone();
                 self.accepted = Some((ballot.clone(), members));
-                answer(Said::Accepted { ballot })
+                answer(BootstrapMessage::Accepted { ballot })
             }
-            Said::Promise { ballot, accepted } => {
+            BootstrapMessage::Promise { ballot, accepted } => {
                 let most = self.seeds.len();
-                let Some(own) = self.own.as_mut().filter(|o| o.ballot == ballot) else { return Vec::new() };
+                let Some(own) = self.proposal.as_mut().filter(|o| o.ballot == ballot) else {
+                    return Vec::new();
+                };
                 let before = own.promises.len();
                 own.promises.insert(from.to_string(), accepted);
                 if 2 * before > most || 2 * own.promises.len() <= most {
@@ -130,16 +133,16 @@
                 if let Some((_, members)) = latest {
                     own.members = members.clone();
                 }
-                let said = Said::Accept { ballot, members: own.members.clone() };
+                let said = BootstrapMessage::Accept { ballot, members: own.members.clone() };
                 self.to_all(&said)
             }
-            Said::Accepted { ballot } => {
-                if let Some(own) = self.own.as_mut().filter(|o| o.ballot == ballot) {
+            BootstrapMessage::Accepted { ballot } => {
+                if let Some(own) = self.proposal.as_mut().filter(|o| o.ballot == ballot) {
                     own.accepted.insert(from.to_string());
                 }
                 Vec::new()
             }
-            Said::Late { promised } => {
+            BootstrapMessage::Rejected { promised } => {
                 // The next try goes beyond it.
                 self.promised = self.promised.clone().max(promised);
                 Vec::new()
--- a/crates/control/consensus/tests/common/mod.rs
+++ b/crates/control/consensus/tests/common/mod.rs
@@ -4,7 +4,8 @@
 pub mod net;
 
 use consensus::{
-    Core, Defect, Entry, Id, Input, Members, Message, Output, Place, Said, Save, Stored, Term, Time,
+    Defect, Entry, EntryPayload, Input, LogIndex, Message, NodeId, Output, Persist, PersistedState, RaftNode,
+    Term, Time, VoterSet,
 };
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
@@ -12,27 +13,27 @@
 
 pub const MS: Time = 1_000_000;
 
-pub fn id(name: &str, disk: u64) -> Id {
-    Id { name: name.into(), disk }
+pub fn id(name: &str, disk: u64) -> NodeId {
+    NodeId { name: name.into(), disk_id: disk }
 }
 
 /// A member with its disk; all that it saves is there at once.
 #[derive(Clone)]
 pub struct Member {
-    pub id: Id,
-    pub disk: Stored,
+    pub id: NodeId,
+    pub disk: PersistedState,
     /// None while it is down.
-    pub core: Option<Core>,
+    pub core: Option<RaftNode>,
     pub now: Time,
     /// What it has applied, as a book would hold it.
     pub state: Vec<u8>,
-    pub applied: Place,
+    pub applied: LogIndex,
 }
 
 impl Member {
     /// One with an empty disk.
-    pub fn new(id: Id, now: Time, seed: u64, defect: Option<Defect>) -> Self {
-        let disk = Stored::default();
+    pub fn new(id: NodeId, now: Time, seed: u64, defect: Option<Defect>) -> Self {
+        let disk = PersistedState::default();
         let mut member = Member { id, disk, core: None, now, state: Vec::new(), applied: 0 };
         member.start(seed, defect);
         member
@@ -40,12 +41,12 @@
 
     /// Begins with what is on the disk.
     pub fn start(&mut self, seed: u64, defect: Option<Defect>) {
-        let mut core = Core::new(self.id.clone(), self.disk.clone(), seed, self.now);
+        let mut core = RaftNode::new(self.id.clone(), self.disk.clone(), seed, self.now);
         core.plant(defect);
-        let (place, state) = core.start();
+        let (place, state) = core.snapshot_state();
         (self.applied, self.state) = (place, state.to_vec());
-        for output in core.known() {
-            if let Output::Apply { place, word, .. } = output {
+        for output in core.committed_outputs() {
+            if let Output::Apply { index: place, command: word, .. } = output {
                 self.apply(place, &word);
             }
         }
@@ -53,13 +54,13 @@
     }
 
     /// The state is the latest word, behind how many there were.
-    fn apply(&mut self, place: Place, word: &[u8]) {
+    fn apply(&mut self, place: LogIndex, word: &[u8]) {
         self.applied = place;
         self.state = word.to_vec();
     }
 
     pub fn is_leader(&self) -> bool {
-        self.core.as_ref().is_some_and(Core::is_holder)
+        self.core.as_ref().is_some_and(RaftNode::is_leader)
     }
 
     /// One input; what it says to others, and what it has applied.
@@ -71,12 +72,12 @@
         let (mut said, mut done) = (Vec::new(), Vec::new());
         for output in out {
             match output {
-                Output::Save(save) => saved(&mut self.disk, &save),
+                Output::Persist(save) => saved(&mut self.disk, &save),
                 Output::Send(message) => said.push(message),
                 other => {
                     match &other {
-                        Output::Apply { place, word, .. } => self.apply(*place, word),
-                        Output::Install { place, state } => {
+                        Output::Apply { index: place, command: word, .. } => self.apply(*place, word),
+                        Output::InstallSnapshot { index: place, state } => {
                             (self.applied, self.state) = (*place, state.clone());
                         }
                         _ => {}
@@ -86,14 +87,14 @@
             }
         }
         if let Some(core) = &self.core {
-            self.disk.agreed = core.agreed();
+            self.disk.commit_index = core.commit_index();
         }
         (said, done)
     }
 
     /// Folds the log into the state if it has so many entries.
     pub fn fold(&mut self, most: usize) {
-        let Some(core) = self.core.as_mut().filter(|c| c.entries() > most) else { return };
+        let Some(core) = self.core.as_mut().filter(|c| c.entry_count() > most) else { return };
         if let Some(save) = core.compact(self.applied, self.state.clone()) {
             saved(&mut self.disk, &save);
         }
@@ -108,25 +109,25 @@
     }
 
     /// What its log says there.
-    pub fn entry(&self, place: Place) -> Option<&Entry> {
-        let at = place.checked_sub(self.disk.snapshot.place + 1)?;
+    pub fn entry(&self, place: LogIndex) -> Option<&Entry> {
+        let at = place.checked_sub(self.disk.snapshot.index + 1)?;
         self.disk.entries.get(at as usize)
     }
 
-    pub fn last(&self) -> Place {
-        self.disk.snapshot.place + self.disk.entries.len() as Place
+    pub fn last(&self) -> LogIndex {
+        self.disk.snapshot.index + self.disk.entries.len() as LogIndex
     }
 }
 
-fn saved(disk: &mut Stored, save: &Save) {
+fn saved(disk: &mut PersistedState, save: &Persist) {
     match save {
-        Save::Term { term, vote } => (disk.term, disk.vote) = (*term, vote.clone()),
-        Save::Entries { from, entries } => {
-            disk.entries.truncate(from.saturating_sub(disk.snapshot.place + 1) as usize);
+        Persist::HardState { term, vote } => (disk.term, disk.vote) = (*term, vote.clone()),
+        Persist::Entries { from, entries } => {
+            disk.entries.truncate(from.saturating_sub(disk.snapshot.index + 1) as usize);
             disk.entries.extend(entries.iter().cloned());
         }
-        Save::Snapshot { snapshot, whole } => {
-            let behind = snapshot.place.saturating_sub(disk.snapshot.place) as usize;
+        Persist::Snapshot { snapshot, replaces_log: whole } => {
+            let behind = snapshot.index.saturating_sub(disk.snapshot.index) as usize;
             let kept = if *whole || behind > disk.entries.len() {
                 Vec::new()
             } else {
@@ -143,50 +144,50 @@
     /// Two led in one term.
     TwoLeaders(Term),
     /// Two logs hold another entry of the same term at the same place.
-    LogMatching(Place),
+    LogMatching(LogIndex),
     /// What was applied here was applied otherwise elsewhere.
-    Undone(Place),
+    Undone(LogIndex),
     /// Whoever leads lacks what was agreed on.
-    Incomplete(Place),
+    Incomplete(LogIndex),
     /// After a change of the voters fewer losses are borne than before.
-    BearsLess(Place),
+    BearsLess(LogIndex),
 }
 
 /// What was seen by now.
 #[derive(Clone, Debug, Default, Hash)]
 pub struct Seen {
-    leaders: BTreeMap<Term, Id>,
-    applied: BTreeMap<Place, (Term, Vec<u8>)>,
+    leaders: BTreeMap<Term, NodeId>,
+    applied: BTreeMap<LogIndex, (Term, Vec<u8>)>,
 }
 
 impl Seen {
     /// The latest place that was applied anywhere.
-    pub fn newest(&self) -> Place {
+    pub fn newest(&self) -> LogIndex {
         self.applied.last_key_value().map_or(0, |(place, _)| *place)
     }
 
     /// Whether a member's step brings anything that was not seen before.
     pub fn is_new(&self, member: &Member, done: &[Output]) -> bool {
-        let leads = |core: &Core| core.is_holder() && !self.leaders.contains_key(&core.term());
+        let leads = |core: &RaftNode| core.is_leader() && !self.leaders.contains_key(&core.term());
         member.core.as_ref().is_some_and(leads) || done.iter().any(|o| matches!(o, Output::Apply { .. }))
     }
 
     /// Takes in what a member has done.
     pub fn step(&mut self, member: &Member, done: &[Output]) -> Result<(), Broken> {
         for output in done {
-            if let Output::Apply { place, term, word } = output {
+            if let Output::Apply { index: place, term, command: word } = output {
                 let there = self.applied.entry(*place).or_insert((*term, word.clone()));
                 if (there.0, &there.1) != (*term, word) {
                     return Err(Broken::Undone(*place));
                 }
             }
         }
-        let Some(core) = member.core.as_ref().filter(|c| c.is_holder()) else { return Ok(()) };
+        let Some(core) = member.core.as_ref().filter(|c| c.is_leader()) else { return Ok(()) };
         self.leaders.entry(core.term()).or_insert(core.id().clone());
         for (place, (term, word)) in &self.applied {
             let has = match member.entry(*place) {
-                Some(entry) => entry.term == *term && entry.said == Said::Word(word.clone()),
-                None => *place <= member.disk.snapshot.place,
+                Some(entry) => entry.term == *term && entry.payload == EntryPayload::Command(word.clone()),
+                None => *place <= member.disk.snapshot.index,
             };
             // One that led before and does not know yet that it is over may lack the newest.
             let newer = self.leaders.last_key_value().is_some_and(|(t, _)| *t > core.term());
@@ -198,26 +199,31 @@
     }
 
     /// Looks at a member that has just taken a step; `before`: how its log ended.
-    pub fn look<M: Borrow<Member>>(&self, members: &[M], n: usize, before: Place) -> Result<(), Broken> {
+    pub fn look<M: Borrow<Member>>(&self, members: &[M], n: usize, before: LogIndex) -> Result<(), Broken> {
         let member: &Member = members[n].borrow();
         let Some(core) = &member.core else { return Ok(()) };
-        if core.is_holder() {
+        if core.is_leader() {
             if self.leaders.get(&core.term()).is_some_and(|leader| leader != core.id()) {
                 return Err(Broken::TwoLeaders(core.term()));
             }
             for place in before + 1..=member.last() {
-                if let Some(Entry { said: Said::Joint { old, new }, .. }) = member.entry(place) {
+                if let Some(Entry { payload: EntryPayload::JointConfiguration { old, new }, .. }) =
+                    member.entry(place)
+                {
                     bears(members, core, old, new).then_some(()).ok_or(Broken::BearsLess(place))?;
                 }
-                let plain = matches!(member.entry(place), Some(Entry { said: Said::Members(_), .. }));
-                let was = (1..place).rev().find_map(|p| match &member.entry(p)?.said {
-                    Said::Members(old) => Some((old.clone(), false)),
-                    Said::Joint { old, .. } => Some((old.clone(), true)),
+                let plain = matches!(
+                    member.entry(place),
+                    Some(Entry { payload: EntryPayload::Configuration(_), .. })
+                );
+                let was = (1..place).rev().find_map(|p| match &member.entry(p)?.payload {
+                    EntryPayload::Configuration(old) => Some((old.clone(), false)),
+                    EntryPayload::JointConfiguration { old, .. } => Some((old.clone(), true)),
                     _ => None,
                 });
-                let was = was.unwrap_or_else(|| (member.disk.snapshot.members.clone(), false));
+                let was = was.unwrap_or_else(|| (member.disk.snapshot.voters.clone(), false));
                 if let (true, (old, false)) = (plain, was) {
-                    bears(members, core, &old, core.members())
+                    bears(members, core, &old, core.voters())
                         .then_some(())
                         .ok_or(Broken::BearsLess(place))?;
                 }
@@ -225,7 +231,7 @@
         }
         for (_, other) in members.iter().enumerate().filter(|(m, _)| *m != n) {
             let other: &Member = other.borrow();
-            let from = member.disk.snapshot.place.max(other.disk.snapshot.place) + 1;
+            let from = member.disk.snapshot.index.max(other.disk.snapshot.index) + 1;
             let to = member.last().min(other.last());
             for place in (from..=to).rev() {
                 let (Some(a), Some(b)) = (member.entry(place), other.entry(place)) else { continue };
@@ -240,14 +246,14 @@
 
 /// Whether the new voters bear as many losses as the old: there are as many or more by the majority, and all that are new
 /// among them hold what is agreed on.
-fn bears<M: Borrow<Member>>(members: &[M], core: &Core, old: &Members, new: &Members) -> bool {
+fn bears<M: Borrow<Member>>(members: &[M], core: &RaftNode, old: &VoterSet, new: &VoterSet) -> bool {
     let holds = |(name, disk): (&String, &u64)| {
-        let place = core.agreed();
+        let place = core.commit_index();
         members.iter().map(Borrow::borrow).any(|m: &Member| {
-            m.id.name == *name && m.id.disk == *disk && m.disk.agreed.max(m.last()) >= place
+            m.id.name == *name && m.id.disk_id == *disk && m.disk.commit_index.max(m.last()) >= place
         })
     };
     let fresh = new.iter().filter(|(name, disk)| old.get(*name) != Some(*disk));
-    let spare = |set: &Members| (set.len() - 1) / 2;
+    let spare = |set: &VoterSet| (set.len() - 1) / 2;
     fresh.clone().all(holds) && spare(new) >= spare(old)
 }
--- a/crates/control/consensus/tests/common/net.rs
+++ b/crates/control/consensus/tests/common/net.rs
@@ -1,7 +1,7 @@
 //! Members on a simulated network with clocks: delays, bandwidth, cuts, and knocks twice a second.
 
 use super::{id, Member, Seen, MS};
-use consensus::{Body, Id, Input, Members, Message, Output, Time};
+use consensus::{Input, Message, MessageBody, NodeId, Output, Time, VoterSet};
 use fastrand::Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -33,14 +33,14 @@
 
 fn bytes(message: &Message) -> u64 {
     60 + match &message.body {
-        Body::Append { entries, .. } => entries
+        MessageBody::AppendEntries { entries, .. } => entries
             .iter()
-            .map(|e| match &e.said {
-                consensus::Said::Word(word) => word.len() as u64 + 16,
+            .map(|e| match &e.payload {
+                consensus::EntryPayload::Command(word) => word.len() as u64 + 16,
                 _ => 64,
             })
             .sum(),
-        Body::Part { bytes, .. } => bytes.len() as u64,
+        MessageBody::Chunk { bytes, .. } => bytes.len() as u64,
         _ => 0,
     }
 }
@@ -70,9 +70,9 @@
     pub fn founded(seed: u64, names: &[&str]) -> Self {
         let mut net = Net::empty(seed);
         names.iter().for_each(|name| net.join(name));
-        let members: Members = net.members.iter().map(|m| (m.id.name.clone(), m.id.disk)).collect();
+        let members: VoterSet = net.members.iter().map(|m| (m.id.name.clone(), m.id.disk_id)).collect();
         for n in 0..names.len() {
-            net.take(n, Input::Found { members: members.clone() });
+            net.take(n, Input::Bootstrap { voters: members.clone() });
         }
         net.run(3_000);
         net
@@ -109,7 +109,7 @@
     pub fn terminate(&mut self, name: &str) {
         for _ in 0..10 {
             let n = self.at(name);
-            self.take(n, Input::HandOver);
+            self.take(n, Input::Shutdown);
             self.run(100);
         }
         self.stop(name);
@@ -136,7 +136,7 @@
 
     /// Who votes by the leader's word.
     pub fn voters(&self) -> String {
-        let voters = self.leader().and_then(|l| l.core.as_ref()).map(|c| c.members().keys().cloned());
+        let voters = self.leader().and_then(|l| l.core.as_ref()).map(|c| c.voters().keys().cloned());
         voters.map(|v| v.collect::<Vec<_>>().join(" ")).unwrap_or_default()
     }
 
@@ -208,17 +208,18 @@
         self.next += 1;
         let mut word = vec![0; self.size];
         word[..8].copy_from_slice(&self.next.to_be_bytes());
-        self.take(n, Input::Propose { tag: 0, word });
+        self.take(n, Input::Propose { tag: 0, command: word });
     }
 
     fn knocks(&mut self) {
-        let up: Vec<Id> = self.members.iter().filter(|m| m.core.is_some()).map(|m| m.id.clone()).collect();
+        let up: Vec<NodeId> =
+            self.members.iter().filter(|m| m.core.is_some()).map(|m| m.id.clone()).collect();
         for from in &up {
             for to in &up {
                 let link = (from.name.clone(), to.name.clone());
                 if from.name != to.name && !self.cuts.contains(&link) {
                     let n = self.at(&to.name);
-                    self.take(n, Input::Knock { id: from.clone(), votes: true });
+                    self.take(n, Input::Join { id: from.clone(), wants_vote: true });
                 }
             }
         }
--- a/crates/control/consensus/tests/disk.rs
+++ b/crates/control/consensus/tests/disk.rs
@@ -1,6 +1,6 @@
 //! A voter whose disk does not save: it promises nothing, hands its duty on, and goes on hearing what is agreed on.
 
-use consensus::{Core, Id, Input, Members, Output, Place, Stored, Time};
+use consensus::{Input, LogIndex, NodeId, Output, PersistedState, RaftNode, Time, VoterSet};
 use std::collections::VecDeque;
 
 const MS: Time = 1_000_000;
@@ -9,26 +9,26 @@
 /// Three voters, messages without delay, disks that save at once or not at all.
 struct Three {
     now: Time,
-    cores: Vec<Core>,
+    cores: Vec<RaftNode>,
     /// The last that came to each disk.
-    disks: Vec<Stored>,
+    disks: Vec<PersistedState>,
     broken: Vec<bool>,
-    applied: Vec<Vec<(Place, Vec<u8>)>>,
+    applied: Vec<Vec<(LogIndex, Vec<u8>)>>,
     /// Messages of these reach nobody.
     cut: Vec<bool>,
 }
 
-fn id(n: usize) -> Id {
-    Id { name: n.to_string(), disk: n as u64 + 1 }
+fn id(n: usize) -> NodeId {
+    NodeId { name: n.to_string(), disk_id: n as u64 + 1 }
 }
 
 impl Three {
     fn new() -> Self {
-        let members: Members = (0..3).map(|n| (id(n).name, id(n).disk)).collect();
-        let cores = (0..3).map(|n| Core::new(id(n), Stored::default(), n as u64, 0)).collect();
-        let (disks, applied) = (vec![Stored::default(); 3], vec![Vec::new(); 3]);
+        let members: VoterSet = (0..3).map(|n| (id(n).name, id(n).disk_id)).collect();
+        let cores = (0..3).map(|n| RaftNode::new(id(n), PersistedState::default(), n as u64, 0)).collect();
+        let (disks, applied) = (vec![PersistedState::default(); 3], vec![Vec::new(); 3]);
         let mut three = Three { now: 0, cores, disks, broken: vec![false; 3], applied, cut: vec![false; 3] };
-        three.give(0, Input::Found { members });
+        three.give(0, Input::Bootstrap { voters: members });
         three.run(2000 * MS);
         three
     }
@@ -38,9 +38,9 @@
         while let Some((n, input)) = queue.pop_front() {
             let mut outputs = Vec::new();
             self.cores[n].handle(self.now, input, &mut outputs);
-            let saves = outputs.iter().any(|o| matches!(o, Output::Save(_)));
+            let saves = outputs.iter().any(|o| matches!(o, Output::Persist(_)));
             if saves && !self.broken[n] {
-                self.disks[n] = self.cores[n].stored();
+                self.disks[n] = self.cores[n].persisted_state();
             }
             for output in outputs {
                 match output {
@@ -50,7 +50,7 @@
                             queue.push_back((to, Input::Message(m)));
                         }
                     }
-                    Output::Apply { place, word, .. } => self.applied[n].push((place, word)),
+                    Output::Apply { index: place, command: word, .. } => self.applied[n].push((place, word)),
                     _ => {}
                 }
             }
@@ -70,25 +70,25 @@
     }
 
     fn leader(&self) -> usize {
-        let leaders: Vec<usize> = (0..3).filter(|n| self.cores[*n].is_holder()).collect();
+        let leaders: Vec<usize> = (0..3).filter(|n| self.cores[*n].is_leader()).collect();
         assert_eq!(leaders.len(), 1, "{leaders:?} lead");
         leaders[0]
     }
 
     fn breaks(&mut self, n: usize) {
         self.broken[n] = true;
-        self.give(n, Input::Disk { works: false });
+        self.give(n, Input::StorageHealth { healthy: false });
     }
 
     fn mends(&mut self, n: usize) {
         self.broken[n] = false;
-        self.disks[n] = self.cores[n].stored();
-        self.give(n, Input::Disk { works: true });
+        self.disks[n] = self.cores[n].persisted_state();
+        self.give(n, Input::StorageHealth { healthy: true });
     }
 
     fn propose(&mut self, word: &[u8]) {
         let leader = self.leader();
-        self.give(leader, Input::Propose { tag: 1, word: word.to_vec() });
+        self.give(leader, Input::Propose { tag: 1, command: word.to_vec() });
     }
 
     fn has(&self, n: usize, word: &[u8]) -> bool {
@@ -96,7 +96,7 @@
     }
 
     fn kills_and_starts(&mut self, n: usize) {
-        self.cores[n] = Core::new(id(n), self.disks[n].clone(), 9, self.now);
+        self.cores[n] = RaftNode::new(id(n), self.disks[n].clone(), 9, self.now);
         self.applied[n].clear();
         self.broken[n] = false;
     }
@@ -134,7 +134,7 @@
     three.breaks(one);
     three.cut[leader] = true;
     three.run(5000 * MS);
-    let leads = |three: &Three, n: usize| three.cores[n].is_holder();
+    let leads = |three: &Three, n: usize| three.cores[n].is_leader();
     assert!(!leads(&three, one) && !leads(&three, other), "the third needs a vote that can be kept");
     three.mends(one);
     three.run(3000 * MS);
@@ -169,8 +169,8 @@
 impl Three {
     /// There may be a leader that is cut off beside the one that this one believes in.
     fn propose_to_whom_leads(&mut self, word: &[u8], believes: usize) {
-        let leader: usize = self.cores[believes].holder().unwrap().name.parse().unwrap();
-        self.give(leader, Input::Propose { tag: 1, word: word.to_vec() });
+        let leader: usize = self.cores[believes].leader().unwrap().name.parse().unwrap();
+        self.give(leader, Input::Propose { tag: 1, command: word.to_vec() });
     }
 }
 
--- a/crates/control/consensus/tests/founding.rs
+++ b/crates/control/consensus/tests/founding.rs
@@ -1,11 +1,11 @@
 //! Seeds agree on who votes at the first start, whatever is lost and whoever ends.
 
-use consensus::{Founding, FoundingSaid, Id, Members};
+use consensus::{Bootstrap, FoundingSaid, NodeId, VoterSet};
 use fastrand::Rng;
 use std::collections::BTreeSet;
 
-fn id(name: &str) -> Id {
-    Id { name: name.into(), disk: 1 }
+fn id(name: &str) -> NodeId {
+    NodeId { name: name.into(), disk_id: 1 }
 }
 
 #[test]
@@ -14,18 +14,18 @@
     let mut ends = 0;
     for seed in 0..3000 {
         let mut rng = Rng::with_seed(seed);
-        let new = |name: &str| Some(Founding::new(name, names.map(String::from)));
+        let new = |name: &str| Some(Bootstrap::new(name, names.map(String::from)));
         let mut seeds = names.map(new);
         let mut under_way: Vec<(usize, String, FoundingSaid)> = Vec::new();
-        let mut agreed: BTreeSet<Members> = BTreeSet::new();
+        let mut agreed: BTreeSet<VoterSet> = BTreeSet::new();
         let mut left = 2;
         for _ in 0..120 {
             let n = rng.usize(..3);
             let said = if rng.u8(..12) == 0 {
                 // Each has heard of others.
-                let mut members = Members::from([(names[n].to_string(), 1)]);
+                let mut members = VoterSet::from([(names[n].to_string(), 1)]);
                 members.extend((rng.bool()).then(|| (format!("x{}", rng.u8(..3)), 2)));
-                seeds[n].as_mut().map(|s| s.stand(members))
+                seeds[n].as_mut().map(|s| s.propose(members))
             } else if rng.u16(..200) == 0 && left > 1 {
                 // It ends, and begins again as nobody's seed.
                 left -= 1;
@@ -39,7 +39,8 @@
                 }
                 let to = names.iter().position(|name| *name == to).expect("a seed");
                 let lost = rng.u8(..8) == 0;
-                let answers = seeds[to].as_mut().filter(|_| !lost).map(|s| s.hear(&id(names[from]), what));
+                let answers =
+                    seeds[to].as_mut().filter(|_| !lost).map(|s| s.on_message(&id(names[from]), what));
                 answers.map(|a| {
                     under_way.extend(a.into_iter().map(|(back, said)| (to, back, said)));
                     Vec::new()
@@ -48,7 +49,7 @@
                 None
             };
             under_way.extend(said.into_iter().flatten().map(|(to, what)| (n, to, what)));
-            agreed.extend(seeds.iter().flatten().filter_map(|s| s.agreed().cloned()));
+            agreed.extend(seeds.iter().flatten().filter_map(|s| s.chosen().cloned()));
             assert!(agreed.len() < 2, "seed {seed}: {agreed:?}");
         }
         ends += agreed.len();
@@ -58,19 +59,19 @@
 
 #[test]
 fn a_strangers_word_counts_for_nothing_and_one_seed_alone_founds() {
-    let mut alone = Founding::new("a", ["a".to_string()]);
-    let members = Members::from([("a".to_string(), 1)]);
-    assert!(alone.stand(members.clone()).is_empty());
-    assert_eq!(alone.agreed(), Some(&members));
-    let mut one = Founding::new("a", ["a", "b", "c"].map(String::from));
-    let said = one.stand(members);
+    let mut alone = Bootstrap::new("a", ["a".to_string()]);
+    let members = VoterSet::from([("a".to_string(), 1)]);
+    assert!(alone.propose(members.clone()).is_empty());
+    assert_eq!(alone.chosen(), Some(&members));
+    let mut one = Bootstrap::new("a", ["a", "b", "c"].map(String::from));
+    let said = one.propose(members);
     assert_eq!(said.len(), 2);
     let Some((_, FoundingSaid::Prepare { ballot })) = said.into_iter().next() else { panic!("it prepares") };
     let promise = FoundingSaid::Promise { ballot: ballot.clone(), accepted: None };
-    assert!(one.hear(&id("x"), promise.clone()).is_empty());
-    assert!(!one.hear(&id("b"), promise).is_empty());
-    one.hear(&id("x"), FoundingSaid::Accepted { ballot: ballot.clone() });
-    assert_eq!(one.agreed(), None);
-    one.hear(&id("c"), FoundingSaid::Accepted { ballot });
-    assert!(one.agreed().is_some());
+    assert!(one.on_message(&id("x"), promise.clone()).is_empty());
+    assert!(!one.on_message(&id("b"), promise).is_empty());
+    one.on_message(&id("x"), FoundingSaid::Accepted { ballot: ballot.clone() });
+    assert_eq!(one.chosen(), None);
+    one.on_message(&id("c"), FoundingSaid::Accepted { ballot });
+    assert!(one.chosen().is_some());
 }
--- a/crates/control/consensus/tests/replace.rs
+++ b/crates/control/consensus/tests/replace.rs
@@ -111,17 +111,17 @@
     let wiped = NAMES.into_iter().find(|n| *n != leader).expect("there are three");
     // Another id that says it has a name which is in use.
     let mut foreign = net.member(wiped).id.clone();
-    foreign.disk += 500;
+    foreign.disk_id += 500;
     for _ in 0..20 {
         let n = net.at(&leader);
-        net.take(n, Input::Knock { id: foreign.clone(), votes: true });
+        net.take(n, Input::Join { id: foreign.clone(), wants_vote: true });
         net.run(200);
     }
-    let disk = net.member(wiped).id.disk;
-    let voter = |net: &Net| net.leader().and_then(|l| l.core.as_ref()?.members().get(wiped).copied());
+    let disk = net.member(wiped).id.disk_id;
+    let voter = |net: &Net| net.leader().and_then(|l| l.core.as_ref()?.voters().get(wiped).copied());
     assert_eq!(voter(&net), Some(disk));
     net.join(wiped);
-    let disk = net.member(wiped).id.disk;
+    let disk = net.member(wiped).id.disk_id;
     net.run(2_000);
     assert_eq!(voter(&net), Some(disk));
     net.stop(&leader);
@@ -188,27 +188,29 @@
 fn a_founder_that_dies_at_once_leaves_others_who_found() {
     let mut net = Net::empty(9);
     NAMES.iter().for_each(|name| net.join(name));
-    let members: consensus::Members = net.members.iter().map(|m| (m.id.name.clone(), m.id.disk)).collect();
+    let members: consensus::VoterSet =
+        net.members.iter().map(|m| (m.id.name.clone(), m.id.disk_id)).collect();
     // The first by name dies before it hears that it is to found, and is back much later with what it had: nothing.
     net.stop("a");
     for n in 1..3 {
-        net.take(n, Input::Found { members: members.clone() });
+        net.take(n, Input::Bootstrap { voters: members.clone() });
     }
     net.run(3_000);
     assert!(net.agrees_within(1_000));
     net.start("a");
     net.run(1_000);
-    assert!(net.member("a").core.as_ref().is_some_and(consensus::Core::is_member));
+    assert!(net.member("a").core.as_ref().is_some_and(consensus::RaftNode::is_voter));
     // One that has only voted when it is told founds as well: whom it voted for may be gone for good.
     let mut net = Net::empty(10);
     NAMES.iter().for_each(|name| net.join(name));
-    let members: consensus::Members = net.members.iter().map(|m| (m.id.name.clone(), m.id.disk)).collect();
-    net.take(0, Input::Found { members: members.clone() });
+    let members: consensus::VoterSet =
+        net.members.iter().map(|m| (m.id.name.clone(), m.id.disk_id)).collect();
+    net.take(0, Input::Bootstrap { voters: members.clone() });
     net.run(10);
     net.stop("a");
     net.run(1_000);
     for n in 1..3 {
-        net.take(n, Input::Found { members: members.clone() });
+        net.take(n, Input::Bootstrap { voters: members.clone() });
     }
     net.run(3_000);
     assert!(net.agrees_within(1_000));
--- a/crates/control/consensus/tests/slow.rs
+++ b/crates/control/consensus/tests/slow.rs
@@ -47,7 +47,7 @@
     while net.member(&back).applied < target && took < 10_000 {
         net.run(10);
         took += 10;
-        let heard = net.member(&back).core.as_ref().and_then(|c| c.in_touch()).unwrap_or(net.now);
+        let heard = net.member(&back).core.as_ref().and_then(|c| c.last_quorum_contact()).unwrap_or(net.now);
         unheard = unheard.max((net.now - heard) / MS);
     }
     let sent = net.sent[&back];
@@ -101,7 +101,8 @@
     let mut unheard = 0;
     for _ in 0..450 {
         net.run(10);
-        let heard = net.member(&behind).core.as_ref().and_then(|c| c.in_touch()).expect("it has heard");
+        let heard =
+            net.member(&behind).core.as_ref().and_then(|c| c.last_quorum_contact()).expect("it has heard");
         unheard = unheard.max((net.now - heard) / MS);
     }
     assert!(net.member(&behind).applied >= net.seen.newest());
@@ -150,33 +151,33 @@
 
 #[test]
 fn what_makes_no_sense_is_taken_for_nothing() {
-    use consensus::{Body, Id, Message, Whole};
+    use consensus::{Message, MessageBody, NodeId, TransferContent};
     let mut net = Net::founded(4, &["a", "b", "c"]);
     let (other, leader) = pair(&net);
     let (n, term) = (net.at(&other), net.term());
     let from = net.member(&leader).id.clone();
     let to = net.member(&other).id.clone();
     let state = |at: u64, size: u64, bytes: Vec<u8>| {
-        let whole = Whole::Snapshot { place: 99, term, members: consensus::Members::new() };
-        Body::Part { whole, size, at, bytes, round: 0 }
+        let whole = TransferContent::Snapshot { index: 99, term, voters: consensus::VoterSet::new() };
+        MessageBody::Chunk { content: whole, size, offset: at, bytes, round: 0 }
     };
     let said = [
         state(0, u64::MAX, vec![0; 10]),
         state(u64::MAX, 100, vec![0; 10]),
         state(50, 100, vec![0; 10]),
-        Body::Part {
-            whole: Whole::Word { before: (50, 9), term },
+        MessageBody::Chunk {
+            content: TransferContent::Entry { previous: (50, 9), term },
             size: 10,
-            at: 0,
+            offset: 0,
             bytes: vec![0; 10],
             round: 0,
         },
-        Body::Got { place: 7, up_to: u64::MAX, round: 3 },
-        Body::Leave,
+        MessageBody::ChunkReceived { index: 7, received: u64::MAX, round: 3 },
+        MessageBody::LeaveRequest,
     ];
     for body in said {
         net.take(n, Input::Message(Message { from: from.clone(), to: to.clone(), term, body: body.clone() }));
-        let stranger = Id { name: "x".into(), disk: 1 };
+        let stranger = NodeId { name: "x".into(), disk_id: 1 };
         let at = net.at(&leader);
         let to = net.member(&leader).id.clone();
         net.take(at, Input::Message(Message { from: stranger, to, term: 0, body }));
--- a/crates/control/consensus/tests/small.rs
+++ b/crates/control/consensus/tests/small.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::{id, Broken, Member, Seen, MS};
-use consensus::{Body, Defect, Id, Input, Members, Message};
+use consensus::{Defect, Input, Message, MessageBody, NodeId, VoterSet};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -65,11 +65,11 @@
 fn line(message: Message) -> Line {
     let mut plain = message.clone();
     match &mut plain.body {
-        Body::Append { round, .. }
-        | Body::Took { round, .. }
-        | Body::Missed { round, .. }
-        | Body::Part { round, .. }
-        | Body::Got { round, .. } => *round = 0,
+        MessageBody::AppendEntries { round, .. }
+        | MessageBody::AppendAccepted { round, .. }
+        | MessageBody::AppendRejected { round, .. }
+        | MessageBody::Chunk { round, .. }
+        | MessageBody::ChunkReceived { round, .. } => *round = 0,
         _ => {}
     }
     (digest(&plain), Arc::new(message))
@@ -91,9 +91,9 @@
             wiped_votes: false,
             stand: &[0, 1, 2, 3],
         };
-        let voters: Members = (0..3).map(|n| (names[n].to_string(), n as u64 + 1)).collect();
+        let voters: VoterSet = (0..3).map(|n| (names[n].to_string(), n as u64 + 1)).collect();
         for n in 0..3 {
-            world.take(n, Input::Found { members: voters.clone() }).expect("nothing is wrong yet");
+            world.take(n, Input::Bootstrap { voters: voters.clone() }).expect("nothing is wrong yet");
         }
         while let Some((from, to)) = world.links.keys().next().copied() {
             world.go(&Step::Deliver(from, to, true)).expect("nothing is wrong yet");
@@ -128,7 +128,10 @@
         for message in said {
             let is_answer = matches!(
                 message.body,
-                Body::Took { .. } | Body::Missed { .. } | Body::Got { .. } | Body::Vote { .. }
+                MessageBody::AppendAccepted { .. }
+                    | MessageBody::AppendRejected { .. }
+                    | MessageBody::ChunkReceived { .. }
+                    | MessageBody::VoteResponse { .. }
             );
             if is_answer {
                 answers.push(message);
@@ -160,21 +163,20 @@
         for ((from, to), lines) in &self.links {
             steps.push(Step::Deliver(*from, *to, true));
             // Whether a pulse is answered tells of times alone.
-            let is_pulse =
-                |m: &Message| matches!(&m.body, Body::Append { entries, .. } if entries.is_empty());
+            let is_pulse = |m: &Message| matches!(&m.body, MessageBody::AppendEntries { entries, .. } if entries.is_empty());
             if !lines.iter().all(|(_, m)| is_pulse(m)) {
                 steps.push(Step::Deliver(*from, *to, false));
             }
         }
         for (n, member) in self.members.iter().enumerate() {
             let Some(core) = &member.core else { continue };
-            let voter = core.members().get(&member.id.name) == Some(&member.id.disk);
-            if core.is_holder() {
+            let voter = core.voters().get(&member.id.name) == Some(&member.id.disk_id);
+            if core.is_leader() {
                 steps.extend((left.changes > 0).then_some(Step::Propose(n)));
                 steps.extend((left.pulses > 0).then_some(Step::Pulse(n)));
                 for m in (0..self.members.len()).filter(|m| *m != n) {
                     let known =
-                        core.members().get(&self.members[m].id.name) == Some(&self.members[m].id.disk);
+                        core.voters().get(&self.members[m].id.name) == Some(&self.members[m].id.disk_id);
                     steps.extend((left.knocks > 0 && !known).then_some(Step::Knock(n, m)));
                     // The second and the third are alike.
                     steps.extend((left.leaves > 0 && known && m != 1).then_some(Step::Leave(n, m)));
@@ -204,31 +206,33 @@
                 self.left.elections -= 1;
                 let to = self.members[n].id.clone();
                 let term = self.members[n].core.as_ref().map_or(0, |c| c.term());
-                let from = Id { name: "-".into(), disk: 0 };
-                self.take(n, Input::Message(Message { from, to, term, body: Body::Named })).map(drop)
+                let from = NodeId { name: "-".into(), disk_id: 0 };
+                self.take(n, Input::Message(Message { from, to, term, body: MessageBody::TimeoutNow }))
+                    .map(drop)
             }
             Step::Propose(n) => {
                 self.left.changes -= 1;
                 let word = vec![self.left.changes];
-                self.take(n, Input::Propose { tag: 0, word }).map(drop)
+                self.take(n, Input::Propose { tag: 0, command: word }).map(drop)
             }
             Step::Knock(n, m) => {
                 self.left.knocks -= 1;
                 let id = self.members[m].id.clone();
-                self.take(n, Input::Knock { id, votes: true })?;
+                self.take(n, Input::Join { id, wants_vote: true })?;
                 self.pulse(n)
             }
             Step::Leave(n, m) => {
                 self.left.leaves -= 1;
                 let (from, to) = (self.members[m].id.clone(), self.members[n].id.clone());
                 let term = self.members[n].core.as_ref().map_or(0, |c| c.term());
-                self.take(n, Input::Message(Message { from, to, term, body: Body::Leave })).map(drop)
+                self.take(n, Input::Message(Message { from, to, term, body: MessageBody::LeaveRequest }))
+                    .map(drop)
             }
             Step::Wipe(n) => {
                 self.left.wipes -= 1;
                 let (mut new, now) = (self.members[n].id.clone(), self.members[n].now);
                 if !self.wiped_votes {
-                    new.disk += 10;
+                    new.disk_id += 10;
                 }
                 let defect = None;
                 self.members[n] = Arc::new(Member::new(new, now, 9, defect));
@@ -253,7 +257,7 @@
 
     /// The clocks of a leader go on by a round, others' stand still.
     fn pulse(&mut self, n: usize) -> Result<(), Broken> {
-        Arc::make_mut(&mut self.members[n]).now += consensus::PULSE;
+        Arc::make_mut(&mut self.members[n]).now += consensus::HEARTBEAT_INTERVAL;
         self.take(n, Input::Tick).map(drop)
     }
 
--- a/crates/control/control-node/src/board.rs
+++ b/crates/control/control-node/src/board.rs
@@ -1,117 +1,122 @@
 //! The agreed book, and news of it and of the cell for those who follow.
 
-use crate::{Defect, Effect, Prompter};
-use change_log::Board;
-use control_state::{Applied, Book, Configuration, Place, Steps, Word};
-use messages::message::{Change, Down, Scene};
+use crate::{ControlNode, Defect, Effect};
+use change_log::ChangeLog;
+use control_state::{Applied, Command, CommittedConfiguration, ControlState, DeltaHistory, LogIndex};
+use messages::message::{FleetChange, FleetSnapshot, GatewayUpdate};
 use std::sync::Arc;
 
 /// Changes that a follower may be behind without a scene.
-const CHANGES: usize = 1024;
+const MAX_CHANGES: usize = 1024;
 
 /// What followers are told from.
 #[derive(Debug)]
-pub(crate) struct News {
-    board: Board<Change>,
+pub(crate) struct ChangeFeed {
+    log: ChangeLog<FleetChange>,
     /// Lives of the board in this process.
-    lives: u64,
+    incarnation: u64,
     /// How followers come from one configuration to the next.
-    pub steps: Steps,
+    pub deltas: DeltaHistory,
 }
 
-impl News {
+impl ChangeFeed {
     pub fn new(seed: u64) -> Self {
-        News { board: Board::new(seed, CHANGES), lives: seed, steps: Steps::default() }
+        ChangeFeed {
+            log: ChangeLog::new(seed, MAX_CHANGES),
+            incarnation: seed,
+            deltas: DeltaHistory::default(),
+        }
     }
 
-    pub fn end(&self) -> change_log::Place {
-        self.board.end()
+    pub fn end(&self) -> change_log::Offset {
+        self.log.end()
     }
 
     /// What came since; none if a scene is wanted.
-    pub fn since(&self, place: change_log::Place) -> Option<Vec<Change>> {
-        self.board.since(place).map(|c| c.cloned().collect())
+    pub fn since(&self, place: change_log::Offset) -> Option<Vec<FleetChange>> {
+        self.log.since(place).map(|c| c.cloned().collect())
     }
 }
 
-impl Prompter {
+impl ControlNode {
     /// Something that all who follow are to hear.
-    pub(crate) fn change(&mut self, change: Change) {
-        self.news.board.append(change);
-        self.effects.push(Effect::News);
+    pub(crate) fn publish(&mut self, change: FleetChange) {
+        self.change_feed.log.append(change);
+        self.effects.push(Effect::NotifySubscribers);
     }
 
     /// A word was agreed on.
-    pub(crate) fn apply(&mut self, place: Place, bytes: &[u8]) -> Applied {
-        self.contact.applied(place);
-        let Some(mut word) = Word::read(bytes) else {
+    pub(crate) fn apply_command(&mut self, place: LogIndex, bytes: &[u8]) -> Applied {
+        self.quorum_contact.on_applied(place);
+        let Some(mut word) = Command::decode(bytes) else {
             log::error!("agreed: the word at {place} is none of ours; it changes nothing");
-            return Applied::Same;
+            return Applied::Unchanged;
         };
         if self.has(Defect::BaseIgnored) {
-            if let Word::Configuration { base, .. } = &mut word {
-                *base = self.book.version();
+            if let Command::ReplaceConfiguration { base, .. } = &mut word {
+                *base = self.state.version();
             }
         }
-        let old = self.book.configuration().cloned();
-        let applied = self.book.apply(place, &word);
+        let old = self.state.configuration().cloned();
+        let applied = self.state.apply(place, &word);
         if applied == Applied::Changed {
             match word {
-                Word::Configuration { version, .. } | Word::Change { version, .. } => {
+                Command::ReplaceConfiguration { version, .. }
+                | Command::ConfigurationDelta { version, .. } => {
                     log::info!("agreed: configuration {version:08x} at {place}");
-                    self.went(old);
-                    self.effects.push(Effect::News);
+                    self.record_delta(old);
+                    self.effects.push(Effect::NotifySubscribers);
                 }
-                Word::Leaving { instance } => self.change(Change::Leaving(instance)),
-                Word::Gateway { .. } => {
-                    let all = self.book.gateways().iter().cloned().collect();
-                    self.change(Change::Gateways(all));
+                Command::Drain { instance } => self.publish(FleetChange::BackendDraining(instance)),
+                Command::AddGateway { .. } => {
+                    let all = self.state.gateways().iter().cloned().collect();
+                    self.publish(FleetChange::Gateways(all));
                 }
                 // Gateways hear of it with their rights.
-                Word::TrialOver { tenant, ends } => {
+                Command::ExpireTrial { tenant, ends_at: ends } => {
                     log::info!("agreed: the trial of {tenant} that ended at {ends} is over");
                 }
             }
         }
-        self.settle_drains();
+        self.complete_committed_drains();
         applied
     }
 
     /// Followers go from one configuration to the next.
-    fn went(&mut self, old: Option<Arc<Configuration>>) {
-        let new = self.book.configuration();
-        if let Some((old, new)) = old.zip(new).filter(|(old, new)| old.place != new.place) {
-            self.news.steps.went(&old, new);
+    fn record_delta(&mut self, old: Option<Arc<CommittedConfiguration>>) {
+        let new = self.state.configuration();
+        if let Some((old, new)) = old.zip(new).filter(|(old, new)| old.index != new.index) {
+            self.change_feed.deltas.record(&old, new);
         }
     }
 
     /// The book as a whole, as of this place of the log; followers get it as a scene.
-    pub(crate) fn replace_book(&mut self, place: Place, state: &[u8]) {
-        let Some(book) = Book::read(state) else {
+    pub(crate) fn replace_state(&mut self, place: LogIndex, state: &[u8]) {
+        let Some(book) = ControlState::decode(state) else {
             log::error!("agreed: a state that is none of ours; the old one stands");
             return;
         };
-        let old = std::mem::replace(&mut self.book, book);
-        self.went(old.configuration().cloned());
-        self.contact.applied(place);
-        self.news.lives = self.news.lives.wrapping_add(1);
-        self.news.board = Board::new(self.news.lives, CHANGES);
-        self.effects.push(Effect::News);
-        self.settle_drains();
+        let old = std::mem::replace(&mut self.state, book);
+        self.record_delta(old.configuration().cloned());
+        self.quorum_contact.on_applied(place);
+        self.change_feed.incarnation = self.change_feed.incarnation.wrapping_add(1);
+        self.change_feed.log = ChangeLog::new(self.change_feed.incarnation, MAX_CHANGES);
+        self.effects.push(Effect::NotifySubscribers);
+        self.complete_committed_drains();
     }
 
     /// All that is known.
-    pub(crate) fn scene(&self) -> (change_log::Place, Down) {
+    pub(crate) fn snapshot(&self) -> (change_log::Offset, GatewayUpdate) {
         // Of those who have ended nobody needs to hear, but a gateway may know of one from elsewhere.
         let leaving =
-            self.book.leaving().filter(|_| !self.has(Defect::SceneForgetsDrains)).cloned().collect();
-        let scene = Scene {
-            backends: self.cell.facts().cloned().collect(),
-            whole: self.cell.is_whole(self.now),
-            leaving,
-            gateways: self.book.gateways().iter().cloned().collect(),
+            self.state.draining().filter(|_| !self.has(Defect::SnapshotForgetsDrains)).cloned().collect();
+        let scene = FleetSnapshot {
+            backends: self.registry.heartbeats().cloned().collect(),
+            complete: self.registry.is_complete(self.now),
+            draining: leaving,
+            gateways: self.state.gateways().iter().cloned().collect(),
         };
-        let place = self.news.end();
-        (place, Down::Scene { place, scene: Box::new(scene) })
+        let place = self.change_feed.end();
+        (place, GatewayUpdate::Snapshot { offset: place, snapshot: Box::new(scene) })
     }
 }
--- a/crates/control/control-node/src/defect.rs
+++ b/crates/control/control-node/src/defect.rs
@@ -6,9 +6,9 @@
     /// Messages go out before what they rest on is on the disk.
     SendBeforeSync,
     /// Whoever leads answers reads without asking anybody.
-    ReadAlone,
+    ReadWithoutQuorum,
     /// A change is acknowledged when it is proposed.
-    AckBeforeAgreed,
+    AcknowledgeBeforeCommit,
     /// The leader lends for a second beyond its lease.
     LeasePastItsEnd,
     /// Two changes on one base are both taken.
@@ -16,41 +16,41 @@
     /// A drain is acknowledged before it is agreed on.
     DrainForgotten,
     /// A prompter that begins again votes at once, though it may have promised not to.
-    NoSilenceAfterStart,
+    VoteRightAfterRestart,
     /// The keeper lends the even parts of those that it does not hear.
-    EvenPartsLentToo,
+    FallbackSharesGranted,
     /// A trial is over when the leader's own clock says so.
-    HoldersClock,
+    LeadersClockAlone,
     /// A new keeper does not know whose trial is over.
-    OverForgotten,
+    ExpiredTrialsForgotten,
     /// A prompter that has lost the majority goes on telling gateways that it is in touch.
-    StaysInTouch,
+    ClaimsQuorumContact,
     /// To have heard the leader is taken for contact with a majority.
-    HearingIsTouch,
+    HeartbeatCountsAsContact,
     /// What rests on a save is said though the disk refused it.
-    SpeaksWithoutDisk,
+    SendWithoutStorage,
     /// Whoever is asked decides on an order by what it knows itself, without asking a majority.
-    DecidesAlone,
+    DecideWithoutQuorum,
     /// Only the newest order is known again when it is sent again.
-    OrderForgotten,
+    AppliedChangeForgotten,
     /// An order with a number that was taken is confirmed, whatever its bytes.
-    NumberIsEnough,
+    VersionAloneAcknowledged,
     /// The base is looked at before whether that very order was taken.
-    BaseFirst,
+    BaseCheckedFirst,
     /// The snapshot knows the newest order alone.
-    SnapshotForgets,
+    SnapshotForgetsVersions,
     /// The log is folded, and the state stays the old one.
-    OldSnapshot,
+    StaleSnapshotState,
     /// A prompter that was cut off ends the backends that it did not hear.
-    DeafEndsLives,
+    IsolatedNodeExpiresBackends,
     /// A backend that others name by its id alone is not asked for where it is not known.
-    UnknownIgnored,
+    UnknownInstancesIgnored,
     /// A scene does not name those who leave.
-    SceneForgetsDrains,
+    SnapshotForgetsDrains,
     /// A pulse does not say that there is a newer configuration, which is still on its way.
-    PulseHidesNewest,
+    HeartbeatHidesNewest,
     /// Nobody who is not among the first voters ever votes.
-    NewcomerNeverVotes,
+    LearnerNeverVotes,
 }
 
 #[cfg(feature = "simulation")]
@@ -58,33 +58,33 @@
     /// All of them.
     pub const ALL: [Defect; 24] = [
         Defect::SendBeforeSync,
-        Defect::ReadAlone,
-        Defect::AckBeforeAgreed,
+        Defect::ReadWithoutQuorum,
+        Defect::AcknowledgeBeforeCommit,
         Defect::LeasePastItsEnd,
         Defect::BaseIgnored,
         Defect::DrainForgotten,
-        Defect::NoSilenceAfterStart,
-        Defect::EvenPartsLentToo,
-        Defect::HoldersClock,
-        Defect::OverForgotten,
-        Defect::StaysInTouch,
-        Defect::HearingIsTouch,
-        Defect::SpeaksWithoutDisk,
-        Defect::DecidesAlone,
-        Defect::OrderForgotten,
-        Defect::NumberIsEnough,
-        Defect::BaseFirst,
-        Defect::SnapshotForgets,
-        Defect::OldSnapshot,
-        Defect::DeafEndsLives,
-        Defect::UnknownIgnored,
-        Defect::SceneForgetsDrains,
-        Defect::PulseHidesNewest,
-        Defect::NewcomerNeverVotes,
+        Defect::VoteRightAfterRestart,
+        Defect::FallbackSharesGranted,
+        Defect::LeadersClockAlone,
+        Defect::ExpiredTrialsForgotten,
+        Defect::ClaimsQuorumContact,
+        Defect::HeartbeatCountsAsContact,
+        Defect::SendWithoutStorage,
+        Defect::DecideWithoutQuorum,
+        Defect::AppliedChangeForgotten,
+        Defect::VersionAloneAcknowledged,
+        Defect::BaseCheckedFirst,
+        Defect::SnapshotForgetsVersions,
+        Defect::StaleSnapshotState,
+        Defect::IsolatedNodeExpiresBackends,
+        Defect::UnknownInstancesIgnored,
+        Defect::SnapshotForgetsDrains,
+        Defect::HeartbeatHidesNewest,
+        Defect::LearnerNeverVotes,
     ];
 }
 
-impl crate::Prompter {
+impl crate::ControlNode {
     /// Whether this defect was planted; never in what ships.
     pub(crate) fn has(&self, _defect: Defect) -> bool {
         #[cfg(feature = "simulation")]
--- a/crates/control/control-node/src/lib.rs
+++ b/crates/control/control-node/src/lib.rs
@@ -19,28 +19,28 @@
 mod turns;
 
 pub use defect::Defect;
-pub use duty::Duty;
-pub use followers::PULSE;
-pub use peers::HELLO;
-pub use turns::{Work, LONG};
+pub use duty::Leadership;
+pub use followers::UPDATE_INTERVAL;
+pub use peers::HELLO_INTERVAL;
+pub use turns::{StorageRequest, LONG_RUN_BYTES};
 
-use board::News;
+use board::ChangeFeed;
 use bytes::Bytes;
-use change_log::Contact;
-use consensus::{Core, Id, Input, Output, Stored};
-use control_state::{Book, Configuration};
-use drains::Drain;
-use followers::Follower;
-use founder::Founder;
-use messages::message::{Down, Peer};
-use orders::Orders;
-use quota::Lent;
-use registry::{Cell, Fact};
-use rights::Rights;
+use change_log::QuorumContact;
+use consensus::{Input, NodeId, Output, PersistedState, RaftNode};
+use control_state::{CommittedConfiguration, ControlState};
+use drains::PendingDrain;
+use followers::Subscriber;
+use founder::Bootstrapper;
+use messages::message::{ControlMessage, GatewayUpdate};
+use orders::Changes;
+use quota::LeaseGrant;
+use registry::{Heartbeat, ZoneRegistry};
+use rights::QuotaState;
 use std::collections::BTreeMap;
 use std::sync::Arc;
-use trial::{Terms, Wall};
-use turns::Turns;
+use trial::{TenantTerms, UnixMillis};
+use turns::PersistenceQueue;
 
 /// Nanoseconds on the driver's steady clock.
 pub type Time = consensus::Time;
@@ -48,19 +48,19 @@
 
 /// What a prompter is told at its start.
 #[derive(Clone, Debug)]
-pub struct Setup {
-    pub me: Id,
+pub struct NodeConfig {
+    pub id: NodeId,
     pub zone: String,
     /// It has a disk, and so a vote.
-    pub votes: bool,
+    pub can_vote: bool,
     /// The whole system starts for the first time.
-    pub first: bool,
+    pub initial_start: bool,
     /// Addresses of prompters.
     pub seeds: Vec<String>,
     /// How often a backend is heard.
-    pub beat: Time,
+    pub heartbeat_interval: Time,
     /// What a configuration says of tenants.
-    pub terms: fn(&[u8]) -> Terms,
+    pub read_terms: fn(&[u8]) -> TenantTerms,
     /// Chance: of the agreement's time-outs, and this life's number.
     pub seed: u64,
 }
@@ -69,21 +69,21 @@
 #[derive(Debug)]
 pub enum Effect {
     /// To another prompter, if there is a link and room on it: it may be lost.
-    Tell { to: String, peer: Peer },
+    SendToNode { to: String, message: ControlMessage },
     /// The same to each prompter that there is a link to.
-    TellAll { peer: Peer },
+    Broadcast { message: ControlMessage },
     /// To a gateway that follows, if there is room: it may be lost.
-    Hand { gateway: String, down: Down },
+    SendToGateway { gateway: String, update: GatewayUpdate },
     /// This gateway's link may have something to tell: [`Prompter::part`].
-    Room { gateway: String },
+    ChunkWindowOpened { gateway: String },
     /// All who follow look again: [`Prompter::news`].
-    News,
+    NotifySubscribers,
     /// To the disk, if there is one; [`Prompter::written`] tells what came of it. One at a time.
-    Write { number: u64, work: Work },
+    Persist { request: u64, work: StorageRequest },
     /// Whether this configuration is sound is wanted: [`Prompter::checked`].
-    Check { job: u64, body: Bytes },
+    Validate { change: u64, body: Bytes },
     /// A call's answer.
-    Answer { call: u64, reply: Reply },
+    Reply { call: u64, reply: Reply },
 }
 
 /// What a call is answered.
@@ -96,175 +96,181 @@
     /// It is not sound, for this reason.
     Invalid(String),
     /// What stands.
-    Stands(Option<Arc<Configuration>>),
+    Current(Option<Arc<CommittedConfiguration>>),
     /// This prompter leads.
-    Elsewhere(String),
+    Redirect(String),
     /// Nobody can say now: another may.
-    Later,
+    Unavailable,
 }
 
 /// What was applied, for whoever plays it.
 #[cfg(feature = "simulation")]
 #[derive(Clone, Debug, PartialEq)]
-pub enum Applied {
-    Word(control_state::Place, Vec<u8>),
+pub enum AppliedRecord {
+    Command(control_state::LogIndex, Vec<u8>),
     /// The book as a whole, as of this place.
-    Book(control_state::Place),
+    Snapshot(control_state::LogIndex),
 }
 
-pub struct Prompter {
-    setup: Setup,
+pub struct ControlNode {
+    config: NodeConfig,
     /// As of the latest call.
     now: Time,
-    wall: Wall,
-    core: Core,
-    turns: Turns,
-    duty: Duty,
-    contact: Contact,
+    unix_ms: UnixMillis,
+    raft: RaftNode,
+    persistence: PersistenceQueue,
+    leadership: Leadership,
+    quorum_contact: QuorumContact,
     /// When the leader is asked for proof of contact next.
-    asks_at: Time,
-    book: Book,
-    news: News,
-    cell: Cell,
+    next_contact_request: Time,
+    state: ControlState,
+    change_feed: ChangeFeed,
+    registry: ZoneRegistry,
     /// When it was last looked at for those who are silent; when next.
-    swept: Time,
-    sweeps_at: Time,
+    last_sweep: Time,
+    next_sweep: Time,
     /// Beats heard first-hand since they were last passed on: those that say something new whole, of the others id and sequence.
-    fresh: (Vec<Fact>, Vec<(String, u64)>),
-    rights: Rights,
+    pending_heartbeats: (Vec<Heartbeat>, Vec<(String, u64)>),
+    quota: QuotaState,
     /// Prompters that were ever heard of: names, and zones as far as they are known.
-    known: BTreeMap<String, String>,
-    founder: Option<Founder>,
-    orders: Orders,
-    drains: Vec<Drain>,
-    followers: BTreeMap<String, Follower>,
-    links: u64,
+    known_nodes: BTreeMap<String, String>,
+    bootstrapper: Option<Bootstrapper>,
+    changes: Changes,
+    drains: Vec<PendingDrain>,
+    subscribers: BTreeMap<String, Subscriber>,
+    last_link: u64,
     /// Told to end: when it says so again.
-    leaves_at: Option<Time>,
+    next_leave_request: Option<Time>,
     effects: Vec<Effect>,
     #[cfg(feature = "simulation")]
     defect: Option<Defect>,
     /// What was applied, in order, since it was last taken.
     #[cfg(feature = "simulation")]
-    pub journal: Vec<Applied>,
+    pub applied_records: Vec<AppliedRecord>,
 }
 
-impl Prompter {
+impl ControlNode {
     /// With what its disk held, and with backends as they were known before this process began.
-    pub fn new(setup: Setup, stored: Stored, cell: Vec<Fact>, now: Time) -> Self {
-        Prompter::begin(setup, stored, cell, now, None)
+    pub fn new(setup: NodeConfig, stored: PersistedState, cell: Vec<Heartbeat>, now: Time) -> Self {
+        ControlNode::build(setup, stored, cell, now, None)
     }
 
     /// The same with a defect planted from the start.
     #[cfg(feature = "simulation")]
-    pub fn defective(
-        setup: Setup,
-        stored: Stored,
-        cell: Vec<Fact>,
+    pub fn with_defect(
+        setup: NodeConfig,
+        stored: PersistedState,
+        cell: Vec<Heartbeat>,
         now: Time,
         defect: Option<Defect>,
     ) -> Self {
-        Prompter::begin(setup, stored, cell, now, defect)
+        ControlNode::build(setup, stored, cell, now, defect)
     }
 
-    fn begin(setup: Setup, stored: Stored, lives: Vec<Fact>, now: Time, _defect: Option<Defect>) -> Self {
+    fn build(
+        setup: NodeConfig,
+        stored: PersistedState,
+        lives: Vec<Heartbeat>,
+        now: Time,
+        _defect: Option<Defect>,
+    ) -> Self {
         #[cfg(feature = "simulation")]
-        let born = if _defect == Some(Defect::NoSilenceAfterStart) { 0 } else { now };
+        let born = if _defect == Some(Defect::VoteRightAfterRestart) { 0 } else { now };
         #[cfg(not(feature = "simulation"))]
         let born = now;
-        let mut core = Core::new(setup.me.clone(), stored, setup.seed, born);
+        let mut core = RaftNode::new(setup.id.clone(), stored, setup.seed, born);
         // What was read is to be saved once before anything rests on it.
-        core.handle(born, Input::Disk { works: false }, &mut Vec::new());
+        core.handle(born, Input::StorageHealth { healthy: false }, &mut Vec::new());
         let mut known: BTreeMap<String, String> =
             setup.seeds.iter().map(|s| (s.clone(), String::new())).collect();
-        known.insert(setup.me.name.clone(), setup.zone.clone());
-        let mut prompter = Prompter {
+        known.insert(setup.id.name.clone(), setup.zone.clone());
+        let mut prompter = ControlNode {
             now,
-            wall: 0,
-            turns: Turns::new(now),
-            duty: Duty::default(),
-            contact: Contact::default(),
-            asks_at: now,
-            book: Book::new(),
-            news: News::new(setup.seed),
-            cell: Cell::new(setup.beat, now),
-            swept: now,
-            sweeps_at: now,
-            fresh: Default::default(),
-            rights: Rights::new(now),
-            known,
-            founder: Founder::new(&setup, now),
-            orders: Orders::default(),
+            unix_ms: 0,
+            persistence: PersistenceQueue::new(now),
+            leadership: Leadership::default(),
+            quorum_contact: QuorumContact::default(),
+            next_contact_request: now,
+            state: ControlState::new(),
+            change_feed: ChangeFeed::new(setup.seed),
+            registry: ZoneRegistry::new(setup.heartbeat_interval, now),
+            last_sweep: now,
+            next_sweep: now,
+            pending_heartbeats: Default::default(),
+            quota: QuotaState::new(now),
+            known_nodes: known,
+            bootstrapper: Bootstrapper::new(&setup, now),
+            changes: Changes::default(),
             drains: Vec::new(),
-            followers: BTreeMap::new(),
-            links: 0,
-            leaves_at: None,
+            subscribers: BTreeMap::new(),
+            last_link: 0,
+            next_leave_request: None,
             effects: Vec::new(),
             #[cfg(feature = "simulation")]
             defect: _defect,
             #[cfg(feature = "simulation")]
-            journal: Vec::new(),
-            core,
-            setup,
+            applied_records: Vec::new(),
+            raft: core,
+            config: setup,
         };
-        prompter.read_log();
+        prompter.replay_log();
         for fact in lives {
             // Whatever it says itself counts more.
-            prompter.cell.beat(now, Fact { sequence: 0, cold_ms: 0, ..fact });
+            prompter.registry.on_heartbeat(now, Heartbeat { sequence: 0, warmup_left_ms: 0, ..fact });
         }
-        prompter.tell_duty();
+        prompter.update_leadership();
         prompter
     }
 
     /// What the core knew at its start.
-    fn read_log(&mut self) {
-        let (place, state) = self.core.start();
+    fn replay_log(&mut self) {
+        let (place, state) = self.raft.snapshot_state();
         let state = state.to_vec();
         if place > 0 {
-            self.install(place, &state);
+            self.install_snapshot(place, &state);
         }
-        for output in self.core.known() {
-            if let Output::Apply { place, word, .. } = output {
-                self.fold_in(place, &word);
+        for output in self.raft.committed_outputs() {
+            if let Output::Apply { index: place, command: word, .. } = output {
+                self.apply_committed(place, &word);
             }
         }
     }
 
     /// Does what is due, and takes what waits for the agreement, unless that waits for the disk. `wall`: this machine's time of day.
-    pub fn work(&mut self, now: Time, wall: Wall) {
-        (self.now, self.wall) = (now, wall);
-        self.do_due();
-        self.take_turns();
+    pub fn advance(&mut self, now: Time, wall: UnixMillis) {
+        (self.now, self.unix_ms) = (now, wall);
+        self.run_due_tasks();
+        self.process_inputs();
     }
 
     /// When [`Prompter::work`] is next wanted.
     pub fn next_due(&self) -> Time {
-        let turns = self.turns_due();
-        let calls = self.orders.next_due().min(self.drains_due());
-        let founder = self.founder.as_ref().map_or(Time::MAX, Founder::next_due);
-        let leaves = self.leaves_at.unwrap_or(Time::MAX);
+        let turns = self.next_persistence_due();
+        let calls = self.changes.next_due().min(self.next_drain_due());
+        let founder = self.bootstrapper.as_ref().map_or(Time::MAX, Bootstrapper::next_due);
+        let leaves = self.next_leave_request.unwrap_or(Time::MAX);
         turns
             .min(calls)
-            .min(self.asks_at)
-            .min(self.sweeps_at)
-            .min(self.rights.next_due())
+            .min(self.next_contact_request)
+            .min(self.next_sweep)
+            .min(self.quota.next_due())
             .min(founder)
             .min(leaves)
     }
 
     /// Something waits for the agreement, which could take it now.
-    pub fn wants_work(&self) -> bool {
-        self.turns.wants_work()
+    pub fn has_ready_input(&self) -> bool {
+        self.persistence.has_ready_input()
     }
 
-    fn do_due(&mut self) {
-        self.ask_contact();
-        self.pass_beats_on();
-        self.look_at_trials();
-        self.found();
-        self.say_that_it_leaves();
-        self.end_late_orders();
-        self.look_at_drains();
+    fn run_due_tasks(&mut self) {
+        self.request_contact();
+        self.forward_heartbeats();
+        self.expire_trials();
+        self.try_bootstrap();
+        self.repeat_leave_request();
+        self.expire_calls_and_changes();
+        self.retry_drains();
     }
 
     /// What is to be done about all that has come.
@@ -273,54 +279,55 @@
     }
 
     /// This process is told to end: its duty is for another, and its vote if one waits for it. It says so again and again.
-    pub fn leave(&mut self, now: Time) {
+    pub fn begin_shutdown(&mut self, now: Time) {
         self.now = now;
-        self.leaves_at = Some(now);
+        self.next_leave_request = Some(now);
     }
 
-    fn say_that_it_leaves(&mut self) {
-        if self.leaves_at.is_some_and(|at| at <= self.now) {
-            self.leaves_at = Some(self.now + duty::LEAVE);
-            self.put(Input::HandOver);
+    fn repeat_leave_request(&mut self) {
+        if self.next_leave_request.is_some_and(|at| at <= self.now) {
+            self.next_leave_request = Some(self.now + duty::LEAVE_INTERVAL);
+            self.enqueue(Input::Shutdown);
         }
     }
 
     // ---- What is known ----
 
-    pub fn me(&self) -> &Id {
-        &self.setup.me
+    pub fn id(&self) -> &NodeId {
+        &self.config.id
     }
 
     pub fn zone(&self) -> &str {
-        &self.setup.zone
+        &self.config.zone
     }
 
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn state(&self) -> &ControlState {
+        &self.state
     }
 
-    pub fn cell(&self) -> &Cell {
-        &self.cell
+    pub fn registry(&self) -> &ZoneRegistry {
+        &self.registry
     }
 
-    pub fn core(&self) -> &Core {
-        &self.core
+    pub fn raft(&self) -> &RaftNode {
+        &self.raft
     }
 
-    pub fn duty(&self) -> &Duty {
-        &self.duty
+    pub fn leadership(&self) -> &Leadership {
+        &self.leadership
     }
 
     /// Prompters that are known, by address, each with its zone.
-    pub fn prompters(&self) -> Vec<(String, String)> {
-        self.known.iter().map(|(name, zone)| (name.clone(), zone.clone())).collect()
+    pub fn known_nodes(&self) -> Vec<(String, String)> {
+        self.known_nodes.iter().map(|(name, zone)| (name.clone(), zone.clone())).collect()
     }
 
-    fn tell(&mut self, to: &str, peer: Peer) {
-        self.effects.push(Effect::Tell { to: to.into(), peer });
+    fn send_to(&mut self, to: &str, peer: ControlMessage) {
+        self.effects.push(Effect::SendToNode { to: to.into(), message: peer });
     }
 
-    fn hand(&mut self, gateway: &str, lent: Lent) {
-        self.effects.push(Effect::Hand { gateway: gateway.into(), down: Down::Lent(lent) });
+    fn send_grant(&mut self, gateway: &str, lent: LeaseGrant) {
+        self.effects
+            .push(Effect::SendToGateway { gateway: gateway.into(), update: GatewayUpdate::LeaseGrant(lent) });
     }
 }
--- a/crates/control/control-node/src/standing.rs
+++ b/crates/control/control-node/src/standing.rs
@@ -8,109 +8,116 @@
 
 const MS: Time = 1_000_000;
 /// The agreement waits so long for a save. Less than the others wait for a leader that is silent, [`consensus::PATIENCE`].
-pub const WAIT: Time = 400 * MS;
+pub const SAVE_TIMEOUT: Time = 400 * MS;
 /// A disk that refused is tried again after so long, and after twice that each time, up to [`LATER`].
-const AGAIN: Time = 200 * MS;
-const LATER: Time = 2_000 * MS;
+const MIN_RETRY_DELAY: Time = 200 * MS;
+const MAX_RETRY_DELAY: Time = 2_000 * MS;
 /// It is said so often that the disk does not work.
-const SAY: Time = 10_000 * MS;
+const WARNING_INTERVAL: Time = 10_000 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum State {
+enum StorageState {
     /// What is saved is on the disk.
-    Works,
+    Healthy,
     /// A save was not done in time, and is under way.
-    Late,
+    SaveOverdue,
     /// The whole is to be saved, from this time on. `again`: it was, and there was more by then.
-    Due { at: Time, again: bool },
+    FullSaveDue { at: Time, after_missed: bool },
     /// The whole is being saved. `missed`: something has come to be saved since.
-    Whole { missed: bool },
+    FullSaveRunning { missed: bool },
 }
 
 /// How the disk stands.
 #[derive(Clone, Debug)]
-pub struct Standing {
-    state: State,
+pub struct StorageHealth {
+    state: StorageState,
     /// Since when it has not worked.
-    since: Time,
+    unhealthy_since: Time,
     /// Failures in a row.
     failures: u32,
-    say: Time,
+    next_warning: Time,
 }
 
-impl Standing {
+impl StorageHealth {
     /// At the start all is to be saved once: what was read may stand in the system's memory alone.
-    pub fn begin(now: Time) -> Self {
-        Standing { state: State::Due { at: now, again: false }, since: now, failures: 0, say: now + SAY }
+    pub fn new(now: Time) -> Self {
+        StorageHealth {
+            state: StorageState::FullSaveDue { at: now, after_missed: false },
+            unhealthy_since: now,
+            failures: 0,
+            next_warning: now + WARNING_INTERVAL,
+        }
     }
 
-    pub fn works(&self) -> bool {
-        self.state == State::Works
+    pub fn is_healthy(&self) -> bool {
+        self.state == StorageState::Healthy
     }
 
     /// A save is not done after [`WAIT`].
-    pub fn late(&mut self, now: Time) {
-        self.stop(now, State::Late);
+    pub fn on_save_overdue(&mut self, now: Time) {
+        self.set_unhealthy(now, StorageState::SaveOverdue);
     }
 
     /// Something was refused.
-    pub fn refused(&mut self, now: Time) {
-        let pause = (AGAIN << self.failures.min(8)).min(LATER);
+    pub fn on_save_failed(&mut self, now: Time) {
+        let pause = (MIN_RETRY_DELAY << self.failures.min(8)).min(MAX_RETRY_DELAY);
         self.failures += 1;
-        self.stop(now, State::Due { at: now + pause, again: false });
+        self.set_unhealthy(now, StorageState::FullSaveDue { at: now + pause, after_missed: false });
     }
 
     /// Something was to be saved, and was not.
-    pub fn missed(&mut self) {
-        if let State::Whole { missed } = &mut self.state {
+    pub fn on_save_skipped(&mut self) {
+        if let StorageState::FullSaveRunning { missed } = &mut self.state {
             *missed = true;
         }
     }
 
     /// Whether the whole is to be saved now.
-    pub fn is_due(&self, now: Time) -> bool {
-        matches!(self.state, State::Due { at, .. } if now >= at)
+    pub fn is_full_save_due(&self, now: Time) -> bool {
+        matches!(self.state, StorageState::FullSaveDue { at, .. } if now >= at)
     }
 
     /// When something is next to be done or said.
     pub fn next_due(&self) -> Time {
         match self.state {
-            State::Works => Time::MAX,
-            State::Due { at, .. } => at.min(self.say),
-            _ => self.say,
+            StorageState::Healthy => Time::MAX,
+            StorageState::FullSaveDue { at, .. } => at.min(self.next_warning),
+            _ => self.next_warning,
         }
     }
 
     /// The whole is being saved from now on. Whether to wait for it, so that nothing more comes.
-    pub fn saving(&mut self) -> bool {
-        let again = matches!(self.state, State::Due { again: true, .. });
-        self.state = State::Whole { missed: false };
+    pub fn start_full_save(&mut self) -> bool {
+        let again = matches!(self.state, StorageState::FullSaveDue { after_missed: true, .. });
+        self.state = StorageState::FullSaveRunning { missed: false };
         again
     }
 
     /// What was under way is done. For how long the disk has not worked, if it works now: all that there is is on it.
-    pub fn done(&mut self, now: Time) -> Option<Time> {
+    pub fn on_saved(&mut self, now: Time) -> Option<Time> {
         self.failures = 0;
         self.state = match self.state {
-            State::Whole { missed: false } => State::Works,
-            State::Whole { missed: true } => State::Due { at: now, again: true },
-            _ => State::Due { at: now, again: false },
+            StorageState::FullSaveRunning { missed: false } => StorageState::Healthy,
+            StorageState::FullSaveRunning { missed: true } => {
+                StorageState::FullSaveDue { at: now, after_missed: true }
+            }
+            _ => StorageState::FullSaveDue { at: now, after_missed: false },
         };
-        self.works().then(|| now - self.since)
+        self.is_healthy().then(|| now - self.unhealthy_since)
     }
 
     /// For how long it has not worked, if that is to be said again.
-    pub fn say(&mut self, now: Time) -> Option<Time> {
-        if self.works() || now < self.say {
+    pub fn take_warning(&mut self, now: Time) -> Option<Time> {
+        if self.is_healthy() || now < self.next_warning {
             return None;
         }
-        self.say = now + SAY;
-        Some(now - self.since)
+        self.next_warning = now + WARNING_INTERVAL;
+        Some(now - self.unhealthy_since)
     }
 
-    fn stop(&mut self, now: Time, state: State) {
-        if self.works() {
-            (self.since, self.say) = (now, now + SAY);
+    fn set_unhealthy(&mut self, now: Time, state: StorageState) {
+        if self.is_healthy() {
+            (self.unhealthy_since, self.next_warning) = (now, now + WARNING_INTERVAL);
         }
         self.state = state;
     }
--- a/crates/control/control-node/tests/alone.rs
+++ b/crates/control/control-node/tests/alone.rs
@@ -1,52 +1,52 @@
 //! A prompter that is cut off from all others.
 
-use consensus::{Body, Id, Message, Stored};
-use control_node::{Effect, Prompter, Reply, Setup, Time};
-use messages::message::Peer;
-use registry::Fact;
-use trial::Terms;
+use consensus::{Message, MessageBody, NodeId, PersistedState};
+use control_node::{ControlNode, Effect, NodeConfig, Reply, Time};
+use messages::message::ControlMessage;
+use registry::Heartbeat;
+use trial::TenantTerms;
 
 const MS: Time = 1_000_000;
 const BEAT: Time = 1000 * MS;
 
-fn prompter() -> Prompter {
-    let me = Id { name: "10.0.0.1".into(), disk: 1 };
-    let setup = Setup {
-        me,
+fn prompter() -> ControlNode {
+    let me = NodeId { name: "10.0.0.1".into(), disk_id: 1 };
+    let setup = NodeConfig {
+        id: me,
         zone: "z".into(),
-        votes: true,
-        first: true,
+        can_vote: true,
+        initial_start: true,
         seeds: vec!["10.0.0.1".into(), "10.0.0.2".into(), "10.0.0.3".into()],
-        beat: BEAT,
-        terms: |_| Terms::default(),
+        heartbeat_interval: BEAT,
+        read_terms: |_| TenantTerms::default(),
         seed: 7,
     };
-    Prompter::new(setup, Stored::default(), Vec::new(), 0)
+    ControlNode::new(setup, PersistedState::default(), Vec::new(), 0)
 }
 
 /// What it wants done up to then, with a disk that works at once.
-fn run(p: &mut Prompter, from: Time, to: Time) -> Vec<Effect> {
+fn run(p: &mut ControlNode, from: Time, to: Time) -> Vec<Effect> {
     let (mut now, mut all) = (from, Vec::new());
     loop {
         for effect in p.take_effects() {
-            if let Effect::Write { number, .. } = effect {
-                p.written(now, number, true);
+            if let Effect::Persist { request: number, .. } = effect {
+                p.on_persisted(now, number, true);
             } else {
                 all.push(effect);
             }
         }
         let due = p.next_due().max(now + MS);
-        if !p.wants_work() && due > to {
+        if !p.has_ready_input() && due > to {
             return all;
         }
-        now = if p.wants_work() { now } else { due };
-        p.work(now, 0);
+        now = if p.has_ready_input() { now } else { due };
+        p.advance(now, 0);
     }
 }
 
 fn answers(effects: &[Effect]) -> Vec<(u64, Reply)> {
     let answer = |e: &Effect| match e {
-        Effect::Answer { call, reply } => Some((*call, reply.clone())),
+        Effect::Reply { call, reply } => Some((*call, reply.clone())),
         _ => None,
     };
     effects.iter().filter_map(answer).collect()
@@ -56,12 +56,12 @@
 fn each_call_is_answered_at_once_or_in_time_and_nothing_is_confirmed() {
     let mut p = prompter();
     run(&mut p, 0, 100 * MS);
-    let fact = Fact { id: "i".into(), address: "a:1".into(), sequence: 1, ..Fact::default() };
+    let fact = Heartbeat { instance: "i".into(), address: "a:1".into(), sequence: 1, ..Heartbeat::default() };
     p.heartbeat(100 * MS, 1, fact);
     p.deregister(100 * MS, 2, "i");
-    p.replace(100 * MS, 3, b"{}".as_slice().into());
-    p.read(100 * MS, 4);
-    let later = |call| (call, Reply::Later);
+    p.replace_configuration(100 * MS, 3, b"{}".as_slice().into());
+    p.read_configuration(100 * MS, 4);
+    let later = |call| (call, Reply::Unavailable);
     assert_eq!(answers(&p.take_effects()), [later(1), later(2), later(3), later(4)]);
 }
 
@@ -70,45 +70,55 @@
 fn it_ends_no_backend() {
     let mut p = prompter();
     run(&mut p, 0, 100 * MS);
-    let leader = Id { name: "10.0.0.2".into(), disk: 2 };
+    let leader = NodeId { name: "10.0.0.2".into(), disk_id: 2 };
     for now in (100..=3000).step_by(50).map(|ms| ms * MS) {
-        let body = Body::Append { before: (0, 0), entries: Vec::new(), agreed: 0, round: now };
-        let message = Message { from: leader.clone(), to: p.me().clone(), term: 1, body };
-        p.hear(now, &leader, Peer::Agree(message));
+        let body =
+            MessageBody::AppendEntries { previous: (0, 0), entries: Vec::new(), commit_index: 0, round: now };
+        let message = Message { from: leader.clone(), to: p.id().clone(), term: 1, body };
+        p.on_control_message(now, &leader, ControlMessage::Consensus(message));
         for effect in run(&mut p, now, now) {
-            if let Effect::Tell { peer: Peer::Contact { number }, .. } = effect {
-                p.hear(now, &leader, Peer::Contacted { number, age: 0, agreed: 0 });
+            if let Effect::SendToNode { message: ControlMessage::ContactRequest { number }, .. } = effect {
+                p.on_control_message(
+                    now,
+                    &leader,
+                    ControlMessage::ContactResponse { number, age: 0, commit_index: 0 },
+                );
             }
         }
         if now == 1600 * MS {
-            assert!(p.untouched_for(now) < 200 * MS);
-            let fact = Fact { id: "i".into(), address: "a:1".into(), sequence: 1, ..Fact::default() };
+            assert!(p.quorum_contact_age(now) < 200 * MS);
+            let fact = Heartbeat {
+                instance: "i".into(),
+                address: "a:1".into(),
+                sequence: 1,
+                ..Heartbeat::default()
+            };
             p.heartbeat(now, 1, fact);
         }
     }
     run(&mut p, 3000 * MS, 60_000 * MS);
-    assert!(p.cell().get("i").is_some(), "others may have heard it all the time");
+    assert!(p.registry().get("i").is_some(), "others may have heard it all the time");
 }
 
 /// All seeds of its settings file are gone; its log names those who vote.
 #[test]
 fn it_knows_the_voters_of_its_log() {
-    let mut stored = Stored { term: 3, ..Stored::default() };
-    stored.snapshot.place = 4;
+    let mut stored = PersistedState { term: 3, ..PersistedState::default() };
+    stored.snapshot.index = 4;
     stored.snapshot.term = 3;
-    stored.snapshot.members = [("10.0.0.1".to_string(), 1), ("10.0.7.7".to_string(), 2)].into();
-    let setup = Setup {
-        me: Id { name: "10.0.0.1".into(), disk: 1 },
+    stored.snapshot.voters = [("10.0.0.1".to_string(), 1), ("10.0.7.7".to_string(), 2)].into();
+    let setup = NodeConfig {
+        id: NodeId { name: "10.0.0.1".into(), disk_id: 1 },
         zone: "z".into(),
-        votes: true,
-        first: false,
+        can_vote: true,
+        initial_start: false,
         seeds: vec!["10.0.0.9".into()],
-        beat: BEAT,
-        terms: |_| Terms::default(),
+        heartbeat_interval: BEAT,
+        read_terms: |_| TenantTerms::default(),
         seed: 7,
     };
-    let p = Prompter::new(setup, stored, Vec::new(), 0);
-    assert!(p.prompters().iter().any(|(name, _)| name == "10.0.7.7"));
+    let p = ControlNode::new(setup, stored, Vec::new(), 0);
+    assert!(p.known_nodes().iter().any(|(name, _)| name == "10.0.7.7"));
 }
 
 /// Callers that come and go at once leave calls behind, which wait for their time.
@@ -117,12 +127,12 @@
     let mut p = prompter();
     run(&mut p, 0, 100 * MS);
     let members = [("10.0.0.1".to_string(), 1)].into();
-    let leader = Id { name: "10.0.0.2".into(), disk: 2 };
-    p.hear(100 * MS, &leader, Peer::Found { members });
+    let leader = NodeId { name: "10.0.0.2".into(), disk_id: 2 };
+    p.on_control_message(100 * MS, &leader, ControlMessage::BootstrapChosen { voters: members });
     run(&mut p, 100 * MS, 3000 * MS);
-    assert!(p.duty().is_leader, "a sole voter");
+    assert!(p.leadership().is_leader, "a sole voter");
     for call in 0..3000 {
-        p.read(3000 * MS, call);
+        p.read_configuration(3000 * MS, call);
     }
     assert_eq!(answers(&p.take_effects()).len(), 3000 - 1024);
 }
--- a/crates/control/control-plane/src/disk/folder.rs
+++ b/crates/control/control-plane/src/disk/folder.rs
@@ -8,19 +8,19 @@
 use std::sync::Arc;
 
 /// One folder. Names made, renamed or removed are sure to be so only once the folder was synced.
-pub trait Folder: Debug + Send + Sync {
+pub trait Directory: Debug + Send + Sync {
     /// Files: names and lengths in bytes.
     fn list(&self) -> io::Result<Vec<(String, u64)>>;
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
     /// `new`: made if it is not there, empty in any case.
-    fn open(&self, name: &str, new: bool) -> io::Result<Arc<dyn Data>>;
+    fn open(&self, name: &str, new: bool) -> io::Result<Arc<dyn DataFile>>;
     fn remove(&self, name: &str) -> io::Result<()>;
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     fn sync(&self) -> io::Result<()>;
 }
 
 /// An open file. What was written or cut off is sure to be so only once the file was synced.
-pub trait Data: Debug + Send + Sync {
+pub trait DataFile: Debug + Send + Sync {
     fn len(&self) -> io::Result<u64>;
     fn read(&self, at: u64, out: &mut [u8]) -> io::Result<()>;
     fn write(&self, at: u64, bytes: &[u8]) -> io::Result<()>;
@@ -30,20 +30,20 @@
 
 /// A folder of the system's.
 #[derive(Debug)]
-pub struct Directory(PathBuf);
+pub struct SystemDirectory(PathBuf);
 
-impl Directory {
+impl SystemDirectory {
     /// The folder is made if it is not there.
     ///
     /// # Errors
     /// It can neither be found nor made.
     pub fn new(path: PathBuf) -> io::Result<Self> {
         std::fs::create_dir_all(&path)?;
-        Ok(Directory(path))
+        Ok(SystemDirectory(path))
     }
 }
 
-impl Folder for Directory {
+impl Directory for SystemDirectory {
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
         let mut all = Vec::new();
         for entry in std::fs::read_dir(&self.0)? {
@@ -60,7 +60,7 @@
         std::fs::read(self.0.join(name))
     }
 
-    fn open(&self, name: &str, new: bool) -> io::Result<Arc<dyn Data>> {
+    fn open(&self, name: &str, new: bool) -> io::Result<Arc<dyn DataFile>> {
         let mut options = OpenOptions::new();
         let file = options.read(true).write(true).create(new).truncate(new).open(self.0.join(name))?;
         Ok(Arc::new(file))
@@ -79,7 +79,7 @@
     }
 }
 
-impl Data for File {
+impl DataFile for File {
     fn len(&self) -> io::Result<u64> {
         Ok(self.metadata()?.len())
     }
