--- a/crates/control/control-plane/src/disk/generation.rs
+++ b/crates/control/control-plane/src/disk/generation.rs
@@ -1,10 +1,10 @@
 //! One file of the store, `agreed-N`: all that the agreement has saved, but for the blobs that it names. Each save is one
 //! transaction of `redb`'s with one sync: after a crash it is there whole or not at all.
 
-use super::blobs::{Digest, Piece, Values};
-use super::folder::{Data, Folder};
-use super::Fault;
-use consensus::{Id, Members, Place, Term};
+use super::blobs::{Digest, Segment, Values};
+use super::folder::{DataFile, Directory};
+use super::StorageError;
+use consensus::{LogIndex, NodeId, Term, VoterSet};
 use redb::{Database, ReadableDatabase, ReadableTable, StorageBackend, Table, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,84 +14,88 @@
 
 /// The most that such a file takes, in bytes: the entries behind the snapshot and the values that they name, which the leader
 /// bounds to half of it.
-pub const MOST: u64 = 5 << 20;
+pub const MAX_BYTES: u64 = 5 << 20;
 /// Of the pages of the file, in bytes.
-const CACHE: usize = 256 << 10;
+const CACHE_BYTES: usize = 256 << 10;
 const PREFIX: &str = "agreed-";
 /// The form of what is kept.
-const FORM: u32 = 2;
-const TABLE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("agreed");
+const FORMAT: u32 = 2;
+const RECORDS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("agreed");
 /// Under a digest and a number, [`PART`] bytes of a value, which fit into one page: a longer value would take a power of two.
 const VALUES: TableDefinition<&[u8], &[u8]> = TableDefinition::new("values");
-const PART: usize = 3900;
+const VALUE_CHUNK_BYTES: usize = 3900;
 
 /// Whose it is.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
-    form: u32,
+    format: u32,
     /// The prompter's name, which is its address.
     pub name: String,
     /// The disk's id.
-    pub disk: u64,
+    pub disk_id: u64,
 }
 
 impl Owner {
-    pub fn new(name: &str, disk: u64) -> Self {
-        Owner { form: FORM, name: name.into(), disk }
+    pub fn new(name: &str, disk_id: u64) -> Self {
+        Owner { format: FORMAT, name: name.into(), disk_id }
     }
 }
 
 /// What an entry says, as it is kept.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Said {
-    Nothing,
-    Members(Members),
-    Word(Vec<Piece>),
-    Joint(Members, Members),
+pub enum StoredPayload {
+    #[serde(rename = "Nothing")]
+    Noop,
+    #[serde(rename = "Members")]
+    Configuration(VoterSet),
+    #[serde(rename = "Word")]
+    Command(Vec<Segment>),
+    #[serde(rename = "Joint")]
+    JointConfiguration(VoterSet, VoterSet),
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Entry {
+pub struct StoredEntry {
     pub term: Term,
-    pub said: Said,
+    pub payload: StoredPayload,
 }
 
 /// A snapshot as it is kept.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Snapshot {
-    pub place: Place,
+pub struct StoredSnapshot {
+    pub index: LogIndex,
     pub term: Term,
-    pub members: Members,
-    pub state: Vec<Piece>,
+    pub voters: VoterSet,
+    pub state: Vec<Segment>,
 }
 
 /// A save as it is kept, see [`consensus::Save`].
-pub enum Save {
-    Term(Term, Option<Id>),
-    Entries(Place, Vec<Entry>),
-    Snapshot(Snapshot, bool),
+pub enum StoredChange {
+    HardState(Term, Option<NodeId>),
+    Entries(LogIndex, Vec<StoredEntry>),
+    Snapshot(StoredSnapshot, bool),
 }
 
-impl Save {
+impl StoredChange {
     /// The blobs that it names.
     pub fn blobs(&self) -> BTreeSet<Digest> {
         match self {
-            Save::Term(..) => BTreeSet::new(),
-            Save::Entries(_, entries) => entries.iter().flat_map(Entry::blobs).collect(),
-            Save::Snapshot(snapshot, _) => digests(&snapshot.state),
+            StoredChange::HardState(..) => BTreeSet::new(),
+            StoredChange::Entries(_, entries) => entries.iter().flat_map(StoredEntry::blobs).collect(),
+            StoredChange::Snapshot(snapshot, _) => digests(&snapshot.state),
         }
     }
 }
 
 /// What a file held.
 #[derive(Debug)]
-pub struct Held {
+pub struct GenerationContents {
     pub owner: Owner,
     pub term: Term,
-    pub vote: Option<Id>,
-    pub snapshot: Snapshot,
-    pub entries: Vec<Entry>,
-    pub agreed: Place,
+    pub vote: Option<NodeId>,
+    pub snapshot: StoredSnapshot,
+    pub entries: Vec<StoredEntry>,
+    pub commit_index: LogIndex,
     pub values: Values,
 }
 
@@ -101,7 +105,7 @@
     database: Database,
     /// The blobs that it names: the snapshot's, and each entry's.
     snapshot: BTreeSet<Digest>,
-    entries: BTreeMap<Place, BTreeSet<Digest>>,
+    entries: BTreeMap<LogIndex, BTreeSet<Digest>>,
     /// The values in it.
     values: BTreeSet<Digest>,
 }
@@ -114,7 +118,7 @@
 ///
 /// # Errors
 /// The disk refuses.
-pub fn numbers(folder: &dyn Folder) -> io::Result<Vec<u64>> {
+pub fn numbers(folder: &dyn Directory) -> io::Result<Vec<u64>> {
     let names = folder.list()?;
     let number = |name: &str| name.strip_prefix(PREFIX)?.parse().ok();
     let mut all: Vec<u64> = names.iter().filter_map(|(name, _)| number(name)).collect();
@@ -127,18 +131,19 @@
     ///
     /// # Errors
     /// What the disk says.
-    pub fn begin(
-        folder: &dyn Folder,
+    pub fn create(
+        folder: &dyn Directory,
         number: u64,
         owner: &Owner,
-        saves: &[Save],
+        saves: &[StoredChange],
         values: &Values,
-        agreed: Place,
-    ) -> Result<Generation, Fault> {
+        agreed: LogIndex,
+    ) -> Result<Generation, StorageError> {
         let name = name(number);
-        let file = folder.open(&name, true).map_err(|e| Fault::Io(name.clone(), e))?;
-        let whole = guarded(&name, || {
-            let database = Database::builder().set_cache_size(CACHE).create_with_backend(Bounded(file))?;
+        let file = folder.open(&name, true).map_err(|e| StorageError::Io(name.clone(), e))?;
+        let whole = catch_store_panic(&name, || {
+            let database =
+                Database::builder().set_cache_size(CACHE_BYTES).create_with_backend(BoundedFile(file))?;
             let (snapshot, entries, kept) = (BTreeSet::new(), BTreeMap::new(), BTreeSet::new());
             let mut new = Generation { database, snapshot, entries, values: kept };
             new.write(Some(owner), saves, values, agreed)?;
@@ -155,8 +160,13 @@
     ///
     /// # Errors
     /// What the disk says; then nothing is known of what the file holds, and it is not to be written to again.
-    pub fn save(&mut self, saves: &[Save], values: &Values, agreed: Place) -> Result<(), Fault> {
-        guarded("agreed", || self.write(None, saves, values, agreed))
+    pub fn save(
+        &mut self,
+        saves: &[StoredChange],
+        values: &Values,
+        agreed: LogIndex,
+    ) -> Result<(), StorageError> {
+        catch_store_panic("agreed", || self.write(None, saves, values, agreed))
     }
 
     /// The blobs and values that it names.
@@ -167,30 +177,30 @@
     fn write(
         &mut self,
         owner: Option<&Owner>,
-        saves: &[Save],
+        saves: &[StoredChange],
         values: &Values,
-        agreed: Place,
+        agreed: LogIndex,
     ) -> Result<(), redb::Error> {
         let transaction = self.database.begin_write()?;
         {
-            let mut table = transaction.open_table(TABLE)?;
+            let mut table = transaction.open_table(RECORDS)?;
             if let Some(owner) = owner {
                 put(&mut table, b"owner", owner)?;
             }
             for save in saves {
                 match save {
-                    Save::Term(term, vote) => put(&mut table, b"term", &(term, vote))?,
-                    Save::Entries(from, entries) => {
-                        drop_entries(&mut table, *from, Place::MAX)?;
+                    StoredChange::HardState(term, vote) => put(&mut table, b"term", &(term, vote))?,
+                    StoredChange::Entries(from, entries) => {
+                        remove_entries(&mut table, *from, LogIndex::MAX)?;
                         self.entries.split_off(from);
                         for (place, entry) in (*from..).zip(entries) {
                             put(&mut table, &key(place), entry)?;
                             self.entries.insert(place, entry.blobs());
                         }
                     }
-                    Save::Snapshot(snapshot, whole) => {
-                        let to = if *whole { Place::MAX } else { snapshot.place };
-                        drop_entries(&mut table, 0, to)?;
+                    StoredChange::Snapshot(snapshot, whole) => {
+                        let to = if *whole { LogIndex::MAX } else { snapshot.index };
+                        remove_entries(&mut table, 0, to)?;
                         put(&mut table, b"snapshot", snapshot)?;
                         self.entries.retain(|place, _| *place > to);
                         self.snapshot = digests(&snapshot.state);
@@ -202,7 +212,7 @@
             let named = self.blobs();
             for (digest, value) in values.iter().filter(|(digest, _)| named.contains(*digest)) {
                 if self.values.insert(*digest) {
-                    for (n, part) in value.chunks(PART).enumerate() {
+                    for (n, part) in value.chunks(VALUE_CHUNK_BYTES).enumerate() {
                         table.insert(&part_key(digest, n as u32)[..], part)?;
                     }
                 }
@@ -217,52 +227,59 @@
     }
 }
 
-impl Held {
+impl GenerationContents {
     /// What the file holds, which is not written to. None, if nothing was ever saved in it: its first save never came to an end.
     ///
     /// # Errors
     /// It makes no sense; or the disk refuses.
-    pub fn read(folder: &dyn Folder, number: u64) -> Result<Option<Held>, Fault> {
+    pub fn read(folder: &dyn Directory, number: u64) -> Result<Option<GenerationContents>, StorageError> {
         let name = name(number);
-        let listed = folder.list().map_err(|e| Fault::Io(name.clone(), e))?;
-        let long = listed.iter().any(|(n, length)| *n == name && *length > MOST);
+        let listed = folder.list().map_err(|e| StorageError::Io(name.clone(), e))?;
+        let long = listed.iter().any(|(n, length)| *n == name && *length > MAX_BYTES);
         if long {
-            return Err(Fault::Damaged(format!("{name} is longer than any of ours")));
+            return Err(StorageError::Damaged(format!("{name} is longer than any of ours")));
         }
-        let bytes = folder.read(&name).map_err(|e| Fault::Io(name.clone(), e))?;
+        let bytes = folder.read(&name).map_err(|e| StorageError::Io(name.clone(), e))?;
         if bytes.is_empty() {
             return Ok(None);
         }
         let damaged = |fault| match fault {
             // It stands in memory: what is wrong is in it.
-            Fault::Store(name, e) => Fault::Damaged(format!("{name}: {e}")),
+            StorageError::Store(name, e) => StorageError::Damaged(format!("{name}: {e}")),
             other => other,
         };
-        let held = guarded(&name, || Held::of(bytes)).map_err(damaged)?;
+        let held = catch_store_panic(&name, || GenerationContents::of(bytes)).map_err(damaged)?;
         held.map_or(Ok(None), |held| {
-            held.ok_or_else(|| Fault::Damaged(format!("{name}: an entry is missing"))).map(Some)
+            held.ok_or_else(|| StorageError::Damaged(format!("{name}: an entry is missing"))).map(Some)
         })
     }
 
     /// None: nothing was ever saved in it; `Some(None)`: it makes no sense.
-    fn of(bytes: Vec<u8>) -> Result<Option<Option<Held>>, redb::Error> {
+    fn of(bytes: Vec<u8>) -> Result<Option<Option<GenerationContents>>, redb::Error> {
         let mut builder = Database::builder();
-        builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
-        let database = builder.create_with_backend(Copy(Mutex::new(bytes)))?;
-        let table = match database.begin_read()?.open_table(TABLE) {
+        builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
+        let database = builder.create_with_backend(MemoryCopy(Mutex::new(bytes)))?;
+        let table = match database.begin_read()?.open_table(RECORDS) {
             Err(redb::TableError::TableDoesNotExist(_)) => return Ok(None),
             other => other?,
         };
         let owner: Option<Owner> = get(&table, b"owner")?;
-        let Some(owner) = owner.filter(|o| o.form == FORM) else { return Ok(Some(None)) };
+        let Some(owner) = owner.filter(|o| o.format == FORMAT) else { return Ok(Some(None)) };
         let (term, vote) = get(&table, b"term")?.unwrap_or_default();
-        let snapshot: Snapshot = get(&table, b"snapshot")?.unwrap_or_default();
+        let snapshot: StoredSnapshot = get(&table, b"snapshot")?.unwrap_or_default();
         let agreed = get(&table, b"agreed")?.unwrap_or_default();
-        let mut held =
-            Held { owner, term, vote, snapshot, entries: Vec::new(), agreed, values: Values::new() };
-        for pair in table.range(&key(0)[..]..=&key(Place::MAX)[..])? {
+        let mut held = GenerationContents {
+            owner,
+            term,
+            vote,
+            snapshot,
+            entries: Vec::new(),
+            commit_index: agreed,
+            values: Values::new(),
+        };
+        for pair in table.range(&key(0)[..]..=&key(LogIndex::MAX)[..])? {
             let (at, value) = pair?;
-            let wanted = key(held.snapshot.place + 1 + held.entries.len() as Place);
+            let wanted = key(held.snapshot.index + 1 + held.entries.len() as LogIndex);
             let entry = rmp_serde::from_slice(value.value());
             let (true, Ok(entry)) = (at.value() == wanted, entry) else { return Ok(Some(None)) };
             held.entries.push(entry);
@@ -277,29 +294,29 @@
 
     /// The blobs and values that it names.
     pub fn blobs(&self) -> BTreeSet<Digest> {
-        let entries = self.entries.iter().flat_map(Entry::blobs);
+        let entries = self.entries.iter().flat_map(StoredEntry::blobs);
         entries.chain(digests(&self.snapshot.state)).collect()
     }
 }
 
-impl Entry {
+impl StoredEntry {
     fn blobs(&self) -> BTreeSet<Digest> {
-        match &self.said {
-            Said::Word(pieces) => digests(pieces),
+        match &self.payload {
+            StoredPayload::Command(pieces) => digests(pieces),
             _ => BTreeSet::new(),
         }
     }
 }
 
-fn digests(pieces: &[Piece]) -> BTreeSet<Digest> {
-    let digest = |piece: &Piece| match piece {
-        Piece::Value(digest) | Piece::Blob(digest) => Some(*digest),
-        Piece::Here(_) => None,
+fn digests(pieces: &[Segment]) -> BTreeSet<Digest> {
+    let digest = |piece: &Segment| match piece {
+        Segment::Value(digest) | Segment::Blob(digest) => Some(*digest),
+        Segment::Inline(_) => None,
     };
     pieces.iter().filter_map(digest).collect()
 }
 
-fn key(place: Place) -> [u8; 9] {
+fn key(place: LogIndex) -> [u8; 9] {
     let mut key = [b'e'; 9];
     key[1..].copy_from_slice(&place.to_be_bytes());
     key
@@ -328,24 +345,27 @@
     read.map(Some).map_err(|e| redb::Error::Corrupted(e.to_string()))
 }
 
-fn drop_entries(table: &mut Table<&[u8], &[u8]>, from: Place, to: Place) -> Result<(), redb::Error> {
+fn remove_entries(table: &mut Table<&[u8], &[u8]>, from: LogIndex, to: LogIndex) -> Result<(), redb::Error> {
     table.retain_in(&key(from)[..]..=&key(to)[..], |_, _| false)?;
     Ok(())
 }
 
 /// Whatever a store makes of a broken file is an outcome, not the end of a process.
-fn guarded<T>(name: &str, work: impl FnOnce() -> Result<T, redb::Error>) -> Result<T, Fault> {
+fn catch_store_panic<T>(
+    name: &str,
+    work: impl FnOnce() -> Result<T, redb::Error>,
+) -> Result<T, StorageError> {
     match catch_unwind(AssertUnwindSafe(work)) {
-        Ok(done) => done.map_err(|e| Fault::Store(name.into(), Box::new(e))),
-        Err(_) => Err(Fault::Damaged(format!("{name}: the store gave up on it"))),
+        Ok(done) => done.map_err(|e| StorageError::Store(name.into(), Box::new(e))),
+        Err(_) => Err(StorageError::Damaged(format!("{name}: the store gave up on it"))),
     }
 }
 
 /// A file that takes [`MOST`] bytes and no more. A longer file is synced before anything is written there.
 #[derive(Debug)]
-struct Bounded(Arc<dyn Data>);
+struct BoundedFile(Arc<dyn DataFile>);
 
-impl StorageBackend for Bounded {
+impl StorageBackend for BoundedFile {
     fn len(&self) -> io::Result<u64> {
         self.0.len()
     }
@@ -355,7 +375,7 @@
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        if len > MOST {
+        if len > MAX_BYTES {
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, "it would be longer than its bound"));
         }
         self.0.set_len(len)?;
@@ -373,9 +393,9 @@
 
 /// A copy of a file: whatever the store does to it, the file stays as it is.
 #[derive(Debug)]
-struct Copy(Mutex<Vec<u8>>);
+struct MemoryCopy(Mutex<Vec<u8>>);
 
-impl Copy {
+impl MemoryCopy {
     fn with<T>(&self, work: impl FnOnce(&mut Vec<u8>) -> Option<T>) -> io::Result<T> {
         // It is whole even if a thread has ended over it.
         let mut bytes = self.0.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
@@ -383,7 +403,7 @@
     }
 }
 
-impl StorageBackend for Copy {
+impl StorageBackend for MemoryCopy {
     fn len(&self) -> io::Result<u64> {
         self.with(|bytes| Some(bytes.len() as u64))
     }
@@ -399,7 +419,7 @@
     fn set_len(&self, len: u64) -> io::Result<()> {
         self.with(|bytes| {
             // A broken file may ask for anything.
-            let len = usize::try_from(len).ok().filter(|len| *len as u64 <= 2 * MOST)?;
+            let len = usize::try_from(len).ok().filter(|len| *len as u64 <= 2 * MAX_BYTES)?;
             bytes.resize(len, 0);
             Some(())
         })
--- a/crates/control/control-plane/src/disk/golden_tests.rs
+++ b/crates/control/control-plane/src/disk/golden_tests.rs
@@ -1,11 +1,11 @@
 //! A folder that an earlier version wrote is opened with all that it held, and the same is written byte for byte.
 
-use super::folder::{Directory, Folder};
-use super::storage::Storage;
+use super::folder::{Directory, SystemDirectory};
+use super::storage::Store;
 use super::*;
 use compatibility::{Golden, RECORD_VARIABLE};
-use consensus::{Entry, Id, Members, Said, Snapshot};
-use control_state::{Book, Word};
+use consensus::{Entry, EntryPayload, NodeId, Snapshot, VoterSet};
+use control_state::{Command, ControlState};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 const NAME: &str = "10.0.0.1";
@@ -16,44 +16,50 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../testing/compatibility/golden/agreement")
 }
 
-fn members() -> Members {
+fn members() -> VoterSet {
     [(NAME.to_string(), ID), ("10.0.0.2".to_string(), 78), ("10.0.0.3".to_string(), 79)].into()
 }
 
-fn configuration(base: u32, bytes: usize) -> Said {
+fn configuration(base: u32, bytes: usize) -> EntryPayload {
     let body = (0..bytes).map(|n| (n % 251) as u8).collect();
-    Said::Word(Word::Configuration { base, version: base + 1, body }.write())
+    EntryPayload::Command(Command::ReplaceConfiguration { base, version: base + 1, body }.encode())
 }
 
 /// Entries of each kind, with configurations that stand where they are, as values, and as files of their own.
-fn stored() -> Stored {
-    let mut book = Book::new();
-    book.apply(2, &Word::Configuration { base: 0, version: 1, body: vec![b'x'; 5000] });
-    book.apply(3, &Word::Leaving { instance: "i-1".into() });
+fn stored() -> PersistedState {
+    let mut book = ControlState::new();
+    book.apply(2, &Command::ReplaceConfiguration { base: 0, version: 1, body: vec![b'x'; 5000] });
+    book.apply(3, &Command::Drain { instance: "i-1".into() });
     let said = [
-        Said::Nothing,
-        Said::Members(members()),
+        EntryPayload::Noop,
+        EntryPayload::Configuration(members()),
         configuration(1, 1000),
         configuration(2, 9000),
         configuration(3, 70_000),
-        Said::Joint { old: members(), new: Members::new() },
+        EntryPayload::JointConfiguration { old: members(), new: VoterSet::new() },
     ];
-    Stored {
+    PersistedState {
         term: 5,
-        vote: Some(Id { name: "10.0.0.2".into(), disk: 78 }),
-        snapshot: Snapshot { place: 3, term: 4, members: members(), state: book.write() },
-        entries: said.into_iter().map(|said| Entry { term: 5, said }).collect(),
-        agreed: 4,
+        vote: Some(NodeId { name: "10.0.0.2".into(), disk_id: 78 }),
+        snapshot: Snapshot { index: 3, term: 4, voters: members(), state: book.encode() },
+        entries: said.into_iter().map(|said| Entry { term: 5, payload: said }).collect(),
+        commit_index: 4,
     }
 }
 
-fn facts() -> Vec<Fact> {
-    vec![Fact { id: "i-1".into(), address: "10.1.0.1:9000".into(), slots: 3, sequence: 4, ..Fact::default() }]
+fn facts() -> Vec<Heartbeat> {
+    vec![Heartbeat {
+        instance: "i-1".into(),
+        address: "10.1.0.1:9000".into(),
+        slots: 3,
+        sequence: 4,
+        ..Heartbeat::default()
+    }]
 }
 
-fn open(path: &Path) -> (Storage, Held) {
-    let folder = Directory::new(path.to_path_buf()).unwrap();
-    Storage::open(Arc::new(folder) as Arc<dyn Folder>, NAME, ID).unwrap()
+fn open(path: &Path) -> (Store, LoadedState) {
+    let folder = SystemDirectory::new(path.to_path_buf()).unwrap();
+    Store::open(Arc::new(folder) as Arc<dyn Directory>, NAME, ID).unwrap()
 }
 
 /// An empty folder of this test's own.
@@ -66,9 +72,9 @@
 
 fn write(path: &Path) {
     let (mut storage, _) = open(path);
-    storage.whole(&stored()).unwrap();
-    storage.keep(&facts());
-    storage.rest();
+    storage.save_full(&stored()).unwrap();
+    storage.write_registry(&facts());
+    storage.sync_registry();
 }
 
 fn copy(from: &Path, to: &Path) {
@@ -102,7 +108,7 @@
     let path = scratch("opened");
     copy(&recorded(), &path);
     let (_, held) = open(&path);
-    assert_eq!((held.id, held.stored, held.cell), (ID, stored(), facts()));
+    assert_eq!((held.disk_id, held.stored, held.heartbeats), (ID, stored(), facts()));
     std::fs::remove_dir_all(path).unwrap();
 }
 
--- a/crates/control/control-plane/src/disk/stand_in.rs
+++ b/crates/control/control-plane/src/disk/stand_in.rs
@@ -2,7 +2,7 @@
 //! disk may. Written bytes that were not synced are there, missing or torn; names made, renamed and removed are kept or
 //! lost one by one before the folder was synced.
 
-use super::folder::{Data, Folder};
+use super::folder::{DataFile, Directory};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::io;
@@ -26,26 +26,26 @@
 
 /// What the disk does when it is asked for something.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum DiskBehaviour {
     #[default]
-    Works,
+    Healthy,
     /// Nothing more is written; what was is read. A sync that is refused forgets what it was to write, as systems do.
     Full,
     /// Nothing at all.
     Dead,
     /// Whoever writes waits until it does something else.
-    Stalls,
+    Stalled,
 }
 
 /// What becomes of what was not synced.
 #[derive(Clone, Copy, Debug)]
-pub enum Loss {
+pub enum PowerLoss {
     /// The process is killed: the system has it all.
     None,
     /// Power is lost, and all of it.
     All,
     /// Power is lost, and each by lot.
-    Lot(u64),
+    Random(u64),
 }
 
 #[derive(Debug, Default)]
@@ -56,7 +56,7 @@
     /// Names that have changed since the folder was synced, in order.
     open: Vec<(String, Option<u64>)>,
     next: u64,
-    mood: Mood,
+    behaviour: DiskBehaviour,
     /// Operations that write, until power is lost.
     left: Option<u64>,
     /// Operations that write, until one is refused.
@@ -76,23 +76,23 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct StandIn(Arc<(Mutex<State>, Condvar)>);
+pub struct FakeDisk(Arc<(Mutex<State>, Condvar)>);
 
 #[derive(Debug)]
-struct Open(StandIn, u64);
+struct Open(FakeDisk, u64);
 
-impl StandIn {
+impl FakeDisk {
     fn state(&self) -> MutexGuard<'_, State> {
         self.0 .0.lock().unwrap()
     }
 
     /// The same, once whoever writes gets an answer.
     fn answers(&self) -> MutexGuard<'_, State> {
-        self.0 .1.wait_while(self.state(), |state| state.mood == Mood::Stalls).unwrap()
+        self.0 .1.wait_while(self.state(), |state| state.behaviour == DiskBehaviour::Stalled).unwrap()
     }
 
-    pub fn mood(&self, mood: Mood) {
-        self.state().mood = mood;
+    pub fn set_behaviour(&self, mood: DiskBehaviour) {
+        self.state().behaviour = mood;
         self.0 .1.notify_all();
     }
 
@@ -123,16 +123,16 @@
     }
 
     /// The disk as the next process finds it.
-    pub fn after(&self, loss: Loss) -> StandIn {
+    pub fn after(&self, loss: PowerLoss) -> FakeDisk {
         let state = self.state();
-        let mut rng = Rng::with_seed(if let Loss::Lot(seed) = loss { seed } else { 0 });
+        let mut rng = Rng::with_seed(if let PowerLoss::Random(seed) = loss { seed } else { 0 });
         let mut new = State { next: state.next, ..State::default() };
-        if matches!(loss, Loss::None) {
+        if matches!(loss, PowerLoss::None) {
             (new.files, new.names) = (state.files.clone(), state.names.clone());
             (new.lasting, new.open) = (state.lasting.clone(), state.open.clone());
-            return StandIn(Arc::new((Mutex::new(new), Condvar::new())));
+            return FakeDisk(Arc::new((Mutex::new(new), Condvar::new())));
         }
-        let mut kept = |one_in: u64| matches!(loss, Loss::Lot(_)) && rng.u64(..one_in) > 0;
+        let mut kept = |one_in: u64| matches!(loss, PowerLoss::Random(_)) && rng.u64(..one_in) > 0;
         new.names = state.lasting.clone();
         for (name, inode) in &state.open {
             match inode {
@@ -156,7 +156,7 @@
             new.files.insert(*inode, File { seen: bytes.clone(), lasting: bytes, open: Vec::new() });
         }
         new.lasting = new.names.clone();
-        StandIn(Arc::new((Mutex::new(new), Condvar::new())))
+        FakeDisk(Arc::new((Mutex::new(new), Condvar::new())))
     }
 }
 
@@ -179,7 +179,7 @@
 
 impl State {
     fn reads(&self) -> io::Result<()> {
-        if self.mood == Mood::Dead {
+        if self.behaviour == DiskBehaviour::Dead {
             Err(io::Error::other("it does not answer"))
         } else {
             Ok(())
@@ -198,7 +198,7 @@
         }
         match &mut self.left {
             Some(0) => {
-                self.mood = Mood::Dead;
+                self.behaviour = DiskBehaviour::Dead;
                 self.left = None;
                 Ok(true)
             }
@@ -206,7 +206,7 @@
                 *left -= 1;
                 Ok(false)
             }
-            None if self.mood == Mood::Works => Ok(false),
+            None if self.behaviour == DiskBehaviour::Healthy => Ok(false),
             None => Err(refused()),
         }
     }
@@ -241,7 +241,7 @@
     }
 }
 
-impl Folder for StandIn {
+impl Directory for FakeDisk {
     fn list(&self) -> io::Result<Vec<(String, u64)>> {
         let state = self.state();
         state.reads()?;
@@ -254,7 +254,7 @@
         Ok(state.files[&state.inode(name)?].seen.clone())
     }
 
-    fn open(&self, name: &str, new: bool) -> io::Result<Arc<dyn Data>> {
+    fn open(&self, name: &str, new: bool) -> io::Result<Arc<dyn DataFile>> {
         let mut state = self.answers();
         if !new {
             state.reads()?;
@@ -281,7 +281,7 @@
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = self.answers();
         // It takes no room.
-        if state.mood == Mood::Full {
+        if state.behaviour == DiskBehaviour::Full {
             state.inode(name)?;
             state.rename(name, None);
             return Ok(());
@@ -312,7 +312,7 @@
     }
 }
 
-impl Data for Open {
+impl DataFile for Open {
     fn len(&self) -> io::Result<u64> {
         let state = self.0.state();
         state.reads()?;
--- a/crates/control/control-plane/src/driver.rs
+++ b/crates/control/control-plane/src/driver.rs
@@ -4,10 +4,10 @@
 #[cfg(test)]
 mod tests;
 
-use crate::disk::{Disk, Done, Fault};
-use control_node::{Effect, Prompter, Reply, Time};
-use control_state::Versions;
-use messages::message::{Down, Peer};
+use crate::disk::{Completion, StorageError, StorageHandle};
+use control_node::{ControlNode, Effect, Reply, Time};
+use control_state::DeclaredVersions;
+use messages::message::{ControlMessage, GatewayUpdate};
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
@@ -18,96 +18,96 @@
 use tokio::time::{sleep_until, Instant};
 
 /// Larger configurations are checked on another thread: 700 KB take 80 ms of a core, 8 MB 0.4 s, and this one has rounds to answer.
-const CHECKED_HERE: usize = 64 << 10;
+const MAX_INLINE_VALIDATION_BYTES: usize = 64 << 10;
 
 /// Whether a configuration is sound, and what it builds on.
-pub type Check = Arc<dyn Fn(&[u8]) -> Result<Versions, String> + Send + Sync>;
+pub type Validate = Arc<dyn Fn(&[u8]) -> Result<DeclaredVersions, String> + Send + Sync>;
 
 /// Where what is handed to a gateway goes, and that there may be a part for it.
-pub struct Outlet {
+pub struct GatewayLink {
     pub link: u64,
-    pub handed: mpsc::Sender<Down>,
-    pub room: Rc<Notify>,
+    pub grants: mpsc::Sender<GatewayUpdate>,
+    pub chunk_window: Rc<Notify>,
 }
 
 pub struct Driver {
-    me: Weak<Driver>,
-    begun: Instant,
-    prompter: RefCell<Prompter>,
-    disk: Disk,
-    check: Check,
+    weak_self: Weak<Driver>,
+    started: Instant,
+    node: RefCell<ControlNode>,
+    storage: StorageHandle,
+    validate: Validate,
     /// What the disk is at.
-    writing: RefCell<Option<(u64, Done)>>,
+    pending_write: RefCell<Option<(u64, Completion)>>,
     /// Links to the other prompters, by name.
-    pub links: RefCell<BTreeMap<String, mpsc::Sender<Peer>>>,
+    pub links: RefCell<BTreeMap<String, mpsc::Sender<ControlMessage>>>,
     /// Gateways that follow.
-    pub outlets: RefCell<HashMap<String, Outlet>>,
+    pub gateway_links: RefCell<HashMap<String, GatewayLink>>,
     /// Calls that wait, by number.
     calls: RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>,
-    call: Cell<u64>,
-    news: watch::Sender<()>,
+    last_call: Cell<u64>,
+    changes: watch::Sender<()>,
     /// The prompter wants to work sooner than is waited for.
-    sooner: Notify,
-    waits_until: Cell<Time>,
+    wake: Notify,
+    sleeping_until: Cell<Time>,
 }
 
 /// This machine's time of day, in Unix milliseconds. Alone it decides nothing.
-pub fn wall() -> u64 {
+pub fn unix_millis() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
 }
 
 impl Driver {
     /// `begins`: the prompter as of time 0.
-    pub fn new(begins: Prompter, disk: Disk, check: Check) -> Rc<Self> {
+    pub fn new(begins: ControlNode, disk: StorageHandle, check: Validate) -> Rc<Self> {
         Rc::new_cyclic(|me| Driver {
-            me: me.clone(),
-            begun: Instant::now(),
-            prompter: RefCell::new(begins),
-            disk,
-            check,
-            writing: RefCell::default(),
+            weak_self: me.clone(),
+            started: Instant::now(),
+            node: RefCell::new(begins),
+            storage: disk,
+            validate: check,
+            pending_write: RefCell::default(),
             links: RefCell::default(),
-            outlets: RefCell::default(),
+            gateway_links: RefCell::default(),
             calls: RefCell::default(),
-            call: Cell::new(0),
-            news: watch::Sender::new(()),
-            sooner: Notify::new(),
-            waits_until: Cell::new(0),
+            last_call: Cell::new(0),
+            changes: watch::Sender::new(()),
+            wake: Notify::new(),
+            sleeping_until: Cell::new(0),
         })
     }
 
     /// Nanoseconds since the process began, on the steady clock.
     pub fn now(&self) -> Time {
-        self.begun.elapsed().as_nanos() as Time
+        self.started.elapsed().as_nanos() as Time
     }
 
     fn instant(&self, time: Time) -> Instant {
         let far = Duration::from_secs(3600);
-        self.begun + Duration::from_nanos(time).min(self.begun.elapsed() + far)
+        self.started + Duration::from_nanos(time).min(self.started.elapsed() + far)
     }
 
     /// Tells of each change from now on.
-    pub fn news(&self) -> watch::Receiver<()> {
-        self.news.subscribe()
+    pub fn changes(&self) -> watch::Receiver<()> {
+        self.changes.subscribe()
     }
 
     /// What it knows.
-    pub fn prompter(&self) -> Ref<'_, Prompter> {
-        self.prompter.borrow()
+    pub fn node(&self) -> Ref<'_, ControlNode> {
+        self.node.borrow()
     }
 
     /// Something has come for it.
-    pub fn with<T>(&self, act: impl FnOnce(&mut Prompter, Time) -> T) -> T {
+    pub fn with<T>(&self, act: impl FnOnce(&mut ControlNode, Time) -> T) -> T {
         let now = self.now();
-        let told = act(&mut self.prompter.borrow_mut(), now);
-        self.carry_out();
+        let told = act(&mut self.node.borrow_mut(), now);
+        self.perform_effects();
         told
     }
 
     /// A call, which is always answered in time; none: nobody says anything any more.
-    pub async fn call(&self, act: impl FnOnce(&mut Prompter, Time, u64)) -> Option<Reply> {
-        self.call.set(self.call.get() + 1);
-        let (call, (sender, reply)) = (self.call.get(), oneshot::channel());
+    pub async fn call(&self, act: impl FnOnce(&mut ControlNode, Time, u64)) -> Option<Reply> {
+        self.last_call.set(self.last_call.get() + 1);
+        let (call, (sender, reply)) = (self.last_call.get(), oneshot::channel());
         self.calls.borrow_mut().insert(call, sender);
         self.with(|p, now| act(p, now, call));
         reply.await.ok()
@@ -117,87 +117,87 @@
     pub async fn run(self: Rc<Self>) {
         let mut writing = None;
         loop {
-            self.waits_until.set(0);
-            self.with(|p, now| p.work(now, wall()));
-            if let Some(begun) = self.writing.borrow_mut().take() {
+            self.sleeping_until.set(0);
+            self.with(|p, now| p.advance(now, unix_millis()));
+            if let Some(begun) = self.pending_write.borrow_mut().take() {
                 writing = Some(begun);
             }
-            let due = self.prompter.borrow().next_due();
-            self.waits_until.set(due);
+            let due = self.node.borrow().next_due();
+            self.sleeping_until.set(due);
             tokio::select! {
                 biased;
-                (number, saved) = written(&mut writing) => {
+                (number, saved) = storage_completion(&mut writing) => {
                     writing = None;
                     if let Err(fault) = &saved {
                         log::warn!("disk: {fault}");
                     }
-                    self.with(|p, now| p.written(now, number, saved.is_ok()));
+                    self.with(|p, now| p.on_persisted(now, number, saved.is_ok()));
                 }
                 () = sleep_until(self.instant(due)) => {}
-                () = self.sooner.notified() => {}
+                () = self.wake.notified() => {}
             }
         }
     }
 
-    fn carry_out(&self) {
+    fn perform_effects(&self) {
         loop {
-            let effects = self.prompter.borrow_mut().take_effects();
+            let effects = self.node.borrow_mut().take_effects();
             if effects.is_empty() {
                 break;
             }
             effects.into_iter().for_each(|e| self.perform(e));
         }
-        let prompter = self.prompter.borrow();
-        if prompter.wants_work() || prompter.next_due() < self.waits_until.get() {
-            self.sooner.notify_one();
+        let prompter = self.node.borrow();
+        if prompter.has_ready_input() || prompter.next_due() < self.sleeping_until.get() {
+            self.wake.notify_one();
         }
     }
 
     fn perform(&self, effect: Effect) {
         match effect {
             // Whatever is told or handed may be lost.
-            Effect::Tell { to, peer } => {
+            Effect::SendToNode { to, message: peer } => {
                 if let Some(link) = self.links.borrow().get(&to) {
                     let _ = link.try_send(peer);
                 }
             }
-            Effect::TellAll { peer } => {
+            Effect::Broadcast { message: peer } => {
                 for link in self.links.borrow().values() {
                     let _ = link.try_send(peer.clone());
                 }
             }
-            Effect::Hand { gateway, down } => {
-                if let Some(outlet) = self.outlets.borrow().get(&gateway) {
-                    let _ = outlet.handed.try_send(down);
+            Effect::SendToGateway { gateway, update: down } => {
+                if let Some(outlet) = self.gateway_links.borrow().get(&gateway) {
+                    let _ = outlet.grants.try_send(down);
                 }
             }
-            Effect::Room { gateway } => {
-                if let Some(outlet) = self.outlets.borrow().get(&gateway) {
-                    outlet.room.notify_one();
+            Effect::ChunkWindowOpened { gateway } => {
+                if let Some(outlet) = self.gateway_links.borrow().get(&gateway) {
+                    outlet.chunk_window.notify_one();
                 }
             }
-            Effect::News => {
-                self.news.send_replace(());
+            Effect::NotifySubscribers => {
+                self.changes.send_replace(());
             }
-            Effect::Write { number, work } => {
-                let begun = self.writing.borrow_mut().replace((number, self.disk.work(work)));
+            Effect::Persist { request: number, work } => {
+                let begun = self.pending_write.borrow_mut().replace((number, self.storage.request(work)));
                 debug_assert!(begun.is_none(), "one write at a time");
             }
-            Effect::Check { job, body } if body.len() > CHECKED_HERE => {
-                let (check, driver) = (self.check.clone(), self.me.clone());
+            Effect::Validate { change: job, body } if body.len() > MAX_INLINE_VALIDATION_BYTES => {
+                let (check, driver) = (self.validate.clone(), self.weak_self.clone());
                 spawn_local(async move {
                     let read = spawn_blocking(move || check(&body)).await;
                     if let Some(driver) = driver.upgrade() {
-                        driver.with(|p, now| p.checked(now, job, read.ok()));
+                        driver.with(|p, now| p.on_validated(now, job, read.ok()));
                     }
                 });
             }
-            Effect::Check { job, body } => {
-                let read = (self.check)(&body);
+            Effect::Validate { change: job, body } => {
+                let read = (self.validate)(&body);
                 let now = self.now();
-                self.prompter.borrow_mut().checked(now, job, Some(read));
+                self.node.borrow_mut().on_validated(now, job, Some(read));
             }
-            Effect::Answer { call, reply } => {
+            Effect::Reply { call, reply } => {
                 if let Some(caller) = self.calls.borrow_mut().remove(&call) {
                     // It may have given up waiting.
                     let _ = caller.send(reply);
@@ -208,9 +208,9 @@
 }
 
 /// What the disk says, when it is at something.
-async fn written(writing: &mut Option<(u64, Done)>) -> (u64, Result<(), Fault>) {
+async fn storage_completion(writing: &mut Option<(u64, Completion)>) -> (u64, Result<(), StorageError>) {
     match writing {
-        Some((number, done)) => (*number, done.await.unwrap_or(Err(Fault::Gone))),
+        Some((number, done)) => (*number, done.await.unwrap_or(Err(StorageError::ThreadEnded))),
         None => std::future::pending().await,
     }
 }
--- a/crates/control/control-plane/src/driver/tests.rs
+++ b/crates/control/control-plane/src/driver/tests.rs
@@ -1,12 +1,12 @@
 //! Three prompters in one process, each with a disk that a test may fill, stall, or take power from.
 
 use super::*;
-use crate::disk::folder::Folder;
-use crate::disk::stand_in::{Loss, Mood, StandIn};
-use crate::disk::storage::Storage;
-use consensus::{Id, Members};
-use control_node::Setup;
-use control_state::Word;
+use crate::disk::folder::Directory;
+use crate::disk::stand_in::{DiskBehaviour, FakeDisk, PowerLoss};
+use crate::disk::storage::Store;
+use consensus::{NodeId, VoterSet};
+use control_node::NodeConfig;
+use control_state::Command;
 use std::future::Future;
 use std::path::PathBuf;
 use tokio::task::{JoinHandle, LocalSet};
@@ -20,7 +20,7 @@
 }
 
 struct Three {
-    disks: Vec<StandIn>,
+    disks: Vec<FakeDisk>,
     ones: Vec<Option<One>>,
     starts: u64,
 }
@@ -37,23 +37,23 @@
     body
 }
 
-fn check(body: &[u8]) -> Result<Versions, String> {
+fn check(body: &[u8]) -> Result<DeclaredVersions, String> {
     let number = |at: usize| body.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
     let read = number(0).zip(number(4));
-    read.map(|(base, version)| Versions { base, version }).ok_or("too short".into())
+    read.map(|(base, version)| DeclaredVersions { base, version }).ok_or("too short".into())
 }
 
 impl Three {
     async fn new() -> Self {
-        let disks = (0..3).map(|_| StandIn::default()).collect();
+        let disks = (0..3).map(|_| FakeDisk::default()).collect();
         let mut three = Three { disks, ones: vec![None, None, None], starts: 0 };
-        let mut members = Members::new();
+        let mut members = VoterSet::new();
         for n in 0..3 {
             members.insert(name(n), three.start(n).await);
         }
         // Its first save makes it a voter; before that it founds nothing.
         while three.leader().is_none() {
-            three.say(0, Peer::Found { members: members.clone() });
+            three.say(0, ControlMessage::BootstrapChosen { voters: members.clone() });
             three.news(0).await;
         }
         three
@@ -65,29 +65,31 @@
 
     async fn start(&mut self, n: usize) -> u64 {
         self.starts += 1;
-        let (folder, id) = (Arc::new(self.disks[n].clone()) as Arc<dyn Folder>, 100 * self.starts + n as u64);
-        let opens = move || Storage::open(folder, &name(n), id);
-        let (disk, held) = Disk::begin(opens, PathBuf::new()).await.unwrap();
-        let setup = Setup {
-            me: Id { name: name(n), disk: held.id },
+        let (folder, id) =
+            (Arc::new(self.disks[n].clone()) as Arc<dyn Directory>, 100 * self.starts + n as u64);
+        let opens = move || Store::open(folder, &name(n), id);
+        let (disk, held) = StorageHandle::spawn(opens, PathBuf::new()).await.unwrap();
+        let setup = NodeConfig {
+            id: NodeId { name: name(n), disk_id: held.disk_id },
             zone: "a".into(),
-            votes: true,
-            first: true,
+            can_vote: true,
+            initial_start: true,
             seeds: Vec::new(),
-            beat: 1_000_000_000,
-            terms: |_| trial::Terms::default(),
+            heartbeat_interval: 1_000_000_000,
+            read_terms: |_| trial::TenantTerms::default(),
             seed: self.starts,
         };
-        let driver = Driver::new(Prompter::new(setup, held.stored, held.cell, 0), disk, Arc::new(check));
+        let driver =
+            Driver::new(ControlNode::new(setup, held.stored, held.heartbeats, 0), disk, Arc::new(check));
         self.ones[n] = Some(One { task: spawn_local(driver.clone().run()), driver });
         (0..3).for_each(|other| self.connect(other));
-        held.id
+        held.disk_id
     }
 
     /// Another prompter says this.
-    fn say(&self, n: usize, peer: Peer) {
-        let from = Id { name: name((n + 1) % 3), disk: 0 };
-        self.one(n).driver.with(|p, now| p.hear(now, &from, peer));
+    fn say(&self, n: usize, peer: ControlMessage) {
+        let from = NodeId { name: name((n + 1) % 3), disk_id: 0 };
+        self.one(n).driver.with(|p, now| p.on_control_message(now, &from, peer));
     }
 
     /// What this one says reaches those that run.
@@ -98,10 +100,10 @@
             let Some(other) = other else { continue };
             let (sender, mut queue) = mpsc::channel(512);
             one.driver.links.borrow_mut().insert(name(to), sender);
-            let (driver, from) = (other.driver.clone(), one.driver.prompter().me().clone());
+            let (driver, from) = (other.driver.clone(), one.driver.node().id().clone());
             spawn_local(async move {
                 while let Some(message) = queue.recv().await {
-                    driver.with(|p, now| p.hear(now, &from, message));
+                    driver.with(|p, now| p.on_control_message(now, &from, message));
                 }
             });
         }
@@ -124,11 +126,11 @@
 
     /// Something has happened at this one, or some time has passed.
     async fn news(&self, n: usize) {
-        let _ = timeout(Duration::from_millis(20), self.one(n).driver.news().changed()).await;
+        let _ = timeout(Duration::from_millis(20), self.one(n).driver.changes().changed()).await;
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..3).find(|n| self.ones[*n].as_ref().is_some_and(|o| o.driver.prompter().duty().is_leader))
+        (0..3).find(|n| self.ones[*n].as_ref().is_some_and(|o| o.driver.node().leadership().is_leader))
     }
 
     async fn until(&self, what: &str, holds: impl Fn(&Three) -> bool) {
@@ -141,7 +143,7 @@
     }
 
     fn version(&self, n: usize) -> u32 {
-        self.one(n).driver.prompter().book().version()
+        self.one(n).driver.node().state().version()
     }
 
     /// Changes to this version, at whoever leads, until it is taken.
@@ -151,7 +153,11 @@
             loop {
                 if let Some(leader) = self.leader() {
                     let body = body.clone().into();
-                    let reply = self.one(leader).driver.call(|p, now, call| p.replace(now, call, body)).await;
+                    let reply = self
+                        .one(leader)
+                        .driver
+                        .call(|p, now, call| p.replace_configuration(now, call, body))
+                        .await;
                     // It may have been taken without an answer.
                     if reply == Some(Reply::Acknowledged) {
                         return leader;
@@ -164,11 +170,11 @@
     }
 
     /// Has a word agreed on, by whoever leads.
-    async fn take(&self, word: &Word, stands: impl Fn(&control_state::Book) -> bool) {
+    async fn take(&self, word: &Command, stands: impl Fn(&control_state::ControlState) -> bool) {
         let taken = async {
-            while !self.leader().is_some_and(|n| stands(self.one(n).driver.prompter().book())) {
+            while !self.leader().is_some_and(|n| stands(self.one(n).driver.node().state())) {
                 if let Some(leader) = self.leader() {
-                    self.say(leader, Peer::Propose { word: word.write() });
+                    self.say(leader, ControlMessage::Propose { command: word.encode() });
                 }
                 self.news(0).await;
             }
@@ -183,18 +189,19 @@
 
 /// The leader's disk takes nothing, or does not answer: another leads, changes are taken, this one hears of them; and it counts again
 /// once it holds all.
-async fn without_the_leaders_disk(mood: Mood) {
+async fn without_the_leaders_disk(mood: DiskBehaviour) {
     let mut three = Three::new().await;
     let old = three.change(1, 9000).await;
-    three.disks[old].mood(mood);
+    three.disks[old].set_behaviour(mood);
     let new = three.change(2, 9000).await;
     assert!(new != old, "{mood:?}: nothing is agreed on under a leader that cannot save");
     three.until("it hears of it", |t| t.version(old) == 2).await;
     assert!(!three.one(old).task.is_finished());
-    let follows =
-        |t: &Three| t.one(old).driver.prompter().duty().leader.as_ref().is_some_and(|h| h.name != name(old));
+    let follows = |t: &Three| {
+        t.one(old).driver.node().leadership().leader.as_ref().is_some_and(|h| h.name != name(old))
+    };
     three.until("it follows another", follows).await;
-    three.disks[old].mood(Mood::Works);
+    three.disks[old].set_behaviour(DiskBehaviour::Healthy);
     // Its word is wanted now.
     three.cut(3 - old - new);
     three.change(3, 9000).await;
@@ -202,7 +209,7 @@
     // All that was agreed on is on two disks, whoever lost power.
     three.stop(new);
     three.stop(old);
-    three.disks[old] = three.disks[old].after(Loss::All);
+    three.disks[old] = three.disks[old].after(PowerLoss::All);
     three.start(old).await;
     (0..3).for_each(|n| three.connect(n));
     three.until("both hold it", |t| t.version(old) == 3 && t.version(3 - old - new) == 3).await;
@@ -210,12 +217,12 @@
 
 #[tokio::test]
 async fn a_full_disk_at_the_leader_hands_its_duty_on_and_ends_nothing() {
-    local(without_the_leaders_disk(Mood::Full)).await;
+    local(without_the_leaders_disk(DiskBehaviour::Full)).await;
 }
 
 #[tokio::test]
 async fn a_disk_that_does_not_answer_at_the_leader_hands_its_duty_on() {
-    local(without_the_leaders_disk(Mood::Stalls)).await;
+    local(without_the_leaders_disk(DiskBehaviour::Stalled)).await;
 }
 
 /// All disks are full at once, as with one log on all of them: nothing is taken, nothing ends, and it goes on when they work.
@@ -224,22 +231,22 @@
     local(async {
         let mut three = Three::new().await;
         three.change(1, 9000).await;
-        three.disks.iter().for_each(|d| d.mood(Mood::Full));
+        three.disks.iter().for_each(|d| d.set_behaviour(DiskBehaviour::Full));
         let leader = three.leader().unwrap();
         let (one, order) = (&three.one(leader).driver, body(1, 2, 9000).into());
         let (drain, change) = tokio::join!(
             one.call(|p, now, call| p.deregister(now, call, "i-1")),
-            one.call(|p, now, call| p.replace(now, call, order)),
+            one.call(|p, now, call| p.replace_configuration(now, call, order)),
         );
-        assert_eq!(drain, Some(Reply::Later), "nothing is confirmed that is on no disk");
-        assert_eq!(change, Some(Reply::Later), "nothing is confirmed that is on no disk");
+        assert_eq!(drain, Some(Reply::Unavailable), "nothing is confirmed that is on no disk");
+        assert_eq!(change, Some(Reply::Unavailable), "nothing is confirmed that is on no disk");
         three.until("nobody leads", |t| t.leader().is_none()).await;
         assert!((0..3).all(|n| !three.one(n).task.is_finished()));
         // Power is lost while they are full, and they stay so for a while.
         for n in 0..3 {
             three.stop(n);
-            three.disks[n] = three.disks[n].after(Loss::All);
-            three.disks[n].mood(Mood::Full);
+            three.disks[n] = three.disks[n].after(PowerLoss::All);
+            three.disks[n].set_behaviour(DiskBehaviour::Full);
         }
         for n in 0..3 {
             three.start(n).await;
@@ -248,7 +255,7 @@
             three.news(0).await;
             assert_eq!(three.leader(), None, "a vote needs a disk");
         }
-        three.disks.iter().for_each(|d| d.mood(Mood::Works));
+        three.disks.iter().for_each(|d| d.set_behaviour(DiskBehaviour::Healthy));
         three.change(2, 9000).await;
     })
     .await;
@@ -259,9 +266,13 @@
 async fn a_member_that_returns_after_hundreds_of_changes_catches_up_and_leads_with_the_newest() {
     local(async {
         let mut three = Three::new().await;
-        three.take(&Word::Leaving { instance: "i-1".into() }, |b| b.is_leaving("i-1")).await;
-        three.take(&Word::Gateway { name: "g-1".into() }, |b| b.gateways().contains("g-1")).await;
-        three.take(&Word::TrialOver { tenant: "t-1".into(), ends: 7 }, |b| b.is_over("t-1", 7)).await;
+        three.take(&Command::Drain { instance: "i-1".into() }, |b| b.is_draining("i-1")).await;
+        three.take(&Command::AddGateway { name: "g-1".into() }, |b| b.gateways().contains("g-1")).await;
+        three
+            .take(&Command::ExpireTrial { tenant: "t-1".into(), ends_at: 7 }, |b| {
+                b.is_trial_expired("t-1", 7)
+            })
+            .await;
         for version in 1..=70 {
             three.change(version, 5000).await;
         }
@@ -272,7 +283,7 @@
         for version in 71..=470 {
             three.change(version, 5000).await;
         }
-        three.disks[away] = three.disks[away].after(Loss::All);
+        three.disks[away] = three.disks[away].after(PowerLoss::All);
         three.start(away).await;
         assert!(three.version(away) >= 65, "what was saved: {}", three.version(away));
         three.until("it has caught up", |t| t.version(away) == 470).await;
@@ -280,29 +291,31 @@
         three.cut(leader);
         three
             .until("another leads", |t| {
-                [away, other].iter().any(|n| t.one(*n).driver.prompter().duty().is_leader)
+                [away, other].iter().any(|n| t.one(*n).driver.node().leadership().is_leader)
             })
             .await;
         three.stop(leader);
         three.change(471, 5000).await;
         three.until("both have it", |t| t.version(away) == 471 && t.version(other) == 471).await;
         // The snapshot holds all that was ever said, and both know earlier configurations again in the same way.
-        let before = three.one(away).driver.prompter().book().clone();
-        assert_eq!(before, *three.one(other).driver.prompter().book());
+        let before = three.one(away).driver.node().state().clone();
+        assert_eq!(before, *three.one(other).driver.node().state());
         let book = &before;
-        assert!(book.is_leaving("i-1") && book.gateways().contains("g-1") && book.is_over("t-1", 7));
-        assert!(book.has_taken(470, &body(469, 470, 5000)));
+        assert!(
+            book.is_draining("i-1") && book.gateways().contains("g-1") && book.is_trial_expired("t-1", 7)
+        );
+        assert!(book.is_applied_as(470, &body(469, 470, 5000)));
         // All lose power: the same is there again.
         for n in [away, other] {
             three.stop(n);
-            three.disks[n] = three.disks[n].after(Loss::All);
+            three.disks[n] = three.disks[n].after(PowerLoss::All);
         }
         for n in [away, other] {
             three.start(n).await;
         }
         three
             .until("both have it again", |t| {
-                [away, other].iter().all(|n| *t.one(*n).driver.prompter().book() == before)
+                [away, other].iter().all(|n| *t.one(*n).driver.node().state() == before)
             })
             .await;
     })
--- a/crates/control/control-plane/src/links.rs
+++ b/crates/control/control-plane/src/links.rs
@@ -1,11 +1,11 @@
 //! Links among prompters, one each way: each dials all others that it has heard of and says on that connection what it has
 //! to say. What comes is handed to the prompter.
 
-use crate::driver::{wall, Driver};
-use consensus::Id;
-use control_node::HELLO;
-use messages::frame::{self, Reader};
-use messages::message::{First, Peer, FORM};
+use crate::driver::{unix_millis, Driver};
+use consensus::NodeId;
+use control_node::HELLO_INTERVAL;
+use messages::frame::{self, FrameReader};
+use messages::message::{ControlMessage, Greeting, MESSAGE_FORMAT};
 use process::net::connect;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
@@ -15,57 +15,58 @@
 use tokio::time::{interval, sleep, Instant, MissedTickBehavior};
 
 /// Messages that wait for a link; more are lost, as on a network.
-const QUEUE: usize = 512;
-const AGAIN: Duration = Duration::from_millis(100);
+const QUEUE_LENGTH: usize = 512;
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// Prompters that have been heard of are looked at so often.
-const DIALS: Duration = Duration::from_millis(400);
+const DIAL_INTERVAL: Duration = Duration::from_millis(400);
 
-pub struct Links {
+pub struct PeerLinks {
     driver: Rc<Driver>,
     port: u16,
 }
 
-impl Links {
+impl PeerLinks {
     pub fn new(driver: Rc<Driver>, port: u16) -> Rc<Self> {
-        Rc::new(Links { driver, port })
+        Rc::new(PeerLinks { driver, port })
     }
 
     /// Keeps a link to each other prompter that is known.
     pub async fn run(self: Rc<Self>) {
-        let mut every = interval(DIALS);
+        let mut every = interval(DIAL_INTERVAL);
         every.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             every.tick().await;
-            let (me, known) = (self.driver.prompter().me().name.clone(), self.driver.prompter().prompters());
+            let (me, known) = (self.driver.node().id().name.clone(), self.driver.node().known_nodes());
             for (name, _) in known {
                 let new = name != me && !self.driver.links.borrow().contains_key(&name);
                 if let Some(ip) = name.parse::<IpAddr>().ok().filter(|_| new) {
-                    let (sender, queue) = mpsc::channel(QUEUE);
+                    let (sender, queue) = mpsc::channel(QUEUE_LENGTH);
                     self.driver.links.borrow_mut().insert(name, sender);
-                    spawn_local(self.clone().link(ip, queue));
+                    spawn_local(self.clone().maintain_link(ip, queue));
                 }
             }
         }
     }
 
-    async fn link(self: Rc<Self>, ip: IpAddr, mut queue: mpsc::Receiver<Peer>) {
+    async fn maintain_link(self: Rc<Self>, ip: IpAddr, mut queue: mpsc::Receiver<ControlMessage>) {
         let address = SocketAddr::new(ip, self.port);
         loop {
             if let Ok(stream) = connect(address).await {
                 // What has waited for a link that was not there is old.
                 while queue.try_recv().is_ok() {}
                 let (_reader, mut writer) = frame::split(stream);
-                let first = First::Prompter { form: FORM, id: self.driver.prompter().me().clone() };
+                let first =
+                    Greeting::ControlPlane { form: MESSAGE_FORMAT, id: self.driver.node().id().clone() };
                 let mut hello = Instant::now();
                 let mut done = writer.write(&first).await;
                 if done.is_ok() {
-                    let beats = self.driver.prompter().all_beats(self.driver.now());
+                    let beats = self.driver.node().all_heartbeats(self.driver.now());
                     done = writer.write(&beats).await;
                 }
                 while done.is_ok() {
                     if Instant::now() >= hello {
-                        hello = Instant::now() + Duration::from_nanos(HELLO);
-                        let hello = self.driver.prompter().hello(wall());
+                        hello = Instant::now() + Duration::from_nanos(HELLO_INTERVAL);
+                        let hello = self.driver.node().hello(unix_millis());
                         done = writer.write(&hello).await;
                         continue;
                     }
@@ -84,15 +85,15 @@
                     }
                 }
             }
-            sleep(AGAIN).await;
+            sleep(RECONNECT_DELAY).await;
         }
     }
 
     /// What another prompter says on its connection, until it ends.
-    pub async fn hear(self: Rc<Self>, from: Id, mut reader: Reader) {
-        self.driver.with(|p, _| p.knows(&from.name, ""));
-        while let Ok(Some(message)) = reader.read::<Peer>().await {
-            self.driver.with(|p, now| p.hear(now, &from, message));
+    pub async fn receive(self: Rc<Self>, from: NodeId, mut reader: FrameReader) {
+        self.driver.with(|p, _| p.learn_node(&from.name, ""));
+        while let Ok(Some(message)) = reader.read::<ControlMessage>().await {
+            self.driver.with(|p, now| p.on_control_message(now, &from, message));
         }
     }
 }
--- a/crates/control/control-plane/tests/wire/followers.rs
+++ b/crates/control/control-plane/tests/wire/followers.rs
@@ -2,61 +2,74 @@
 //! which has lost the others cannot prove what it tells.
 
 use crate::core::{configuration, Core, PATIENCE};
-use control_state::{Configuration, Place, Received, Receiver};
-use messages::frame::{self, Reader, Writer};
-use messages::message::{Down, First, Up, FORM};
+use control_state::{CommittedConfiguration, ConfigurationReceiver, LogIndex, ReceiveOutcome};
+use messages::frame::{self, FrameReader, FrameWriter};
+use messages::message::{GatewayMessage, GatewayUpdate, Greeting, MESSAGE_FORMAT};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 struct Gateway {
-    reader: Reader,
-    writer: Writer,
-    receiver: Receiver,
-    held: Option<Arc<Configuration>>,
+    reader: FrameReader,
+    writer: FrameWriter,
+    receiver: ConfigurationReceiver,
+    held: Option<Arc<CommittedConfiguration>>,
     /// Bytes of parts, and how many heads of wholes came.
     bytes: usize,
     wholes: usize,
     /// How old the prompter's word is, as it says, and where the newest stands.
-    pulse: (u32, Place),
+    pulse: (u32, LogIndex),
 }
 
 impl Gateway {
-    async fn follow(core: &Core, n: usize, held: Option<Arc<Configuration>>) -> Gateway {
+    async fn follow(core: &Core, n: usize, held: Option<Arc<CommittedConfiguration>>) -> Gateway {
         let at: SocketAddr = format!("{}:{}", core.ips[n], core.inner).parse().unwrap();
         let (mut reader, mut writer) = frame::split(TcpStream::connect(at).await.unwrap());
-        reader.known();
-        let holds = held.as_ref().map_or(0, |c| c.place);
+        reader.accept_long_frames();
+        let holds = held.as_ref().map_or(0, |c| c.index);
         let (name, zone) = ("edge-1".to_string(), "zone-0".to_string());
         writer
-            .write(&First::Gateway { form: FORM, name, zone, place: None, holds, contact: 1 })
+            .write(&Greeting::Gateway {
+                form: MESSAGE_FORMAT,
+                name,
+                zone,
+                offset: None,
+                configuration_index: holds,
+                contact_number: 1,
+            })
             .await
             .unwrap();
-        let receiver = Receiver::default();
+        let receiver = ConfigurationReceiver::default();
         Gateway { reader, writer, receiver, held, bytes: 0, wholes: 0, pulse: (0, 0) }
     }
 
     /// Hears what comes until this holds.
     async fn until(&mut self, holds: impl Fn(&Gateway) -> bool) {
         while !holds(self) {
-            match timeout(PATIENCE, self.reader.read::<Down>()).await.unwrap().unwrap().unwrap() {
-                Down::Configuration(part) => {
+            match timeout(PATIENCE, self.reader.read::<GatewayUpdate>()).await.unwrap().unwrap().unwrap() {
+                GatewayUpdate::ConfigurationChunk(part) => {
                     self.bytes += part.bytes.len();
-                    self.wholes += usize::from(part.head.as_ref().is_some_and(|h| h.from.is_none()));
+                    self.wholes += usize::from(part.header.as_ref().is_some_and(|h| h.base_index.is_none()));
                     let up = match self.receiver.receive(self.held.as_deref(), part) {
-                        Received::More { place, bytes } => Up::Got { place, bytes },
-                        Received::Whole { configuration, bytes } => {
-                            let place = configuration.place;
+                        ReceiveOutcome::Incomplete { index: place, bytes } => {
+                            GatewayMessage::ChunkReceived { index: place, received: bytes }
+                        }
+                        ReceiveOutcome::Complete { configuration, bytes } => {
+                            let place = configuration.index;
                             self.held = Some(configuration);
-                            Up::Got { place, bytes }
+                            GatewayMessage::ChunkReceived { index: place, received: bytes }
                         }
-                        Received::Lacks => Up::Lacks,
-                        Received::Wrong => panic!("wrong"),
+                        ReceiveOutcome::BaseMissing => GatewayMessage::BaseMissing,
+                        ReceiveOutcome::Invalid => panic!("wrong"),
                     };
                     self.writer.write(&up).await.unwrap();
                 }
-                Down::Pulse { touch_ms, newest, .. } => self.pulse = (touch_ms, newest),
+                GatewayUpdate::Heartbeat {
+                    quorum_contact_ms: touch_ms,
+                    newest_configuration: newest,
+                    ..
+                } => self.pulse = (touch_ms, newest),
                 _ => {}
             }
         }
@@ -85,10 +98,10 @@
     // At another prompter it goes on from what it holds; with other bytes under that place it is told the whole.
     let held = one.held.clone();
     let mut two = Gateway::follow(&core, 1, held.clone()).await;
-    let place = held.as_ref().unwrap().place;
+    let place = held.as_ref().unwrap().index;
     two.until(|g| g.pulse.1 == place).await;
     assert_eq!(two.bytes, 0, "it lacks nothing");
-    let other = Configuration { version: 4, place, body: b"spoilt".to_vec() };
+    let other = CommittedConfiguration { version: 4, index: place, body: b"spoilt".to_vec() };
     let mut three = Gateway::follow(&core, 2, Some(Arc::new(other))).await;
     three.until(|g| g.pulse.1 == place).await;
     assert_eq!(core.order(0, &bodies[2]), 200);
--- a/crates/control/control-state/src/parcel.rs
+++ b/crates/control/control-state/src/parcel.rs
@@ -2,8 +2,8 @@
 //! goes between them and a slow link is never filled for long. A follower that folds a difference holds byte for byte what was
 //! agreed on, or asks for the whole. No I/O.
 
-use crate::taken::{mark, Mark};
-use crate::{Configuration, Difference, Place};
+use crate::taken::{body_digest, BodyDigest};
+use crate::{CommittedConfiguration, Delta, LogIndex};
 use configuration::Version;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -11,87 +11,97 @@
 use std::sync::Arc;
 
 /// Bytes of one part.
-pub const PART: usize = 16 << 10;
+pub const CHUNK_BYTES: usize = 16 << 10;
 /// Bytes that a follower has yet to say it has got: 0.13 s at 2 Mbit/s, well within the time after which a gateway that hears
 /// nothing of its rights is alone.
-pub const WINDOW: usize = 2 * PART;
+pub const WINDOW_BYTES: usize = 2 * CHUNK_BYTES;
 /// Differences that are kept, in bytes and in number: whoever is further behind gets the whole.
-const KEPT: usize = 256 << 10;
-const STEPS: usize = 256;
+const MAX_DELTA_HISTORY_BYTES: usize = 256 << 10;
+const MAX_DELTA_HISTORY: usize = 256;
 /// The longest configuration that is put together.
-const LONGEST: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// What the parts that follow come to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct TransferHeader {
     /// They are the difference to the configuration of this place; none: the whole.
-    pub from: Option<Place>,
-    pub place: Place,
+    pub base_index: Option<LogIndex>,
+    pub index: LogIndex,
     pub version: Version,
     /// Of the configuration's bytes.
-    pub mark: Mark,
+    pub digest: BodyDigest,
     /// How many bytes come.
     pub length: u32,
 }
 
 /// A part, with a head if it is the first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Part {
-    pub head: Option<Head>,
+pub struct ConfigurationChunk {
+    pub header: Option<TransferHeader>,
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
 
 #[derive(Clone, Debug)]
-struct Step {
-    from: Place,
-    head: Head,
-    difference: Arc<Vec<u8>>,
+struct DeltaStep {
+    base_index: LogIndex,
+    header: TransferHeader,
+    delta: Arc<Vec<u8>>,
 }
 
 /// The latest differences, for all followers.
 #[derive(Clone, Debug, Default)]
-pub struct Steps {
-    steps: VecDeque<Step>,
+pub struct DeltaHistory {
+    steps: VecDeque<DeltaStep>,
     bytes: usize,
     /// The mark of the configuration of this place, which is the same for all who get it whole.
-    whole: Cell<Option<(Place, Mark)>>,
+    newest_digest: Cell<Option<(LogIndex, BodyDigest)>>,
 }
 
-impl Steps {
+impl DeltaHistory {
     /// The book has gone from one configuration to the next.
-    pub fn went(&mut self, old: &Configuration, new: &Configuration) {
-        if self.steps.back().is_some_and(|s| s.head.place != old.place) {
+    pub fn record(&mut self, old: &CommittedConfiguration, new: &CommittedConfiguration) {
+        if self.steps.back().is_some_and(|s| s.header.index != old.index) {
             // No way leads on from what came before.
-            *self = Steps::default();
+            *self = DeltaHistory::default();
         }
-        let difference = Difference::between(&old.body, &new.body).write();
+        let difference = Delta::between(&old.body, &new.body).encode();
         if difference.len() >= new.body.len() {
             return;
         }
-        let head = Head { from: Some(old.place), length: difference.len() as u32, ..self.whole(new) };
+        let head = TransferHeader {
+            base_index: Some(old.index),
+            length: difference.len() as u32,
+            ..self.full_header(new)
+        };
         self.bytes += difference.len();
-        self.steps.push_back(Step { from: old.place, head, difference: Arc::new(difference) });
-        while self.bytes > KEPT || self.steps.len() > STEPS {
+        self.steps.push_back(DeltaStep { base_index: old.index, header: head, delta: Arc::new(difference) });
+        while self.bytes > MAX_DELTA_HISTORY_BYTES || self.steps.len() > MAX_DELTA_HISTORY {
             let Some(gone) = self.steps.pop_front() else { break };
-            self.bytes -= gone.difference.len();
+            self.bytes -= gone.delta.len();
         }
     }
 
     /// The first step from `held` to the newest, if there is a way that is shorter than the whole.
-    fn from(&self, held: Place, newest: &Configuration) -> Option<&Step> {
-        let first = self.steps.iter().position(|s| s.from == held)?;
+    fn first_step(&self, held: LogIndex, newest: &CommittedConfiguration) -> Option<&DeltaStep> {
+        let first = self.steps.iter().position(|s| s.base_index == held)?;
         let way = || self.steps.iter().skip(first);
-        let bytes: usize = way().map(|s| s.difference.len()).sum();
-        let leads = way().last().is_some_and(|s| s.head.place == newest.place);
+        let bytes: usize = way().map(|s| s.delta.len()).sum();
+        let leads = way().last().is_some_and(|s| s.header.index == newest.index);
         self.steps.get(first).filter(|_| leads && bytes < newest.body.len())
     }
 
-    fn whole(&self, c: &Configuration) -> Head {
-        let known = self.whole.get().filter(|(place, _)| *place == c.place);
-        let mark = known.map_or_else(|| mark(&c.body), |(_, mark)| mark);
-        self.whole.set(Some((c.place, mark)));
-        Head { from: None, place: c.place, version: c.version, mark, length: c.body.len() as u32 }
+    fn full_header(&self, c: &CommittedConfiguration) -> TransferHeader {
+        let known = self.newest_digest.get().filter(|(place, _)| *place == c.index);
+        let mark = known.map_or_else(|| body_digest(&c.body), |(_, mark)| mark);
+        self.newest_digest.set(Some((c.index, mark)));
+        TransferHeader {
+            base_index: None,
+            index: c.index,
+            version: c.version,
+            digest: mark,
+            length: c.body.len() as u32,
+        }
     }
 
     /// Bytes that are kept.
@@ -101,129 +111,137 @@
 }
 
 #[derive(Clone, Debug)]
-enum Load {
-    Whole(Arc<Configuration>),
-    Difference(Arc<Vec<u8>>),
+enum TransferBody {
+    Full(Arc<CommittedConfiguration>),
+    Delta(Arc<Vec<u8>>),
 }
 
-impl Load {
+impl TransferBody {
     fn bytes(&self) -> &[u8] {
         match self {
-            Load::Whole(c) => &c.body,
-            Load::Difference(bytes) => bytes,
+            TransferBody::Full(c) => &c.body,
+            TransferBody::Delta(bytes) => bytes,
         }
     }
 }
 
 /// What is told to one follower.
 #[derive(Clone, Debug, Default)]
-pub struct Sender {
+pub struct ConfigurationSender {
     /// What it holds once all parts that were sent have come.
-    held: Place,
+    follower_index: LogIndex,
     /// What is on its way: how much was sent and how much it has got.
-    under_way: Option<(Head, Load, usize, usize)>,
+    in_flight: Option<(TransferHeader, TransferBody, usize, usize)>,
 }
 
-impl Sender {
+impl ConfigurationSender {
     /// The follower says that it holds the configuration of this place; 0: none.
-    pub fn new(held: Place) -> Self {
-        Sender { held, under_way: None }
+    pub fn new(follower_index: LogIndex) -> Self {
+        ConfigurationSender { follower_index, in_flight: None }
     }
 
     /// The next part, if there is one and there is room for it.
-    pub fn part(&mut self, steps: &Steps, newest: Option<&Arc<Configuration>>) -> Option<Part> {
+    pub fn next_chunk(
+        &mut self,
+        steps: &DeltaHistory,
+        newest: Option<&Arc<CommittedConfiguration>>,
+    ) -> Option<ConfigurationChunk> {
         if self
-            .under_way
+            .in_flight
             .as_ref()
             .is_some_and(|(.., load, sent, got)| (*sent, *got) == (load.bytes().len(), *sent))
         {
-            self.under_way = None;
+            self.in_flight = None;
         }
-        let first = self.under_way.is_none();
+        let first = self.in_flight.is_none();
         if first {
-            let newest = newest.filter(|c| c.place > self.held)?;
-            let begun = match steps.from(self.held, newest) {
-                Some(step) => (step.head.clone(), Load::Difference(step.difference.clone())),
-                None => (steps.whole(newest), Load::Whole(newest.clone())),
+            let newest = newest.filter(|c| c.index > self.follower_index)?;
+            let begun = match steps.first_step(self.follower_index, newest) {
+                Some(step) => (step.header.clone(), TransferBody::Delta(step.delta.clone())),
+                None => (steps.full_header(newest), TransferBody::Full(newest.clone())),
             };
-            self.under_way = Some((begun.0, begun.1, 0, 0));
+            self.in_flight = Some((begun.0, begun.1, 0, 0));
         }
-        let (head, load, sent, got) = self.under_way.as_mut()?;
+        let (head, load, sent, got) = self.in_flight.as_mut()?;
         let (bytes, from) = (load.bytes(), *sent);
-        if !first && from == bytes.len() || from - *got >= WINDOW {
+        if !first && from == bytes.len() || from - *got >= WINDOW_BYTES {
             return None;
         }
-        let to = bytes.len().min(from + PART);
+        let to = bytes.len().min(from + CHUNK_BYTES);
         *sent = to;
-        self.held = head.place;
-        Some(Part { head: first.then(|| head.clone()), bytes: bytes[from..to].to_vec() })
+        self.follower_index = head.index;
+        Some(ConfigurationChunk { header: first.then(|| head.clone()), bytes: bytes[from..to].to_vec() })
     }
 
     /// It has got so many bytes of what is on its way to this place.
-    pub fn got(&mut self, place: Place, bytes: u32) {
-        if let Some((head, _, sent, got)) = &mut self.under_way {
-            if head.place == place {
+    pub fn on_received(&mut self, place: LogIndex, bytes: u32) {
+        if let Some((head, _, sent, got)) = &mut self.in_flight {
+            if head.index == place {
                 *got = (*got).max(bytes as usize).min(*sent);
             }
         }
     }
 
     /// It could not fold a difference: the whole comes next.
-    pub fn lacks(&mut self) {
-        *self = Sender::default();
+    pub fn on_base_missing(&mut self) {
+        *self = ConfigurationSender::default();
     }
 }
 
 /// What a follower makes of a part.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Received {
+pub enum ReceiveOutcome {
     /// More comes: so many bytes have come of what leads to this place.
-    More { place: Place, bytes: u32 },
+    Incomplete { index: LogIndex, bytes: u32 },
     /// All bytes have come.
-    Whole { configuration: Arc<Configuration>, bytes: u32 },
+    Complete { configuration: Arc<CommittedConfiguration>, bytes: u32 },
     /// What it holds is not what the difference is to: the whole is wanted.
-    Lacks,
+    BaseMissing,
     /// These are no parts of one whole.
-    Wrong,
+    Invalid,
 }
 
 /// Puts parts together, on one connection.
 #[derive(Clone, Debug, Default)]
-pub struct Receiver(Option<(Head, Vec<u8>)>);
+pub struct ConfigurationReceiver(Option<(TransferHeader, Vec<u8>)>);
 
-impl Receiver {
+impl ConfigurationReceiver {
     /// Something has begun to come, and is not whole.
-    pub fn is_under_way(&self) -> bool {
+    pub fn is_receiving(&self) -> bool {
         self.0.is_some()
     }
 
-    pub fn receive(&mut self, held: Option<&Configuration>, part: Part) -> Received {
-        if let Some(head) = part.head {
+    pub fn receive(
+        &mut self,
+        held: Option<&CommittedConfiguration>,
+        part: ConfigurationChunk,
+    ) -> ReceiveOutcome {
+        if let Some(head) = part.header {
             self.0 = Some((head, Vec::new()));
         }
-        let Some((head, bytes)) = &mut self.0 else { return Received::Wrong };
-        if bytes.len() + part.bytes.len() > (head.length as usize).min(LONGEST) {
-            return Received::Wrong;
+        let Some((head, bytes)) = &mut self.0 else { return ReceiveOutcome::Invalid };
+        if bytes.len() + part.bytes.len() > (head.length as usize).min(MAX_BODY_BYTES) {
+            return ReceiveOutcome::Invalid;
         }
         bytes.extend_from_slice(&part.bytes);
         if bytes.len() < head.length as usize {
-            return Received::More { place: head.place, bytes: bytes.len() as u32 };
+            return ReceiveOutcome::Incomplete { index: head.index, bytes: bytes.len() as u32 };
         }
-        let Some((head, bytes)) = self.0.take() else { return Received::Wrong };
-        let body = match head.from {
+        let Some((head, bytes)) = self.0.take() else { return ReceiveOutcome::Invalid };
+        let body = match head.base_index {
             None => Some(bytes),
             Some(from) => {
-                let held = held.filter(|c| c.place == from);
-                held.zip(Difference::read(&bytes)).and_then(|(held, d)| d.fold(&held.body, LONGEST))
+                let held = held.filter(|c| c.index == from);
+                held.zip(Delta::decode(&bytes)).and_then(|(held, d)| d.apply(&held.body, MAX_BODY_BYTES))
             }
         };
-        match (body.filter(|body| mark(body) == head.mark), head.from) {
+        match (body.filter(|body| body_digest(body) == head.digest), head.base_index) {
             (Some(body), _) => {
-                let configuration = Configuration { version: head.version, place: head.place, body };
-                Received::Whole { configuration: Arc::new(configuration), bytes: head.length }
+                let configuration = CommittedConfiguration { version: head.version, index: head.index, body };
+                ReceiveOutcome::Complete { configuration: Arc::new(configuration), bytes: head.length }
             }
-            (None, Some(_)) => Received::Lacks,
-            (None, None) => Received::Wrong,
+            (None, Some(_)) => ReceiveOutcome::BaseMissing,
+            (None, None) => ReceiveOutcome::Invalid,
         }
     }
 }
--- a/crates/control/control-state/tests/changes.rs
+++ b/crates/control/control-state/tests/changes.rs
@@ -1,6 +1,6 @@
 //! A long configuration in the agreed log, as a change of the one before.
 
-use control_state::{Applied, Book, Word};
+use control_state::{Applied, Command, ControlState};
 
 fn body(version: u32, routes: usize, moved: usize) -> Vec<u8> {
     let route =
@@ -9,15 +9,15 @@
     format!(r#"{{"configVersion":{version},"routes":[{}]}}"#, routes.join(",")).into_bytes()
 }
 
-fn whole(base: u32, version: u32, body: &[u8]) -> Word {
-    Word::Configuration { base, version, body: body.to_vec() }
+fn whole(base: u32, version: u32, body: &[u8]) -> Command {
+    Command::ReplaceConfiguration { base, version, body: body.to_vec() }
 }
 
 /// Two books: one that is told all whole, one that is told what is shorter.
-fn books() -> (Book, Book) {
+fn books() -> (ControlState, ControlState) {
     let first = whole(0, 3, &body(3, 3000, 9999));
-    let mut book = Book::new();
-    assert_eq!(first.clone().shortened(&book), first, "there is none to change");
+    let mut book = ControlState::new();
+    assert_eq!(first.clone().as_delta(&book), first, "there is none to change");
     assert_eq!(book.apply(1, &first), Applied::Changed);
     (book.clone(), book)
 }
@@ -28,19 +28,22 @@
     let mut base = 3;
     for (place, version) in (2..).zip([4, 7, 8, 20]) {
         let word = whole(base, version, &body(version, 3000, version as usize));
-        let short = word.clone().shortened(&other);
-        assert!(matches!(short, Word::Change { .. }));
-        let (long, bytes) = (word.write().len(), short.write().len());
+        let short = word.clone().as_delta(&other);
+        assert!(matches!(short, Command::ConfigurationDelta { .. }));
+        let (long, bytes) = (word.encode().len(), short.encode().len());
         assert!(long > 100_000 && bytes < 500, "{bytes} of {long}");
-        assert_eq!(Word::read(&short.write()), Some(short.clone()));
+        assert_eq!(Command::decode(&short.encode()), Some(short.clone()));
         assert_eq!(
             (one.apply(place, &word), other.apply(place, &short)),
             (Applied::Changed, Applied::Changed)
         );
         assert_eq!(one, other);
-        assert!(other.is_taken(&body(version, 3000, version as usize)));
+        assert!(other.is_applied(&body(version, 3000, version as usize)));
         // Proposed twice, or once more as a whole.
-        assert_eq!((other.apply(90, &short), other.apply(91, &word)), (Applied::Same, Applied::Same));
+        assert_eq!(
+            (other.apply(90, &short), other.apply(91, &word)),
+            (Applied::Unchanged, Applied::Unchanged)
+        );
         base = version;
     }
 }
@@ -48,19 +51,22 @@
 #[test]
 fn of_two_changes_of_one_base_the_second_changes_nothing_nor_does_one_that_does_not_fit() {
     let (_, mut book) = books();
-    let change = |version: u32, moved| whole(3, version, &body(version, 3000, moved)).shortened(&book);
+    let change = |version: u32, moved| whole(3, version, &body(version, 3000, moved)).as_delta(&book);
     let (first, second) = (change(5, 1), change(5, 2));
     assert_eq!(book.apply(2, &first), Applied::Changed);
     let stands = book.clone();
-    assert_eq!(book.apply(3, &second), Applied::Other, "the base is another");
-    let Word::Change { mark, difference, .. } = second else { panic!("a change") };
-    let spoilt = Word::Change { base: 5, version: 6, mark, difference };
-    assert_eq!(book.apply(4, &spoilt), Applied::Other, "it comes to other bytes than it says");
-    let nonsense = Word::Change { base: 5, version: 6, mark, difference: b"nonsense".to_vec() };
-    assert_eq!(book.apply(5, &nonsense), Applied::Other);
+    assert_eq!(book.apply(3, &second), Applied::Conflict, "the base is another");
+    let Command::ConfigurationDelta { digest: mark, delta: difference, .. } = second else {
+        panic!("a change")
+    };
+    let spoilt = Command::ConfigurationDelta { base: 5, version: 6, digest: mark, delta: difference };
+    assert_eq!(book.apply(4, &spoilt), Applied::Conflict, "it comes to other bytes than it says");
+    let nonsense =
+        Command::ConfigurationDelta { base: 5, version: 6, digest: mark, delta: b"nonsense".to_vec() };
+    assert_eq!(book.apply(5, &nonsense), Applied::Conflict);
     assert_eq!(book, stands);
-    let mut empty = Book::new();
-    assert_eq!(empty.apply(1, &first), Applied::Other, "there is none to change");
+    let mut empty = ControlState::new();
+    assert_eq!(empty.apply(1, &first), Applied::Conflict, "there is none to change");
 }
 
 #[test]
@@ -68,9 +74,9 @@
     let (_, book) = books();
     let new: Vec<u8> = body(5, 3000, 0).iter().map(|b| if *b == b'p' { b'q' } else { *b }).collect();
     let word = whole(3, 5, &new);
-    assert_eq!(word.clone().shortened(&book), word);
-    let mut small = Book::new();
+    assert_eq!(word.clone().as_delta(&book), word);
+    let mut small = ControlState::new();
     small.apply(1, &whole(0, 3, &body(3, 8, 0)));
     let word = whole(3, 5, &body(5, 8, 1));
-    assert_eq!(word.clone().shortened(&small), word);
+    assert_eq!(word.clone().as_delta(&small), word);
 }
--- a/crates/control/control-state/tests/parcels.rs
+++ b/crates/control/control-state/tests/parcels.rs
@@ -1,6 +1,9 @@
 //! A configuration on its way to a follower: what is sent, what it holds, and what goes wrong on the way.
 
-use control_state::{Configuration, Difference, Part, Received, Receiver, Sender, Steps, PART, WINDOW};
+use control_state::{
+    CommittedConfiguration, ConfigurationChunk, ConfigurationReceiver, ConfigurationSender, Delta,
+    DeltaHistory, ReceiveOutcome, CHUNK_BYTES, WINDOW_BYTES,
+};
 use std::sync::Arc;
 
 /// A configuration of so many routes in the bench's form; `moved` is served by another service.
@@ -17,44 +20,44 @@
         .into_bytes()
 }
 
-fn configuration(place: u64, body: Vec<u8>) -> Arc<Configuration> {
-    Arc::new(Configuration { version: place as u32, place, body })
+fn configuration(place: u64, body: Vec<u8>) -> Arc<CommittedConfiguration> {
+    Arc::new(CommittedConfiguration { version: place as u32, index: place, body })
 }
 
 /// A follower with its link: all is told that can be, and how many bytes went.
 #[derive(Default)]
 struct Link {
-    sender: Sender,
-    receiver: Receiver,
-    held: Option<Arc<Configuration>>,
+    sender: ConfigurationSender,
+    receiver: ConfigurationReceiver,
+    held: Option<Arc<CommittedConfiguration>>,
     bytes: usize,
     wholes: usize,
 }
 
 impl Link {
     fn again(&mut self) {
-        self.sender = Sender::new(self.held.as_ref().map_or(0, |c| c.place));
-        self.receiver = Receiver::default();
+        self.sender = ConfigurationSender::new(self.held.as_ref().map_or(0, |c| c.index));
+        self.receiver = ConfigurationReceiver::default();
     }
 
-    fn take(&mut self, part: Part) {
+    fn take(&mut self, part: ConfigurationChunk) {
         self.bytes += part.bytes.len();
-        self.wholes += usize::from(part.head.as_ref().is_some_and(|h| h.from.is_none()));
+        self.wholes += usize::from(part.header.as_ref().is_some_and(|h| h.base_index.is_none()));
         match self.receiver.receive(self.held.as_deref(), part) {
-            Received::More { place, bytes } => self.sender.got(place, bytes),
-            Received::Whole { configuration, bytes } => {
-                self.sender.got(configuration.place, bytes);
-                let newer = self.held.as_ref().is_none_or(|c| c.place < configuration.place);
+            ReceiveOutcome::Incomplete { index: place, bytes } => self.sender.on_received(place, bytes),
+            ReceiveOutcome::Complete { configuration, bytes } => {
+                self.sender.on_received(configuration.index, bytes);
+                let newer = self.held.as_ref().is_none_or(|c| c.index < configuration.index);
                 assert!(newer, "nothing goes back");
                 self.held = Some(configuration);
             }
-            Received::Lacks => self.sender.lacks(),
-            Received::Wrong => panic!("wrong"),
+            ReceiveOutcome::BaseMissing => self.sender.on_base_missing(),
+            ReceiveOutcome::Invalid => panic!("wrong"),
         }
     }
 
-    fn settle(&mut self, steps: &Steps, newest: &Arc<Configuration>) {
-        while let Some(part) = self.sender.part(steps, Some(newest)) {
+    fn settle(&mut self, steps: &DeltaHistory, newest: &Arc<CommittedConfiguration>) {
+        while let Some(part) = self.sender.next_chunk(steps, Some(newest)) {
             self.take(part);
         }
         assert_eq!(self.held.as_ref().map(|c| &c.body), Some(&newest.body), "byte for byte");
@@ -64,15 +67,15 @@
 #[test]
 fn a_change_of_one_route_of_3000_goes_out_as_some_hundred_bytes() {
     let (old, new) = (body(1, 3000, 9999), body(2, 3000, 1700));
-    let difference = Difference::between(&old, &new);
-    assert_eq!(difference.fold(&old, 1 << 20), Some(new.clone()));
-    let bytes = difference.write().len();
+    let difference = Delta::between(&old, &new);
+    assert_eq!(difference.apply(&old, 1 << 20), Some(new.clone()));
+    let bytes = difference.encode().len();
     println!("{} bytes of {}", bytes, new.len());
     assert!(new.len() > 700_000 && bytes < 500, "{bytes} of {}", new.len());
-    assert_eq!(difference.fold(&old[..1000], 1 << 20), None, "of another old one there is nothing");
-    assert_eq!(difference.fold(&old, 1000), None, "nor more than is wanted");
-    assert_eq!(Difference::read(&difference.write()), Some(difference));
-    assert_eq!(Difference::read(b"nonsense"), None);
+    assert_eq!(difference.apply(&old[..1000], 1 << 20), None, "of another old one there is nothing");
+    assert_eq!(difference.apply(&old, 1000), None, "nor more than is wanted");
+    assert_eq!(Delta::decode(&difference.encode()), Some(difference));
+    assert_eq!(Delta::decode(b"nonsense"), None);
 }
 
 #[test]
@@ -82,14 +85,14 @@
         |most: usize| -> Vec<u8> { (0..rng.usize(..most)).map(|_| b"{}{}aab,"[rng.usize(..8)]).collect() };
     for _ in 0..3000 {
         let (old, new) = (text(400), text(400));
-        let difference = Difference::between(&old, &new);
-        assert_eq!(difference.fold(&old, 400), Some(new));
+        let difference = Delta::between(&old, &new);
+        assert_eq!(difference.apply(&old, 400), Some(new));
     }
 }
 
 #[test]
 fn a_follower_gets_the_whole_once_and_then_what_it_lacks() {
-    let mut steps = Steps::default();
+    let mut steps = DeltaHistory::default();
     let mut newest = configuration(1, body(1, 3000, 0));
     let mut links: Vec<Link> = (0..3).map(|_| Link::default()).collect();
     links.iter_mut().for_each(|l| l.settle(&steps, &newest));
@@ -97,7 +100,7 @@
     assert_eq!(first, newest.body.len());
     for n in 2..=40u64 {
         let new = configuration(n, body(n as u32, 3000, n as usize * 31));
-        steps.went(&newest, &new);
+        steps.record(&newest, &new);
         newest = new;
         // One follows at once, one each fifth time, one is cut off all the while.
         links[0].settle(&steps, &newest);
@@ -117,9 +120,9 @@
 
 #[test]
 fn who_holds_other_bytes_under_a_place_is_told_the_whole() {
-    let mut steps = Steps::default();
+    let mut steps = DeltaHistory::default();
     let (one, two) = (configuration(1, body(1, 300, 0)), configuration(2, body(2, 300, 7)));
-    steps.went(&one, &two);
+    steps.record(&one, &two);
     let mut link = Link { held: Some(configuration(1, body(1, 300, 8))), ..Link::default() };
     link.again();
     link.settle(&steps, &two);
@@ -129,33 +132,33 @@
 #[test]
 fn a_prompter_that_is_behind_tells_its_follower_nothing() {
     let newest = configuration(5, body(5, 3, 0));
-    let mut sender = Sender::new(9);
-    assert_eq!(sender.part(&Steps::default(), Some(&newest)), None);
-    assert_eq!(sender.part(&Steps::default(), None), None);
+    let mut sender = ConfigurationSender::new(9);
+    assert_eq!(sender.next_chunk(&DeltaHistory::default(), Some(&newest)), None);
+    assert_eq!(sender.next_chunk(&DeltaHistory::default(), None), None);
 }
 
 #[test]
 fn a_slow_link_is_never_filled_and_changes_that_come_meanwhile_are_not_lost() {
-    let mut steps = Steps::default();
+    let mut steps = DeltaHistory::default();
     let mut newest = configuration(1, body(1, 3000, 0));
     let (mut link, mut queue, mut sent) = (Link::default(), std::collections::VecDeque::new(), 0usize);
     for n in 2..200u64 {
-        while let Some(part) = link.sender.part(&steps, Some(&newest)) {
+        while let Some(part) = link.sender.next_chunk(&steps, Some(&newest)) {
             sent += part.bytes.len();
             queue.push_back(part);
         }
-        assert!(sent - link.bytes <= WINDOW + PART);
+        assert!(sent - link.bytes <= WINDOW_BYTES + CHUNK_BYTES);
         // One part comes through between two changes.
         if let Some(part) = queue.pop_front() {
             link.take(part);
         }
         if n < 100 {
             let new = configuration(n, body(n as u32, 3000, n as usize));
-            steps.went(&newest, &new);
+            steps.record(&newest, &new);
             newest = new;
         }
     }
-    while let Some(part) = queue.pop_front().or_else(|| link.sender.part(&steps, Some(&newest))) {
+    while let Some(part) = queue.pop_front().or_else(|| link.sender.next_chunk(&steps, Some(&newest))) {
         link.take(part);
     }
     assert_eq!(link.held.as_deref(), Some(&*newest));
@@ -164,7 +167,7 @@
 
 #[test]
 fn what_is_kept_is_bounded_and_who_is_further_behind_gets_the_whole() {
-    let mut steps = Steps::default();
+    let mut steps = DeltaHistory::default();
     let mut newest = configuration(1, body(1, 300, 0));
     let mut link = Link::default();
     link.settle(&steps, &newest);
@@ -173,7 +176,7 @@
         let other = body(n as u32, 300, 0);
         let text = String::from_utf8(other).unwrap().replace("ficu", &format!("f{n}-"));
         let new = configuration(n, text.into_bytes());
-        steps.went(&newest, &new);
+        steps.record(&newest, &new);
         newest = new;
         assert!(steps.bytes() <= 256 << 10);
     }
@@ -184,22 +187,32 @@
 #[test]
 fn parts_that_belong_to_nothing_end_the_link() {
     let newest = configuration(1, body(1, 300, 0));
-    let part = |sender: &mut Sender| sender.part(&Steps::default(), Some(&newest)).unwrap();
-    let mut sender = Sender::default();
+    let part = |sender: &mut ConfigurationSender| {
+        sender.next_chunk(&DeltaHistory::default(), Some(&newest)).unwrap()
+    };
+    let mut sender = ConfigurationSender::default();
     let (first, second) = (part(&mut sender), part(&mut sender));
-    assert_eq!(Receiver::default().receive(None, second.clone()), Received::Wrong, "no head");
+    assert_eq!(
+        ConfigurationReceiver::default().receive(None, second.clone()),
+        ReceiveOutcome::Invalid,
+        "no head"
+    );
     let mut longer = first.clone();
-    longer.head.as_mut().unwrap().length = 5;
-    assert_eq!(Receiver::default().receive(None, longer), Received::Wrong, "more than was said");
+    longer.header.as_mut().unwrap().length = 5;
+    assert_eq!(
+        ConfigurationReceiver::default().receive(None, longer),
+        ReceiveOutcome::Invalid,
+        "more than was said"
+    );
     // A byte that was changed on its way: the mark tells.
-    let mut receiver = Receiver::default();
+    let mut receiver = ConfigurationReceiver::default();
     let mut broken = first;
     broken.bytes[40] ^= 1;
     receiver.receive(None, broken);
     let mut last = receiver.receive(None, second);
-    while let Received::More { place, bytes } = last {
-        sender.got(place, bytes);
+    while let ReceiveOutcome::Incomplete { index: place, bytes } = last {
+        sender.on_received(place, bytes);
         last = receiver.receive(None, part(&mut sender));
     }
-    assert_eq!(last, Received::Wrong);
+    assert_eq!(last, ReceiveOutcome::Invalid);
 }
--- a/crates/data/data-plane/src/company.rs
+++ b/crates/data/data-plane/src/company.rs
@@ -13,30 +13,30 @@
 use tokio::time::{sleep, sleep_until, Instant};
 
 /// Between two probes: who is gone is known after some ten seconds, and hundreds of gateways on narrow links do not notice it.
-const PERIOD: Time = 2_000_000_000;
-const KEEP_DEAD: Time = 120_000_000_000;
+const PROBE_INTERVAL: Time = 2_000_000_000;
+const DEAD_RETENTION: Time = 120_000_000_000;
 /// The view's clock begins here, so that nothing lies before it.
-const START: Time = 1_000_000_000;
+const CLOCK_START: Time = 1_000_000_000;
 /// So many datagrams are read before requests have their turn.
-const AT_ONCE: usize = 16;
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 16;
+const ERROR_PAUSE: Duration = Duration::from_millis(100);
 /// So many that are missing are told of.
-const MOST_MISSING: usize = 64;
+const MAX_MISSING: usize = 64;
 
-pub struct Company {
+pub struct Membership {
     view: RefCell<View>,
     socket: UdpSocket,
     began: Instant,
 }
 
-impl Company {
+impl Membership {
     /// Takes the address. None, if the range of ports has no room for it.
     ///
     /// # Errors
     /// One line: the address cannot be had.
     pub fn open(settings: &Settings) -> Result<Option<Rc<Self>>, String> {
-        let Some(port) = settings.company_port() else { return Ok(None) };
-        let address = SocketAddr::new(settings.own.ip_address, port);
+        let Some(port) = settings.membership_port() else { return Ok(None) };
+        let address = SocketAddr::new(settings.identity.ip_address, port);
         let open = || {
             let socket = std::net::UdpSocket::bind(address)?;
             socket.set_nonblocking(true)?;
@@ -44,13 +44,13 @@
         };
         let socket = open().map_err(|e| format!("company {address}: {e}"))?;
         let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let mut config = Config::new(&settings.own.node_name, life, address);
-        config.zone.clone_from(&settings.own.zone);
+        let mut config = Config::new(&settings.identity.node_name, life, address);
+        config.zone.clone_from(&settings.identity.zone);
         // All edge machines run a gateway, and so do the seeds.
-        config.seeds = settings.seeds().into_iter().map(|ip| SocketAddr::new(ip, port)).collect();
-        (config.period, config.keep_dead) = (PERIOD, KEEP_DEAD);
+        config.seeds = settings.seed_addresses().into_iter().map(|ip| SocketAddr::new(ip, port)).collect();
+        (config.period, config.keep_dead) = (PROBE_INTERVAL, DEAD_RETENTION);
         // No secret: it keeps strays of other deployments out, and who lives is believed of nobody for a rule's sake.
-        let zones: Vec<&String> = settings.net.zones.keys().collect();
+        let zones: Vec<&String> = settings.network.zones.keys().collect();
         let keys = Keys::new(vec![format!("granitethread's company of {zones:?}").into_bytes()])?;
         let random = || -> Result<[u8; 16], String> {
             let mut bytes = [0; 16];
@@ -58,12 +58,12 @@
             Ok(bytes)
         };
         let (seed, secret) = (u64::from_ne_bytes(random()?[..8].try_into().expect("eight")), random()?);
-        let view = RefCell::new(View::new(config, keys, seed, secret, START));
-        Ok(Some(Rc::new(Company { view, socket, began: Instant::now() })))
+        let view = RefCell::new(View::new(config, keys, seed, secret, CLOCK_START));
+        Ok(Some(Rc::new(Membership { view, socket, began: Instant::now() })))
     }
 
     fn now(&self) -> Time {
-        START + self.began.elapsed().as_nanos() as Time
+        CLOCK_START + self.began.elapsed().as_nanos() as Time
     }
 
     /// For as long as the process lives.
@@ -72,15 +72,15 @@
         loop {
             let due = self.view.borrow().next_due();
             let far = Instant::now() + Duration::from_secs(3600);
-            let due = due.map_or(far, |at| self.began + Duration::from_nanos(at.saturating_sub(START)));
+            let due = due.map_or(far, |at| self.began + Duration::from_nanos(at.saturating_sub(CLOCK_START)));
             // What has come is read before the time counts: an answer may lie in the socket behind it.
             tokio::select! {
                 biased;
                 ready = self.socket.readable() => {
                     if ready.is_err() {
-                        sleep(PAUSE).await;
+                        sleep(ERROR_PAUSE).await;
                     }
-                    for _ in 0..AT_ONCE {
+                    for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
                         match self.socket.try_recv_from(&mut buffer) {
                             Ok((length, _)) => self.handle(Input::Datagram(&buffer[..length])),
                             // A peer's port was closed: the system tells so of an earlier datagram.
@@ -121,7 +121,7 @@
     }
 
     /// Those who are believed to live but for this one, the unsuspected first.
-    pub fn others(&self) -> Vec<IpAddr> {
+    pub fn live_peers(&self) -> Vec<IpAddr> {
         let view = self.view.borrow();
         let living = view.members().filter(|m| m.record.state.lives() && m.since > 0);
         let mut others: Vec<(bool, IpAddr)> =
@@ -132,9 +132,9 @@
     }
 
     /// Those who are suspected or believed to be gone without a word.
-    pub fn missing(&self) -> Vec<String> {
+    pub fn missing_members(&self) -> Vec<String> {
         let view = self.view.borrow();
         let gone = view.members().filter(|m| matches!(m.record.state, State::Suspect | State::Dead));
-        gone.map(|m| m.record.name.to_string()).take(MOST_MISSING).collect()
+        gone.map(|m| m.record.name.to_string()).take(MAX_MISSING).collect()
     }
 }
--- a/crates/data/data-plane/src/follow.rs
+++ b/crates/data/data-plane/src/follow.rs
@@ -1,100 +1,103 @@
 //! The link to a prompter: [`subscription::Follow`] says which, and what to make of what it tells.
 
-use crate::company::Company;
-use crate::playing::Playing;
+use crate::company::Membership;
+use crate::playing::Gateway;
 use messages::frame;
-use messages::message::{Down, Up};
+use messages::message::{GatewayMessage, GatewayUpdate};
 use process::net::connect;
 use process::settings::{self, Settings};
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
-use subscription::{Effect, End, LONG_WORD, SILENT};
+use subscription::{DisconnectReason, Effect, MAX_MESSAGE_TIME, SILENCE_TIMEOUT};
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout_at, Instant};
 
-const PAUSE: Duration = Duration::from_millis(40);
-const QUEUE: usize = 32;
+const RETRY_PAUSE: Duration = Duration::from_millis(40);
+const QUEUE_LENGTH: usize = 32;
 /// Gateways that are tried in turn.
-const TRIED: usize = 4;
+const MAX_RELAYS_TRIED: usize = 4;
 
-pub struct Follow {
-    playing: Rc<Playing>,
+pub struct ControlLink {
+    gateway: Rc<Gateway>,
     settings: Settings,
     /// Gateways that know each other.
-    company: Option<Rc<Company>>,
+    membership: Option<Rc<Membership>>,
 }
 
-impl Follow {
-    pub fn new(playing: Rc<Playing>, settings: Settings, company: Option<Rc<Company>>) -> Self {
-        Follow { playing, settings, company }
+impl ControlLink {
+    pub fn new(gateway: Rc<Gateway>, settings: Settings, membership: Option<Rc<Membership>>) -> Self {
+        ControlLink { gateway, settings, membership }
     }
 
     pub async fn run(mut self) {
         loop {
-            let seeds = self.settings.seeds();
-            let (ip, open) = match self.playing.follow(|f, now| f.next(now, &seeds, |n| fastrand::usize(..n)))
+            let seeds = self.settings.seed_addresses();
+            let (ip, open) = match self
+                .gateway
+                .with_subscription(|f, now| f.next_node(now, &seeds, |n| fastrand::usize(..n)))
             {
                 Some(found) => found,
                 None => {
-                    sleep(PAUSE).await;
+                    sleep(RETRY_PAUSE).await;
                     continue;
                 }
             };
             if !open {
                 // The file may have changed without a word.
-                if let Ok(new) = Settings::load(&settings::path()) {
+                if let Ok(new) = Settings::load(&settings::settings_path()) {
                     self.settings = new;
                 }
-                sleep(PAUSE + PAUSE.mul_f64(fastrand::f64())).await;
+                sleep(RETRY_PAUSE + RETRY_PAUSE.mul_f64(fastrand::f64())).await;
             }
-            let began = self.playing.rights.now();
-            let port = self.settings.prompters_port();
+            let began = self.gateway.quota.now();
+            let port = self.settings.control_port();
             let end = self.follow(ip, SocketAddr::new(ip, port)).await;
-            if self.playing.follow(|f, now| f.ended(now, ip, began, end)) {
-                self.through_others().await;
+            if self.gateway.with_subscription(|f, now| f.on_disconnected(now, ip, began, end)) {
+                self.follow_through_relays().await;
             }
         }
     }
 
     /// Cut off from prompters: a gateway that is not lets this one through to its own.
-    async fn through_others(&mut self) {
-        let Some(port) = self.settings.relays_port() else { return };
-        let others = self.company.as_ref().map(|c| c.others()).unwrap_or_default();
-        for ip in others.into_iter().take(TRIED) {
-            if self.follow(ip, SocketAddr::new(ip, port)).await == End::Nearer {
+    async fn follow_through_relays(&mut self) {
+        let Some(port) = self.settings.relay_port() else { return };
+        let others = self.membership.as_ref().map(|c| c.live_peers()).unwrap_or_default();
+        for ip in others.into_iter().take(MAX_RELAYS_TRIED) {
+            if self.follow(ip, SocketAddr::new(ip, port)).await == DisconnectReason::NearerNode {
                 return;
             }
         }
     }
 
     /// Follows a prompter, at this address or through it, until the link ends.
-    async fn follow(&mut self, ip: IpAddr, address: SocketAddr) -> End {
-        let end = self.link(ip, address).await;
-        self.playing.unlinked();
+    async fn follow(&mut self, ip: IpAddr, address: SocketAddr) -> DisconnectReason {
+        let end = self.run_link(ip, address).await;
+        self.gateway.on_disconnected();
         match end {
             Ok(end) => end,
-            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => End::Refused,
-            Err(e) if e.kind() == io::ErrorKind::TimedOut => End::Unheard,
-            Err(_) => End::Lost,
+            Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => DisconnectReason::Refused,
+            Err(e) if e.kind() == io::ErrorKind::TimedOut => DisconnectReason::TimedOut,
+            Err(_) => DisconnectReason::Lost,
         }
     }
 
-    async fn link(&mut self, ip: IpAddr, address: SocketAddr) -> io::Result<End> {
-        let direct = address.port() == self.settings.prompters_port();
+    async fn run_link(&mut self, ip: IpAddr, address: SocketAddr) -> io::Result<DisconnectReason> {
+        let direct = address.port() == self.settings.control_port();
         let (mut reader, mut writer) = frame::split(connect(address).await?);
-        reader.known();
-        let first = self.playing.follow(|f, now| f.begin(now, ip, direct));
+        reader.accept_long_frames();
+        let first = self.gateway.with_subscription(|f, now| f.on_connected(now, ip, direct));
         writer.write(&first).await?;
-        let (sender, mut asks) = mpsc::channel::<Up>(QUEUE);
-        self.playing.linked(sender, direct.then_some(ip));
+        let (sender, mut asks) = mpsc::channel::<GatewayMessage>(QUEUE_LENGTH);
+        self.gateway.on_connected(sender, direct.then_some(ip));
         log::info!("following {ip}");
-        let (silent, long_word) = (Duration::from_nanos(SILENT), Duration::from_nanos(LONG_WORD));
+        let (silent, long_word) =
+            (Duration::from_nanos(SILENCE_TIMEOUT), Duration::from_nanos(MAX_MESSAGE_TIME));
         let mut word = Instant::now();
         loop {
             let message = tokio::select! {
-                message = timeout_at(reader.heard().max(word) + silent, reader.read::<Down>()) => message,
+                message = timeout_at(reader.last_activity().max(word) + silent, reader.read::<GatewayUpdate>()) => message,
                 ask = asks.recv() => {
                     if let Some(ask) = ask {
                         writer.write(&ask).await?;
@@ -104,20 +107,20 @@
             };
             let now = Instant::now();
             let Ok(message) = message else {
-                if now < reader.heard() + silent && now < word + long_word {
+                if now < reader.last_activity() + silent && now < word + long_word {
                     continue;
                 }
-                return Ok(End::Lost);
+                return Ok(DisconnectReason::Lost);
             };
-            let Some(message) = message? else { return Ok(End::Lost) };
+            let Some(message) = message? else { return Ok(DisconnectReason::Lost) };
             word = now;
-            let missing = || self.company.as_ref().map(|c| c.missing()).unwrap_or_default();
-            for effect in self.playing.follow(|f, now| f.hear(now, message, missing)) {
+            let missing = || self.membership.as_ref().map(|c| c.missing_members()).unwrap_or_default();
+            for effect in self.gateway.with_subscription(|f, now| f.on_update(now, message, missing)) {
                 match effect {
-                    Effect::News(news) => self.playing.news(news),
-                    Effect::Lent(lent) => self.playing.rights.lent(&lent),
-                    Effect::Say(up) => writer.write(&up).await?,
-                    Effect::Leave(end) => return Ok(end),
+                    Effect::Changed(news) => self.gateway.apply_changes(news),
+                    Effect::LeaseGrant(lent) => self.gateway.quota.on_grant(&lent),
+                    Effect::Send(up) => writer.write(&up).await?,
+                    Effect::Disconnect(end) => return Ok(end),
                 }
             }
         }
--- a/crates/data/data-plane/src/house.rs
+++ b/crates/data/data-plane/src/house.rs
@@ -3,78 +3,88 @@
 
 use granitehub::Gateway;
 use interface::{Action, Effect, Ending, Event, Module, Name, RequestId, Settings, Time};
-use quota::Tries;
+use quota::RetryBudget;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
 
 /// The most backends that one try may be sent to, by class.
-pub type Attempts = Rc<RefCell<Vec<u32>>>;
+pub type MaxAttempts = Rc<RefCell<Vec<u32>>>;
 
 /// What is remembered of a request in hand.
 #[derive(Clone, Copy)]
-struct Held {
+struct RequestState {
     class: usize,
     pool: usize,
     /// Attempts that reached a backend.
-    arrived: u32,
-    earned: bool,
+    attempts_arrived: u32,
+    deposited: bool,
 }
 
-pub struct House {
+pub struct BudgetedModule {
     design: Gateway,
     effects: Vec<Effect>,
-    attempts: Attempts,
-    tries: Tries,
-    held: HashMap<RequestId, Held>,
+    max_attempts: MaxAttempts,
+    retry_budget: RetryBudget,
+    requests: HashMap<RequestId, RequestState>,
     /// What a client that was turned away everywhere is told.
-    advice: Time,
+    retry_after: Time,
 }
 
-impl House {
+impl BudgetedModule {
     /// # Errors
     /// What the design's module says of the settings.
-    pub fn new(s: Settings, attempts: Attempts, ratio: f64, seed: u64, now: Time) -> Result<Self, String> {
+    pub fn new(s: Settings, attempts: MaxAttempts, ratio: f64, seed: u64, now: Time) -> Result<Self, String> {
         let effects = s.classes.iter().map(|c| c.effect).collect();
         let advice = s.max_retry_after / 4;
         let design = Gateway::new(s, seed, now)?;
-        Ok(House { design, effects, attempts, tries: Tries::new(ratio), held: HashMap::new(), advice })
+        Ok(BudgetedModule {
+            design,
+            effects,
+            max_attempts: attempts,
+            retry_budget: RetryBudget::new(ratio),
+            requests: HashMap::new(),
+            retry_after: advice,
+        })
     }
 
     /// Whether the request may be tried once more behind an attempt that ended so.
-    fn once_more(&mut self, id: RequestId, ending: Ending) -> bool {
-        let Some(h) = self.held.get_mut(&id) else { return true };
+    fn may_retry(&mut self, id: RequestId, ending: Ending) -> bool {
+        let Some(h) = self.requests.get_mut(&id) else { return true };
         // Nothing of it came to a backend.
         if ending == Ending::NoRoute {
             return true;
         }
-        h.arrived += 1;
+        h.attempts_arrived += 1;
         let never = matches!(ending, Ending::Full | Ending::Stale);
         if !never && self.effects.get(h.class) == Some(&Effect::Unsafe) {
             // It ends here anyway.
             return true;
         }
-        let most = self.attempts.borrow().get(h.class).copied().unwrap_or(1);
-        let (arrived, pool) = (h.arrived, h.pool);
-        arrived < most && self.tries.spend(pool)
+        let most = self.max_attempts.borrow().get(h.class).copied().unwrap_or(1);
+        let (arrived, pool) = (h.attempts_arrived, h.pool);
+        arrived < most && self.retry_budget.withdraw(pool)
     }
 }
 
-impl Module for House {
+impl Module for BudgetedModule {
     fn handle(&mut self, now: Time, mut events: Vec<Event>, out: &mut Vec<Action>) {
         let from = out.len();
         for event in &mut events {
             match event {
                 Event::Request(r) => {
-                    let held = Held { class: r.class, pool: r.pool, arrived: 0, earned: false };
-                    self.held.insert(r.id, held);
+                    let held =
+                        RequestState { class: r.class, pool: r.pool, attempts_arrived: 0, deposited: false };
+                    self.requests.insert(r.id, held);
                 }
-                Event::ClientGone { id } => drop(self.held.remove(id)),
-                Event::AttemptEnd(e) if e.last || e.ending == Ending::Pass => drop(self.held.remove(&e.id)),
-                Event::AttemptEnd(e) if !self.once_more(e.id, e.ending) => {
+                Event::ClientGone { id } => drop(self.requests.remove(id)),
+                Event::AttemptEnd(e) if e.last || e.ending == Ending::Pass => {
+                    drop(self.requests.remove(&e.id))
+                }
+                Event::AttemptEnd(e) if !self.may_retry(e.id, e.ending) => {
                     // The design's module lets go of it, and it is answered: as refused only if nothing ran.
                     e.last = true;
-                    out.push(Action::Reject { id: e.id, advice: self.advice });
+                    out.push(Action::Reject { id: e.id, advice: self.retry_after });
                 }
                 _ => {}
             }
@@ -83,12 +93,12 @@
         for action in &out[from..] {
             match action {
                 Action::Send { id, .. } => {
-                    if let Some(h) = self.held.get_mut(id).filter(|h| !h.earned) {
-                        h.earned = true;
-                        self.tries.earn(h.pool);
+                    if let Some(h) = self.requests.get_mut(id).filter(|h| !h.deposited) {
+                        h.deposited = true;
+                        self.retry_budget.deposit(h.pool);
                     }
                 }
-                Action::Reject { id, .. } | Action::Fail { id } => drop(self.held.remove(id)),
+                Action::Reject { id, .. } | Action::Fail { id } => drop(self.requests.remove(id)),
                 _ => {}
             }
         }
@@ -111,7 +121,7 @@
 
     const MS: Time = 1_000_000;
 
-    fn house(effect: Effect, most: u32) -> House {
+    fn house(effect: Effect, most: u32) -> BudgetedModule {
         let settings = Settings {
             classes: vec![Class::new("c", 600 * MS, 2000 * MS, effect, Group::All)],
             plans: vec![Plan::new("p", 0.0, 0.0)],
@@ -119,13 +129,13 @@
             max_retry_after: 1000 * MS,
             ..Settings::default()
         };
-        let mut house = House::new(settings, Rc::new(RefCell::new(vec![most])), 0.2, 1, 0).unwrap();
+        let mut house = BudgetedModule::new(settings, Rc::new(RefCell::new(vec![most])), 0.2, 1, 0).unwrap();
         let nodes = (0..9).map(|n| Node::new(&format!("s{n}"), Health::Up)).collect();
         house.handle(0, vec![Event::Fleet { seq: 1, scope: Scope::Full, nodes }], &mut Vec::new());
         house
     }
 
-    fn asked(house: &mut House, id: RequestId) -> Vec<Action> {
+    fn asked(house: &mut BudgetedModule, id: RequestId) -> Vec<Action> {
         let mut out = Vec::new();
         let request = Request::new(id, 0, 0, "t", 2000 * MS, 1.0);
         house.handle(MS, vec![Event::Request(request)], &mut out);
@@ -133,7 +143,7 @@
     }
 
     /// The attempt ends so; what is ordered about the request then.
-    fn ended(house: &mut House, sent: &[Action], attempt: u32, ending: Ending) -> Vec<Action> {
+    fn ended(house: &mut BudgetedModule, sent: &[Action], attempt: u32, ending: Ending) -> Vec<Action> {
         let sent = sent.iter().find_map(|a| match a {
             Action::Send { id, server, .. } => Some((*id, server.clone())),
             _ => None,
@@ -172,7 +182,7 @@
         assert!(matches!(again[..], [Action::Send { id: 2, .. }]), "{again:?}");
         let end = ended(&mut h, &again, 1, Ending::Fault);
         assert!(matches!(end[..], [Action::Reject { id: 2, .. }]), "the budget is spent: {end:?}");
-        assert_eq!(h.held.len(), 0, "nothing is kept of what is over");
+        assert_eq!(h.requests.len(), 0, "nothing is kept of what is over");
     }
 
     #[test]
--- a/crates/data/data-plane/src/playing.rs
+++ b/crates/data/data-plane/src/playing.rs
@@ -1,87 +1,87 @@
 //! What is playing: the configuration in force and the backends, as requests need them. Fed by the link to a prompter.
 
-use crate::pools::{Pools, POOLS};
-use crate::rights::Rights;
-use crate::sorts::{Sort, Sorts};
-use configuration::{Playbill, Route, Table};
+use crate::pools::{Pools, POOL_COUNT};
+use crate::rights::TenantQuota;
+use crate::sorts::{RequestClass, RequestClasses};
+use configuration::{Configuration, Route, RouteTable};
 use interface::{Effect, Plan, Scope, Settings};
-use messages::message::Up;
+use messages::message::GatewayMessage;
 use proxy::driver::Driver;
 use proxy::list::{List, State, Target};
-use registry::Fact;
+use registry::Heartbeat;
 use std::cell::{Cell, RefCell};
 use std::net::IpAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use subscription::{Fold, Follow, News, Setup};
+use subscription::{Subscription, SubscriptionConfig, View, ViewChange};
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use trial::Terms;
+use trial::TenantTerms;
 
 /// Ranks of requests: the highest has this weight, each lower one less by one.
-const RANKS: usize = 8;
+const PRIORITY_LEVELS: usize = 8;
 /// How long backends are slow at the longest that is reckoned with, and how slow.
-pub const COLD: Duration = Duration::from_secs(3);
-const COLD_FROM: f64 = 0.5;
+pub const WARMUP_TIME: Duration = Duration::from_secs(3);
+const WARMUP_INITIAL_SPEED: f64 = 0.5;
 /// How much longer a wait at a backend of the own zone may be: bytes between zones have a price.
-const FAR: f64 = 0.25;
+const CROSS_ZONE_PRICE: f64 = 0.25;
 /// A unit of work, in ms, and the most of one request.
 const UNIT_MS: f64 = 100.0;
-pub const MOST_UNITS: f64 = 16.0;
+pub const MAX_UNITS: f64 = 16.0;
 
-pub struct Playing {
-    pub rights: Rc<Rights>,
-    follow: RefCell<Follow>,
-    table: RefCell<Option<Rc<Table>>>,
-    sorts: RefCell<Sorts>,
+pub struct Gateway {
+    pub quota: Rc<TenantQuota>,
+    subscription: RefCell<Subscription>,
+    routes: RefCell<Option<Rc<RouteTable>>>,
+    request_classes: RefCell<RequestClasses>,
     /// Told to the module beside the classes: the most attempts of each.
-    pub attempts: crate::house::Attempts,
+    pub max_attempts: crate::house::MaxAttempts,
     pools: RefCell<Pools>,
     settings: RefCell<Settings>,
     driver: RefCell<Option<Rc<Driver>>>,
-    me: String,
-    prompter: Cell<Option<IpAddr>>,
+    name: String,
+    control_node: Cell<Option<IpAddr>>,
 }
 
-impl Playing {
+impl Gateway {
     /// `zone`: the place of its zone among all.
-    pub fn new(rights: Rc<Rights>, me: Setup, zone: u32) -> Rc<Self> {
-        let plans = (0..RANKS).map(|rank| Plan {
-            value_factor: (RANKS - rank) as f64,
+    pub fn new(rights: Rc<TenantQuota>, me: SubscriptionConfig, zone: u32) -> Rc<Self> {
+        let plans = (0..PRIORITY_LEVELS).map(|rank| Plan {
+            value_factor: (PRIORITY_LEVELS - rank) as f64,
             ..Plan::new(&format!("rank {rank}"), 0.0, 0.0)
         });
         // Who is slowed, in queues of their own, of the least weight.
         let plans = plans.chain([Plan::new("slowed", 0.0, 0.0)]);
-        let sorts = Sorts::new();
+        let sorts = RequestClasses::new();
         let settings = Settings {
             zone,
             // Until it is known: a guess errs on the side of small rooms.
             gateways: 8,
-            pools: POOLS,
-            classes: sorts.all().iter().map(Sort::class).collect(),
+            pools: POOL_COUNT,
+            classes: sorts.all().iter().map(RequestClass::to_module_class).collect(),
             plans: plans.collect(),
             cancelling: true,
             retry_after: true,
             max_retry_after: 1_000_000_000,
             try_limit: 4,
-            most_units: MOST_UNITS,
-            cold: COLD.as_nanos() as u64,
-            cold_from: COLD_FROM,
-            cross_zone_price: FAR,
+            most_units: MAX_UNITS,
+            cold: WARMUP_TIME.as_nanos() as u64,
+            cold_from: WARMUP_INITIAL_SPEED,
+            cross_zone_price: CROSS_ZONE_PRICE,
             tick: 1_000_000,
             ..Settings::default()
         };
-        Rc::new(Playing {
-            rights,
-            me: me.name.clone(),
-            follow: RefCell::new(Follow::new(me)),
-            table: RefCell::default(),
-            attempts: Rc::new(RefCell::new(sorts.all().iter().map(|s| s.attempts).collect())),
-            sorts: RefCell::new(sorts),
+        Rc::new(Gateway {
+            quota: rights,
+            name: me.name.clone(),
+            subscription: RefCell::new(Subscription::new(me)),
+            routes: RefCell::default(),
+            max_attempts: Rc::new(RefCell::new(sorts.all().iter().map(|s| s.max_attempts).collect())),
+            request_classes: RefCell::new(sorts),
             pools: RefCell::default(),
             settings: RefCell::new(settings),
             driver: RefCell::default(),
-            prompter: Cell::new(None),
+            control_node: Cell::new(None),
         })
     }
 
@@ -89,72 +89,72 @@
         self.settings.borrow().clone()
     }
 
-    pub fn drives(&self, driver: Rc<Driver>) {
-        self.rights.drives(driver.clone());
+    pub fn set_driver(&self, driver: Rc<Driver>) {
+        self.quota.set_driver(driver.clone());
         *self.driver.borrow_mut() = Some(driver);
     }
 
-    pub fn table(&self) -> Option<Rc<Table>> {
-        self.table.borrow().clone()
+    pub fn routes(&self) -> Option<Rc<RouteTable>> {
+        self.routes.borrow().clone()
     }
 
     /// Whether what this gateway refuses for want of a route or a key may be refused for good.
     pub fn is_fresh(&self) -> bool {
-        self.follow.borrow().touch().is_fresh(self.rights.now())
+        self.subscription.borrow().freshness().is_fresh(self.quota.now())
     }
 
     /// Whether new clients do well to come here.
     pub fn is_ready(&self) -> bool {
-        self.table.borrow().is_some() && self.follow.borrow().touch().is_ready(self.rights.now())
+        self.routes.borrow().is_some() && self.subscription.borrow().freshness().is_ready(self.quota.now())
     }
 
     /// A link stands; to this prompter itself, or through another gateway.
-    pub fn linked(&self, uplink: mpsc::Sender<Up>, prompter: Option<IpAddr>) {
-        self.rights.link(Some(uplink));
-        self.prompter.set(prompter);
+    pub fn on_connected(&self, uplink: mpsc::Sender<GatewayMessage>, prompter: Option<IpAddr>) {
+        self.quota.set_uplink(Some(uplink));
+        self.control_node.set(prompter);
     }
 
-    pub fn unlinked(&self) {
-        self.rights.link(None);
-        self.prompter.set(None);
+    pub fn on_disconnected(&self) {
+        self.quota.set_uplink(None);
+        self.control_node.set(None);
     }
 
     /// The prompter that it follows itself.
-    pub fn prompter(&self) -> Option<IpAddr> {
-        self.prompter.get()
+    pub fn control_node(&self) -> Option<IpAddr> {
+        self.control_node.get()
     }
 
     /// Its following of prompters.
-    pub fn follow<T>(&self, act: impl FnOnce(&mut Follow, subscription::Time) -> T) -> T {
-        act(&mut self.follow.borrow_mut(), self.rights.now())
+    pub fn with_subscription<T>(&self, act: impl FnOnce(&mut Subscription, subscription::Time) -> T) -> T {
+        act(&mut self.subscription.borrow_mut(), self.quota.now())
     }
 
     /// The pool that a request for this service goes to.
-    pub fn pool(&self, service: &str) -> usize {
-        self.pools.borrow_mut().asked(service)
+    pub fn pool_for_service(&self, service: &str) -> usize {
+        self.pools.borrow_mut().pool_for_requests(service)
     }
 
     /// The pools of this service's backends, a bit each.
-    pub fn pools(&self, service: &str) -> u32 {
-        self.pools.borrow_mut().served(service)
+    pub fn pools_of_backend(&self, service: &str) -> u32 {
+        self.pools.borrow_mut().pools_of_backend(service)
     }
 
     /// A route's place among the classes.
     pub fn class(&self, route: &Route) -> usize {
-        self.sorts.borrow().place(&Sort::of(route))
+        self.request_classes.borrow().index_of(&RequestClass::of_route(route))
     }
 
     /// A rank's place among the plans.
-    pub fn rank(priority: u32) -> usize {
-        (priority as usize).min(RANKS - 1)
+    pub fn plan_for_priority(priority: u32) -> usize {
+        (priority as usize).min(PRIORITY_LEVELS - 1)
     }
 
     /// The place of those who are slowed.
-    pub const SLOWED: usize = RANKS;
+    pub const THROTTLED_PLAN: usize = PRIORITY_LEVELS;
 
     /// How long a request of this class may wait for its turn, with so much time left: not so long that it could not be
     /// served behind it. And how long without losing its aim, if it can be sent only once.
-    pub fn patience(&self, class: usize, left: Duration, wait: Duration) -> (Duration, Option<Duration>) {
+    pub fn max_wait(&self, class: usize, left: Duration, wait: Duration) -> (Duration, Option<Duration>) {
         let settings = self.settings.borrow();
         let class = &settings.classes[class.min(settings.classes.len() - 1)];
         let aim = Duration::from_nanos(class.aim);
@@ -168,35 +168,35 @@
     }
 
     /// The guess at a request's units, which nothing tells beforehand: operators set aims by the work.
-    pub fn units(route: &Route) -> f64 {
-        (route.target_latency_ms / 4.0 / UNIT_MS).clamp(0.25, MOST_UNITS)
+    pub fn estimate_units(route: &Route) -> f64 {
+        (route.target_latency_ms / 4.0 / UNIT_MS).clamp(0.25, MAX_UNITS)
     }
 
     // ---- News ----
 
     /// Something that this gateway has seen itself.
-    pub fn fold(&self, act: impl FnOnce(&mut Fold) -> Vec<News>) {
-        let news = self.follow(|f, _| f.seen(act));
-        self.news(news);
+    pub fn observe(&self, act: impl FnOnce(&mut View) -> Vec<ViewChange>) {
+        let news = self.with_subscription(|f, _| f.observe(act));
+        self.apply_changes(news);
     }
 
-    pub fn news(&self, news: Vec<News>) {
+    pub fn apply_changes(&self, news: Vec<ViewChange>) {
         let driver = self.driver.borrow().clone();
         let now = driver.as_ref().map_or(0, |d| d.time(Instant::now()));
         let mut targets = Vec::new();
         for n in news {
             match n {
-                News::Configuration(c) => match Playbill::read(&c.body) {
+                ViewChange::Configuration(c) => match Configuration::parse(&c.body) {
                     Ok(playbill) => {
                         log::info!("configuration {:08x} in force", c.version);
                         self.configure(playbill);
                     }
                     Err(fault) => log::error!("configuration {:08x}: {fault}; the old one stands", c.version),
                 },
-                News::Up(fact) => targets.push(target(&fact, now)),
-                News::Leaving(id) => targets.push(named(id, State::Terminating)),
-                News::Over(id) => targets.push(named(id, State::Gone)),
-                News::Gateways => self.gateways(),
+                ViewChange::BackendReady(fact) => targets.push(ready_target(&fact, now)),
+                ViewChange::BackendDraining(id) => targets.push(target_in_state(id, State::Terminating)),
+                ViewChange::BackendRemoved(id) => targets.push(target_in_state(id, State::Gone)),
+                ViewChange::Gateways => self.update_gateways(),
             }
         }
         if let Some(driver) = driver.filter(|_| !targets.is_empty()) {
@@ -204,22 +204,22 @@
         }
     }
 
-    fn configure(&self, playbill: Playbill) {
-        let mut sorts = self.sorts.borrow_mut();
+    fn configure(&self, playbill: Configuration) {
+        let mut sorts = self.request_classes.borrow_mut();
         sorts.configure(&playbill.routes);
-        self.rights.limits(&Terms::of(&playbill).limits);
-        *self.attempts.borrow_mut() = sorts.all().iter().map(|s| s.attempts).collect();
-        self.settings.borrow_mut().classes = sorts.all().iter().map(Sort::class).collect();
+        self.quota.set_limits(&TenantTerms::from_configuration(&playbill).limits);
+        *self.max_attempts.borrow_mut() = sorts.all().iter().map(|s| s.max_attempts).collect();
+        self.settings.borrow_mut().classes = sorts.all().iter().map(RequestClass::to_module_class).collect();
         drop(sorts);
         self.reconfigure();
-        *self.table.borrow_mut() = Some(Rc::new(Table::new(playbill)));
+        *self.routes.borrow_mut() = Some(Rc::new(RouteTable::new(playbill)));
     }
 
-    fn gateways(&self) {
-        let follow = self.follow.borrow();
-        let all = follow.fold().gateways();
-        let mine = all.iter().position(|name| *name == self.me);
-        self.rights.gateways(mine.map_or(0, |_| all.len() as u32));
+    fn update_gateways(&self) {
+        let follow = self.subscription.borrow();
+        let all = follow.view().gateways();
+        let mine = all.iter().position(|name| *name == self.name);
+        self.quota.set_gateway_count(mine.map_or(0, |_| all.len() as u32));
         // Of many backends each gateway keeps to some, by its place among the gateways.
         if let (Some(me), Some(driver)) = (mine, &*self.driver.borrow()) {
             driver.neighbours(Some((me as u32, all.len() as u32)));
@@ -237,10 +237,10 @@
 }
 
 /// `now`: on the driver's clock, by which it tells how long backends have run.
-fn target(fact: &Fact, now: u64) -> Target {
-    let cold = COLD.saturating_sub(Duration::from_millis(u64::from(fact.cold_ms)));
+fn ready_target(fact: &Heartbeat, now: u64) -> Target {
+    let cold = WARMUP_TIME.saturating_sub(Duration::from_millis(u64::from(fact.warmup_left_ms)));
     Target {
-        uid: fact.id.clone(),
+        uid: fact.instance.clone(),
         endpoint: fact.address.clone(),
         az: fact.zone.clone(),
         model: fact.service.clone(),
@@ -251,7 +251,7 @@
     }
 }
 
-fn named(id: String, state: State) -> Target {
+fn target_in_state(id: String, state: State) -> Target {
     let nothing = String::new;
     Target {
         uid: id,
--- a/crates/data/data-plane/src/pools.rs
+++ b/crates/data/data-plane/src/pools.rs
@@ -7,20 +7,20 @@
 use std::collections::HashMap;
 
 /// Pools of the module. The last one is nobody's: it stays empty.
-pub const POOLS: usize = 32;
-const NOBODYS: usize = POOLS - 1;
+pub const POOL_COUNT: usize = 32;
+const UNROUTABLE_POOL: usize = POOL_COUNT - 1;
 
 /// Services, in the order in which they were first heard of.
 #[derive(Clone, Debug, Default)]
 pub struct Pools(HashMap<String, usize>);
 
 impl Pools {
-    fn place(&mut self, service: &str) -> Option<usize> {
+    fn assign(&mut self, service: &str) -> Option<usize> {
         if let Some(known) = self.0.get(service) {
             return Some(*known);
         }
         let next = self.0.len();
-        if service.is_empty() || next >= NOBODYS {
+        if service.is_empty() || next >= UNROUTABLE_POOL {
             return None;
         }
         self.0.insert(service.to_string(), next);
@@ -28,12 +28,12 @@
     }
 
     /// Where a request for this service goes.
-    pub fn asked(&mut self, service: &str) -> usize {
-        self.place(service).unwrap_or(NOBODYS)
+    pub fn pool_for_requests(&mut self, service: &str) -> usize {
+        self.assign(service).unwrap_or(UNROUTABLE_POOL)
     }
 
     /// The pools that a backend of this service is in, a bit each.
-    pub fn served(&mut self, service: &str) -> u32 {
-        self.place(service).map_or(0, |place| 1 << place)
+    pub fn pools_of_backend(&mut self, service: &str) -> u32 {
+        self.assign(service).map_or(0, |place| 1 << place)
     }
 }
--- a/crates/data/data-plane/src/ready.rs
+++ b/crates/data/data-plane/src/ready.rs
@@ -16,7 +16,7 @@
 
 const PATH: &str = "/-/readiness";
 /// A reading comes each second; a connection lasts so long at the most.
-const LASTS: Duration = Duration::from_secs(10);
+const MAX_CONNECTION_AGE: Duration = Duration::from_secs(10);
 
 pub async fn serve(listener: TcpListener, ready: Rc<dyn Fn() -> bool>) {
     loop {
@@ -40,7 +40,7 @@
             let mut http = http1::Builder::new();
             let http = http.max_buf_size(8 << 10).serve_connection(TokioIo::new(stream), service);
             // Errors are the caller's.
-            let _ = timeout(LASTS, http).await;
+            let _ = timeout(MAX_CONNECTION_AGE, http).await;
         });
     }
 }
--- a/crates/data/data-plane/src/relay.rs
+++ b/crates/data/data-plane/src/relay.rs
@@ -1,8 +1,8 @@
 //! Gateways that are cut off from all prompters are let through to the one that this gateway follows. What passes is not
 //! looked at.
 
-use crate::playing::Playing;
-use process::net::{connect, notice};
+use crate::playing::Gateway;
+use process::net::{connect, detect_dead_peer};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,10 +13,10 @@
 use tokio::time::sleep;
 
 /// So many at once; one more is closed and tries another gateway.
-const MOST: usize = 8;
-const BUFFER: usize = 4 << 10;
+const MAX_RELAYED: usize = 8;
+const BUFFER_BYTES: usize = 4 << 10;
 
-pub async fn serve(playing: Rc<Playing>, listener: TcpListener, port: u16) {
+pub async fn serve(playing: Rc<Gateway>, listener: TcpListener, port: u16) {
     let through = Rc::new(Cell::new(0));
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -24,21 +24,21 @@
             continue;
         };
         // One that goes through others itself is no way.
-        let prompter = playing.prompter().filter(|_| through.get() < MOST);
+        let prompter = playing.control_node().filter(|_| through.get() < MAX_RELAYED);
         let Some(ip) = prompter else { continue };
         let through = through.clone();
         spawn_local(async move {
             through.set(through.get() + 1);
-            pass(stream, SocketAddr::new(ip, port)).await;
+            relay_stream(stream, SocketAddr::new(ip, port)).await;
             through.set(through.get() - 1);
         });
     }
 }
 
-async fn pass(mut from: TcpStream, to: SocketAddr) {
+async fn relay_stream(mut from: TcpStream, to: SocketAddr) {
     let Ok(mut to) = connect(to).await else { return };
-    if notice(&from).is_ok() {
+    if detect_dead_peer(&from).is_ok() {
         // Either end's end is the other's.
-        let _ = copy_bidirectional_with_sizes(&mut from, &mut to, BUFFER, BUFFER).await;
+        let _ = copy_bidirectional_with_sizes(&mut from, &mut to, BUFFER_BYTES, BUFFER_BYTES).await;
     }
 }
--- a/crates/data/data-plane/src/rights.rs
+++ b/crates/data/data-plane/src/rights.rs
@@ -1,9 +1,9 @@
 //! The desk's sockets: asks go up the link to the prompter, requests wait here for a unit.
 
 use interface::{Allowance, Name, RequestId};
-use messages::message::Up;
+use messages::message::GatewayMessage;
 use proxy::driver::Driver;
-use quota::{Ask, Desk, Lent, Limit, Verdict, Waiter, Word};
+use quota::{Decision, LeaseGrant, LeaseRequest, Limit, QueueOutcome, QueuedRequest, QuotaClient};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,30 +12,30 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 
 /// How a request that may pass goes on.
-pub enum Pass {
-    Now,
+pub enum Admission {
+    Immediate,
     /// By [`Rights::enter`]: its tenant is slowed.
-    InTurn {
-        wait: Duration,
+    Queued {
+        max_wait: Duration,
     },
 }
 
-pub struct Rights {
-    begun: Instant,
-    desk: RefCell<Desk>,
-    lent: watch::Sender<()>,
+pub struct TenantQuota {
+    started: Instant,
+    client: RefCell<QuotaClient>,
+    grants: watch::Sender<()>,
     urgent: Notify,
-    uplink: RefCell<Option<mpsc::Sender<Up>>>,
+    uplink: RefCell<Option<mpsc::Sender<GatewayMessage>>>,
     /// Where requests wait for their turn.
     driver: RefCell<Option<Rc<Driver>>>,
 }
 
-impl Rights {
+impl TenantQuota {
     pub fn new() -> Rc<Self> {
-        Rc::new(Rights {
-            begun: Instant::now(),
-            desk: RefCell::new(Desk::new(0)),
-            lent: watch::Sender::new(()),
+        Rc::new(TenantQuota {
+            started: Instant::now(),
+            client: RefCell::new(QuotaClient::new(0)),
+            grants: watch::Sender::new(()),
             urgent: Notify::new(),
             uplink: RefCell::default(),
             driver: RefCell::default(),
@@ -43,32 +43,32 @@
     }
 
     pub fn now(&self) -> u64 {
-        self.begun.elapsed().as_nanos() as u64
+        self.started.elapsed().as_nanos() as u64
     }
 
-    pub fn limits(&self, limits: &BTreeMap<String, Limit>) {
-        self.desk.borrow_mut().limits(self.now(), limits);
+    pub fn set_limits(&self, limits: &BTreeMap<String, Limit>) {
+        self.client.borrow_mut().set_limits(self.now(), limits);
     }
 
-    pub fn gateways(&self, gateways: u32) {
-        self.desk.borrow_mut().gateways(gateways);
+    pub fn set_gateway_count(&self, gateways: u32) {
+        self.client.borrow_mut().set_gateway_count(gateways);
     }
 
-    pub fn lent(&self, lent: &Lent) {
-        if self.desk.borrow_mut().lent(self.now(), lent) {
-            self.lent.send_replace(());
-            self.let_go();
+    pub fn on_grant(&self, lent: &LeaseGrant) {
+        if self.client.borrow_mut().on_grant(self.now(), lent) {
+            self.grants.send_replace(());
+            self.release_due();
             // What is due has changed.
             self.urgent.notify_one();
         }
     }
 
-    pub fn drives(&self, driver: Rc<Driver>) {
+    pub fn set_driver(&self, driver: Rc<Driver>) {
         *self.driver.borrow_mut() = Some(driver);
     }
 
     /// Where asks go from now on.
-    pub fn link(&self, uplink: Option<mpsc::Sender<Up>>) {
+    pub fn set_uplink(&self, uplink: Option<mpsc::Sender<GatewayMessage>>) {
         *self.uplink.borrow_mut() = uplink;
     }
 
@@ -76,24 +76,26 @@
     ///
     /// # Errors
     /// None is to be had: when to come back.
-    pub async fn spend(&self, tenant: &Name) -> Result<Pass, Duration> {
+    pub async fn acquire(&self, tenant: &Name) -> Result<Admission, Duration> {
         let draw = fastrand::f64();
-        let mut news = self.lent.subscribe();
+        let mut news = self.grants.subscribe();
         let mut since = None;
         loop {
             let now = self.now();
-            let verdict = self.desk.borrow_mut().spend(now, tenant, draw, since);
+            let verdict = self.client.borrow_mut().acquire(now, tenant, draw, since);
             match verdict {
-                Verdict::Granted => return Ok(Pass::Now),
-                Verdict::Slowed { wait } => return Ok(Pass::InTurn { wait: Duration::from_nanos(wait) }),
-                Verdict::Refused { advice } => return Err(Duration::from_nanos(advice)),
-                Verdict::Wait { until } => {
+                Decision::Granted => return Ok(Admission::Immediate),
+                Decision::Throttled { max_wait: wait } => {
+                    return Ok(Admission::Queued { max_wait: Duration::from_nanos(wait) })
+                }
+                Decision::Refused { retry_after: advice } => return Err(Duration::from_nanos(advice)),
+                Decision::Wait { until } => {
                     since.get_or_insert(now);
                     self.urgent.notify_one();
-                    let waiting = Waiting { rights: self, tenant, armed: true };
-                    let until = self.begun + Duration::from_nanos(until);
+                    let waiting = PendingWait { rights: self, tenant, armed: true };
+                    let until = self.started + Duration::from_nanos(until);
                     let _ = timeout_at(until, news.changed()).await;
-                    waiting.over();
+                    waiting.disarm();
                 }
             }
         }
@@ -104,7 +106,7 @@
     ///
     /// # Errors
     /// Too many wait: when to come back.
-    pub fn enter(
+    pub fn enqueue(
         &self,
         tenant: &Name,
         id: RequestId,
@@ -113,24 +115,25 @@
     ) -> Result<(), Duration> {
         let since = self.now();
         let after = |d: Duration| since + d.as_nanos() as u64;
-        let waiter = Waiter { id, since, until: after(wait), by: pressing.map(after) };
-        self.desk.borrow_mut().enter(tenant, waiter).map_err(Duration::from_nanos)?;
+        let waiter =
+            QueuedRequest { id, enqueued_at: since, deadline: after(wait), urgent_by: pressing.map(after) };
+        self.client.borrow_mut().enqueue(tenant, waiter).map_err(Duration::from_nanos)?;
         self.urgent.notify_one();
         Ok(())
     }
 
     /// Whose turn it is goes; who would wait in vain is told so.
-    fn let_go(&self) {
+    fn release_due(&self) {
         let Some(driver) = self.driver.borrow().clone() else { return };
         let now = self.now();
         loop {
-            let Some((tenant, id, word)) = self.desk.borrow_mut().poll(now) else { return };
+            let Some((tenant, id, word)) = self.client.borrow_mut().next_outcome(now) else { return };
             let allowance = match word {
-                Word::Go => Allowance::Granted,
-                Word::Refused { advice } => Allowance::Refused { advice },
+                QueueOutcome::Proceed => Allowance::Granted,
+                QueueOutcome::Refused { retry_after: advice } => Allowance::Refused { advice },
             };
-            if !driver.allowed(id, allowance) && word == Word::Go {
-                self.desk.borrow_mut().again(now, &tenant);
+            if !driver.allowed(id, allowance) && word == QueueOutcome::Proceed {
+                self.client.borrow_mut().return_turn(now, &tenant);
             }
         }
     }
@@ -139,19 +142,19 @@
     pub async fn run(self: Rc<Self>) {
         loop {
             let due = {
-                let desk = self.desk.borrow();
-                desk.next_poll(self.now()).map_or(desk.next_due(), |at| at.min(desk.next_due()))
+                let desk = self.client.borrow();
+                desk.next_outcome_at(self.now()).map_or(desk.next_due(), |at| at.min(desk.next_due()))
             };
-            let due = self.begun + Duration::from_nanos(due);
+            let due = self.started + Duration::from_nanos(due);
             tokio::select! {
                 () = sleep_until(due) => {}
                 () = self.urgent.notified() => {}
             }
-            self.let_go();
-            let ask: Option<Ask> = self.desk.borrow_mut().ask(self.now());
+            self.release_due();
+            let ask: Option<LeaseRequest> = self.client.borrow_mut().next_request(self.now());
             if let Some(ask) = ask {
                 if let Some(uplink) = &*self.uplink.borrow() {
-                    let _ = uplink.try_send(Up::Ask(ask));
+                    let _ = uplink.try_send(GatewayMessage::LeaseRequest(ask));
                 }
             }
         }
@@ -159,22 +162,22 @@
 }
 
 /// A request that waits for a unit; the desk hears if it is dropped.
-struct Waiting<'a> {
-    rights: &'a Rights,
+struct PendingWait<'a> {
+    rights: &'a TenantQuota,
     tenant: &'a Name,
     armed: bool,
 }
 
-impl Waiting<'_> {
-    fn over(mut self) {
+impl PendingWait<'_> {
+    fn disarm(mut self) {
         self.armed = false;
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for PendingWait<'_> {
     fn drop(&mut self) {
         if self.armed {
-            self.rights.desk.borrow_mut().left(self.tenant);
+            self.rights.client.borrow_mut().cancel_wait(self.tenant);
         }
     }
 }
--- a/crates/data/data-plane/src/sorts/tests.rs
+++ b/crates/data/data-plane/src/sorts/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn route(kind: Kind, timeout_ms: f64, attempts: u32) -> Route {
+fn route(kind: RouteKind, timeout_ms: f64, attempts: u32) -> Route {
     Route {
         name: "r".into(),
         host: "h".into(),
@@ -19,34 +19,38 @@
 }
 
 /// What a request of this route may do at the most, by the place that it gets.
-fn allowed(sorts: &Sorts, route: &Route) -> (Effect, u32) {
-    let sort = sorts.all()[sorts.place(&Sort::of(route))];
-    (sort.class().effect, sort.attempts)
+fn allowed(sorts: &RequestClasses, route: &Route) -> (Effect, u32) {
+    let sort = sorts.all()[sorts.index_of(&RequestClass::of_route(route))];
+    (sort.to_module_class().effect, sort.max_attempts)
 }
 
 #[test]
 fn a_request_that_may_run_once_is_never_taken_for_one_that_may_run_again() {
-    let mut sorts = Sorts::new();
+    let mut sorts = RequestClasses::new();
     for n in 0..1000 {
         let (safe, once) =
-            (route(Kind::Safe, 1000.0 + n as f64, 2), route(Kind::Unsafe, 2000.0 + n as f64, 1));
+            (route(RouteKind::Safe, 1000.0 + n as f64, 2), route(RouteKind::Unsafe, 2000.0 + n as f64, 1));
         sorts.configure(&[safe.clone(), once.clone()]);
         assert_eq!(allowed(&sorts, &once), (Effect::Unsafe, 1), "change {n}");
         assert_eq!(allowed(&sorts, &safe), (Effect::Safe, 2), "change {n}");
-        let place = sorts.place(&Sort::of(&safe));
-        assert_eq!(sorts.all()[place], Sort::of(&safe), "it has a place of its own, also behind {n} changes");
+        let place = sorts.index_of(&RequestClass::of_route(&safe));
+        assert_eq!(
+            sorts.all()[place],
+            RequestClass::of_route(&safe),
+            "it has a place of its own, also behind {n} changes"
+        );
     }
-    assert_eq!(sorts.all().len(), CLASSES);
+    assert_eq!(sorts.all().len(), MAX_CLASSES);
 }
 
 #[test]
 fn a_place_keeps_what_a_rule_rests_on_for_requests_that_are_in_hand() {
-    let mut sorts = Sorts::new();
-    let mut before: Vec<(Kind, u32)> = Vec::new();
+    let mut sorts = RequestClasses::new();
+    let mut before: Vec<(RouteKind, u32)> = Vec::new();
     for n in 0..500u32 {
-        let kind = if n % 3 == 0 { Kind::Unsafe } else { Kind::Safe };
+        let kind = if n % 3 == 0 { RouteKind::Unsafe } else { RouteKind::Safe };
         sorts.configure(&[route(kind, f64::from(n) + 1.0, 1 + n % 4)]);
-        let now: Vec<(Kind, u32)> = sorts.all().iter().map(Sort::bound).collect();
+        let now: Vec<(RouteKind, u32)> = sorts.all().iter().map(RequestClass::fixed_terms).collect();
         assert_eq!(now[..before.len()], before[..], "change {n}");
         before = now;
     }
@@ -54,16 +58,17 @@
 
 #[test]
 fn where_there_is_no_room_the_nearest_place_allows_no_more_than_the_route() {
-    let mut sorts = Sorts::new();
-    let safe: Vec<Route> = (0..200).map(|n| route(Kind::Safe, 1000.0 + 10.0 * f64::from(n), 2)).collect();
+    let mut sorts = RequestClasses::new();
+    let safe: Vec<Route> =
+        (0..200).map(|n| route(RouteKind::Safe, 1000.0 + 10.0 * f64::from(n), 2)).collect();
     sorts.configure(&safe);
     for r in &safe {
         assert_eq!(allowed(&sorts, r), (Effect::Safe, 2));
     }
     // The longest known, not just any.
-    let last = sorts.all()[sorts.place(&Sort::of(&safe[199]))];
+    let last = sorts.all()[sorts.index_of(&RequestClass::of_route(&safe[199]))];
     assert!(last.timeout_ms >= 1600.0, "{last:?}");
-    for (kind, attempts) in [(Kind::Unsafe, 1), (Kind::Unsafe, 3), (Kind::Safe, 1)] {
+    for (kind, attempts) in [(RouteKind::Unsafe, 1), (RouteKind::Unsafe, 3), (RouteKind::Safe, 1)] {
         let r = route(kind, 1500.0, attempts);
         sorts.configure(&[safe.clone(), vec![r.clone()]].concat());
         assert_eq!(allowed(&sorts, &r), (Effect::Unsafe, 1), "no place is bound like it but the first");
--- a/crates/data/data-plane/src/wire.rs
+++ b/crates/data/data-plane/src/wire.rs
@@ -20,7 +20,7 @@
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
 
 /// Headers that concern one connection only (RFC 9110, 7.6.1).
-const HOPS: [HeaderName; 8] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     hyper::header::CONNECTION,
     KEEP_ALIVE,
     HeaderName::from_static("proxy-connection"),
@@ -32,7 +32,7 @@
 ];
 
 /// Takes out what concerns one connection only, and what `Connection` names; what says whose an answer is stays.
-pub fn strip_hops(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(hyper::header::CONNECTION)
         .iter()
@@ -41,54 +41,54 @@
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| ![ATTEMPT, SEAL].contains(name))
         .collect();
-    HOPS.iter().chain(&named).for_each(|name| drop(headers.remove(name)));
+    HOP_BY_HOP_HEADERS.iter().chain(&named).for_each(|name| drop(headers.remove(name)));
 }
 
 /// Backends whose address has another owner now: they said so.
 pub type Misdirected = Rc<RefCell<Vec<Name>>>;
 
 #[derive(Default)]
-pub struct Backward {
+pub struct BackendProtocol {
     pub misdirected: Misdirected,
     /// Answers of other requests so far.
-    foreign: Cell<u64>,
+    foreign_answers: Cell<u64>,
 }
 
 /// What an answer's head proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Says {
+enum AnswerMeaning {
     /// It is the answer of a run, to be passed on.
-    Good,
+    Success,
     /// A failure of a run.
     Failed,
     /// A failure of a run, by a status that promises clients that it has not run: it must not reach them.
     Misleading,
     /// It turned the request away.
-    Full,
+    Rejected,
     /// Another stands there.
-    Other,
+    OtherInstance,
     /// It cannot be the backend's.
-    Nothing,
+    Invalid,
 }
 
 /// Only these prove that a request has not run.
-fn turned_away(head: &Parts) -> bool {
+fn is_not_executed(head: &Parts) -> bool {
     head.headers.contains_key(NOT_EXECUTED) || head.status == StatusCode::MISDIRECTED_REQUEST
 }
 
-fn says(head: &Parts) -> Says {
+fn interpret(head: &Parts) -> AnswerMeaning {
     let h = &head.headers;
     let whole = !h.contains_key(CONTENT_ENCODING) && h.contains_key(SEAL);
     match head.status {
-        StatusCode::MISDIRECTED_REQUEST => Says::Other,
-        _ if turned_away(head) => Says::Full,
-        s if s.is_success() && !whole => Says::Nothing,
-        s if s.is_success() => Says::Good,
+        StatusCode::MISDIRECTED_REQUEST => AnswerMeaning::OtherInstance,
+        _ if is_not_executed(head) => AnswerMeaning::Rejected,
+        s if s.is_success() && !whole => AnswerMeaning::Invalid,
+        s if s.is_success() => AnswerMeaning::Success,
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-            Says::Misleading
+            AnswerMeaning::Misleading
         }
-        s if s.is_server_error() => Says::Failed,
-        _ => Says::Good,
+        s if s.is_server_error() => AnswerMeaning::Failed,
+        _ => AnswerMeaning::Success,
     }
 }
 
@@ -96,20 +96,20 @@
 fn echo(attempt: Option<&HeaderValue>, head: &Parts) -> Echo {
     let mut ids = head.headers.get_all(ATTEMPT).iter();
     match (ids.next(), ids.next()) {
-        (None, _) => Echo::Missing { turned_away: turned_away(head) },
+        (None, _) => Echo::Missing { turned_away: is_not_executed(head) },
         (Some(id), None) if Some(id) == attempt => Echo::Same,
         _ => Echo::Other,
     }
 }
 
 /// `timeout` of a `Keep-Alive` header, in seconds.
-fn keep_alive(head: &Parts) -> Option<Duration> {
+fn keep_alive_timeout(head: &Parts) -> Option<Duration> {
     let text = head.headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let told = text.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
     told.filter_map(|seconds| seconds.trim().parse().ok()).map(Duration::from_secs).min()
 }
 
-impl Wire for Backward {
+impl Wire for BackendProtocol {
     fn stamp(&self, headers: &mut HeaderMap, wait: Duration, server: &Name) {
         headers.insert(REMAINING, HeaderValue::from(wait.as_millis() as u64));
         // Ids come from backends and were read as text; one that is no header value names nobody.
@@ -125,47 +125,47 @@
     fn echo(&self, request: &Outgoing, head: &Parts) -> Echo {
         let echo = echo(request.headers.get(ATTEMPT), head);
         if echo == Echo::Other {
-            self.foreign.set(self.foreign.get() + 1);
+            self.foreign_answers.set(self.foreign_answers.get() + 1);
             log::info!(
                 "answers: one of another request came and goes to nobody, {} so far",
-                self.foreign.get()
+                self.foreign_answers.get()
             );
         }
         echo
     }
 
     fn is_sound(&self, _: &Outgoing, head: &Parts) -> bool {
-        says(head) != Says::Nothing
+        interpret(head) != AnswerMeaning::Invalid
     }
 
     fn idle_time(&self, head: &Parts) -> Option<Duration> {
-        keep_alive(head)
+        keep_alive_timeout(head)
     }
 
     fn is_good(&self, head: &Parts) -> bool {
-        head.status.is_success() && says(head) == Says::Good
+        head.status.is_success() && interpret(head) == AnswerMeaning::Success
     }
 
     fn read(&self, _: &Outgoing, server: &Name, answer: Response<Content>) -> Outcome {
         let (mut head, content) = answer.into_parts();
-        let says = says(&head);
+        let says = interpret(&head);
         let ending = match says {
-            Says::Good if head.status.is_success() => Ending::Pass,
-            Says::Good => Ending::Undone,
-            Says::Failed | Says::Misleading => Ending::Fault,
-            Says::Full => Ending::Full,
-            Says::Other => Ending::Stale,
-            Says::Nothing => Ending::Spoilt,
+            AnswerMeaning::Success if head.status.is_success() => Ending::Pass,
+            AnswerMeaning::Success => Ending::Undone,
+            AnswerMeaning::Failed | AnswerMeaning::Misleading => Ending::Fault,
+            AnswerMeaning::Rejected => Ending::Full,
+            AnswerMeaning::OtherInstance => Ending::Stale,
+            AnswerMeaning::Invalid => Ending::Spoilt,
         };
         let mut outcome = Outcome::without_answer(ending);
-        if says == Says::Other {
+        if says == AnswerMeaning::OtherInstance {
             self.misdirected.borrow_mut().push(server.clone());
         }
-        if matches!(says, Says::Good | Says::Failed) {
-            strip_hops(&mut head.headers);
+        if matches!(says, AnswerMeaning::Success | AnswerMeaning::Failed) {
+            strip_hop_by_hop_headers(&mut head.headers);
             let served = Some(Served { status: head.status, headers: head.headers, content });
             // Whether a failure may be tried elsewhere is not settled here.
-            if says == Says::Good {
+            if says == AnswerMeaning::Success {
                 outcome.served = served;
             } else {
                 outcome.failure = served;
@@ -189,18 +189,18 @@
 
     #[test]
     fn only_what_says_so_has_not_run_and_no_other_status_promises_it() {
-        let said = |status, headers: &[(&'static str, &'static str)]| says(&head(status, headers));
-        assert_eq!(said(200, &[("server-seal", "x")]), Says::Good);
-        assert_eq!(said(200, &[]), Says::Nothing, "no seal");
-        assert_eq!(said(200, &[("server-seal", "x"), ("content-encoding", "gzip")]), Says::Nothing);
-        assert_eq!(said(503, &[("not-executed", "1")]), Says::Full);
-        assert_eq!(said(421, &[("instance-id", "i-2")]), Says::Other);
+        let said = |status, headers: &[(&'static str, &'static str)]| interpret(&head(status, headers));
+        assert_eq!(said(200, &[("server-seal", "x")]), AnswerMeaning::Success);
+        assert_eq!(said(200, &[]), AnswerMeaning::Invalid, "no seal");
+        assert_eq!(said(200, &[("server-seal", "x"), ("content-encoding", "gzip")]), AnswerMeaning::Invalid);
+        assert_eq!(said(503, &[("not-executed", "1")]), AnswerMeaning::Rejected);
+        assert_eq!(said(421, &[("instance-id", "i-2")]), AnswerMeaning::OtherInstance);
         assert_eq!(
             (said(500, &[]), said(504, &[]), said(404, &[])),
-            (Says::Failed, Says::Failed, Says::Good)
+            (AnswerMeaning::Failed, AnswerMeaning::Failed, AnswerMeaning::Success)
         );
         for promises in [408, 429, 503] {
-            assert_eq!(said(promises, &[("server-seal", "x")]), Says::Misleading, "{promises}");
+            assert_eq!(said(promises, &[("server-seal", "x")]), AnswerMeaning::Misleading, "{promises}");
         }
     }
 
@@ -220,7 +220,7 @@
 
     #[test]
     fn an_idle_time_is_read_as_it_is_stated() {
-        let told = |text| keep_alive(&head(200, &[("keep-alive", text)]));
+        let told = |text| keep_alive_timeout(&head(200, &[("keep-alive", text)]));
         assert_eq!(told("timeout=5, max=100"), Some(Duration::from_secs(5)));
         assert_eq!((told("max=100"), told("timeout=x")), (None, None));
     }
@@ -229,11 +229,11 @@
     fn what_concerns_one_connection_goes_no_further() {
         let mut headers =
             head(200, &[("connection", "x-a, close"), ("x-a", "1"), ("x-b", "2"), ("te", "x")]).headers;
-        strip_hops(&mut headers);
+        strip_hop_by_hop_headers(&mut headers);
         assert_eq!(headers.keys().map(HeaderName::as_str).collect::<Vec<_>>(), ["x-b"]);
         let mut headers =
             head(200, &[("connection", "server-seal, attempt-id"), ("server-seal", "x")]).headers;
-        strip_hops(&mut headers);
+        strip_hop_by_hop_headers(&mut headers);
         assert!(headers.contains_key(SEAL), "a success without its seal is none");
     }
 }
--- a/crates/data/subscription/src/lib.rs
+++ b/crates/data/subscription/src/lib.rs
@@ -6,9 +6,11 @@
 mod follow;
 mod touch;
 
-pub use fold::{Fold, News};
-pub use follow::{Effect, End, Follow, Setup, LONG_WORD, SILENT};
-pub use touch::Touch;
+pub use fold::{View, ViewChange};
+pub use follow::{
+    DisconnectReason, Effect, Subscription, SubscriptionConfig, MAX_MESSAGE_TIME, SILENCE_TIMEOUT,
+};
+pub use touch::Freshness;
 
 /// Nanoseconds on the gateway's steady clock.
 pub type Time = u64;
--- a/crates/testing/compatibility/tests/state.rs
+++ b/crates/testing/compatibility/tests/state.rs
@@ -1,10 +1,10 @@
 //! The replicated state and its commands, as they stand in the log, in snapshots and on disks.
 
 use compatibility::Golden;
-use control_state::{mark, Applied, Book, Word};
+use control_state::{body_digest, Applied, Command, ControlState};
 
-fn configuration(base: u32, version: u32, fill: u8) -> Word {
-    Word::Configuration { base, version, body: vec![fill; 20] }
+fn configuration(base: u32, version: u32, fill: u8) -> Command {
+    Command::ReplaceConfiguration { base, version, body: vec![fill; 20] }
 }
 
 #[test]
@@ -12,14 +12,22 @@
     let mut golden = Golden::open("commands");
     let words = [
         ("configuration", configuration(0, 1, b'x')),
-        ("change", Word::Change { base: 1, version: 2, mark: mark(b"new"), difference: vec![1, 2, 3] }),
-        ("drain", Word::Leaving { instance: "i-1".into() }),
-        ("gateway", Word::Gateway { name: "edge-1".into() }),
-        ("trial-expired", Word::TrialOver { tenant: "t1".into(), ends: 1_798_758_000_000 }),
+        (
+            "change",
+            Command::ConfigurationDelta {
+                base: 1,
+                version: 2,
+                digest: body_digest(b"new"),
+                delta: vec![1, 2, 3],
+            },
+        ),
+        ("drain", Command::Drain { instance: "i-1".into() }),
+        ("gateway", Command::AddGateway { name: "edge-1".into() }),
+        ("trial-expired", Command::ExpireTrial { tenant: "t1".into(), ends_at: 1_798_758_000_000 }),
     ];
     for (name, word) in &words {
-        let recorded = golden.assert_bytes(name, &word.write());
-        assert_eq!(Word::read(&recorded).as_ref(), Some(word), "{name}");
+        let recorded = golden.assert_bytes(name, &word.encode());
+        assert_eq!(Command::decode(&recorded).as_ref(), Some(word), "{name}");
     }
     assert_eq!(golden.len(), words.len());
 }
@@ -34,20 +42,20 @@
 #[test]
 fn the_state_keeps_its_bytes() {
     let mut golden = Golden::open("state");
-    let mut book = Book::new();
-    golden.assert_bytes("new", &book.write());
+    let mut book = ControlState::new();
+    golden.assert_bytes("new", &book.encode());
     book.apply(2, &configuration(0, 1, b'x'));
-    book.apply(3, &Word::Leaving { instance: "i-1".into() });
-    book.apply(4, &Word::Gateway { name: "edge-1".into() });
-    let recorded = golden.assert_bytes("without-trials", &book.write());
-    assert_eq!(Book::read(&recorded).as_ref(), Some(&book));
-    book.apply(5, &Word::TrialOver { tenant: "t1".into(), ends: 1_798_758_000_000 });
-    book.apply(6, &Word::Configuration { base: 1, version: 2, body: long(2) });
-    let change = Word::Configuration { base: 2, version: 3, body: long(3) }.shortened(&book);
-    assert!(matches!(change, Word::Change { .. }), "it goes as its difference");
-    golden.assert_bytes("difference", &change.write());
+    book.apply(3, &Command::Drain { instance: "i-1".into() });
+    book.apply(4, &Command::AddGateway { name: "edge-1".into() });
+    let recorded = golden.assert_bytes("without-trials", &book.encode());
+    assert_eq!(ControlState::decode(&recorded).as_ref(), Some(&book));
+    book.apply(5, &Command::ExpireTrial { tenant: "t1".into(), ends_at: 1_798_758_000_000 });
+    book.apply(6, &Command::ReplaceConfiguration { base: 1, version: 2, body: long(2) });
+    let change = Command::ReplaceConfiguration { base: 2, version: 3, body: long(3) }.as_delta(&book);
+    assert!(matches!(change, Command::ConfigurationDelta { .. }), "it goes as its difference");
+    golden.assert_bytes("difference", &change.encode());
     assert_eq!(book.apply(7, &change), Applied::Changed);
-    let recorded = golden.assert_bytes("all", &book.write());
-    assert_eq!(Book::read(&recorded).as_ref(), Some(&book));
+    let recorded = golden.assert_bytes("all", &book.encode());
+    assert_eq!(ControlState::decode(&recorded).as_ref(), Some(&book));
     assert_eq!(golden.len(), 4);
 }
--- a/crates/testing/control-sim/src/backends.rs
+++ b/crates/testing/control-sim/src/backends.rs
@@ -3,7 +3,7 @@
 use crate::machine::BEAT;
 use crate::{Time, MS};
 use fastrand::Rng;
-use registry::Fact;
+use registry::Heartbeat;
 
 /// A life.
 #[derive(Clone, Debug)]
@@ -44,10 +44,17 @@
     }
 
     /// What it says now.
-    pub fn fact(&mut self) -> Fact {
+    pub fn fact(&mut self) -> Heartbeat {
         self.sequence += 1;
         let (id, address) = (self.id.clone(), self.address.clone());
-        Fact { id, address, sequence: self.sequence, draining: self.drains, slots: 3, ..Fact::default() }
+        Heartbeat {
+            instance: id,
+            address,
+            sequence: self.sequence,
+            draining: self.drains,
+            slots: 3,
+            ..Heartbeat::default()
+        }
     }
 
     /// A beat was acknowledged.
--- a/crates/testing/control-sim/src/gateways.rs
+++ b/crates/testing/control-sim/src/gateways.rs
@@ -3,7 +3,7 @@
 use crate::machine::address;
 use crate::Time;
 use std::net::{IpAddr, Ipv4Addr};
-use subscription::{Follow, Setup};
+use subscription::{Subscription, SubscriptionConfig};
 
 /// A link to a prompter.
 #[derive(Clone, Copy, Debug)]
@@ -18,8 +18,8 @@
 
 pub struct Gateway {
     pub name: String,
-    setup: Setup,
-    pub follow: Follow,
+    setup: SubscriptionConfig,
+    pub follow: Subscription,
     pub link: Option<Link>,
     /// Tries so far.
     pub number: u64,
@@ -41,10 +41,10 @@
     pub fn new(g: usize, zone: &str, seeds: &[usize]) -> Self {
         let ip = IpAddr::V4(Ipv4Addr::new(10, 9, 0, g as u8 + 1));
         let name = format!("g{g}");
-        let setup = Setup { name: name.clone(), zone: zone.into(), ip };
+        let setup = SubscriptionConfig { name: name.clone(), zone: zone.into(), ip };
         let mut gateway = Gateway {
             name,
-            follow: Follow::new(setup.clone()),
+            follow: Subscription::new(setup.clone()),
             setup,
             link: None,
             number: 0,
@@ -67,7 +67,7 @@
 
     /// Another process of the same name. What was meant for the one before is nobody's.
     pub fn begin_anew(&mut self) {
-        self.follow = Follow::new(self.setup.clone());
+        self.follow = Subscription::new(self.setup.clone());
         self.link = None;
         self.number += 1;
         self.busy = 0;
@@ -83,13 +83,15 @@
 }
 
 /// What is sent to it, in bytes, roughly.
-pub fn bytes(down: &messages::message::Down) -> usize {
-    use messages::message::Down;
+pub fn bytes(down: &messages::message::GatewayUpdate) -> usize {
+    use messages::message::GatewayUpdate;
     match down {
-        Down::Configuration(part) => 60 + part.bytes.len(),
-        Down::Scene { scene, .. } => 60 + 120 * scene.backends.len() + 20 * scene.leaving.len(),
-        Down::Changes { changes, .. } => 40 + 100 * changes.len(),
-        Down::Pulse { prompters, .. } => 20 + 24 * prompters.len(),
-        Down::Lent(_) => 200,
+        GatewayUpdate::ConfigurationChunk(part) => 60 + part.bytes.len(),
+        GatewayUpdate::Snapshot { snapshot: scene, .. } => {
+            60 + 120 * scene.backends.len() + 20 * scene.draining.len()
+        }
+        GatewayUpdate::Changes { changes, .. } => 40 + 100 * changes.len(),
+        GatewayUpdate::Heartbeat { control_nodes: prompters, .. } => 20 + 24 * prompters.len(),
+        GatewayUpdate::LeaseGrant(_) => 200,
     }
 }
--- a/crates/testing/control-sim/src/growth.rs
+++ b/crates/testing/control-sim/src/growth.rs
@@ -3,10 +3,10 @@
 
 mod pieces;
 
-use control_state::Configuration;
-use messages::message::{Change, Down, Peer, Scene, Up};
-use quota::{Ask, Desk, Keeper, Limit, Verdict};
-use registry::Fact;
+use control_state::CommittedConfiguration;
+use messages::message::{ControlMessage, FleetChange, FleetSnapshot, GatewayMessage, GatewayUpdate};
+use quota::{Decision, LeaseRequest, Limit, QuotaClient, QuotaCoordinator};
+use registry::Heartbeat;
 use rustix::time::{clock_gettime, ClockId};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -43,16 +43,16 @@
     t.tv_sec as f64 + t.tv_nsec as f64 / 1e9
 }
 
-fn fact(n: usize) -> Fact {
-    Fact {
-        id: format!("i-{n:08x}"),
+fn fact(n: usize) -> Heartbeat {
+    Heartbeat {
+        instance: format!("i-{n:08x}"),
         service: format!("huvo{:02}a", n % 2),
         address: format!("10.128.{}.{}:8080", n / 250, n % 250),
         zone: "long-bien".into(),
         version: "v1".into(),
         slots: 6,
         sequence: 40,
-        ..Fact::default()
+        ..Heartbeat::default()
     }
 }
 
@@ -61,7 +61,7 @@
 }
 
 /// As an operator words it; each 48 routes have a host of their own.
-fn configuration(routes: usize, tenants: usize) -> Arc<Configuration> {
+fn configuration(routes: usize, tenants: usize) -> Arc<CommittedConfiguration> {
     let route = |n| {
         format!(
             "{{\"name\":\"r-{n:07}\",\"host\":\"ficu{:03}.example\",\"pathPrefix\":\"/lohu{n}/\",\"routeKind\":\"safe\",\
@@ -87,7 +87,7 @@
         list((0..routes.min(pieces::SERVICES)).map(service).collect()),
         list((0..tenants).map(tenant).collect())
     );
-    Arc::new(Configuration { version: 7, place: 9, body: body.into_bytes() })
+    Arc::new(CommittedConfiguration { version: 7, index: 9, body: body.into_bytes() })
 }
 
 fn gateways(count: usize) -> BTreeSet<String> {
@@ -115,21 +115,22 @@
 
 fn line((gateways, backends, tenants, routes): (usize, usize, usize, usize)) -> String {
     let names = self::gateways(gateways);
-    let scene = Scene {
+    let scene = FleetSnapshot {
         backends: (0..backends).map(fact).collect(),
-        whole: true,
-        leaving: (0..8).map(|n| format!("i-{n:08x}")).collect(),
+        complete: true,
+        draining: (0..8).map(|n| format!("i-{n:08x}")).collect(),
         gateways: names.iter().cloned().collect(),
     };
     // The configuration comes behind it, in parts of its bytes.
-    let scene = bytes(&Down::Scene { place: change_log::Place::default(), scene: Box::new(scene) })
-        + configuration(routes, tenants).body.len();
-    let from = change_log::Place::default();
-    let change = bytes(&Down::Changes { from, changes: vec![Change::Backend(fact(3))] });
+    let scene =
+        bytes(&GatewayUpdate::Snapshot { offset: change_log::Offset::default(), snapshot: Box::new(scene) })
+            + configuration(routes, tenants).body.len();
+    let from = change_log::Offset::default();
+    let change = bytes(&GatewayUpdate::Changes { from, changes: vec![FleetChange::Backend(fact(3))] });
     let prompters = pieces::prompters(gateways);
-    let beats: Vec<(String, u64)> = (0..backends / prompters).map(|n| (fact(n).id, 40)).collect();
+    let beats: Vec<(String, u64)> = (0..backends / prompters).map(|n| (fact(n).instance, 40)).collect();
     // A backend's beat comes each 1.5 s, to one of the prompters, which tell the others each 400 ms.
-    let beats = bytes(&Peer::Beats { facts: Vec::new(), again: beats }) as f64 / 1.5;
+    let beats = bytes(&ControlMessage::Heartbeats { changed: Vec::new(), unchanged: beats }) as f64 / 1.5;
     let (rights, keeper) = rights(&names, tenants);
     // Its own link, or the prompter's, which sends to its part of them.
     let theirs = scene as f64 * 8.0 * gateways as f64 / 2.0 / prompters as f64 / PROMPTERS_LINK;
@@ -142,25 +143,25 @@
 /// A second of all gateways' asks, each with twelve tenants at work: bytes a gateway both ways, and the keeper's time in ms.
 fn rights(names: &BTreeSet<String>, tenants: usize) -> (f64, f64) {
     let limits = limits(tenants);
-    let mut keeper = Keeper::begin(0, 1, &limits, &BTreeSet::new(), names);
-    let mut desks: Vec<(usize, &String, Desk)> =
-        names.iter().enumerate().take(DESKS).map(|(n, g)| (n, g, Desk::new(0))).collect();
+    let mut keeper = QuotaCoordinator::new(0, 1, &limits, &BTreeSet::new(), names);
+    let mut desks: Vec<(usize, &String, QuotaClient)> =
+        names.iter().enumerate().take(DESKS).map(|(n, g)| (n, g, QuotaClient::new(0))).collect();
     let (mut sent, mut asks, mut all, mut back) = (0, 0, 0, 0.0);
     for (_, _, desk) in &mut desks {
-        desk.limits(0, &limits);
-        desk.gateways(names.len() as u32);
+        desk.set_limits(0, &limits);
+        desk.set_gateway_count(names.len() as u32);
     }
-    let mut last = Ask::default();
+    let mut last = LeaseRequest::default();
     for tick in 0..20u64 {
         let now = tick * 100 * MS;
         for (n, name, desk) in &mut desks {
             for t in 0..SEEN.min(tenants) {
                 let tenant = tenant((*n * 7 + t) % tenants);
-                if matches!(desk.spend(now, &tenant, 0.99, None), Verdict::Wait { .. }) {
-                    desk.left(&tenant);
+                if matches!(desk.acquire(now, &tenant, 0.99, None), Decision::Wait { .. }) {
+                    desk.cancel_wait(&tenant);
                 }
             }
-            let Some(ask) = desk.ask(now) else { continue };
+            let Some(ask) = desk.next_request(now) else { continue };
             let (told, spent) = asked(&mut keeper, now, name, &ask, Some(desk));
             last = ask;
             all += usize::from(tick >= 10);
@@ -182,15 +183,21 @@
     (sent as f64 / desks.len() as f64, a_second * 1e3)
 }
 
-fn asked(keeper: &mut Keeper, now: u64, name: &str, ask: &Ask, desk: Option<&mut Desk>) -> (usize, f64) {
+fn asked(
+    keeper: &mut QuotaCoordinator,
+    now: u64,
+    name: &str,
+    ask: &LeaseRequest,
+    desk: Option<&mut QuotaClient>,
+) -> (usize, f64) {
     let began = spent();
-    let lent = keeper.ask(now, name, ask);
+    let lent = keeper.grant(now, name, ask);
     let spent = spent() - began;
     let Some(lent) = lent else { return (0, spent) };
     if let Some(desk) = desk {
-        desk.lent(now, &lent);
+        desk.on_grant(now, &lent);
     }
-    (bytes(&Up::Ask(ask.clone())) + bytes(&Down::Lent(lent)), spent)
+    (bytes(&GatewayMessage::LeaseRequest(ask.clone())) + bytes(&GatewayUpdate::LeaseGrant(lent)), spent)
 }
 
 #[cfg(test)]
--- a/crates/testing/control-sim/src/growth/pieces.rs
+++ b/crates/testing/control-sim/src/growth/pieces.rs
@@ -1,15 +1,15 @@
 //! Each piece by the one size that it grows with, the others small: a slope is the difference of two lines.
 
 use super::{bytes, configuration, fact, gateways, limits, spent, tenant, MS};
-use configuration::{Checker, Playbill, Table};
-use consensus::{Body, Entry, Id, Members, Message, Said};
-use control_state::{mark, Book, Configuration, Difference, Steps, Word};
-use messages::message::{Change, Down, Peer, Scene};
-use quota::{Ask, Desk, Keeper, Verdict, Want};
-use registry::{Cell, Heard};
+use configuration::{Configuration, RouteTable, Validator};
+use consensus::{Entry, EntryPayload, Message, MessageBody, NodeId, VoterSet};
+use control_state::{body_digest, Command, CommittedConfiguration, ControlState, Delta, DeltaHistory};
+use messages::message::{ControlMessage, FleetChange, FleetSnapshot, GatewayUpdate};
+use quota::{Decision, LeaseRequest, QuotaClient, QuotaCoordinator, UnitRequest};
+use registry::{HeartbeatOutcome, ZoneRegistry};
 use std::collections::BTreeSet;
 use std::hint::black_box;
-use trial::Terms;
+use trial::TenantTerms;
 
 /// Of the operators' size.
 pub(super) const SERVICES: usize = 290;
@@ -77,42 +77,44 @@
         lines.push(format!("| {what} | {size} | {:.1} |", megabytes(line) - before));
     };
     const NOW: &str = "VmRSS:";
-    held("a gateway that is told", "-".into(), NOW, &|| Box::new(Desk::new(0)));
+    held("a gateway that is told", "-".into(), NOW, &|| Box::new(QuotaClient::new(0)));
     for (routes, tenants, configuration) in &bodies {
         let size = format!("{routes} routes, {tenants} tenants");
         held("a gateway's table and its desk", size, NOW, &|| {
-            let playbill = Playbill::read(&configuration.body).expect("it is sound");
-            let mut desk = Desk::new(0);
-            desk.limits(0, &Terms::of(&playbill).limits);
-            Box::new((Table::new(playbill), desk))
+            let playbill = Configuration::parse(&configuration.body).expect("it is sound");
+            let mut desk = QuotaClient::new(0);
+            desk.set_limits(0, &TenantTerms::from_configuration(&playbill).limits);
+            Box::new((RouteTable::new(playbill), desk))
         });
     }
     for (tenants, limits) in &limits {
         let size = format!("{tenants} tenants, {} gateways", names.len());
-        held("the keeper", size, NOW, &|| Box::new(Keeper::begin(0, 1, limits, &BTreeSet::new(), &names)));
+        held("the keeper", size, NOW, &|| {
+            Box::new(QuotaCoordinator::new(0, 1, limits, &BTreeSet::new(), &names))
+        });
     }
     held("backends", format!("{}", facts.len()), NOW, &|| {
-        let mut cell = Cell::new(1500 * MS, 0);
+        let mut cell = ZoneRegistry::new(1500 * MS, 0);
         for f in &facts {
-            cell.beat(0, f.clone());
+            cell.on_heartbeat(0, f.clone());
         }
         Box::new(cell)
     });
     for all in [100, 1000] {
         held("1,024 changes, each the list of gateways", format!("{all} gateways"), NOW, &|| {
-            let mut board = change_log::Board::new(1, 1024);
+            let mut board = change_log::ChangeLog::new(1, 1024);
             let list: Vec<String> = names.iter().take(all).cloned().collect();
-            (0..1024).for_each(|_| board.append(Change::Gateways(list.clone())));
+            (0..1024).for_each(|_| board.append(FleetChange::Gateways(list.clone())));
             Box::new(board)
         });
     }
-    held("the schema's library", "-".into(), NOW, &|| Box::new(Checker::default()));
-    let checker = Checker::default();
+    held("the schema's library", "-".into(), NOW, &|| Box::new(Validator::default()));
+    let checker = Validator::default();
     for (routes, tenants, configuration) in &bodies {
         let size = format!("{routes} routes, {tenants} tenants");
         // Of one that is not the largest so far nothing is seen.
         held("a configuration checked, at the peak", size, "VmHWM:", &|| {
-            Box::new(checker.check(&configuration.body).is_ok())
+            Box::new(checker.validate(&configuration.body).is_ok())
         });
     }
     lines
@@ -142,17 +144,18 @@
         "a route found, us: 48 a host, all of one host",
     ];
     let mut lines = head("A configuration", &columns);
-    let checker = Checker::default();
+    let checker = Validator::default();
     for (routes, tenants) in CONFIGURATIONS {
         let body = &configuration(routes, tenants).body;
-        let checked = micros(|| drop(black_box(checker.check(body))));
-        let read = micros(|| drop(black_box(Table::new(Playbill::read(body).expect("it is sound")))));
-        let terms = Terms::of(&Playbill::read(body).expect("it is sound"));
-        let mut desk = Desk::new(0);
-        desk.limits(0, &terms.limits);
-        let limited = micros(|| desk.limits(0, &terms.limits));
+        let checked = micros(|| drop(black_box(checker.validate(body))));
+        let read =
+            micros(|| drop(black_box(RouteTable::new(Configuration::parse(body).expect("it is sound")))));
+        let terms = TenantTerms::from_configuration(&Configuration::parse(body).expect("it is sound"));
+        let mut desk = QuotaClient::new(0);
+        desk.set_limits(0, &terms.limits);
+        let limited = micros(|| desk.set_limits(0, &terms.limits));
         drop((desk, terms));
-        let own = found(&Table::new(Playbill::read(body).expect("it is sound")), routes, 48);
+        let own = found(&RouteTable::new(Configuration::parse(body).expect("it is sound")), routes, 48);
         let text = String::from_utf8_lossy(body);
         let one: String = (0..routes / 48 + 1).fold(text.into_owned(), |text, n| {
             if n == 0 {
@@ -161,7 +164,7 @@
                 text.replace(&format!("ficu{n:03}.example"), "ficu000.example")
             }
         });
-        let one = Table::new(Playbill::read(one.as_bytes()).expect("it is sound"));
+        let one = RouteTable::new(Configuration::parse(one.as_bytes()).expect("it is sound"));
         let all = found(&one, routes, routes);
         lines.push(format!(
             "| {routes}, {tenants} | {} | {:.2} | {:.2} | {:.2} | {own:.2}, {all:.2} |",
@@ -175,7 +178,7 @@
 }
 
 /// Microseconds to find a route, the mean over all of them.
-fn found(table: &Table, routes: usize, host: usize) -> f64 {
+fn found(table: &RouteTable, routes: usize, host: usize) -> f64 {
     let asked: Vec<(String, String)> = (0..routes)
         .step_by(routes / 97 + 1)
         .map(|n| (format!("ficu{:03}.example", n / host), format!("/lohu{n}/x")))
@@ -209,23 +212,23 @@
     ];
     for (routes, tenants, all, leaving) in sizes {
         let body = configuration(routes, tenants).body.clone();
-        let word = Word::Configuration { base: 0, version: 7, body };
-        let entry = Entry { term: 3, said: Said::Word(word.write()) };
-        let mut book = Book::new();
+        let word = Command::ReplaceConfiguration { base: 0, version: 7, body };
+        let entry = Entry { term: 3, payload: EntryPayload::Command(word.encode()) };
+        let mut book = ControlState::new();
         book.apply(1, &word);
         gateways(all).into_iter().enumerate().for_each(|(n, name)| {
-            book.apply(2 + n as u64, &Word::Gateway { name });
+            book.apply(2 + n as u64, &Command::AddGateway { name });
         });
         for n in 0..leaving {
-            book.apply(2000 + n as u64, &Word::Leaving { instance: fact(n).id });
+            book.apply(2000 + n as u64, &Command::Drain { instance: fact(n).instance });
         }
-        let written = book.write();
+        let written = book.encode();
         lines.push(format!(
             "| {routes}, {tenants}, {all}, {leaving} | {} | {} | {:.2} | {:.2} |",
             bytes(&entry),
             written.len(),
-            micros(|| drop(black_box(book.write()))) / 1e3,
-            micros(|| drop(black_box(Book::read(&written)))) / 1e3,
+            micros(|| drop(black_box(book.encode()))) / 1e3,
+            micros(|| drop(black_box(ControlState::decode(&written)))) / 1e3,
         ));
     }
     lines
@@ -239,17 +242,21 @@
         GATEWAYS.map(|g| (g, 1000)).into_iter().chain(TENANTS.map(|t| (100, t))).chain([(1000, 38_000)]);
     for (all, tenants) in sizes {
         let (names, limits) = (gateways(all), limits(tenants));
-        let mut keeper = Keeper::begin(0, 1, &limits, &BTreeSet::new(), &names);
+        let mut keeper = QuotaCoordinator::new(0, 1, &limits, &BTreeSet::new(), &names);
         let (mut now, mut number) = (0, 0usize);
         let one = micros(|| {
             number += 1;
             now += 100 * MS / all as u64;
-            let want =
-                |n| Want { tenant: tenant((number * 7 + n * 13) % tenants), units: 1, asked: 1, back: 0 };
+            let want = |n| UnitRequest {
+                tenant: tenant((number * 7 + n * 13) % tenants),
+                units: 1,
+                arrivals: 1,
+                returned: 0,
+            };
             let wants = (0..REQUESTS / 10).map(want).collect();
-            let ask = Ask { number: number as u64, wants, queues: Vec::new() };
+            let ask = LeaseRequest { number: number as u64, units: wants, turns: Vec::new() };
             let name = format!("edge-long-bien-{}", number % all);
-            black_box(keeper.ask(now, &name, &ask));
+            black_box(keeper.grant(now, &name, &ask));
         });
         lines.push(format!("| {all}, {tenants} | {one:.1} | {:.3} |", one * 10.0 * all as f64 / 1e6));
     }
@@ -270,31 +277,32 @@
     let mut lines = head("A gateway's desk", &columns);
     for tenants in TENANTS {
         let limits = limits(tenants);
-        let mut keeper = Keeper::begin(0, 1, &limits, &BTreeSet::new(), &gateways(1));
-        let mut desk = Desk::new(0);
-        desk.limits(0, &limits);
-        desk.gateways(1);
+        let mut keeper = QuotaCoordinator::new(0, 1, &limits, &BTreeSet::new(), &gateways(1));
+        let mut desk = QuotaClient::new(0);
+        desk.set_limits(0, &limits);
+        desk.set_gateway_count(1);
         let (mut made, mut taken, mut polled, mut asked, mut told, mut asks) = (0.0, 0.0, 0.0, 0.0, 0, 0u32);
         let mut now = 0;
         for n in 0..4 * REQUESTS {
             now += 1_000_000_000 / REQUESTS as u64;
             let name = tenant(n * 13 % tenants);
             let began = spent();
-            let waits = matches!(desk.spend(now, &name, 0.99, None), Verdict::Wait { .. });
+            let waits = matches!(desk.acquire(now, &name, 0.99, None), Decision::Wait { .. });
             let spoke = spent();
-            black_box(desk.next_poll(now));
+            black_box(desk.next_outcome_at(now));
             let looked = spent();
             (asked, polled) = (asked + spoke - began, polled + looked - spoke);
             if waits {
-                desk.left(&name);
+                desk.cancel_wait(&name);
             }
             let before = spent();
-            let Some(ask) = desk.ask(now) else { continue };
+            let Some(ask) = desk.next_request(now) else { continue };
             made += spent() - before;
-            let Some(lent) = keeper.ask(now, "edge-long-bien-0", &ask) else { continue };
-            told += bytes(&messages::message::Up::Ask(ask)) + bytes(&Down::Lent(lent.clone()));
+            let Some(lent) = keeper.grant(now, "edge-long-bien-0", &ask) else { continue };
+            told += bytes(&messages::message::GatewayMessage::LeaseRequest(ask))
+                + bytes(&GatewayUpdate::LeaseGrant(lent.clone()));
             let before = spent();
-            desk.lent(now, &lent);
+            desk.on_grant(now, &lent);
             taken += spent() - before;
             asks += 1;
         }
@@ -315,8 +323,8 @@
 /// What a prompter tells one follower: bytes, and the time to put it into a frame.
 fn changes() -> Vec<String> {
     let mut lines = head("What one follower is told", &["what", "size", "bytes", "made, us"]);
-    let from = change_log::Place::default();
-    let mut told = |what: &str, size: String, down: &Down| {
+    let from = change_log::Offset::default();
+    let mut told = |what: &str, size: String, down: &GatewayUpdate| {
         lines.push(format!(
             "| {what} | {size} | {} | {:.1} |",
             bytes(down),
@@ -325,32 +333,37 @@
             })
         ));
     };
-    let changed = |change| Down::Changes { from, changes: vec![change] };
-    told("a changed backend", "-".into(), &changed(Change::Backend(fact(3))));
+    let changed = |change| GatewayUpdate::Changes { from, changes: vec![change] };
+    told("a changed backend", "-".into(), &changed(FleetChange::Backend(fact(3))));
     for all in GATEWAYS {
         let names = gateways(all).into_iter().collect();
-        told("one more gateway", format!("{all} gateways"), &changed(Change::Gateways(names)));
+        told("one more gateway", format!("{all} gateways"), &changed(FleetChange::Gateways(names)));
     }
     for count in PROMPTERS {
         let prompters = (0..count).map(|n| (format!("10.{n}.0.5"), "long-bien".into())).collect();
         told(
             "a pulse",
             format!("{count} prompters"),
-            &Down::Pulse { contact: 300, touch_ms: 80, newest: 4000, prompters },
+            &GatewayUpdate::Heartbeat {
+                contact_number: 300,
+                quorum_contact_ms: 80,
+                newest_configuration: 4000,
+                control_nodes: prompters,
+            },
         );
     }
     for (all, backends, leaving) in [(85, 231, 8), (300, 800, 4096), (1000, 9200, 4096)] {
-        let scene = Scene {
+        let scene = FleetSnapshot {
             backends: (0..backends).map(fact).collect(),
-            whole: true,
-            leaving: (0..leaving).map(|n| fact(n).id).collect(),
+            complete: true,
+            draining: (0..leaving).map(|n| fact(n).instance).collect(),
             gateways: gateways(all).into_iter().collect(),
         };
         let size = format!("{all} gateways, {backends} backends, {leaving} leaving");
         told(
             "a scene, but for the configuration",
             size,
-            &Down::Scene { place: from, scene: Box::new(scene) },
+            &GatewayUpdate::Snapshot { offset: from, snapshot: Box::new(scene) },
         );
     }
     lines
@@ -370,26 +383,26 @@
         let old = configuration(routes, tenants);
         let moved = |text: String, n| text.replace(&format!("/lohu{n}/"), &format!("/lohu{n}/new/"));
         let text = (0..10).fold(String::from_utf8_lossy(&old.body).into_owned(), moved);
-        let new = Configuration { version: 8, place: 10, body: text.into_bytes() };
+        let new = CommittedConfiguration { version: 8, index: 10, body: text.into_bytes() };
         let worked = micros(|| {
-            let mut steps = Steps::default();
-            steps.went(&old, &new);
+            let mut steps = DeltaHistory::default();
+            steps.record(&old, &new);
             black_box(steps.bytes());
         });
-        let difference = Difference::between(&old.body, &new.body);
+        let difference = Delta::between(&old.body, &new.body);
         let folded = micros(|| {
-            let body = difference.fold(&old.body, 16 << 20).expect("it is of these bytes");
-            black_box(mark(&body));
+            let body = difference.apply(&old.body, 16 << 20).expect("it is of these bytes");
+            black_box(body_digest(&body));
         });
-        let mut desk = Desk::new(0);
+        let mut desk = QuotaClient::new(0);
         let anew = micros(|| {
-            let playbill = Playbill::read(&new.body).expect("it is sound");
-            desk.limits(0, &Terms::of(&playbill).limits);
-            black_box(Table::new(playbill));
+            let playbill = Configuration::parse(&new.body).expect("it is sound");
+            desk.set_limits(0, &TenantTerms::from_configuration(&playbill).limits);
+            black_box(RouteTable::new(playbill));
         });
         lines.push(format!(
             "| {routes}, {tenants} | {} | {:.2} | {:.2} | {:.2} |",
-            difference.write().len(),
+            difference.encode().len(),
             worked / 1e3,
             folded / 1e3,
             anew / 1e3
@@ -411,23 +424,26 @@
     ];
     let mut lines = head("Backends at a prompter", &columns);
     for count in BACKENDS {
-        let (mut cell, mut known, began) = (Cell::new(1500 * MS, 0), 0, spent());
+        let (mut cell, mut known, began) = (ZoneRegistry::new(1500 * MS, 0), 0, spent());
         for n in 0..count {
-            known += usize::from(cell.beat(0, fact(n)) == Heard::New);
+            known += usize::from(cell.on_heartbeat(0, fact(n)) == HeartbeatOutcome::New);
         }
         let new = (spent() - began) * 1e6 / count as f64;
         let facts: Vec<_> = (0..count).map(fact).collect();
         let mut n = 0;
         let beat = micros(|| {
             n = (n + 1) % known;
-            black_box(cell.beat(MS, facts[n].clone()));
+            black_box(cell.on_heartbeat(MS, facts[n].clone()));
         });
         let again = micros(|| {
             n = (n + 1) % known;
-            black_box(cell.again(MS, &facts[n].id, 41));
+            black_box(cell.on_forwarded_heartbeat(MS, &facts[n].instance, 41));
+        });
+        let swept = micros(|| drop(black_box(cell.expire_stale(2 * MS))));
+        let all = bytes(&ControlMessage::Heartbeats {
+            changed: cell.heartbeats().cloned().collect(),
+            unchanged: Vec::new(),
         });
-        let swept = micros(|| drop(black_box(cell.sweep(2 * MS))));
-        let all = bytes(&Peer::Beats { facts: cell.facts().cloned().collect(), again: Vec::new() });
         lines.push(format!("| {count} | {known} | {new:.1} | {beat:.2} | {again:.2} | {swept:.0} | {all} |"));
     }
     lines
@@ -446,31 +462,40 @@
     ];
     let mut lines = head("Prompters among themselves", &columns);
     for count in PROMPTERS {
-        let id = |n: usize| Id { name: format!("10.{n}.0.5"), disk: 0x7a5b_1c2d_3e4f_5061 };
-        let said = |body| Peer::Agree(Message { from: id(1), to: id(2), term: 3, body });
-        let append = Body::Append { before: (4000, 3), entries: Vec::new(), agreed: 4000, round: 90_000 };
-        let round = bytes(&said(append)) + bytes(&said(Body::Took { round: 90_000, up_to: 4000 }));
+        let id = |n: usize| NodeId { name: format!("10.{n}.0.5"), disk_id: 0x7a5b_1c2d_3e4f_5061 };
+        let said = |body| ControlMessage::Consensus(Message { from: id(1), to: id(2), term: 3, body });
+        let append = MessageBody::AppendEntries {
+            previous: (4000, 3),
+            entries: Vec::new(),
+            commit_index: 4000,
+            round: 90_000,
+        };
+        let round = bytes(&said(append))
+            + bytes(&said(MessageBody::AppendAccepted { round: 90_000, match_index: 4000 }));
         let known: Vec<(String, String)> = (0..count).map(|n| (id(n).name, "long-bien".into())).collect();
-        let hello = Peer::Hello {
+        let hello = ControlMessage::Hello {
             id: id(1),
             zone: "long-bien".into(),
-            first: false,
-            votes: true,
-            known,
-            wall: 1_796_000_000_000,
+            initial_start: false,
+            can_vote: true,
+            known_nodes: known,
+            unix_ms: 1_796_000_000_000,
         };
-        let again = (0..9200 / count).map(|n| (fact(n).id, 40)).collect();
-        let beats = bytes(&Peer::Beats { facts: Vec::new(), again }) as f64 / 1.5;
-        let all = bytes(&Peer::Beats { facts: (0..9200).map(fact).collect(), again: Vec::new() });
+        let again = (0..9200 / count).map(|n| (fact(n).instance, 40)).collect();
+        let beats = bytes(&ControlMessage::Heartbeats { changed: Vec::new(), unchanged: again }) as f64 / 1.5;
+        let all = bytes(&ControlMessage::Heartbeats {
+            changed: (0..9200).map(fact).collect(),
+            unchanged: Vec::new(),
+        });
         let others = (count - 1) as f64;
         // Ten rounds, two greetings a second.
         lines.push(format!(
             "| {count} | {round} | {:.0} | {} | {:.0} | {:.0} | {} |",
             10.0 * others
-                * bytes(&said(Body::Append {
-                    before: (4000, 3),
+                * bytes(&said(MessageBody::AppendEntries {
+                    previous: (4000, 3),
                     entries: Vec::new(),
-                    agreed: 4000,
+                    commit_index: 4000,
                     round: 1
                 })) as f64,
             bytes(&hello),
@@ -479,10 +504,10 @@
             all * (count - 1)
         ));
     }
-    let members: Members = (0..9).map(|n| (format!("10.{n}.0.5"), 7)).collect();
+    let members: VoterSet = (0..9).map(|n| (format!("10.{n}.0.5"), 7)).collect();
     lines.push(format!(
         "\nNine voters as an entry: {} B.",
-        bytes(&Entry { term: 3, said: Said::Members(members) })
+        bytes(&Entry { term: 3, payload: EntryPayload::Configuration(members) })
     ));
     lines
 }
