--- a/crates/testing/control-sim/src/guest.rs
+++ b/crates/testing/control-sim/src/guest.rs
@@ -4,41 +4,44 @@
 use crate::rules::{Broken, Seen};
 use crate::{Time, MS};
 use fastrand::Rng;
-use quota::{Desk, Limit, Slow, Verdict, Waiter, Word};
+use quota::{Decision, Limit, QueueOutcome, QueuedRequest, QuotaClient, TrialPace};
 use std::collections::{BTreeMap, BTreeSet};
-use trial::{Ending, Terms, Wall};
+use trial::{TenantTerms, TrialEnd, UnixMillis};
 
 /// A tenant whose requests come through all gateways, and its limit.
 pub const HOT: &str = "t";
 pub const HOT_RATE: f64 = 120.0;
 pub const NAME: &str = "guest";
 const RATE: f64 = 60.0;
-pub const SLOW: Slow = Slow { pace: 12.0, wait: 1000 * MS };
+pub const SLOW: TrialPace = TrialPace { rate: 12.0, max_wait: 1000 * MS };
 /// True time at the beginning, in Unix milliseconds.
-pub const BEGAN: Wall = 1_000_000_000;
+pub const BEGAN: UnixMillis = 1_000_000_000;
 
 /// What a configuration of this world says beside its base and version: when the guest's trial ends, if it is on trial.
-pub fn body(base: u32, version: u32, ends: Option<Wall>) -> Vec<u8> {
+pub fn body(base: u32, version: u32, ends: Option<UnixMillis>) -> Vec<u8> {
     let (base, version, ends) = (base.to_be_bytes(), version.to_be_bytes(), ends.unwrap_or(0).to_be_bytes());
     [base.as_slice(), &version, &ends].concat()
 }
 
-pub fn ends(body: &[u8]) -> Option<Wall> {
-    let ends = body.get(8..16)?.try_into().ok().map(Wall::from_be_bytes)?;
+pub fn ends(body: &[u8]) -> Option<UnixMillis> {
+    let ends = body.get(8..16)?.try_into().ok().map(UnixMillis::from_be_bytes)?;
     (ends > 0).then_some(ends)
 }
 
 /// The terms of a configuration: the guest's, and those of a tenant that is not on trial.
-pub fn terms(body: &[u8]) -> Terms {
+pub fn terms(body: &[u8]) -> TenantTerms {
     let ends = ends(body);
     let mut limits = BTreeMap::from([(HOT.to_string(), Limit::new(HOT_RATE, HOT_RATE))]);
     let slow = ends.map(|_| SLOW);
-    limits.insert(NAME.into(), Limit { slow, ..Limit::new(RATE, RATE) });
-    Terms { limits, endings: ends.map(|ends| Ending { tenant: NAME.into(), ends }).into_iter().collect() }
+    limits.insert(NAME.into(), Limit { after_trial: slow, ..Limit::new(RATE, RATE) });
+    TenantTerms {
+        limits,
+        trial_ends: ends.map(|ends| TrialEnd { tenant: NAME.into(), ends_at: ends }).into_iter().collect(),
+    }
 }
 
 /// An operator's mind on the trial: mostly it stays.
-pub fn moved(rng: &mut Rng, now: Time, held: Option<Wall>) -> Option<Wall> {
+pub fn moved(rng: &mut Rng, now: Time, held: Option<UnixMillis>) -> Option<UnixMillis> {
     let now = BEGAN + now / MS;
     match rng.u8(..12) {
         0 => Some(now + rng.u64(..1500)),
@@ -71,51 +74,64 @@
         &mut self,
         (now, g): (Time, usize),
         comes: bool,
-        desk: &mut Desk,
+        desk: &mut QuotaClient,
         rng: &mut Rng,
         defect: Option<Defect>,
         seen: &mut Seen,
     ) -> Result<(), Broken> {
         // Who hears of the trial neither by the configuration nor by the keeper cannot go by it.
-        let blind = self.unaware.contains(&g) && desk.is_alone(now);
+        let blind = self.unaware.contains(&g) && desk.is_isolated(now);
         let full = |seen: &mut Seen| if blind { Ok(()) } else { seen.full(now, g, RATE, RATE) };
         let waited = self.waits.remove(&g).unwrap_or_default();
         let tries = waited.into_iter().map(Some).chain(comes.then_some(None));
         for since in tries {
-            match desk.spend(now, NAME, rng.f64(), since) {
-                Verdict::Granted => full(seen)?,
-                Verdict::Refused { .. } => {}
-                Verdict::Wait { .. } => self.waits.entry(g).or_default().push(since.unwrap_or(now)),
-                Verdict::Slowed { .. } if defect == Some(Defect::FullWhileAlone) && desk.is_alone(now) => {
+            match desk.acquire(now, NAME, rng.f64(), since) {
+                Decision::Granted => full(seen)?,
+                Decision::Refused { .. } => {}
+                Decision::Wait { .. } => self.waits.entry(g).or_default().push(since.unwrap_or(now)),
+                Decision::Throttled { .. }
+                    if defect == Some(Defect::FullWhileAlone) && desk.is_isolated(now) =>
+                {
                     full(seen)?;
                 }
-                Verdict::Slowed { .. } if defect == Some(Defect::PaceIgnored) => seen.paced(now, SLOW)?,
-                Verdict::Slowed { .. } if defect == Some(Defect::RefusedAtOnce) => {
-                    seen.refused(now, g, !desk.is_alone(now))?;
+                Decision::Throttled { .. } if defect == Some(Defect::PaceIgnored) => seen.paced(now, SLOW)?,
+                Decision::Throttled { .. } if defect == Some(Defect::RefusedAtOnce) => {
+                    seen.refused(now, g, !desk.is_isolated(now))?;
                 }
-                Verdict::Slowed { wait } => {
+                Decision::Throttled { max_wait: wait } => {
                     self.next += 1;
                     let pressing = rng.u8(..4) == 0;
                     let by = pressing.then_some(now + 300 * MS);
-                    if desk.enter(NAME, Waiter { id: self.next, since: now, until: now + wait, by }).is_ok() {
+                    if desk
+                        .enqueue(
+                            NAME,
+                            QueuedRequest {
+                                id: self.next,
+                                enqueued_at: now,
+                                deadline: now + wait,
+                                urgent_by: by,
+                            },
+                        )
+                        .is_ok()
+                    {
                         self.held.insert(self.next, g);
                     }
                 }
             }
         }
-        let probe = desk.spend(now, NAME, 1.0, None);
-        if matches!(probe, Verdict::Wait { .. }) {
-            desk.left(NAME);
+        let probe = desk.acquire(now, NAME, 1.0, None);
+        if matches!(probe, Decision::Wait { .. }) {
+            desk.cancel_wait(NAME);
         }
-        let slow = matches!(probe, Verdict::Slowed { .. });
-        while let Some((_, id, word)) = desk.poll(now) {
+        let slow = matches!(probe, Decision::Throttled { .. });
+        while let Some((_, id, word)) = desk.next_outcome(now) {
             let known = self.held.remove(&id).is_some();
             match word {
                 // Now and then its client is gone.
-                Word::Go if !known || rng.u8(..20) == 0 => desk.again(now, NAME),
-                Word::Go if slow => seen.paced(now, SLOW)?,
-                Word::Go => full(seen)?,
-                Word::Refused { .. } => seen.refused(now, g, !desk.is_alone(now))?,
+                QueueOutcome::Proceed if !known || rng.u8(..20) == 0 => desk.return_turn(now, NAME),
+                QueueOutcome::Proceed if slow => seen.paced(now, SLOW)?,
+                QueueOutcome::Proceed => full(seen)?,
+                QueueOutcome::Refused { .. } => seen.refused(now, g, !desk.is_isolated(now))?,
             }
         }
         Ok(())
--- a/crates/testing/control-sim/src/ledger.rs
+++ b/crates/testing/control-sim/src/ledger.rs
@@ -3,7 +3,7 @@
 use crate::rules::Broken;
 use crate::Time;
 use configuration::Version;
-use control_state::{mark, Mark, Place, Versions, Word};
+use control_state::{body_digest, BodyDigest, Command, DeclaredVersions, LogIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -33,10 +33,10 @@
 }
 
 /// What a machine reads in an order.
-pub fn check(body: &[u8]) -> Result<Versions, String> {
+pub fn check(body: &[u8]) -> Result<DeclaredVersions, String> {
     let number = |at: usize| body.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
     let read = number(0).zip(number(4));
-    read.map(|(base, version)| Versions { base, version }).ok_or_else(|| "it is cut short".into())
+    read.map(|(base, version)| DeclaredVersions { base, version }).ok_or_else(|| "it is cut short".into())
 }
 
 /// What tells one body from another here.
@@ -84,11 +84,11 @@
             control_node::Reply::Acknowledged => Reply::Taken,
             control_node::Reply::Conflict { .. } => Reply::Other,
             control_node::Reply::Invalid(_) => Reply::Invalid,
-            control_node::Reply::Stands(held) => {
+            control_node::Reply::Current(held) => {
                 Reply::Stands(held.as_ref().map(|c| (c.version, c.body.clone())))
             }
-            control_node::Reply::Elsewhere(name) => Reply::Elsewhere(name.clone()),
-            control_node::Reply::Later => Reply::Later,
+            control_node::Reply::Redirect(name) => Reply::Elsewhere(name.clone()),
+            control_node::Reply::Unavailable => Reply::Later,
         }
     }
 }
@@ -97,9 +97,9 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     /// What stands at each place, as a hash of its bytes.
-    places: BTreeMap<Place, u64>,
+    places: BTreeMap<LogIndex, u64>,
     /// All orders that were ever sent, by their marks.
-    sent: BTreeMap<Mark, Nonce>,
+    sent: BTreeMap<BodyDigest, Nonce>,
     /// Backends that are agreed to leave.
     leaving: BTreeSet<String>,
     /// The newest, and since when.
@@ -128,20 +128,20 @@
 }
 
 impl Ledger {
-    pub fn applied(&mut self, now: Time, place: Place, word: &[u8]) -> Result<(), Broken> {
+    pub fn applied(&mut self, now: Time, place: LogIndex, word: &[u8]) -> Result<(), Broken> {
         let bytes = hash(word);
         if let Some(known) = self.places.get(&place) {
             return if *known == bytes { Ok(()) } else { Err(Broken::Agreed(place)) };
         }
         self.places.insert(place, bytes);
-        let (base, version, nonce) = match Word::read(word) {
-            Some(Word::Configuration { base, version, body }) => (base, version, nonce(&body)),
-            Some(Word::Change { base, version, mark, .. }) => {
+        let (base, version, nonce) = match Command::decode(word) {
+            Some(Command::ReplaceConfiguration { base, version, body }) => (base, version, nonce(&body)),
+            Some(Command::ConfigurationDelta { base, version, digest: mark, .. }) => {
                 let Some(nonce) = self.sent.get(&mark) else { return Err(Broken::Agreed(place)) };
                 self.counts.changes += 1;
                 (base, version, *nonce)
             }
-            Some(Word::Leaving { instance }) => {
+            Some(Command::Drain { instance }) => {
                 self.leaving.insert(instance);
                 return Ok(());
             }
@@ -163,7 +163,7 @@
 
     /// An operator sends this.
     pub fn sends(&mut self, order: &Order, body: &[u8]) {
-        self.sent.insert(mark(body), order.nonce);
+        self.sent.insert(body_digest(body), order.nonce);
     }
 
     /// A backend was told that its leaving is known.
--- a/crates/testing/control-sim/src/long.rs
+++ b/crates/testing/control-sim/src/long.rs
@@ -12,12 +12,12 @@
 use crate::system::{Event, Seen, System};
 use crate::world::Story;
 use crate::{Time, MS};
-use consensus::{Members, Said, Stored};
+use consensus::{EntryPayload, PersistedState, VoterSet};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::ops::{Deref, DerefMut};
-use subscription::News;
-use trial::Terms;
+use subscription::ViewChange;
+use trial::TenantTerms;
 
 /// `contactMs`: so long after the last event the core is settled.
 const CONTACT: Time = 3_000 * MS;
@@ -160,7 +160,7 @@
         let pace = if dense { 60 } else { pace };
         let operators = (0..operators).map(|_| Operator::new(&mut rng)).collect();
         let mut system = System::new(rng, defect, check);
-        let terms = |_: &[u8]| Terms::default();
+        let terms = |_: &[u8]| TenantTerms::default();
         let seeds = (0..3).map(address).collect();
         let told = Told { seeds, first: true, zone: String::new(), terms, fold };
         // The last has no disk.
@@ -288,7 +288,7 @@
                     if thaws > now {
                         self.later(thaws, Happens::Leaving(n, life));
                     } else {
-                        self.with(n, |p| p.leave(now))?;
+                        self.with(n, |p| p.begin_shutdown(now))?;
                     }
                 }
             }
@@ -321,9 +321,9 @@
                 Seen::Answered { n, call, reply } => self.answered(n, call, &reply)?,
                 Seen::News { g, news } => {
                     // A word that tells of an end and of what came behind it is one word.
-                    let fold = self.system.gateways[g].follow.fold();
+                    let fold = self.system.gateways[g].follow.view();
                     let over = news.into_iter().filter_map(|n| match n {
-                        News::Over(id) if !fold.takes_work(&id) => Some(id),
+                        ViewChange::BackendRemoved(id) if !fold.accepts_work(&id) => Some(id),
                         _ => None,
                     });
                     for id in over.collect::<Vec<_>>() {
@@ -407,7 +407,8 @@
         let now = self.now;
         let gone = |s: &String| place(s) == n || !self.machines[place(s)].runs(now);
         let machine = &self.machines[n];
-        if machine.votes && machine.disk != Stored::default() || !machine.told.seeds.iter().all(gone) {
+        if machine.votes && machine.disk != PersistedState::default() || !machine.told.seeds.iter().all(gone)
+        {
             return;
         }
         let mut there: Vec<usize> =
@@ -416,7 +417,7 @@
         there.sort_by_key(|m| !self.machines[*m].runs(now));
         let seeds: Vec<String> = there.into_iter().take(3).map(address).collect();
         // One that runs is told by a signal.
-        self.machines[n].with(|p| seeds.iter().for_each(|s| p.knows(s, "")));
+        self.machines[n].with(|p| seeds.iter().for_each(|s| p.learn_node(s, "")));
         self.machines[n].told.seeds = seeds;
     }
 
@@ -492,9 +493,9 @@
             Ask::Replace(order) => {
                 let body = order.body();
                 self.ledger.sends(&order, &body);
-                self.with(to, |p| p.replace(now, call, body.into()))
+                self.with(to, |p| p.replace_configuration(now, call, body.into()))
             }
-            Ask::Read(_) => self.with(to, |p| p.read(now, call)),
+            Ask::Read(_) => self.with(to, |p| p.read_configuration(now, call)),
         }
     }
 
@@ -626,15 +627,15 @@
             if gateway.asleep > now {
                 continue;
             }
-            let (touch, fold) = (gateway.follow.touch(), gateway.follow.fold());
-            let version = fold.held().map_or(0, |c| c.version);
+            let (touch, fold) = (gateway.follow.freshness(), gateway.follow.view());
+            let version = fold.configuration().map_or(0, |c| c.version);
             if touch.is_fresh(now) && version < acknowledged {
                 return Err(Broken::ServedOld { gateway: g, version, acknowledged });
             }
             // What it was told as of then it has heard of; a time in ms says no more.
-            let heard = |at: Time| touch.at().is_some_and(|told| told > at + 2 * MS);
+            let heard = |at: Time| touch.last_quorum_contact().is_some_and(|told| told > at + 2 * MS);
             let drained =
-                self.backends.iter().find(|b| b.drained.is_some_and(heard) && fold.takes_work(&b.id));
+                self.backends.iter().find(|b| b.drained.is_some_and(heard) && fold.accepts_work(&b.id));
             if let Some(b) = drained {
                 return Err(Broken::DrainUnknown { gateway: g, id: b.id.clone() });
             }
@@ -649,7 +650,7 @@
             if !self.machines[n].runs(now) || now.saturating_sub(self.hearsay[n]) <= ALONE {
                 continue;
             }
-            let age = self.machines[n].with(|p| p.untouched_for(now));
+            let age = self.machines[n].with(|p| p.quorum_contact_age(now));
             if age.is_some_and(|age| age <= STALE) && self.is_alone(n).1 {
                 return Err(Broken::SaysInTouch(n));
             }
@@ -666,13 +667,13 @@
             if now < since.max(self.well[g]) + long {
                 continue;
             }
-            let fold = gateway.follow.fold();
-            let version = fold.held().map_or(0, |c| c.version);
+            let fold = gateway.follow.view();
+            let version = fold.configuration().map_or(0, |c| c.version);
             if version < acknowledged {
                 return Err(Broken::GatewayBehind { gateway: g, version, acknowledged });
             }
             let known = |b: &&Backend| b.lives_since(now).is_some_and(|at| now >= at + KNOWN);
-            let unknown = self.backends.iter().filter(known).find(|b| !fold.takes_work(&b.id));
+            let unknown = self.backends.iter().filter(known).find(|b| !fold.accepts_work(&b.id));
             // Whom two that both are in touch do not tell each other of, one of them does not know: worst-days, 1.
             if let Some(b) = unknown.filter(|_| now >= since.max(self.apart) + KNOWN + APPLIED) {
                 return Err(Broken::LifeUnknown { gateway: g, id: b.id.clone() });
@@ -710,17 +711,18 @@
         // Of the voters that `n` knows, how many have a way to it of this kind; itself counts.
         let most = |n: usize, way: &dyn Fn(usize, usize) -> bool| {
             let Some(duty) = self.machines[n].duty() else { return false };
-            let members = &duty.members;
+            let members = &duty.voters;
             let with = |(name, disk): &(&String, &u64)| {
                 let m = place(name);
-                self.machines[m].id.disk == **disk && (m == n || way(m, n))
+                self.machines[m].id.disk_id == **disk && (m == n || way(m, n))
             };
             2 * members.iter().filter(with).count() > members.len()
         };
         let mut contact = vec![false; count];
         for n in (0..count).filter(|n| runs[*n]) {
             let (id, duty) = (&self.machines[n].id, self.machines[n].duty());
-            contact[n] = duty.is_some_and(|d| d.members.get(&id.name) == Some(&id.disk)) && most(n, &joined);
+            contact[n] =
+                duty.is_some_and(|d| d.voters.get(&id.name) == Some(&id.disk_id)) && most(n, &joined);
         }
         // Contact is proven by a leader that has a majority.
         let hears: Vec<bool> =
@@ -732,17 +734,17 @@
         // While voters are exchanged a majority of the old ones is wanted too: a disk that was just lost, and another machine cut off
         // meanwhile, are two.
         let reaches_old = |n: usize| {
-            let Some(core) = self.machines[n].core().filter(|c| contact[n] && c.is_changing()) else {
+            let Some(core) = self.machines[n].core().filter(|c| contact[n] && c.is_reconfiguring()) else {
                 return true;
             };
-            let entries = core.stored().entries;
-            let old = entries.iter().rev().find_map(|e| match &e.said {
-                Said::Joint { old, .. } => Some(old),
+            let entries = core.persisted_state().entries;
+            let old = entries.iter().rev().find_map(|e| match &e.payload {
+                EntryPayload::JointConfiguration { old, .. } => Some(old),
                 _ => None,
             });
             let with = |(name, disk): &(&String, &u64)| {
                 let m = place(name);
-                self.machines[m].id.disk == **disk && (m == n || joined(m, n))
+                self.machines[m].id.disk_id == **disk && (m == n || joined(m, n))
             };
             old.is_none_or(|old| 2 * old.iter().filter(with).count() > old.len())
         };
@@ -794,7 +796,7 @@
         // One that may have been taken so long ago that nobody knows is neither acknowledged nor refused: worst-days, 2.
         let book = self.leader().and_then(|n| self.machines[n].book());
         let forgotten = |ask: &Ask| match ask {
-            Ask::Replace(order) => book.is_some_and(|b| b.may_have_forgotten(order.version)),
+            Ask::Replace(order) => book.is_some_and(|b| b.may_have_forgotten_version(order.version)),
             Ask::Read(_) => false,
         };
         for operator in &self.operators {
@@ -821,8 +823,8 @@
         let voters: Vec<(usize, &Machine)> =
             self.machines.iter().enumerate().filter(|(_, m)| m.votes && !m.gone).collect();
         if voters.iter().all(|(n, _)| back(*n)) {
-            let wanted: Members = voters.iter().map(|(_, m)| (m.id.name.clone(), m.id.disk)).collect();
-            if let Some((_, m)) = voters.iter().find(|(_, m)| m.duty().is_none_or(|d| d.members != wanted)) {
+            let wanted: VoterSet = voters.iter().map(|(_, m)| (m.id.name.clone(), m.id.disk_id)).collect();
+            if let Some((_, m)) = voters.iter().find(|(_, m)| m.duty().is_none_or(|d| d.voters != wanted)) {
                 return Err(Broken::NotRepaired(m.id.to_string()));
             }
         }
@@ -875,18 +877,18 @@
 fn describe(machine: &Machine) -> String {
     let Machine { id, votes, gone, .. } = machine;
     let Some(prompter) = machine.prompter() else { return format!("{id}: down, votes {votes}, gone {gone}") };
-    let (core, duty) = (prompter.core(), prompter.duty());
+    let (core, duty) = (prompter.raft(), prompter.leadership());
     format!(
         "{id}: {}, votes {votes}, gone {gone}, term {}, agreed {}, from {}, {} entries, configuration {}, leads {}, follows {:?}, \
          members {:?}",
-        prompter.disk_told(),
+        prompter.describe_storage(),
         core.term(),
-        core.agreed(),
-        core.start().0,
-        core.entries(),
+        core.commit_index(),
+        core.snapshot_state().0,
+        core.entry_count(),
         machine.version(),
         duty.is_leader,
         duty.leader,
-        duty.members
+        duty.voters
     )
 }
--- a/crates/testing/control-sim/src/machine.rs
+++ b/crates/testing/control-sim/src/machine.rs
@@ -3,12 +3,12 @@
 use crate::defect::Defect;
 use crate::rules::Broken;
 use crate::{Time, MS};
-use consensus::{Core, Entry, Id, Save, Stored};
-use control_node::{Applied, Duty, Effect, Prompter, Setup, Work};
-use control_state::{Book, Place};
-use registry::Fact;
+use consensus::{Entry, NodeId, Persist, PersistedState, RaftNode};
+use control_node::{AppliedRecord, ControlNode, Effect, Leadership, NodeConfig, StorageRequest};
+use control_state::{ControlState, LogIndex};
+use registry::Heartbeat;
 use std::collections::VecDeque;
-use trial::{Terms, Wall};
+use trial::{TenantTerms, UnixMillis};
 
 /// How often backends are heard here.
 pub const BEAT: Time = 1000 * MS;
@@ -32,41 +32,41 @@
     /// It starts with the whole system, for the first time.
     pub first: bool,
     pub zone: String,
-    pub terms: fn(&[u8]) -> Terms,
+    pub terms: fn(&[u8]) -> TenantTerms,
     /// The log is folded into the state at so many entries.
     pub fold: usize,
 }
 
 pub struct Machine {
-    pub id: Id,
+    pub id: NodeId,
     /// It has a disk.
     pub votes: bool,
     /// Replaced for good.
     pub gone: bool,
     /// What would be there after a loss of power.
-    pub disk: Stored,
+    pub disk: PersistedState,
     /// Backends as it kept them for the next start, on its disk too.
-    cell: Vec<Fact>,
+    cell: Vec<Heartbeat>,
     /// Starts of its process.
     pub life: u64,
     pub frozen_until: Time,
     /// How far its time of day is from the true one, in ms.
     pub skew: i64,
     pub told: Told,
-    prompter: Option<Prompter>,
+    prompter: Option<ControlNode>,
     /// What the disk is at, in order, by number.
-    writes: VecDeque<(u64, Work)>,
-    applied: Place,
+    writes: VecDeque<(u64, StorageRequest)>,
+    applied: LogIndex,
     defect: Option<Defect>,
 }
 
 impl Machine {
     pub fn new(n: usize, votes: bool, told: Told, defect: Option<Defect>) -> Self {
         Machine {
-            id: Id { name: address(n), disk: 100 + n as u64 },
+            id: NodeId { name: address(n), disk_id: 100 + n as u64 },
             votes,
             gone: false,
-            disk: Stored::default(),
+            disk: PersistedState::default(),
             cell: Vec::new(),
             life: 0,
             frozen_until: 0,
@@ -88,25 +88,25 @@
         self.is_up() && self.frozen_until <= now
     }
 
-    pub fn prompter(&self) -> Option<&Prompter> {
+    pub fn prompter(&self) -> Option<&ControlNode> {
         self.prompter.as_ref()
     }
 
-    pub fn book(&self) -> Option<&Book> {
-        self.prompter.as_ref().map(Prompter::book)
+    pub fn book(&self) -> Option<&ControlState> {
+        self.prompter.as_ref().map(ControlNode::state)
     }
 
     /// The configuration that it holds; 0: none.
     pub fn version(&self) -> u32 {
-        self.book().map_or(0, Book::version)
+        self.book().map_or(0, ControlState::version)
     }
 
-    pub fn core(&self) -> Option<&Core> {
-        self.prompter.as_ref().map(Prompter::core)
+    pub fn core(&self) -> Option<&RaftNode> {
+        self.prompter.as_ref().map(ControlNode::raft)
     }
 
-    pub fn duty(&self) -> Option<&Duty> {
-        self.prompter.as_ref().map(Prompter::duty)
+    pub fn duty(&self) -> Option<&Leadership> {
+        self.prompter.as_ref().map(ControlNode::leadership)
     }
 
     pub fn leads(&self) -> bool {
@@ -117,7 +117,7 @@
     pub fn start(&mut self, now: Time, seed: u64) {
         self.life += 1;
         if !self.votes {
-            (self.disk, self.id.disk) = (Stored::default(), self.id.disk + 1);
+            (self.disk, self.id.disk_id) = (PersistedState::default(), self.id.disk_id + 1);
             self.cell.clear();
         }
         let mut stored = self.disk.clone();
@@ -126,20 +126,20 @@
             Some(Defect::LogCutAtStart) => stored.entries.clear(),
             _ => {}
         }
-        let setup = Setup {
-            me: self.id.clone(),
+        let setup = NodeConfig {
+            id: self.id.clone(),
             zone: self.told.zone.clone(),
-            votes: self.votes,
-            first: self.told.first && self.life == 1,
+            can_vote: self.votes,
+            initial_start: self.told.first && self.life == 1,
             seeds: self.told.seeds.clone(),
-            beat: BEAT,
-            terms: self.told.terms,
+            heartbeat_interval: BEAT,
+            read_terms: self.told.terms,
             seed,
         };
         let planted = self.defect.and_then(Defect::planted);
         self.applied = 0;
-        let mut prompter = Prompter::defective(setup, stored, self.cell.clone(), now, planted);
-        prompter.fold_at(self.told.fold);
+        let mut prompter = ControlNode::with_defect(setup, stored, self.cell.clone(), now, planted);
+        prompter.set_snapshot_threshold(self.told.fold);
         self.prompter = Some(prompter);
     }
 
@@ -149,16 +149,16 @@
             self.keep(work);
         }
         if let Some(prompter) = self.prompter.take() {
-            self.cell = prompter.lives().1;
+            self.cell = prompter.serving_backends().1;
         }
     }
 
     /// The disk is lost, and what comes in its place has another id.
     pub fn wipe(&mut self, keeps_id: bool) {
-        self.disk = Stored::default();
+        self.disk = PersistedState::default();
         self.cell.clear();
         if !keeps_id {
-            self.id.disk += 1000;
+            self.id.disk_id += 1000;
         }
     }
 
@@ -167,18 +167,18 @@
         self.writes.len()
     }
 
-    fn keep(&mut self, work: Work) {
+    fn keep(&mut self, work: StorageRequest) {
         match work {
-            Work::Save(saves, agreed) => {
+            StorageRequest::Append(saves, agreed) => {
                 saves.iter().for_each(|s| save(&mut self.disk, s));
-                self.disk.agreed = agreed;
+                self.disk.commit_index = agreed;
             }
-            Work::Whole(stored) => self.disk = *stored,
+            StorageRequest::Full(stored) => self.disk = *stored,
         }
     }
 
     /// The disk is at this from now on.
-    pub fn begin(&mut self, number: u64, work: Work) {
+    pub fn begin(&mut self, number: u64, work: StorageRequest) {
         self.writes.push_back((number, work));
     }
 
@@ -189,11 +189,11 @@
                 self.keep(work);
             }
         }
-        self.with(|p| p.written(now, number, done));
+        self.with(|p| p.on_persisted(now, number, done));
     }
 
     /// Hands it something, if it runs.
-    pub fn with<T>(&mut self, act: impl FnOnce(&mut Prompter) -> T) -> Option<T> {
+    pub fn with<T>(&mut self, act: impl FnOnce(&mut ControlNode) -> T) -> Option<T> {
         self.prompter.as_mut().map(act)
     }
 
@@ -201,14 +201,16 @@
     ///
     /// # Errors
     /// It applied something out of order.
-    pub fn effects(&mut self) -> Result<(Vec<Effect>, Vec<Applied>), Broken> {
+    pub fn effects(&mut self) -> Result<(Vec<Effect>, Vec<AppliedRecord>), Broken> {
         let Some(prompter) = &mut self.prompter else { return Ok(Default::default()) };
-        let (effects, journal) = (prompter.take_effects(), std::mem::take(&mut prompter.journal));
+        let (effects, journal) = (prompter.take_effects(), std::mem::take(&mut prompter.applied_records));
         for applied in &journal {
             match applied {
-                Applied::Word(place, _) if *place <= self.applied => return Err(Broken::Order(*place)),
-                Applied::Book(place) if *place < self.applied => return Err(Broken::Order(*place)),
-                Applied::Word(place, _) | Applied::Book(place) => self.applied = *place,
+                AppliedRecord::Command(place, _) if *place <= self.applied => {
+                    return Err(Broken::Order(*place))
+                }
+                AppliedRecord::Snapshot(place) if *place < self.applied => return Err(Broken::Order(*place)),
+                AppliedRecord::Command(place, _) | AppliedRecord::Snapshot(place) => self.applied = *place,
             }
         }
         Ok((effects, journal))
@@ -216,26 +218,26 @@
 
     /// When it next wants to work.
     pub fn next_due(&self) -> Time {
-        self.prompter.as_ref().map_or(Time::MAX, Prompter::next_due)
+        self.prompter.as_ref().map_or(Time::MAX, ControlNode::next_due)
     }
 
     /// This machine's time of day; true time began at `began`.
-    pub fn wall(&self, now: Time, began: Wall) -> Wall {
+    pub fn wall(&self, now: Time, began: UnixMillis) -> UnixMillis {
         (began + now / MS).saturating_add_signed(self.skew)
     }
 }
 
 /// What the disk holds after a save.
-fn save(disk: &mut Stored, save: &Save) {
+fn save(disk: &mut PersistedState, save: &Persist) {
     match save {
-        Save::Term { term, vote } => (disk.term, disk.vote) = (*term, vote.clone()),
-        Save::Entries { from, entries } => {
-            let kept = from.saturating_sub(disk.snapshot.place + 1) as usize;
+        Persist::HardState { term, vote } => (disk.term, disk.vote) = (*term, vote.clone()),
+        Persist::Entries { from, entries } => {
+            let kept = from.saturating_sub(disk.snapshot.index + 1) as usize;
             disk.entries.truncate(kept);
             disk.entries.extend(entries.iter().cloned());
         }
-        Save::Snapshot { snapshot, whole } => {
-            let behind = snapshot.place.saturating_sub(disk.snapshot.place) as usize;
+        Persist::Snapshot { snapshot, replaces_log: whole } => {
+            let behind = snapshot.index.saturating_sub(disk.snapshot.index) as usize;
             let kept: Vec<Entry> = if *whole || behind > disk.entries.len() {
                 Vec::new()
             } else {
--- a/crates/testing/control-sim/src/rules.rs
+++ b/crates/testing/control-sim/src/rules.rs
@@ -1,19 +1,19 @@
 //! What must hold after each step.
 
 use crate::{guest, Time};
-use control_state::{Place, Word};
-use quota::{Slow, ASK_EVERY, GAP, LEAD};
+use control_state::{Command, LogIndex};
+use quota::{TrialPace, PHASE_GAP, PHASE_NOTICE, REQUEST_INTERVAL};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
-use trial::Wall;
+use trial::UnixMillis;
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Broken {
     /// Two say different things of one place of the agreed log.
-    Agreed(Place),
+    Agreed(LogIndex),
     /// One applied a place out of its order.
-    Order(Place),
+    Order(LogIndex),
     /// A read missed what was acknowledged before it was asked for.
     Stale { read: u32, acknowledged: u32 },
     /// Two changes on one base were both acknowledged.
@@ -82,12 +82,12 @@
 const SKEW_MS: u64 = 60;
 /// Behind the word that a trial is over: the step's lead, behind the one before if that is on its way, each seen with the next
 /// ask that comes.
-const FULL_BEHIND: Time = 2 * (LEAD + ASK_EVERY);
+const FULL_BEHIND: Time = 2 * (PHASE_NOTICE + REQUEST_INTERVAL);
 
 /// All that was seen so far.
 #[derive(Debug, Default)]
 pub struct Seen {
-    agreed: BTreeMap<Place, Vec<u8>>,
+    agreed: BTreeMap<LogIndex, Vec<u8>>,
     /// Acknowledged configurations: base by version.
     taken: BTreeMap<u32, u32>,
     drains: BTreeSet<String>,
@@ -99,15 +99,15 @@
 }
 
 impl Seen {
-    pub fn applied(&mut self, now: Time, place: Place, word: &[u8]) -> Result<(), Broken> {
+    pub fn applied(&mut self, now: Time, place: LogIndex, word: &[u8]) -> Result<(), Broken> {
         let first = !self.agreed.contains_key(&place);
         let known = self.agreed.entry(place).or_insert_with(|| word.to_vec());
         if known != word {
             return Err(Broken::Agreed(place));
         }
-        match Word::read(word).filter(|_| first) {
-            Some(Word::TrialOver { ends, .. }) => self.guest.over(now, ends),
-            Some(Word::Configuration { base, version, body }) if base == self.guest.version => {
+        match Command::decode(word).filter(|_| first) {
+            Some(Command::ExpireTrial { ends_at: ends, .. }) => self.guest.over(now, ends),
+            Some(Command::ReplaceConfiguration { base, version, body }) if base == self.guest.version => {
                 self.guest.version = version;
                 self.guest.moved(now, guest::ends(&body));
                 Ok(())
@@ -124,18 +124,19 @@
         self.drains.clone()
     }
 
-    pub fn acknowledge(&mut self, word: &Word) -> Result<(), Broken> {
+    pub fn acknowledge(&mut self, word: &Command) -> Result<(), Broken> {
         self.acknowledged += 1;
         match word {
-            Word::Configuration { base, version, .. } | Word::Change { base, version, .. } => {
+            Command::ReplaceConfiguration { base, version, .. }
+            | Command::ConfigurationDelta { base, version, .. } => {
                 let other = self.taken.iter().any(|(v, b)| b == base && v != version);
                 self.taken.insert(*version, *base);
                 if other {
                     return Err(Broken::Twice(*base));
                 }
             }
-            Word::Leaving { instance } => drop(self.drains.insert(instance.clone())),
-            Word::Gateway { .. } | Word::TrialOver { .. } => {}
+            Command::Drain { instance } => drop(self.drains.insert(instance.clone())),
+            Command::AddGateway { .. } | Command::ExpireTrial { .. } => {}
         }
         Ok(())
     }
@@ -170,7 +171,7 @@
     pub fn full(&mut self, now: Time, gateway: usize, rate: f64, burst: f64) -> Result<(), Broken> {
         let g = &mut self.guest;
         g.counts.0 += 1;
-        let beside = |(other, at): &&(usize, Time)| *other != gateway && now - at < GAP;
+        let beside = |(other, at): &&(usize, Time)| *other != gateway && now - at < PHASE_GAP;
         if let Some((refuses, _)) = g.refused.iter().find(beside) {
             return Err(Broken::Both { refuses: *refuses, full: gateway });
         }
@@ -189,7 +190,7 @@
         if !in_touch {
             return Ok(());
         }
-        if let Some((full, _)) = g.full.iter().find(|(other, at)| *other != gateway && now - at < GAP) {
+        if let Some((full, _)) = g.full.iter().find(|(other, at)| *other != gateway && now - at < PHASE_GAP) {
             return Err(Broken::Both { refuses: gateway, full: *full });
         }
         note(&mut g.refused, now, gateway);
@@ -197,13 +198,13 @@
     }
 
     /// One passed in its turn.
-    pub fn paced(&mut self, now: Time, slow: Slow) -> Result<(), Broken> {
+    pub fn paced(&mut self, now: Time, slow: TrialPace) -> Result<(), Broken> {
         let g = &mut self.guest;
         g.counts.1 += 1;
         let passed = window(&mut g.paced, now);
         // Twice the wait by what is promised, a fifth of a second for each change of the keeper's, and those alone.
-        let span = (WINDOW + 2 * slow.wait) as f64 / 1e9;
-        let most = slow.pace * (span + 1.0) + 6.0;
+        let span = (WINDOW + 2 * slow.max_wait) as f64 / 1e9;
+        let most = slow.rate * (span + 1.0) + 6.0;
         if f64::from(passed) > most {
             return Err(Broken::Pace { passed, most });
         }
@@ -231,7 +232,7 @@
 #[derive(Debug, Default)]
 struct GuestSeen {
     version: u32,
-    ends: Option<Wall>,
+    ends: Option<UnixMillis>,
     moved_at: Time,
     /// Since when its trial is agreed to be over.
     over_since: Option<Time>,
@@ -243,7 +244,7 @@
 }
 
 impl GuestSeen {
-    fn over(&mut self, now: Time, ends: Wall) -> Result<(), Broken> {
+    fn over(&mut self, now: Time, ends: UnixMillis) -> Result<(), Broken> {
         let true_now = guest::BEGAN + now / 1_000_000;
         if ends > true_now + SKEW_MS {
             return Err(Broken::TooEarly { by: ends - true_now });
@@ -254,7 +255,7 @@
         Ok(())
     }
 
-    fn moved(&mut self, now: Time, ends: Option<Wall>) {
+    fn moved(&mut self, now: Time, ends: Option<UnixMillis>) {
         if std::mem::replace(&mut self.ends, ends) != ends {
             self.moved_at = now;
             // The last end that passed is the one that is remembered.
@@ -265,7 +266,7 @@
 
 fn note(list: &mut VecDeque<(usize, Time)>, now: Time, gateway: usize) {
     list.push_back((gateway, now));
-    while list.front().is_some_and(|(_, at)| now - at > GAP) {
+    while list.front().is_some_and(|(_, at)| now - at > PHASE_GAP) {
         list.pop_front();
     }
 }
--- a/crates/testing/control-sim/src/system.rs
+++ b/crates/testing/control-sim/src/system.rs
@@ -8,17 +8,17 @@
 use crate::net::Net;
 use crate::rules::Broken;
 use crate::{Time, MS};
-use consensus::{Body, Id, Said};
-use control_node::{Applied, Effect, Prompter, Reply, HELLO, PULSE};
-use control_state::{Place, Versions};
+use consensus::{EntryPayload, MessageBody, NodeId};
+use control_node::{AppliedRecord, ControlNode, Effect, Reply, HELLO_INTERVAL, UPDATE_INTERVAL};
+use control_state::{DeclaredVersions, LogIndex};
 use fastrand::Rng;
-use messages::message::{Down, First, Peer, Up};
-use quota::Lent;
+use messages::message::{ControlMessage, GatewayMessage, GatewayUpdate, Greeting};
+use quota::LeaseGrant;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::IpAddr;
-use subscription::{End, News, SILENT};
-use trial::Wall;
+use subscription::{DisconnectReason, ViewChange, SILENCE_TIMEOUT};
+use trial::UnixMillis;
 
 /// Who is not linked yet is dialled so often.
 const DIALS: Time = 100 * MS;
@@ -36,7 +36,7 @@
         /// The lives of both when it was sent.
         lives: (u64, u64),
         sent: Time,
-        peer: Box<Peer>,
+        peer: Box<ControlMessage>,
     },
     Wake(usize),
     /// The disk of a machine, in that life of its, has done a write.
@@ -57,7 +57,7 @@
         g: usize,
         number: u64,
         ip: IpAddr,
-        end: End,
+        end: DisconnectReason,
     },
     /// The prompter at the other side of a link hears that it has ended.
     Unlinked {
@@ -71,12 +71,12 @@
     Down {
         g: usize,
         number: u64,
-        down: Box<Down>,
+        down: Box<GatewayUpdate>,
     },
     Up {
         g: usize,
         link: Link,
-        up: Box<Up>,
+        up: Box<GatewayMessage>,
     },
     Silent {
         g: usize,
@@ -111,7 +111,7 @@
 #[derive(Debug)]
 pub enum Seen {
     Applied {
-        place: Place,
+        place: LogIndex,
         word: Vec<u8>,
     },
     /// A prompter answers a call.
@@ -123,24 +123,24 @@
     /// A gateway was told of rights.
     Lent {
         g: usize,
-        lent: Lent,
+        lent: LeaseGrant,
     },
     /// It was told of something else.
     News {
         g: usize,
-        news: Vec<News>,
+        news: Vec<ViewChange>,
     },
 }
 
 /// What a machine reads a configuration with.
-pub type Check = fn(&[u8]) -> Result<Versions, String>;
+pub type Check = fn(&[u8]) -> Result<DeclaredVersions, String>;
 
 pub struct System<E> {
     pub rng: Rng,
     pub defect: Option<Defect>,
     pub now: Time,
     /// True time at the beginning, in Unix milliseconds.
-    pub began: Wall,
+    pub began: UnixMillis,
     queue: BinaryHeap<Scheduled<E>>,
     next: u64,
     pub machines: Vec<Machine>,
@@ -225,8 +225,8 @@
                 } else if self.net.arrives(from, to, sent) && self.machines[to].life == lives.1 {
                     let now = self.now;
                     // Who says it is told by the connection's first word.
-                    let id = Id { name: address(from), disk: 0 };
-                    self.with(to, |p| p.hear(now, &id, *peer))?;
+                    let id = NodeId { name: address(from), disk_id: 0 };
+                    self.with(to, |p| p.on_control_message(now, &id, *peer))?;
                 }
             }
             Event::Wake(n) => {
@@ -252,7 +252,7 @@
             Event::Unlinked { link, g } => {
                 if self.machines[link.at].life == link.life {
                     let name = self.gateways[g].name.clone();
-                    self.machines[link.at].with(|p| p.unfollow(&name, link.theirs));
+                    self.machines[link.at].with(|p| p.unsubscribe(&name, link.theirs));
                 }
             }
             Event::Pulse { g, link } => self.pulse(g, link)?,
@@ -262,17 +262,17 @@
                 if let Some(thaws) = self.thaws(to) {
                     self.at(thaws, Event::Up { g, link, up });
                 } else if self.machines[to].life == link.life {
-                    self.with(to, |p| p.heard(now, &name, link.theirs, *up))?;
+                    self.with(to, |p| p.on_gateway_message(now, &name, link.theirs, *up))?;
                 }
             }
             Event::Silent { g, number } => {
                 let gateway = &self.gateways[g];
-                let (ends, awake) = (gateway.heard + SILENT, gateway.asleep);
+                let (ends, awake) = (gateway.heard + SILENCE_TIMEOUT, gateway.asleep);
                 if gateway.link.is_some_and(|l| l.number == number) {
                     if ends.max(awake) > self.now {
                         self.at(ends.max(awake), Event::Silent { g, number });
                     } else {
-                        self.end_link(g, End::Lost);
+                        self.end_link(g, DisconnectReason::Lost);
                     }
                 }
             }
@@ -286,7 +286,7 @@
     ///
     /// # Errors
     /// A rule was broken.
-    pub fn with(&mut self, n: usize, act: impl FnOnce(&mut Prompter)) -> Result<(), Broken> {
+    pub fn with(&mut self, n: usize, act: impl FnOnce(&mut ControlNode)) -> Result<(), Broken> {
         if self.machines[n].runs(self.now) {
             self.machines[n].with(act);
             self.work(n)?;
@@ -304,8 +304,8 @@
         }
         self.carry_out(n)?;
         let (now, wall) = (self.now, self.machines[n].wall(self.now, self.began));
-        if self.machines[n].prompter().is_some_and(|p| p.wants_work() || p.next_due() <= now) {
-            self.machines[n].with(|p| p.work(now, wall));
+        if self.machines[n].prompter().is_some_and(|p| p.has_ready_input() || p.next_due() <= now) {
+            self.machines[n].with(|p| p.advance(now, wall));
             self.carry_out(n)?;
         }
         let due = self.machines[n].next_due();
@@ -321,7 +321,7 @@
         loop {
             let (effects, applied) = self.machines[n].effects()?;
             for applied in applied {
-                if let Applied::Word(place, word) = applied {
+                if let AppliedRecord::Command(place, word) = applied {
                     self.seen.push_back(Seen::Applied { place, word });
                 }
             }
@@ -330,33 +330,33 @@
             }
             for effect in effects {
                 match effect {
-                    Effect::Tell { to, peer } => self.tell(n, place(&to), peer),
-                    Effect::TellAll { peer } => {
+                    Effect::SendToNode { to, message: peer } => self.tell(n, place(&to), peer),
+                    Effect::Broadcast { message: peer } => {
                         let all: Vec<usize> = self.others(n);
                         all.into_iter().for_each(|to| self.tell(n, to, peer.clone()));
                     }
-                    Effect::Hand { gateway, down } => {
+                    Effect::SendToGateway { gateway, update: down } => {
                         if let Some(g) = self.gateways.iter().position(|g| g.name == gateway) {
                             self.send_down(g, n, down);
                         }
                     }
-                    Effect::Room { gateway } => {
+                    Effect::ChunkWindowOpened { gateway } => {
                         if let Some(g) = self.gateways.iter().position(|g| g.name == gateway) {
                             self.tell_follower(g, n);
                         }
                     }
-                    Effect::News => news = true,
-                    Effect::Write { number, work } => {
+                    Effect::NotifySubscribers => news = true,
+                    Effect::Persist { request: number, work } => {
                         let (life, done) =
                             (self.machines[n].life, self.disks.write_done(n, self.now, &mut self.rng));
                         self.machines[n].begin(number, work);
                         self.at(done, Event::Written(n, life, number));
                     }
-                    Effect::Check { job, body } => {
+                    Effect::Validate { change: job, body } => {
                         let (read, now) = ((self.check)(&body), self.now);
-                        self.machines[n].with(|p| p.checked(now, job, Some(read)));
+                        self.machines[n].with(|p| p.on_validated(now, job, Some(read)));
                     }
-                    Effect::Answer { call, reply } => self.seen.push_back(Seen::Answered { n, call, reply }),
+                    Effect::Reply { call, reply } => self.seen.push_back(Seen::Answered { n, call, reply }),
                 }
             }
         }
@@ -390,7 +390,7 @@
                 let (number, ip) = (self.gateways[g].number, ip(n));
                 // Where it is cut off it hears nothing of it.
                 if self.gateways[g].cut_until <= self.now {
-                    self.at(self.now + MS, Event::Ended { g, number, ip, end: End::Lost });
+                    self.at(self.now + MS, Event::Ended { g, number, ip, end: DisconnectReason::Lost });
                 }
             }
         }
@@ -400,7 +400,7 @@
 
     /// Other machines that this one knows of.
     fn others(&self, n: usize) -> Vec<usize> {
-        let known = self.machines[n].prompter().map(Prompter::prompters).unwrap_or_default();
+        let known = self.machines[n].prompter().map(ControlNode::known_nodes).unwrap_or_default();
         let known = known.iter().map(|(name, _)| place(name));
         known.filter(|m| *m != n && *m < self.machines.len()).collect()
     }
@@ -419,7 +419,7 @@
             let lives = (life, self.machines[m].life);
             let held = self.links.get(&(n, m)).filter(|(l, at)| *l == lives && self.net.arrives(n, m, *at));
             let held = held.map(|(_, at)| *at);
-            if held.is_some_and(|at| now < at + HELLO) {
+            if held.is_some_and(|at| now < at + HELLO_INTERVAL) {
                 continue;
             }
             if held.is_none() && (!self.machines[m].runs(now) || !self.net.joined(n, m, now)) {
@@ -429,7 +429,7 @@
             self.links.insert((n, m), (lives, now));
             let wall = self.machines[n].wall(now, self.began);
             let Some(p) = self.machines[n].prompter() else { continue };
-            let (beats, hello) = (p.all_beats(now), p.hello(wall));
+            let (beats, hello) = (p.all_heartbeats(now), p.hello(wall));
             if held.is_none() {
                 self.tell(n, m, beats);
             }
@@ -437,7 +437,7 @@
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, peer: Peer) {
+    fn tell(&mut self, from: usize, to: usize, peer: ControlMessage) {
         if to >= self.machines.len() || !self.machines[to].is_up() {
             return;
         }
@@ -461,7 +461,7 @@
         }
         let seeds = gateway.seeds.clone();
         let rng = &mut self.rng;
-        let Some((ip, open)) = gateway.follow.next(now, &seeds, |n| rng.usize(..n)) else {
+        let Some((ip, open)) = gateway.follow.next_node(now, &seeds, |n| rng.usize(..n)) else {
             return self.at(now + PAUSE, Event::Dial(g));
         };
         gateway.number += 1;
@@ -472,9 +472,9 @@
         let there = n < self.machines.len() && !self.machines[n].gone;
         let event = match there {
             true if !cut && self.machines[n].is_up() => Event::Linked { g, number, ip },
-            true if !cut => Event::Ended { g, number, ip, end: End::Refused },
+            true if !cut => Event::Ended { g, number, ip, end: DisconnectReason::Refused },
             _ => {
-                let unheard = Event::Ended { g, number, ip, end: End::Unheard };
+                let unheard = Event::Ended { g, number, ip, end: DisconnectReason::TimedOut };
                 return self.at(now + wait + CONNECT, unheard);
             }
         };
@@ -490,42 +490,49 @@
             return Ok(());
         }
         if !self.machines[n].is_up() || self.gateways[g].cut_until > now {
-            self.ended(g, number, ip, End::Lost);
+            self.ended(g, number, ip, DisconnectReason::Lost);
             return Ok(());
         }
         if let Some(thaws) = self.thaws(n) {
             // What is sent lies in its socket.
-            let event = match thaws < now + SILENT {
+            let event = match thaws < now + SILENCE_TIMEOUT {
                 true => Event::Linked { g, number, ip },
-                false => Event::Ended { g, number, ip, end: End::Lost },
+                false => Event::Ended { g, number, ip, end: DisconnectReason::Lost },
             };
-            self.at(thaws.min(now + SILENT), event);
+            self.at(thaws.min(now + SILENCE_TIMEOUT), event);
             return Ok(());
         }
         let gateway = &mut self.gateways[g];
-        let First::Gateway { name, place, holds, contact, .. } = gateway.follow.begin(now, ip, true) else {
+        let Greeting::Gateway {
+            name,
+            offset: place,
+            configuration_index: holds,
+            contact_number: contact,
+            ..
+        } = gateway.follow.on_connected(now, ip, true)
+        else {
             return Ok(());
         };
         gateway.heard = now;
         let life = self.machines[n].life;
-        let theirs = self.machines[n].with(|p| p.follow(&name, place, holds, contact)).unwrap_or(0);
+        let theirs = self.machines[n].with(|p| p.subscribe(&name, place, holds, contact)).unwrap_or(0);
         let link = Link { number, at: n, life, theirs };
         self.gateways[g].link = Some(link);
-        self.at(now + SILENT, Event::Silent { g, number });
+        self.at(now + SILENCE_TIMEOUT, Event::Silent { g, number });
         self.at(now, Event::Pulse { g, link });
         self.tell_follower(g, n);
         Ok(())
     }
 
     /// The gateway's link ends, by its own will.
-    fn end_link(&mut self, g: usize, end: End) {
+    fn end_link(&mut self, g: usize, end: DisconnectReason) {
         let Some(link) = self.gateways[g].link else { return };
         let (joined, ip) = (self.now.max(self.gateways[g].cut_until), ip(link.at));
         self.at(joined + MS, Event::Unlinked { link, g });
         self.ended(g, link.number, ip, end);
     }
 
-    fn ended(&mut self, g: usize, number: u64, ip: IpAddr, end: End) {
+    fn ended(&mut self, g: usize, number: u64, ip: IpAddr, end: DisconnectReason) {
         let now = self.now;
         let gateway = &mut self.gateways[g];
         if gateway.number != number {
@@ -538,7 +545,7 @@
         gateway.number += 1;
         gateway.link = None;
         gateway.busy = now;
-        gateway.follow.ended(now, ip, gateway.began, end);
+        gateway.follow.on_disconnected(now, ip, gateway.began, end);
         self.at(now, Event::Dial(g));
     }
 
@@ -563,8 +570,8 @@
             return Ok(());
         }
         let name = self.gateways[g].name.clone();
-        if let Some(Some(pulse)) = self.machines[n].with(|p| p.pulse(now, &name, link.theirs)) {
-            self.at(now + PULSE, Event::Pulse { g, link });
+        if let Some(Some(pulse)) = self.machines[n].with(|p| p.heartbeat_update(now, &name, link.theirs)) {
+            self.at(now + UPDATE_INTERVAL, Event::Pulse { g, link });
             self.tell_follower(g, n);
             self.send_down(g, n, pulse);
         }
@@ -578,15 +585,15 @@
             return;
         };
         let (now, name) = (self.now, self.gateways[g].name.clone());
-        if let Some(Some(news)) = self.machines[n].with(|p| p.news(now, &name, link.theirs)) {
+        if let Some(Some(news)) = self.machines[n].with(|p| p.next_update(now, &name, link.theirs)) {
             self.send_down(g, n, news);
         }
-        while let Some(Some(part)) = self.machines[n].with(|p| p.part(&name, link.theirs)) {
+        while let Some(Some(part)) = self.machines[n].with(|p| p.next_chunk(&name, link.theirs)) {
             self.send_down(g, n, part);
         }
     }
 
-    fn send_down(&mut self, g: usize, n: usize, down: Down) {
+    fn send_down(&mut self, g: usize, n: usize, down: GatewayUpdate) {
         let Some(link) = self.gateways[g].link.filter(|l| l.at == n) else { return };
         let now = self.now;
         let delay = MS / 2 + self.rng.u64(..2 * MS);
@@ -597,7 +604,7 @@
         self.at(at, Event::Down { g, number: link.number, down: Box::new(down) });
     }
 
-    fn down(&mut self, g: usize, number: u64, down: Box<Down>) {
+    fn down(&mut self, g: usize, number: u64, down: Box<GatewayUpdate>) {
         let now = self.now;
         let gateway = &mut self.gateways[g];
         if gateway.asleep > now {
@@ -610,18 +617,18 @@
             return self.at(joined, Event::Down { g, number, down });
         }
         gateway.heard = now;
-        for effect in gateway.follow.hear(now, *down, Vec::new) {
+        for effect in gateway.follow.on_update(now, *down, Vec::new) {
             match effect {
-                subscription::Effect::News(news) => self.seen.push_back(Seen::News { g, news }),
-                subscription::Effect::Lent(lent) => self.seen.push_back(Seen::Lent { g, lent }),
-                subscription::Effect::Say(up) => self.say(g, link, up),
-                subscription::Effect::Leave(end) => return self.end_link(g, end),
+                subscription::Effect::Changed(news) => self.seen.push_back(Seen::News { g, news }),
+                subscription::Effect::LeaseGrant(lent) => self.seen.push_back(Seen::Lent { g, lent }),
+                subscription::Effect::Send(up) => self.say(g, link, up),
+                subscription::Effect::Disconnect(end) => return self.end_link(g, end),
             }
         }
     }
 
     /// A gateway says something to the prompter that it follows.
-    pub fn say(&mut self, g: usize, link: Link, up: Up) {
+    pub fn say(&mut self, g: usize, link: Link, up: GatewayMessage) {
         let joined = self.now.max(self.gateways[g].cut_until);
         let delay = MS / 2 + self.rng.u64(..2 * MS);
         self.at(joined + delay, Event::Up { g, link, up: Box::new(up) });
@@ -639,21 +646,23 @@
 }
 
 /// Bytes of a message on a link.
-fn size(peer: &Peer) -> u64 {
-    let word = |said: &Said| match said {
-        Said::Word(word) => word.len() + 16,
-        Said::Members(members) => 32 * members.len(),
-        Said::Joint { old, new } => 32 * (old.len() + new.len()),
-        Said::Nothing => 8,
+fn size(peer: &ControlMessage) -> u64 {
+    let word = |said: &EntryPayload| match said {
+        EntryPayload::Command(word) => word.len() + 16,
+        EntryPayload::Configuration(members) => 32 * members.len(),
+        EntryPayload::JointConfiguration { old, new } => 32 * (old.len() + new.len()),
+        EntryPayload::Noop => 8,
     };
     let many = match peer {
-        Peer::Agree(message) => match &message.body {
-            Body::Append { entries, .. } => entries.iter().map(|e| word(&e.said)).sum(),
-            Body::Part { bytes, .. } => bytes.len(),
+        ControlMessage::Consensus(message) => match &message.body {
+            MessageBody::AppendEntries { entries, .. } => entries.iter().map(|e| word(&e.payload)).sum(),
+            MessageBody::Chunk { bytes, .. } => bytes.len(),
             _ => 0,
         },
-        Peer::Beats { facts, again } => 100 * facts.len() + 20 * again.len(),
-        Peer::Propose { word } => word.len(),
+        ControlMessage::Heartbeats { changed: facts, unchanged: again } => {
+            100 * facts.len() + 20 * again.len()
+        }
+        ControlMessage::Propose { command: word } => word.len(),
         _ => 0,
     };
     80 + many as u64
--- a/crates/testing/control-sim/src/world.rs
+++ b/crates/testing/control-sim/src/world.rs
@@ -10,13 +10,13 @@
 use crate::system::{Event, Seen as Happened, System};
 use crate::{Time, MS};
 use control_node::Reply;
-use control_state::Word;
+use control_state::Command;
 use fastrand::Rng;
-use messages::message::Up;
-use quota::{Desk, Verdict};
+use messages::message::GatewayMessage;
+use quota::{Decision, QuotaClient};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::{Deref, DerefMut};
-use subscription::News;
+use subscription::ViewChange;
 
 /// How long a seed is played, and how long nothing goes wrong at its end.
 const LENGTH: Time = 16_000 * MS;
@@ -68,7 +68,7 @@
 
 pub struct World {
     system: System<Happens>,
-    desks: Vec<Desk>,
+    desks: Vec<QuotaClient>,
     waits: Vec<Vec<Time>>,
     guest: Guest,
     /// Requests of the guest's a second.
@@ -128,7 +128,7 @@
         World {
             wiped_at: vec![None; system.machines.len()],
             system,
-            desks: (0..GATEWAYS).map(|_| Desk::new(0)).collect(),
+            desks: (0..GATEWAYS).map(|_| QuotaClient::new(0)).collect(),
             waits: vec![Vec::new(); GATEWAYS],
             guest: Guest::new(GATEWAYS),
             guests,
@@ -227,7 +227,7 @@
         let now = self.now;
         // One that stands still lends nothing: it looks at the clock when it goes on.
         let awake = self.machines.iter().filter(|n| n.frozen_until <= now);
-        let mut all = awake.filter_map(|n| n.prompter()?.lends(now));
+        let mut all = awake.filter_map(|n| n.prompter()?.coordinator_term(now));
         match (all.next(), all.next()) {
             (Some(a), Some(b)) => Err(Broken::TwoLend(a, b)),
             _ => Ok(()),
@@ -237,7 +237,7 @@
     fn step(&mut self, event: Happens) -> Result<(), Broken> {
         let now = self.now;
         match event {
-            Happens::HandOver(n) => self.with(n, |p| p.leave(now)),
+            Happens::HandOver(n) => self.with(n, |p| p.begin_shutdown(now)),
             Happens::Kill(n, lasts) => {
                 self.kill(n, lasts);
                 Ok(())
@@ -261,7 +261,7 @@
             match seen {
                 Happened::Applied { place, word } => self.seen.applied(now, place, &word)?,
                 Happened::Answered { n, call, reply } => self.answered(n, call, reply)?,
-                Happened::Lent { g, lent } => drop(self.desks[g].lent(now, &lent)),
+                Happened::Lent { g, lent } => drop(self.desks[g].on_grant(now, &lent)),
                 Happened::News { g, news } => news.into_iter().for_each(|n| self.news(g, &n)),
             }
         }
@@ -269,24 +269,24 @@
     }
 
     /// A gateway has heard of something; nothing that it knows goes back.
-    fn news(&mut self, g: usize, news: &News) {
+    fn news(&mut self, g: usize, news: &ViewChange) {
         let now = self.now;
         match news {
-            News::Configuration(c) => {
+            ViewChange::Configuration(c) => {
                 if guest::ends(&c.body).is_some() {
                     self.guest.unaware.remove(&g);
                 } else {
                     self.guest.unaware.insert(g);
                 }
-                self.desks[g].limits(now, &guest::terms(&c.body).limits);
+                self.desks[g].set_limits(now, &guest::terms(&c.body).limits);
             }
-            News::Gateways => {
+            ViewChange::Gateways => {
                 let gateway = &self.system.gateways[g];
-                let all = gateway.follow.fold().gateways();
+                let all = gateway.follow.view().gateways();
                 let is_one = all.contains(&gateway.name);
-                self.desks[g].gateways(if is_one { all.len() as u32 } else { 0 });
+                self.desks[g].set_gateway_count(if is_one { all.len() as u32 } else { 0 });
             }
-            News::Up(_) | News::Leaving(_) | News::Over(_) => {}
+            ViewChange::BackendReady(_) | ViewChange::BackendDraining(_) | ViewChange::BackendRemoved(_) => {}
         }
     }
 
@@ -317,7 +317,7 @@
                 let version = self.version.max(base + 1);
                 let body = guest::body(base, version, ends);
                 self.calls.insert(call, Call::Change { base, version, body: body.clone() });
-                self.with(n, |p| p.replace(now, call, body.into()))
+                self.with(n, |p| p.replace_configuration(now, call, body.into()))
             }
             2 => {
                 self.instance += 1;
@@ -328,7 +328,7 @@
             _ => {
                 let (acknowledged, drains) = (self.seen.newest(), self.seen.drains());
                 self.calls.insert(call, Call::Read { acknowledged, drains });
-                self.with(n, |p| p.read(now, call))
+                self.with(n, |p| p.read_configuration(now, call))
             }
         }
     }
@@ -338,17 +338,17 @@
             (Some(Call::Change { base, version, body }), Reply::Acknowledged) => {
                 self.known = self.known.max(version);
                 self.last_ack = self.now;
-                self.seen.acknowledge(&Word::Configuration { base, version, body })
+                self.seen.acknowledge(&Command::ReplaceConfiguration { base, version, body })
             }
             (Some(Call::Drain { instance }), Reply::Acknowledged) => {
                 self.last_ack = self.now;
-                self.seen.acknowledge(&Word::Leaving { instance })
+                self.seen.acknowledge(&Command::Drain { instance })
             }
-            (Some(Call::Read { acknowledged, drains }), Reply::Stands(held)) => {
+            (Some(Call::Read { acknowledged, drains }), Reply::Current(held)) => {
                 let version = held.map_or(0, |c| c.version);
                 (self.known, self.last_ack) = (self.known.max(version), self.now);
                 let book = self.system.machines[n].book();
-                let knows = |d: &str| book.is_some_and(|b| b.is_leaving(d));
+                let knows = |d: &str| book.is_some_and(|b| b.is_draining(d));
                 self.seen.read(version, acknowledged, knows, &drains)
             }
             (_, Reply::Conflict { current }) => {
@@ -431,7 +431,7 @@
             self.machines.iter_mut().for_each(|n| n.skew = n.skew.clamp(-20, 20));
             self.stepped = self.now;
         }
-        if stepped || self.now < self.stepped + trial::OLD + 500 * MS {
+        if stepped || self.now < self.stepped + trial::MAX_READING_AGE + 500 * MS {
             return;
         }
         let by = if self.rng.bool() { self.rng.i64(500..5000) } else { self.rng.i64(5000..4_000_000) };
@@ -476,11 +476,10 @@
     fn wipe(&mut self, n: usize, lasts: Time) {
         let now = self.now;
         let recent = |at: &Option<Time>| at.is_some_and(|at| now < at + CATCH_UP);
-        let all_in = self
-            .machines
-            .iter()
-            .filter(|node| node.votes)
-            .all(|node| node.core().is_some_and(consensus::Core::is_member) && node.frozen_until <= now);
+        let all_in =
+            self.machines.iter().filter(|node| node.votes).all(|node| {
+                node.core().is_some_and(consensus::RaftNode::is_voter) && node.frozen_until <= now
+            });
         if !self.machines[n].votes || self.wiped_at.iter().any(recent) || !all_in {
             return;
         }
@@ -497,7 +496,8 @@
         self.later(now + 10 * MS, Happens::Gateway);
         let defect = self.defect;
         // Before a gateway knows what tenants may do it refuses them all.
-        let knows = |g: &Gateway| g.follow.holds() > 0 && g.follow.fold().gateways().len() == GATEWAYS;
+        let knows =
+            |g: &Gateway| g.follow.configuration_index() > 0 && g.follow.view().gateways().len() == GATEWAYS;
         self.is_open |= self.system.gateways.iter().all(knows);
         for g in 0..GATEWAYS {
             if !self.is_open || self.system.gateways[g].asleep > now {
@@ -514,20 +514,20 @@
             }
             for since in tries {
                 let draw = rng.f64();
-                let mut verdict = desk.spend(now, guest::HOT, draw, since);
-                if defect == Some(Defect::AloneAndFree) && desk.is_alone(now) {
-                    verdict = Verdict::Granted;
+                let mut verdict = desk.acquire(now, guest::HOT, draw, since);
+                if defect == Some(Defect::AloneAndFree) && desk.is_isolated(now) {
+                    verdict = Decision::Granted;
                 }
                 match verdict {
-                    Verdict::Granted => self.seen.pass(now, guest::HOT_RATE, guest::HOT_RATE)?,
-                    Verdict::Refused { .. } | Verdict::Slowed { .. } => {}
-                    Verdict::Wait { .. } => self.waits[g].push(since.unwrap_or(now)),
+                    Decision::Granted => self.seen.pass(now, guest::HOT_RATE, guest::HOT_RATE)?,
+                    Decision::Refused { .. } | Decision::Throttled { .. } => {}
+                    Decision::Wait { .. } => self.waits[g].push(since.unwrap_or(now)),
                 }
             }
             // Without a link it is lost.
-            let ask = self.desks[g].ask(now);
+            let ask = self.desks[g].next_request(now);
             if let Some((ask, link)) = ask.zip(self.system.gateways[g].link) {
-                self.say(g, link, Up::Ask(ask));
+                self.say(g, link, GatewayMessage::LeaseRequest(ask));
             }
         }
         Ok(())
--- a/crates/testing/control-sim/tests/rehearsal.rs
+++ b/crates/testing/control-sim/tests/rehearsal.rs
@@ -58,7 +58,7 @@
 
 /// These need moments of milliseconds, which worlds of seconds bring about far more often: the others are left out for them.
 const SECONDS: [Defect; 2] =
-    [Defect::Prompter(Planted::SendBeforeSync), Defect::Prompter(Planted::NoSilenceAfterStart)];
+    [Defect::Prompter(Planted::SendBeforeSync), Defect::Prompter(Planted::VoteRightAfterRestart)];
 
 #[gtest]
 fn every_defect_is_found() {
--- a/crates/testing/test-harness/src/scale/hollow.rs
+++ b/crates/testing/test-harness/src/scale/hollow.rs
@@ -5,8 +5,8 @@
 use crate::fleet::lock;
 use crate::house::House;
 use crate::scenario::Play;
-use messages::message::{Change, Down, First, Up, FORM};
-use quota::{Ask, Want};
+use messages::message::{FleetChange, GatewayMessage, GatewayUpdate, Greeting, MESSAGE_FORMAT};
+use quota::{LeaseRequest, UnitRequest};
 use serde_json::json;
 use std::collections::HashSet;
 use std::io;
@@ -258,11 +258,20 @@
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = stream.into_split();
     let (name, zone) = (format!("hollow-{n}"), format!("zone-{zone}"));
-    let said =
-        write(&mut writer, &First::Gateway { form: FORM, name, zone, place: None, holds: 0, contact: 1 })
-            .await?;
+    let said = write(
+        &mut writer,
+        &Greeting::Gateway {
+            form: MESSAGE_FORMAT,
+            name,
+            zone,
+            offset: None,
+            configuration_index: 0,
+            contact_number: 1,
+        },
+    )
+    .await?;
     lock(&book.tally).said += said;
-    let (sender, mut more) = mpsc::unbounded_channel::<Up>();
+    let (sender, mut more) = mpsc::unbounded_channel::<GatewayMessage>();
     let says = async {
         let mut every = interval(ASK);
         every.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -274,9 +283,9 @@
                     number += 1;
                     lock(&book.tally).asks += 1;
                     let tenant = |_| tenant(rng.usize(0..book.lent.len()));
-                    let want = |tenant| Want { tenant, units: 1, asked: 1, back: 0 };
-                    let wants = (0..WANTS).map(tenant).map(want).collect();
-                    Up::Ask(Ask { number, wants, queues: Vec::new() })
+                    let want = |tenant| UnitRequest { tenant, units: 1, arrivals: 1, returned: 0 };
+                    let units = (0..WANTS).map(tenant).map(want).collect();
+                    GatewayMessage::LeaseRequest(LeaseRequest { number, units, turns: Vec::new() })
                 }
             };
             let said = write(&mut writer, &up).await?;
@@ -303,7 +312,7 @@
     book: &Book,
     reader: &mut OwnedReadHalf,
     coming: &mut Coming,
-) -> io::Result<Option<Up>> {
+) -> io::Result<Option<GatewayMessage>> {
     let length = reader.read_u32().await? as usize;
     if length > LONGEST {
         return Err(io::ErrorKind::InvalidData.into());
@@ -318,36 +327,36 @@
     }
     let seen = &book.gateways[n];
     match rmp_serde::from_slice(&bytes).map_err(io::Error::other)? {
-        Down::Scene { scene, .. } => {
-            *lock(&seen.backends) = scene.backends.into_iter().map(|f| f.id).collect();
+        GatewayUpdate::Snapshot { snapshot: scene, .. } => {
+            *lock(&seen.backends) = scene.backends.into_iter().map(|f| f.instance).collect();
         }
-        Down::Changes { changes, .. } => {
+        GatewayUpdate::Changes { changes, .. } => {
             let mut known = lock(&seen.backends);
             for change in changes {
                 match change {
-                    Change::Backend(fact) => drop(known.insert(fact.id)),
-                    Change::Over(id) => drop(known.remove(&id)),
+                    FleetChange::Backend(fact) => drop(known.insert(fact.instance)),
+                    FleetChange::BackendRemoved(id) => drop(known.remove(&id)),
                     _ => {}
                 }
             }
         }
-        Down::Pulse { .. } => {}
-        Down::Configuration(part) => {
-            if let Some(head) = part.head {
-                *coming = Some((head.place, head.version, head.length, 0));
+        GatewayUpdate::Heartbeat { .. } => {}
+        GatewayUpdate::ConfigurationChunk(part) => {
+            if let Some(head) = part.header {
+                *coming = Some((head.index, head.version, head.length, 0));
             }
             let Some((place, version, length, got)) = coming else { return Ok(None) };
             *got += part.bytes.len() as u32;
             if *got >= *length && !(n == 0 && book.deaf.load(Relaxed)) {
                 taken(book, seen, *version);
             }
-            return Ok(Some(Up::Got { place: *place, bytes: *got }));
+            return Ok(Some(GatewayMessage::ChunkReceived { index: *place, received: *got }));
         }
-        Down::Lent(lent) => {
+        GatewayUpdate::LeaseGrant(lent) => {
             seen.answered.store(true, Relaxed);
             lock(&book.tally).answers += 1;
             let times = if book.twice { 4 } else { 1 };
-            for loan in lent.loans {
+            for loan in lent.units {
                 let place = loan.tenant.strip_prefix("huka").and_then(|n| n.parse::<usize>().ok());
                 if let Some(units) = place.and_then(|n| book.lent.get(n)) {
                     units.fetch_add(times * u64::from(loan.units), Relaxed);
--- a/crates/tools/granitethread-ctl/src/main.rs
+++ b/crates/tools/granitethread-ctl/src/main.rs
@@ -6,7 +6,7 @@
 mod show;
 
 use messages::frame;
-use messages::message::{Answer, First, Query, Told, FORM};
+use messages::message::{Greeting, Query, QueryAnswer, QueryResponse, MESSAGE_FORMAT};
 use process::net::connect;
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -143,7 +143,7 @@
 }
 
 /// Asks those that were named and all that they know of. Who answered, and who did not.
-async fn all(query: Query, at: &[SocketAddr]) -> (Vec<Told>, Vec<IpAddr>) {
+async fn all(query: Query, at: &[SocketAddr]) -> (Vec<QueryResponse>, Vec<IpAddr>) {
     let port = at[0].port();
     let mut open: BTreeSet<SocketAddr> = at.iter().copied().collect();
     let mut asked = BTreeSet::new();
@@ -154,7 +154,7 @@
         }
         match timeout(WAIT, one(query, next)).await {
             Ok(Ok((status, answer))) => {
-                if let Answer::Status { prompters, .. } = &status.answer {
+                if let QueryAnswer::Status { control_nodes: prompters, .. } = &status.answer {
                     let ips = prompters.iter().filter_map(|(name, _)| name.parse::<IpAddr>().ok());
                     open.extend(ips.map(|ip| SocketAddr::new(ip, port)).filter(|a| !asked.contains(a)));
                 }
@@ -166,14 +166,14 @@
     (told, missing)
 }
 
-async fn one(query: Query, at: SocketAddr) -> std::io::Result<(Told, Told)> {
+async fn one(query: Query, at: SocketAddr) -> std::io::Result<(QueryResponse, QueryResponse)> {
     let (mut reader, mut writer) = frame::split(connect(at).await?);
-    reader.known();
-    writer.write(&First::Shell { form: FORM }).await?;
+    reader.accept_long_frames();
+    writer.write(&Greeting::Shell { form: MESSAGE_FORMAT }).await?;
     let gone = || std::io::Error::from(std::io::ErrorKind::UnexpectedEof);
     writer.write(&Query::Status).await?;
-    let status: Told = reader.read().await?.ok_or_else(gone)?;
+    let status: QueryResponse = reader.read().await?.ok_or_else(gone)?;
     writer.write(&query).await?;
-    let answer: Told = reader.read().await?.ok_or_else(gone)?;
+    let answer: QueryResponse = reader.read().await?.ok_or_else(gone)?;
     Ok((status, answer))
 }
--- a/crates/tools/granitethread-ctl/src/operator.rs
+++ b/crates/tools/granitethread-ctl/src/operator.rs
@@ -125,7 +125,7 @@
 pub async fn trial(controls: &[SocketAddr], tenant: &str, words: &[&str]) -> Result<String, String> {
     for _ in 0..AGAIN {
         let mut all = read(controls).await?.ok_or("there is no configuration yet")?;
-        let version = configuration::Playbill::read(all.to_string().as_bytes())
+        let version = configuration::Configuration::parse(all.to_string().as_bytes())
             .map_err(|e| e.to_string())?
             .config_version;
         set_trial(&mut all, tenant, words)?;
--- a/crates/tools/granitethread-ctl/src/show.rs
+++ b/crates/tools/granitethread-ctl/src/show.rs
@@ -1,20 +1,20 @@
 //! Answers in words and as JSON.
 
-use messages::message::{Answer, Query, Told, Trial};
+use messages::message::{Query, QueryAnswer, QueryResponse, TrialReport};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
 /// A prompter that has not known of a majority for so long, in ms, may tell what is old.
 const FRESH_MS: u64 = 1000;
 
-pub fn json(told: &[Told], missing: &[IpAddr]) -> String {
+pub fn json(told: &[QueryResponse], missing: &[IpAddr]) -> String {
     let missing = missing.iter().map(|ip| serde_json::json!({"by": ip, "reached": false}).to_string());
     let told = told.iter().map(|t| serde_json::to_string(t).unwrap_or_default());
     told.chain(missing).collect::<Vec<_>>().join("\n")
 }
 
-fn freshness(t: &Told) -> String {
-    match t.touch_ms {
+fn freshness(t: &QueryResponse) -> String {
+    match t.quorum_contact_ms {
         Some(ms) if ms <= FRESH_MS => format!("a majority {ms} ms ago"),
         Some(ms) => format!("CUT OFF: a majority {ms} ms ago, what follows may be old"),
         None => "CUT OFF: no majority since it began, what follows may be old".into(),
@@ -22,11 +22,11 @@
 }
 
 /// Whose word counts most: the one who knew of a majority last.
-fn freshest(told: &[Told]) -> &Told {
-    told.iter().min_by_key(|t| t.touch_ms.unwrap_or(u64::MAX)).expect("somebody was reached")
+fn freshest(told: &[QueryResponse]) -> &QueryResponse {
+    told.iter().min_by_key(|t| t.quorum_contact_ms.unwrap_or(u64::MAX)).expect("somebody was reached")
 }
 
-pub fn words(query: Query, told: &[Told], missing: &[IpAddr]) -> String {
+pub fn words(query: Query, told: &[QueryResponse], missing: &[IpAddr]) -> String {
     let mut out = String::new();
     let mut line = |text: String| {
         out.push_str(&text);
@@ -37,8 +37,8 @@
     }
     match query {
         Query::Status => told.iter().for_each(|t| {
-            line(format!("{} ({}), {}", t.by, t.zone, freshness(t)));
-            let Answer::Status { id, term, holder, voters, configuration, backends, leaving, gateways, followers, .. } =
+            line(format!("{} ({}), {}", t.node, t.zone, freshness(t)));
+            let QueryAnswer::Status { id, term, leader: holder, voters, configuration, backends, draining: leaving, gateways, followers, .. } =
                 &t.answer
             else {
                 return;
@@ -53,13 +53,13 @@
         }),
         Query::Backends => {
             let t = freshest(told);
-            line(format!("by {}, {}", t.by, freshness(t)));
-            if let Answer::Backends(all) = &t.answer {
+            line(format!("by {}, {}", t.node, freshness(t)));
+            if let QueryAnswer::Backends(all) = &t.answer {
                 for (f, leaving) in all {
                     let state = if *leaving { "leaving" } else { "ready" };
                     line(format!(
                         "  {:14} {:16} {:22} {:14} {:8} {} slots, {}",
-                        f.id, f.service, f.address, f.zone, state, f.slots, f.version
+                        f.instance, f.service, f.address, f.zone, state, f.slots, f.version
                     ));
                 }
             }
@@ -69,17 +69,17 @@
             let mut missed: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
             let mut all = BTreeSet::new();
             for t in told {
-                if let Answer::Gateways(gateways) = &t.answer {
+                if let QueryAnswer::Gateways(gateways) = &t.answer {
                     for (name, here, missed_by) in gateways {
                         all.insert(name.as_str());
                         if *here {
-                            follows.entry(name).or_default().push(&t.by);
+                            follows.entry(name).or_default().push(&t.node);
                         }
                         missed.entry(name).or_default().extend(missed_by.iter().map(String::as_str));
                     }
                 }
             }
-            line(format!("by {}, {}", freshest(told).by, freshness(freshest(told))));
+            line(format!("by {}, {}", freshest(told).node, freshness(freshest(told))));
             for name in all {
                 let whom = follows.get(name).map_or("nobody who was reached".into(), |by| by.join(", "));
                 let by = missed.get(name).map_or(0, BTreeSet::len);
@@ -89,17 +89,17 @@
         }
         Query::Trials => {
             // The keeper knows what the others don't.
-            let keeps = |t: &&Told| matches!(&t.answer, Answer::Trials(all) if all.iter().any(|t| t.now.is_some()));
+            let keeps = |t: &&QueryResponse| matches!(&t.answer, QueryAnswer::Trials(all) if all.iter().any(|t| t.throttle.is_some()));
             let t = told.iter().find(keeps).unwrap_or(freshest(told));
-            line(format!("by {}, {}", t.by, freshness(t)));
-            if let Answer::Trials(all) = &t.answer {
+            line(format!("by {}, {}", t.node, freshness(t)));
+            if let QueryAnswer::Trials(all) = &t.answer {
                 all.iter().for_each(|trial| trial_lines(trial, &mut line));
             }
         }
         Query::Configuration => {
             let t = freshest(told);
-            line(format!("by {}, {}", t.by, freshness(t)));
-            if let Answer::Configuration(text) = &t.answer {
+            line(format!("by {}, {}", t.node, freshness(t)));
+            if let QueryAnswer::Configuration(text) = &t.answer {
                 line(text.clone().unwrap_or_else(|| "none".into()));
             }
         }
@@ -107,19 +107,23 @@
     out.trim_end().to_string()
 }
 
-fn trial_lines(t: &Trial, line: &mut impl FnMut(String)) {
-    let ends =
-        humantime::format_rfc3339_seconds(std::time::UNIX_EPOCH + std::time::Duration::from_millis(t.ends));
-    let over = if t.over { "over" } else { "under way" };
-    let now = match t.now {
+fn trial_lines(t: &TrialReport, line: &mut impl FnMut(String)) {
+    let ends = humantime::format_rfc3339_seconds(
+        std::time::UNIX_EPOCH + std::time::Duration::from_millis(t.ends_at),
+    );
+    let over = if t.expired { "over" } else { "under way" };
+    let now = match t.throttle {
         None => "whether it is slowed is not known here".into(),
         Some((slow, changes)) => {
             let now = if slow { "slowed" } else { "at full speed" };
             changes.map_or(now.to_string(), |ms| format!("{now}, changes in {ms} ms"))
         }
     };
-    line(format!("  {:20} ends {ends}, {over}; {now}; then {}/s, waits {} ms", t.tenant, t.pace, t.wait_ms));
-    for (name, ago, waiting, waited) in &t.nodes {
+    line(format!(
+        "  {:20} ends {ends}, {over}; {now}; then {}/s, waits {} ms",
+        t.tenant, t.rate, t.max_wait_ms
+    ));
+    for (name, ago, waiting, waited) in &t.gateways {
         line(format!("    {name:26} {waiting} wait, of late for {waited} ms; said {ago} ms ago"));
     }
 }
