--- a/crates/common/messages/src/message.rs
+++ b/crates/common/messages/src/message.rs
@@ -2,7 +2,7 @@
 //! it speaks; what is of another form ends the connection.
 
 use change_log::Offset;
-use consensus::{FoundingSaid, Message, NodeId, Term, VoterSet};
+use consensus::{BootstrapMessage, Message, NodeId, Term, VoterSet};
 use control_state::{ConfigurationChunk, LogIndex as AgreedPlace};
 use quota::{LeaseGrant, LeaseRequest};
 use registry::Heartbeat;
@@ -119,7 +119,7 @@
     },
     /// Among seeds at the first start of all: who is to vote.
     #[serde(rename = "Founding")]
-    Bootstrap(FoundingSaid),
+    Bootstrap(BootstrapMessage),
     /// From a seed that knows what was agreed on there: these are the voters.
     #[serde(rename = "Found")]
     BootstrapChosen { voters: VoterSet },
--- a/crates/control/consensus/tests/founding.rs
+++ b/crates/control/consensus/tests/bootstrap.rs
@@ -1,6 +1,6 @@
 //! Seeds agree on who votes at the first start, whatever is lost and whoever ends.
 
-use consensus::{Bootstrap, FoundingSaid, NodeId, VoterSet};
+use consensus::{Bootstrap, BootstrapMessage, NodeId, VoterSet};
 use fastrand::Rng;
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
         let mut rng = Rng::with_seed(seed);
         let new = |name: &str| Some(Bootstrap::new(name, names.map(String::from)));
         let mut seeds = names.map(new);
-        let mut under_way: Vec<(usize, String, FoundingSaid)> = Vec::new();
+        let mut under_way: Vec<(usize, String, BootstrapMessage)> = Vec::new();
         let mut agreed: BTreeSet<VoterSet> = BTreeSet::new();
         let mut left = 2;
         for _ in 0..120 {
@@ -66,12 +66,14 @@
     let mut one = Bootstrap::new("a", ["a", "b", "c"].map(String::from));
     let said = one.propose(members);
     assert_eq!(said.len(), 2);
-    let Some((_, FoundingSaid::Prepare { ballot })) = said.into_iter().next() else { panic!("it prepares") };
-    let promise = FoundingSaid::Promise { ballot: ballot.clone(), accepted: None };
+    let Some((_, BootstrapMessage::Prepare { ballot })) = said.into_iter().next() else {
+        panic!("it prepares")
+    };
+    let promise = BootstrapMessage::Promise { ballot: ballot.clone(), accepted: None };
     assert!(one.on_message(&id("x"), promise.clone()).is_empty());
     assert!(!one.on_message(&id("b"), promise).is_empty());
-    one.on_message(&id("x"), FoundingSaid::Accepted { ballot: ballot.clone() });
+    one.on_message(&id("x"), BootstrapMessage::Accepted { ballot: ballot.clone() });
     assert_eq!(one.chosen(), None);
-    one.on_message(&id("c"), FoundingSaid::Accepted { ballot });
+    one.on_message(&id("c"), BootstrapMessage::Accepted { ballot });
     assert!(one.chosen().is_some());
 }
--- a/crates/control/consensus/tests/common/mod.rs
+++ b/crates/control/consensus/tests/common/mod.rs
@@ -43,8 +43,8 @@
     pub fn start(&mut self, seed: u64, defect: Option<Defect>) {
         let mut core = RaftNode::new(self.id.clone(), self.disk.clone(), seed, self.now);
         core.plant(defect);
-        let (place, state) = core.snapshot_state();
-        (self.applied, self.state) = (place, state.to_vec());
+        let snapshot = core.snapshot();
+        (self.applied, self.state) = (snapshot.index, snapshot.state.clone());
         for output in core.committed_outputs() {
             if let Output::Apply { index: place, command: word, .. } = output {
                 self.apply(place, &word);
--- a/crates/control/consensus/tests/slow.rs
+++ b/crates/control/consensus/tests/slow_links.rs
@@ -151,7 +151,7 @@
 
 #[test]
 fn what_makes_no_sense_is_taken_for_nothing() {
-    use consensus::{Message, MessageBody, NodeId, TransferContent};
+    use consensus::{Message, MessageBody, NodeId, PreviousEntry, TransferContent};
     let mut net = Net::founded(4, &["a", "b", "c"]);
     let (other, leader) = pair(&net);
     let (n, term) = (net.at(&other), net.term());
@@ -166,7 +166,7 @@
         state(u64::MAX, 100, vec![0; 10]),
         state(50, 100, vec![0; 10]),
         MessageBody::Chunk {
-            content: TransferContent::Entry { previous: (50, 9), term },
+            content: TransferContent::Entry { previous: PreviousEntry { index: 50, term: 9 }, term },
             size: 10,
             offset: 0,
             bytes: vec![0; 10],
--- a/crates/control/control-node/src/founder.rs
+++ b/crates/control/control-node/src/founder.rs
@@ -3,7 +3,7 @@
 //! its own disk. A machine that begins again, or whose disk was lost, is not at its first start.
 
 use crate::{ControlNode, NodeConfig, Time, MS};
-use consensus::{Bootstrap, FoundingSaid, Input, NodeId, VoterSet};
+use consensus::{Bootstrap, BootstrapMessage, Input, NodeId, VoterSet};
 use messages::message::ControlMessage;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -113,11 +113,11 @@
         }
     }
 
-    fn send_bootstrap_messages(&mut self, said: Vec<(String, FoundingSaid)>) {
+    fn send_bootstrap_messages(&mut self, said: Vec<(String, BootstrapMessage)>) {
         said.into_iter().for_each(|(to, said)| self.send_to(&to, ControlMessage::Bootstrap(said)));
     }
 
-    pub(crate) fn on_bootstrap_message(&mut self, from: &NodeId, said: FoundingSaid) {
+    pub(crate) fn on_bootstrap_message(&mut self, from: &NodeId, said: BootstrapMessage) {
         if let Some(founder) = &mut self.bootstrapper {
             let answers = founder.consensus.on_message(from, said);
             self.send_bootstrap_messages(answers);
--- a/crates/control/control-node/src/lib.rs
+++ b/crates/control/control-node/src/lib.rs
@@ -224,10 +224,9 @@
 
     /// What the core knew at its start.
     fn replay_log(&mut self) {
-        let (place, state) = self.raft.snapshot_state();
-        let state = state.to_vec();
-        if place > 0 {
-            self.install_snapshot(place, &state);
+        let snapshot = self.raft.snapshot().clone();
+        if snapshot.index > 0 {
+            self.install_snapshot(snapshot.index, &snapshot.state);
         }
         for output in self.raft.committed_outputs() {
             if let Output::Apply { index: place, command: word, .. } = output {
--- a/crates/control/control-node/src/turns.rs
+++ b/crates/control/control-node/src/turns.rs
@@ -352,7 +352,7 @@
     /// What a snapshot holds.
     fn snapshot_bytes(&self) -> Vec<u8> {
         if self.has(Defect::StaleSnapshotState) {
-            return self.raft.snapshot_state().1.to_vec();
+            return self.raft.snapshot().state.clone();
         }
         if !self.has(Defect::SnapshotForgetsVersions) {
             return self.state.encode();
--- a/crates/control/control-node/tests/alone.rs
+++ b/crates/control/control-node/tests/alone.rs
@@ -1,6 +1,6 @@
 //! A prompter that is cut off from all others.
 
-use consensus::{Message, MessageBody, NodeId, PersistedState};
+use consensus::{Message, MessageBody, NodeId, PersistedState, PreviousEntry};
 use control_node::{ControlNode, Effect, NodeConfig, Reply, Time};
 use messages::message::ControlMessage;
 use registry::Heartbeat;
@@ -72,8 +72,12 @@
     run(&mut p, 0, 100 * MS);
     let leader = NodeId { name: "10.0.0.2".into(), disk_id: 2 };
     for now in (100..=3000).step_by(50).map(|ms| ms * MS) {
-        let body =
-            MessageBody::AppendEntries { previous: (0, 0), entries: Vec::new(), commit_index: 0, round: now };
+        let body = MessageBody::AppendEntries {
+            previous: PreviousEntry::default(),
+            entries: Vec::new(),
+            commit_index: 0,
+            round: now,
+        };
         let message = Message { from: leader.clone(), to: p.id().clone(), term: 1, body };
         p.on_control_message(now, &leader, ControlMessage::Consensus(message));
         for effect in run(&mut p, now, now) {
--- a/crates/control/control-plane/src/disk/tests.rs
+++ b/crates/control/control-plane/src/disk/tests.rs
@@ -6,7 +6,7 @@
 use super::*;
 use consensus::{
     Entry, EntryPayload, Input, LogIndex, Message, MessageBody, NodeId, Output, Persist, PersistedState,
-    RaftNode, Snapshot, Term, VoterSet,
+    PreviousEntry, RaftNode, Snapshot, Term, VoterSet,
 };
 use control_state::{Command, ControlState};
 use fastrand::Rng;
@@ -78,9 +78,9 @@
     /// What is to be saved next.
     fn step(&mut self) -> Vec<Persist> {
         let mut outputs = Vec::new();
-        if self.core.commit_index() > self.core.snapshot_state().0
+        if self.core.commit_index() > self.core.snapshot().index
             && self.rng.u8(..4) == 0
-            && self.applied > self.core.snapshot_state().0
+            && self.applied > self.core.snapshot().index
         {
             return self.core.compact(self.applied, self.book.encode()).into_iter().collect();
         }
@@ -106,7 +106,7 @@
         self.agreed += self.rng.u64(..=self.log.len() as u64 - self.agreed);
         let entries = self.log[at..].to_vec();
         let body = MessageBody::AppendEntries {
-            previous: (before, term),
+            previous: PreviousEntry { index: before, term },
             entries,
             commit_index: self.agreed,
             round: 1,
--- a/crates/data/data-plane/src/house.rs
+++ b/crates/data/data-plane/src/house.rs
@@ -79,7 +79,7 @@
                 }
                 Event::ClientGone { id } => drop(self.requests.remove(id)),
                 Event::AttemptEnd(e) if e.last || e.ending == Ending::Pass => {
-                    drop(self.requests.remove(&e.id))
+                    self.requests.remove(&e.id);
                 }
                 Event::AttemptEnd(e) if !self.may_retry(e.id, e.ending) => {
                     // The design's module lets go of it, and it is answered: as refused only if nothing ran.
--- a/crates/testing/compatibility/tests/messages.rs
+++ b/crates/testing/compatibility/tests/messages.rs
@@ -2,7 +2,10 @@
 
 use change_log::Offset;
 use compatibility::Golden;
-use consensus::{Entry, EntryPayload, FoundingSaid, Message, MessageBody, NodeId, TransferContent, VoterSet};
+use consensus::{
+    AcceptedProposal, Ballot, BootstrapMessage, Entry, EntryPayload, LogPosition, Message, MessageBody,
+    NodeId, PreviousEntry, TransferContent, VoterSet,
+};
 use control_state::{ConfigurationChunk, TransferHeader};
 use messages::message::{
     ControlMessage, FleetChange, FleetSnapshot, GatewayMessage, GatewayUpdate, Greeting, Query, QueryAnswer,
@@ -103,14 +106,26 @@
         Entry { term: 3, payload: EntryPayload::JointConfiguration { old: members(), new: VoterSet::new() } },
     ];
     let whole = TransferContent::Snapshot { index: 8, term: 2, voters: members() };
-    let word = TransferContent::Entry { previous: (8, 2), term: 3 };
+    let word = TransferContent::Entry { previous: PreviousEntry { index: 8, term: 2 }, term: 3 };
     let bodies = [
         (
             "request-vote",
-            MessageBody::RequestVote { pre_vote: true, leadership_transfer: false, last_entry: (2, 9) },
+            MessageBody::RequestVote {
+                pre_vote: true,
+                leadership_transfer: false,
+                last_entry: LogPosition { term: 2, index: 9 },
+            },
         ),
         ("vote", MessageBody::VoteResponse { pre_vote: false, granted: true }),
-        ("append", MessageBody::AppendEntries { previous: (8, 2), entries, commit_index: 7, round: 11 }),
+        (
+            "append",
+            MessageBody::AppendEntries {
+                previous: PreviousEntry { index: 8, term: 2 },
+                entries,
+                commit_index: 7,
+                round: 11,
+            },
+        ),
         ("append-accepted", MessageBody::AppendAccepted { round: 11, match_index: 9 }),
         ("append-rejected", MessageBody::AppendRejected { round: 11, hint: 6 }),
         (
@@ -133,8 +148,8 @@
 #[test]
 fn messages_between_control_planes_keep_their_bytes() {
     let mut golden = Golden::open("control");
-    let ballot = || (4, "10.0.0.1".to_string());
-    let accepted = Some((ballot(), members()));
+    let ballot = || Ballot { round: 4, proposer: "10.0.0.1".into() };
+    let accepted = Some(AcceptedProposal { ballot: ballot(), voters: members() });
     let hello = ControlMessage::Hello {
         id: id(1),
         zone: "otavi-hall".into(),
@@ -145,14 +160,17 @@
     };
     let messages = [
         ("hello", hello),
-        ("founding-prepare", ControlMessage::Bootstrap(FoundingSaid::Prepare { ballot: ballot() })),
-        ("founding-promise", ControlMessage::Bootstrap(FoundingSaid::Promise { ballot: ballot(), accepted })),
+        ("founding-prepare", ControlMessage::Bootstrap(BootstrapMessage::Prepare { ballot: ballot() })),
+        (
+            "founding-promise",
+            ControlMessage::Bootstrap(BootstrapMessage::Promise { ballot: ballot(), accepted }),
+        ),
         (
             "founding-accept",
-            ControlMessage::Bootstrap(FoundingSaid::Accept { ballot: ballot(), members: members() }),
+            ControlMessage::Bootstrap(BootstrapMessage::Accept { ballot: ballot(), voters: members() }),
         ),
-        ("founding-accepted", ControlMessage::Bootstrap(FoundingSaid::Accepted { ballot: ballot() })),
-        ("founding-late", ControlMessage::Bootstrap(FoundingSaid::Rejected { promised: ballot() })),
+        ("founding-accepted", ControlMessage::Bootstrap(BootstrapMessage::Accepted { ballot: ballot() })),
+        ("founding-late", ControlMessage::Bootstrap(BootstrapMessage::Rejected { promised: ballot() })),
         ("found", ControlMessage::BootstrapChosen { voters: members() }),
         (
             "heartbeats",
--- a/crates/testing/control-sim/src/growth/pieces.rs
+++ b/crates/testing/control-sim/src/growth/pieces.rs
@@ -2,7 +2,7 @@
 
 use super::{bytes, configuration, fact, gateways, limits, spent, tenant, MS};
 use configuration::{Configuration, RouteTable, Validator};
-use consensus::{Entry, EntryPayload, Message, MessageBody, NodeId, VoterSet};
+use consensus::{Entry, EntryPayload, Message, MessageBody, NodeId, PreviousEntry, VoterSet};
 use control_state::{body_digest, Command, CommittedConfiguration, ControlState, Delta, DeltaHistory};
 use messages::message::{ControlMessage, FleetChange, FleetSnapshot, GatewayUpdate};
 use quota::{Decision, LeaseRequest, QuotaClient, QuotaCoordinator, UnitRequest};
@@ -465,7 +465,7 @@
         let id = |n: usize| NodeId { name: format!("10.{n}.0.5"), disk_id: 0x7a5b_1c2d_3e4f_5061 };
         let said = |body| ControlMessage::Consensus(Message { from: id(1), to: id(2), term: 3, body });
         let append = MessageBody::AppendEntries {
-            previous: (4000, 3),
+            previous: PreviousEntry { index: 4000, term: 3 },
             entries: Vec::new(),
             commit_index: 4000,
             round: 90_000,
@@ -493,7 +493,7 @@
             "| {count} | {round} | {:.0} | {} | {:.0} | {:.0} | {} |",
             10.0 * others
                 * bytes(&said(MessageBody::AppendEntries {
-                    previous: (4000, 3),
+                    previous: PreviousEntry { index: 4000, term: 3 },
                     entries: Vec::new(),
                     commit_index: 4000,
                     round: 1
--- a/crates/testing/control-sim/src/long.rs
+++ b/crates/testing/control-sim/src/long.rs
@@ -884,7 +884,7 @@
         prompter.describe_storage(),
         core.term(),
         core.commit_index(),
-        core.snapshot_state().0,
+        core.snapshot().index,
         core.entry_count(),
         machine.version(),
         duty.is_leader,
