--- a/crates/common/configuration/src/check.rs
+++ b/crates/common/configuration/src/check.rs
@@ -114,14 +114,14 @@
     }
 
     #[test]
-    fn a_sound_one_is_read_with_fields_that_nobody_knows() {
+    fn valid_configuration_with_unknown_fields_is_accepted() {
         let playbill = told(|v| v["routes"][0]["later"] = json!(1)).unwrap();
         assert_eq!((playbill.config_version, playbill.base_version), (12, 5));
         assert_eq!(told(|v| v["baseVersion"] = json!(0)).unwrap().base_version, 0);
     }
 
     #[test]
-    fn a_trial_has_an_end_and_a_pace_within_the_limits() {
+    fn trial_needs_an_end_and_a_pace_within_the_limits() {
         let trial = |ends: &str, pace: f64, wait: f64| {
             let trial = json!({"endsAt": ends, "pacePerS": pace, "waitMs": wait});
             told(move |v| v["tenants"][0]["trial"] = trial)
@@ -143,7 +143,7 @@
     }
 
     #[test]
-    fn whatever_is_wrong_is_found() {
+    fn every_invalid_configuration_is_refused() {
         let route = |key: &'static str, value: Value| move |v: &mut Value| v["routes"][0][key] = value;
         let unread = check(&sound().to_string().as_bytes()[..200]);
         assert!(matches!(unread, Err(ConfigurationError::Malformed(_))), "cut short");
--- a/crates/common/configuration/src/table.rs
+++ b/crates/common/configuration/src/table.rs
@@ -97,7 +97,7 @@
     }
 
     #[test]
-    fn the_longest_prefix_of_the_host_takes_a_request() {
+    fn longest_prefix_of_the_host_wins() {
         let t = table();
         let name = |host, path| t.route(host, path).map(|r| r.name.as_str());
         assert_eq!(name("a.example", "/x/y/z"), Some("deep"));
@@ -107,7 +107,7 @@
     }
 
     #[test]
-    fn a_split_follows_its_weights_and_never_goes_where_none_is() {
+    fn weighted_targets_follow_their_weights() {
         let t = table();
         let deep = t.route("a.example", "/x/y/").unwrap();
         let targets = [0.0, 0.74, 0.76, 1.0].map(|draw| deep.target(draw));
@@ -115,7 +115,7 @@
     }
 
     #[test]
-    fn a_key_is_its_tenants() {
+    fn api_key_identifies_its_tenant() {
         assert_eq!(table().tenant("k2").map(|t| t.name.as_str()), Some("t1"));
         assert!(table().requires_api_key() && table().tenant("k3").is_none());
     }
--- a/crates/common/messages/src/frame.rs
+++ b/crates/common/messages/src/frame.rs
@@ -126,7 +126,7 @@
     }
 
     #[tokio::test]
-    async fn a_stranger_is_read_a_little_and_one_who_is_known_much() {
+    async fn frame_limit_is_raised_for_identified_peers() {
         let (one, two) = pair().await;
         let ((mut reader, _one), (_two, mut writer)) = (split(one), split(two));
         let long = "x".repeat(100_000);
@@ -144,7 +144,7 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn a_long_message_on_a_slow_link_is_heard_while_its_bytes_come() {
+    async fn slow_message_counts_as_activity_while_bytes_arrive() {
         let (one, mut two) = pair().await;
         let (mut reader, _one) = split(one);
         reader.accept_long_frames();
@@ -165,7 +165,7 @@
     }
 
     #[tokio::test]
-    async fn what_is_no_message_of_ours_ends_the_connection() {
+    async fn malformed_frame_ends_the_connection() {
         let (one, mut two) = pair().await;
         let (mut reader, _one) = split(one);
         two.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
--- a/crates/common/process/src/ring.rs
+++ b/crates/common/process/src/ring.rs
@@ -100,7 +100,7 @@
     use super::*;
 
     #[test]
-    fn a_ring_holds_the_latest_lines_cut_to_their_most_and_gives_them_once() {
+    fn ring_keeps_the_latest_truncated_lines_and_dumps_them_once() {
         let ring = LogRing::new();
         (0..MAX_LINES + 5).for_each(|n| ring.push(format!("line {n} {}", "é".repeat(MAX_LINE_BYTES))));
         let mut out = Vec::new();
--- a/crates/common/process/src/settings.rs
+++ b/crates/common/process/src/settings.rs
@@ -219,14 +219,14 @@
     "#;
 
     #[test]
-    fn fields_that_nobody_knows_are_let_pass_and_defaults_stand_in() {
+    fn unknown_settings_are_ignored_and_defaults_apply() {
         let s = Settings::parse("f", TEXT).unwrap();
         assert_eq!((s.control_port(), s.seed_addresses().len(), s.identity.initial_start), (7660, 2, true));
         assert_eq!((s.identity.data_directory, s.contract.bounds.drain_ms), (None, 2500.0));
     }
 
     #[test]
-    fn what_lacks_or_will_not_do_is_one_line_with_its_place() {
+    fn invalid_setting_is_reported_in_one_line_with_its_path() {
         let line =
             |from: &str, to: &str| Settings::parse("f", &TEXT.replace(from, to)).unwrap_err().to_string();
         assert!(line("zone = \"a\"", "").starts_with("f: at /ownIdentity: "));
--- a/crates/common/quota/src/desk.rs
+++ b/crates/common/quota/src/desk.rs
@@ -478,7 +478,7 @@
     }
 
     #[test]
-    fn what_is_asked_beyond_the_limit_never_passes_whoever_is_cut_off_and_whoever_keeps() {
+    fn demand_beyond_the_limit_never_passes_despite_partitions_and_failover() {
         for rate in [10.0, 60.0] {
             let (passed, refused) = play(rate, 5.0 * rate, 500..1500, 1200);
             let most = f64::from(most_in_five_seconds(&passed));
@@ -491,14 +491,14 @@
     }
 
     #[test]
-    fn below_the_limit_nearly_all_pass() {
+    fn nearly_all_requests_pass_below_the_limit() {
         let (passed, refused) = play(30.0, 30.0 / 1.6, 0..0, 9999);
         let passed: u32 = passed.iter().sum();
         assert!(f64::from(refused) <= 0.01 * f64::from(passed), "{refused} refused beside {passed}");
     }
 
     #[test]
-    fn units_end_and_go_back() {
+    fn expired_units_are_returned() {
         let mut desk = QuotaClient::new(0);
         desk.set_limits(0, &limits(10.0, 10.0));
         assert!(!matches!(desk.acquire(0, "t", 0.5, None), Decision::Granted), "nothing is known yet");
--- a/crates/common/quota/src/tries.rs
+++ b/crates/common/quota/src/tries.rs
@@ -44,7 +44,7 @@
     use super::*;
 
     #[test]
-    fn all_gateways_together_stay_within_the_ratio_and_a_few_each() {
+    fn gateways_together_stay_within_the_retry_ratio() {
         let (gateways, requests) = (13, 100);
         let mut spent = 0;
         for _ in 0..gateways {
--- a/crates/common/quota/tests/trials.rs
+++ b/crates/common/quota/tests/trials.rs
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn all_are_slowed_at_once_and_wait_alike() {
+fn all_gateways_throttle_together_and_wait_alike() {
     let seen = play(&Play::default());
     never_both(&seen);
     let last = seen.full.iter().map(|f| f.1).max().unwrap();
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn below_the_pace_nobody_is_refused_and_hardly_anybody_waits() {
+fn nobody_is_refused_below_the_pace() {
     let seen = play(&Play { asked: 14.0, ..Play::default() });
     assert_eq!(seen.refused, []);
     let waited = waits(&seen, 8 * S, 16 * S);
@@ -187,14 +187,14 @@
 }
 
 #[test]
-fn one_gateway_alone_has_the_whole_pace() {
+fn single_gateway_gets_the_whole_pace() {
     let seen = play(&Play { one: true, ..Play::default() });
     let paced = seen.paced.iter().filter(|p| p.1 + p.2 > 8 * S * STEP).count() as f64;
     assert!(paced / (20.0 * 8.0) > 0.93, "{paced} in 8 s");
 }
 
 #[test]
-fn who_hears_nothing_of_the_end_is_slow_before_it() {
+fn gateway_without_news_throttles_before_the_trial_ends() {
     for cut in [5 * S..9 * S, 6 * S - 10..9 * S, 6 * S + 20..9 * S] {
         let from = cut.start;
         let seen = play(&Play { cut, ..Play::default() });
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn another_keeper_goes_on_with_the_pace_and_refuses_nobody_at_its_beginning() {
+fn new_coordinator_keeps_the_pace_and_refuses_nobody_at_first() {
     for keeper in [6 * S + 10, 6 * S + 60, 8 * S] {
         let seen = play(&Play { keepers: vec![keeper], ..Play::default() });
         never_both(&seen);
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn extended_and_over_again_within_a_second_each_step_is_taken_by_all() {
+fn trial_extended_and_expired_within_a_second_reaches_all_gateways() {
     let over = vec![6 * S..7 * S, 7 * S + 40..7 * S + 100, 8 * S..u64::MAX];
     let seen = play(&Play { over, ..Play::default() });
     never_both(&seen);
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn work_that_cannot_wait_goes_ahead_of_reads_and_the_pace_is_kept() {
+fn urgent_work_goes_ahead_of_reads_within_the_pace() {
     let seen = play(&Play { pressing: 0.2, ..Play::default() });
     let of = |pressing| seen.paced.iter().filter(move |p| p.3 == pressing && p.1 > 8 * S * STEP);
     let late = of(true).filter(|p| p.2 > 400 * MS).count();
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn a_turn_whose_client_is_gone_is_the_next_ones() {
+fn turn_of_a_departed_client_goes_to_the_next() {
     let slow = TrialPace { rate: 25.0, max_wait: 2000 * MS };
     let limits =
         BTreeMap::from([("t".to_string(), Limit { after_trial: Some(slow), ..Limit::new(50.0, 50.0) })]);
@@ -269,7 +269,7 @@
 
 /// A thousand who wait, of whom hundreds go each second, take next to nothing of a core.
 #[test]
-fn a_long_line_is_cheap() {
+fn long_throttle_queue_is_cheap() {
     let slow = TrialPace { rate: 500.0, max_wait: 2000 * MS };
     let limits =
         BTreeMap::from([("t".to_string(), Limit { after_trial: Some(slow), ..Limit::new(0.0, 0.0) })]);
--- a/crates/control/change-log/src/lib.rs
+++ b/crates/control/change-log/src/lib.rs
@@ -1,27 +1,31 @@
-//! A log of changes with places: whoever follows it from a place on gets all that came since, as long as the log
-//! still has it; else a snapshot, and follows from there. Bounded by a number of changes. No I/O.
+//! A bounded log of changes with offsets, and proofs of contact with a quorum. No I/O.
+//!
+//! Whoever follows the log from an offset on gets all changes since, as long as the log still holds them; else it takes a
+//! snapshot and follows from there.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
-mod contact;
+mod quorum_contact;
 
-pub use contact::QuorumContact;
+pub use quorum_contact::QuorumContact;
 
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A place in one life of a log; lives are told apart by a number drawn at the start.
+/// An offset in one incarnation of a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offset {
+    /// Drawn when the log begins, so that its lives are told apart.
     pub incarnation: u64,
     /// How many changes stand before it.
     pub position: u64,
 }
 
-/// The log itself.
+/// The log: its latest changes.
 #[derive(Clone, Debug)]
 pub struct ChangeLog<T> {
     incarnation: u64,
-    /// How many changes the log has let go of.
+    /// The position of the first change that is held.
     first_position: u64,
     changes: VecDeque<T>,
     capacity: usize,
@@ -29,21 +33,23 @@
 
 impl<T> Extend<T> for ChangeLog<T> {
     fn extend<I: IntoIterator<Item = T>>(&mut self, changes: I) {
-        changes.into_iter().for_each(|c| self.append(c));
+        changes.into_iter().for_each(|change| self.append(change));
     }
 }
 
 impl<T> ChangeLog<T> {
-    /// An empty log that keeps so many changes.
-    pub fn new(incarnation: u64, most: usize) -> Self {
-        ChangeLog { incarnation, first_position: 0, changes: VecDeque::new(), capacity: most.max(1) }
+    /// An empty log that holds so many changes.
+    pub fn new(incarnation: u64, capacity: usize) -> Self {
+        ChangeLog { incarnation, first_position: 0, changes: VecDeque::new(), capacity: capacity.max(1) }
     }
 
-    /// Behind the last change.
+    /// The offset behind the last change.
     pub fn end(&self) -> Offset {
-        Offset { incarnation: self.incarnation, position: self.first_position + self.changes.len() as u64 }
+        let position = self.first_position + self.changes.len() as u64;
+        Offset { incarnation: self.incarnation, position }
     }
 
+    /// Appends a change; the oldest goes if the log is full.
     pub fn append(&mut self, change: T) {
         if self.changes.len() == self.capacity {
             self.changes.pop_front();
@@ -52,29 +58,27 @@
         self.changes.push_back(change);
     }
 
-    /// What came since; none if that is not known any more, or the place is of another life: then a snapshot is wanted.
-    pub fn since(&self, place: Offset) -> Option<impl Iterator<Item = &T>> {
-        let end = self.end();
-        if place.incarnation != self.incarnation
-            || place.position < self.first_position
-            || place.position > end.position
-        {
+    /// The changes since an offset; none if they are not held any more or the offset is another incarnation's, so that a
+    /// snapshot is needed.
+    pub fn since(&self, offset: Offset) -> Option<impl Iterator<Item = &T>> {
+        let is_held = (self.first_position..=self.end().position).contains(&offset.position);
+        if offset.incarnation != self.incarnation || !is_held {
             return None;
         }
-        Some(self.changes.range((place.position - self.first_position) as usize..))
+        Some(self.changes.range((offset.position - self.first_position) as usize..))
     }
 }
 
-/// What is to be done with changes that were told.
+/// What a follower does with changes that it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowOutcome {
-    /// All but so many at the beginning, which are known.
+    /// It applies all but the first so many, which it knows.
     SkipFirst(usize),
-    /// Something between is missing: a snapshot is wanted.
+    /// Some are missing before them: it needs a snapshot.
     NeedsSnapshot,
 }
 
-/// A follower's place.
+/// How far a follower has come.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FollowPosition {
     offset: Option<Offset>,
@@ -86,53 +90,20 @@
         self.offset
     }
 
-    /// It has a snapshot as of this place.
-    pub fn on_snapshot(&mut self, place: Offset) {
-        self.offset = Some(place);
+    /// It has taken a snapshot as of this offset.
+    pub fn on_snapshot(&mut self, offset: Offset) {
+        self.offset = Some(offset);
     }
 
-    /// So many changes came that stand from this place on.
-    pub fn on_changes(&mut self, from: Offset, changes: usize) -> FollowOutcome {
+    /// It is sent so many changes that stand from this offset on.
+    pub fn on_changes(&mut self, from: Offset, count: usize) -> FollowOutcome {
         match &mut self.offset {
-            Some(place) if place.incarnation == from.incarnation && from.position <= place.position => {
-                let known = ((place.position - from.position) as usize).min(changes);
-                place.position = place.position.max(from.position + changes as u64);
+            Some(offset) if offset.incarnation == from.incarnation && from.position <= offset.position => {
+                let known = ((offset.position - from.position) as usize).min(count);
+                offset.position = offset.position.max(from.position + count as u64);
                 FollowOutcome::SkipFirst(known)
             }
             _ => FollowOutcome::NeedsSnapshot,
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn who_is_not_too_far_behind_gets_what_came_since_and_others_a_snapshot() {
-        let mut board = ChangeLog::new(7, 3);
-        let start = board.end();
-        (0..5).for_each(|n| board.append(n));
-        let since = |life, at| {
-            board.since(Offset { incarnation: life, position: at }).map(|c| c.copied().collect::<Vec<_>>())
-        };
-        assert_eq!(since(7, 2), Some(vec![2, 3, 4]));
-        assert_eq!(since(7, 5), Some(vec![]));
-        assert_eq!(since(7, start.position), None, "too old");
-        assert_eq!((since(7, 6), since(8, 5)), (None, None), "of another life");
-    }
-
-    #[test]
-    fn a_follower_takes_each_change_once_and_none_behind_a_gap() {
-        let at = |at| Offset { incarnation: 7, position: at };
-        let mut f = FollowPosition::default();
-        assert_eq!(f.on_changes(at(0), 2), FollowOutcome::NeedsSnapshot);
-        f.on_snapshot(at(4));
-        assert_eq!(f.on_changes(at(4), 2), FollowOutcome::SkipFirst(0));
-        assert_eq!(f.on_changes(at(3), 4), FollowOutcome::SkipFirst(3), "the first three are known");
-        assert_eq!(f.on_changes(at(1), 2), FollowOutcome::SkipFirst(2));
-        assert_eq!(f.offset(), Some(at(7)));
-        assert_eq!(f.on_changes(at(8), 1), FollowOutcome::NeedsSnapshot, "one is missing");
-        assert_eq!(f.on_changes(Offset { incarnation: 9, position: 7 }, 1), FollowOutcome::NeedsSnapshot);
-    }
-}
--- /dev/null
+++ b/crates/control/change-log/tests/change_log.rs
@@ -0,0 +1,29 @@
+use change_log::{ChangeLog, FollowOutcome, FollowPosition, Offset};
+
+#[test]
+fn who_is_not_too_far_behind_gets_what_came_since_and_others_a_snapshot() {
+    let mut board = ChangeLog::new(7, 3);
+    let start = board.end();
+    (0..5).for_each(|n| board.append(n));
+    let since = |life, at| {
+        board.since(Offset { incarnation: life, position: at }).map(|c| c.copied().collect::<Vec<_>>())
+    };
+    assert_eq!(since(7, 2), Some(vec![2, 3, 4]));
+    assert_eq!(since(7, 5), Some(vec![]));
+    assert_eq!(since(7, start.position), None, "too old");
+    assert_eq!((since(7, 6), since(8, 5)), (None, None), "of another life");
+}
+
+#[test]
+fn a_follower_takes_each_change_once_and_none_behind_a_gap() {
+    let at = |at| Offset { incarnation: 7, position: at };
+    let mut f = FollowPosition::default();
+    assert_eq!(f.on_changes(at(0), 2), FollowOutcome::NeedsSnapshot);
+    f.on_snapshot(at(4));
+    assert_eq!(f.on_changes(at(4), 2), FollowOutcome::SkipFirst(0));
+    assert_eq!(f.on_changes(at(3), 4), FollowOutcome::SkipFirst(3), "the first three are known");
+    assert_eq!(f.on_changes(at(1), 2), FollowOutcome::SkipFirst(2));
+    assert_eq!(f.offset(), Some(at(7)));
+    assert_eq!(f.on_changes(at(8), 1), FollowOutcome::NeedsSnapshot, "one is missing");
+    assert_eq!(f.on_changes(Offset { incarnation: 9, position: 7 }, 1), FollowOutcome::NeedsSnapshot);
+}
--- a/crates/control/change-log/tests/contact.rs
+++ b/crates/control/change-log/tests/quorum_contact.rs
@@ -5,7 +5,7 @@
 const MS: u64 = 1_000_000;
 
 #[test]
-fn a_round_trip_proves_what_the_leader_knew_when_it_answered() {
+fn round_trip_proves_what_the_leader_knew_when_it_answered() {
     let mut c = QuorumContact::default();
     c.on_applied(7);
     let ask = c.request(1000 * MS);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn who_hears_the_leader_but_lacks_what_it_has_agreed_on_is_not_in_contact() {
+fn node_that_hears_the_leader_but_lags_has_no_contact() {
     let mut c = QuorumContact::default();
     c.on_applied(7);
     // It comes back after a long time: the log is on its way, and asks are answered meanwhile.
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_word_that_lay_in_a_socket_while_this_machine_stood_still_is_as_old_as_its_ask() {
+fn delayed_heartbeat_is_as_old_as_its_request() {
     let mut c = QuorumContact::default();
     c.on_applied(7);
     let ask = c.request(1000 * MS);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn who_is_not_heard_proves_nothing_however_much_it_hears() {
+fn node_that_is_not_heard_proves_no_contact() {
     let mut c = QuorumContact::default();
     c.on_applied(7);
     let first = c.request(0);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn nothing_goes_back() {
+fn configuration_never_goes_back() {
     let mut c = QuorumContact::default();
     c.on_applied(9);
     c.on_applied(4);
--- a/crates/control/consensus/tests/bootstrap.rs
+++ b/crates/control/consensus/tests/bootstrap.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn two_foundings_never_whatever_is_lost_late_or_doubled_and_whoever_ends() {
+fn bootstrap_chooses_one_voter_set_despite_loss_and_restarts() {
     let names = ["a", "b", "c"];
     let mut ends = 0;
     for seed in 0..3000 {
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_strangers_word_counts_for_nothing_and_one_seed_alone_founds() {
+fn messages_of_non_seeds_are_ignored_and_a_single_seed_bootstraps() {
     let mut alone = Bootstrap::new("a", ["a".to_string()]);
     let members = VoterSet::from([("a".to_string(), 1)]);
     assert!(alone.propose(members.clone()).is_empty());
--- a/crates/control/consensus/tests/slow_links.rs
+++ b/crates/control/consensus/tests/slow_links.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn one_that_returns_after_500_changes_gets_the_state_once_and_hears_its_leader_meanwhile() {
+fn node_returning_after_500_changes_gets_one_snapshot_and_heartbeats() {
     let mut net = Net::founded(1, &["a", "b", "c"]);
     let (back, _) = pair(&net);
     net.stop(&back);
@@ -59,7 +59,7 @@
 
 /// `rehearsal`, seed 991: the leader repeated the last part for ever to one that had begun again in the middle of a state.
 #[test]
-fn one_that_begins_again_in_the_middle_of_a_state_gets_it_from_the_start() {
+fn restarted_node_gets_a_snapshot_transfer_from_its_start() {
     let mut net = Net::founded(5, &["a", "b", "c"]);
     let (back, _) = pair(&net);
     net.stop(&back);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_large_word_holds_up_no_pulse_and_goes_once() {
+fn large_command_delays_no_heartbeat_and_is_sent_once() {
     let mut net = Net::founded(2, &["a", "b", "c"]);
     let (behind, leader) = pair(&net);
     slow(&mut net, &behind);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_newcomer_behind_a_slow_link_votes_once_it_has_all_and_a_wipe_meanwhile_is_borne() {
+fn learner_on_a_slow_link_votes_once_caught_up_despite_a_wipe() {
     let mut net = Net::founded(3, &["a", "b", "c"]);
     let (gone, leader) = pair(&net);
     let third = ["a", "b", "c"].into_iter().find(|n| *n != gone && *n != leader).expect("three").to_string();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_taken_for_nothing() {
+fn malformed_messages_are_ignored() {
     use consensus::{Message, MessageBody, NodeId, PreviousEntry, TransferContent};
     let mut net = Net::founded(4, &["a", "b", "c"]);
     let (other, leader) = pair(&net);
--- a/crates/control/consensus/tests/small_worlds.rs
+++ b/crates/control/consensus/tests/small_worlds.rs
@@ -339,29 +339,29 @@
 }
 
 #[test]
-fn a_newcomer_catches_up_and_has_the_place_of_one_that_leaves_during_a_change() {
+fn learner_replaces_a_leaving_voter_during_a_change() {
     whole(World::new(Budget { knocks: 1, leaves: 1, changes: 1, ..NONE }, None));
 }
 
 #[test]
-fn one_that_waits_has_the_place_of_one_that_leaves_during_two_changes() {
+fn waiting_node_replaces_a_leaving_voter_during_two_changes() {
     whole(World::with_a_newcomer(Budget { leaves: 1, changes: 2, ..NONE }, None));
 }
 
 #[test]
-fn one_that_waits_has_the_place_of_one_that_leaves_during_an_election() {
+fn waiting_node_replaces_a_leaving_voter_during_an_election() {
     whole(World::with_a_newcomer(Budget { leaves: 1, elections: 1, ..NONE }, None));
 }
 
 #[test]
-fn an_exchange_goes_on_during_a_change_and_an_election() {
+fn replacement_continues_during_a_change_and_an_election() {
     let mut world = exchanging(Budget { elections: 1, changes: 1, ..NONE }, None);
     world.stand = &[2, 3];
     whole(world);
 }
 
 #[test]
-fn an_exchange_goes_on_during_two_elections() {
+fn replacement_continues_during_two_elections() {
     let mut world = exchanging(Budget { elections: 2, ..NONE }, None);
     // The one that is to leave, and the one that has its place.
     world.stand = &[2, 3];
@@ -369,17 +369,17 @@
 }
 
 #[test]
-fn a_disk_is_lost_during_a_change_and_an_election() {
+fn disk_lost_during_a_change_and_an_election() {
     whole(World::new(Budget { wipes: 1, elections: 1, changes: 1, ..NONE }, None));
 }
 
 #[test]
-fn a_disk_is_lost_right_after_a_replacement() {
+fn disk_lost_right_after_a_replacement() {
     whole(World::with_a_newcomer(Budget { leaves: 1, wipes: 1, elections: 1, ..NONE }, None));
 }
 
 #[test]
-fn each_begins_anew_at_the_worst_moment() {
+fn each_node_restarts_at_the_worst_moment() {
     let mut world = exchanging(Budget { restarts: 1, elections: 1, ..NONE }, None);
     world.stand = &[2, 3];
     whole(world);
--- a/crates/control/consensus/tests/storage_health.rs
+++ b/crates/control/consensus/tests/storage_health.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_leader_hands_its_duty_on_at_once_and_goes_on_hearing() {
+fn leader_without_storage_transfers_leadership_and_keeps_applying() {
     let mut three = Three::new();
     let old = three.leader();
     three.breaks(old);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn it_votes_for_nobody_and_stands_for_nothing() {
+fn node_without_storage_neither_votes_nor_campaigns() {
     let mut three = Three::new();
     let leader = three.leader();
     let (one, other) = ((leader + 1) % 3, (leader + 2) % 3);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn what_it_said_while_it_did_not_save_is_kept_though_it_forgets() {
+fn state_kept_while_storage_failed_survives_a_restart() {
     for seed in 0..3 {
         let mut three = Three::new();
         let leader = three.leader();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_message_that_was_lost_is_sent_again_to_who_does_not_save() {
+fn lost_message_is_resent_to_a_node_that_cannot_save() {
     let mut three = Three::new();
     let leader = three.leader();
     let one = (leader + 1) % 3;
--- a/crates/control/consensus/tests/voter_replacement.rs
+++ b/crates/control/consensus/tests/voter_replacement.rs
@@ -9,7 +9,7 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
 #[test]
-fn two_planned_replacements_by_other_names_leave_a_core_that_agrees() {
+fn two_planned_replacements_leave_a_working_quorum() {
     let mut net = Net::founded(1, &NAMES);
     net.every = 300 * MS;
     for (old, new) in [("a", "d"), ("b", "e")] {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_voter_that_is_told_to_end_is_out_before_it_ends_if_another_waits() {
+fn voter_shutting_down_is_replaced_by_a_waiting_node() {
     let mut net = Net::founded(2, &NAMES);
     net.join("d");
     net.run(2_000);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn one_that_dies_for_good_loses_its_place_to_a_newcomer_and_to_nobody_else() {
+fn failed_voter_is_replaced_only_by_a_waiting_node() {
     let mut net = Net::founded(3, &NAMES);
     net.stop("b");
     net.run(30_000);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn restarts_in_turn_and_a_cut_of_twenty_seconds_change_no_voters() {
+fn rolling_restarts_and_partitions_change_no_voters() {
     let mut net = Net::founded(4, &NAMES);
     net.every = 300 * MS;
     for name in NAMES {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_cut_fools_nobody_who_leads_the_majority_and_nothing_who_does_not() {
+fn partition_changes_voters_only_on_the_majority_side() {
     let mut net = Net::founded(5, &NAMES);
     net.join("d");
     net.every = 300 * MS;
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_empty_disk_under_an_old_name_takes_its_place_at_once_and_one_of_a_living_name_does_not() {
+fn empty_disk_replaces_a_lost_one_but_not_a_responding_voter() {
     let mut net = Net::founded(6, &NAMES);
     net.every = 300 * MS;
     let leader = net.leader().expect("one leads").id.name.clone();
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn all_are_replaced_three_times_over_with_changes_all_the_time_and_a_wipe_after_each() {
+fn all_voters_replaced_three_times_with_changes_and_wipes() {
     for seed in 0..8 {
         let mut net = Net::founded(10 + seed, &NAMES);
         net.every = 100 * MS;
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_second_that_waits_makes_five_of_three_and_a_fourth_makes_nothing() {
+fn second_waiting_node_extends_three_voters_to_five() {
     let mut net = Net::founded(7, &NAMES);
     net.join("d");
     net.run(5_000);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn four_that_founded_go_on_as_three_when_one_is_gone() {
+fn four_bootstrapped_voters_shrink_to_three_when_one_fails() {
     let mut net = Net::founded(8, &["a", "b", "c", "d"]);
     net.stop("d");
     net.run(5_000);
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_founder_that_dies_at_once_leaves_others_who_found() {
+fn killed_bootstrapper_is_succeeded_by_another_seed() {
     let mut net = Net::empty(9);
     NAMES.iter().for_each(|name| net.join(name));
     let members: consensus::VoterSet =
--- a/crates/control/control-node/src/lib.rs
+++ b/crates/control/control-node/src/lib.rs
@@ -94,7 +94,7 @@
     /// Another version is current.
     Conflict { current: u32 },
     /// It is not sound, for this reason.
-    Invalid(String),
+    Invalid(control_state::InvalidChange),
     /// What stands.
     Current(Option<Arc<CommittedConfiguration>>),
     /// This prompter leads.
--- a/crates/control/control-node/src/orders.rs
+++ b/crates/control/control-node/src/orders.rs
@@ -4,6 +4,7 @@
 use crate::turns::{Outcome, Requester};
 use crate::{ControlNode, Defect, Effect, Reply, Time, MS};
 use bytes::Bytes;
+use configuration::ConfigurationError;
 use consensus::{Input, Term};
 use control_state::{body_digest, decide_change, BodyDigest, Command, Decision, DeclaredVersions};
 use std::collections::{BTreeMap, VecDeque};
@@ -141,7 +142,12 @@
     }
 
     /// Whether an order is sound, which was asked for with [`Effect::Check`]; none: nobody can say.
-    pub fn on_validated(&mut self, now: Time, job: u64, read: Option<Result<DeclaredVersions, String>>) {
+    pub fn on_validated(
+        &mut self,
+        now: Time,
+        job: u64,
+        read: Option<Result<DeclaredVersions, ConfigurationError>>,
+    ) {
         self.now = now;
         let Some(order) = self.changes.in_progress.get(&job).filter(|j| j.stage == Stage::Validating) else {
             return;
@@ -156,7 +162,11 @@
     }
 
     /// What a planted defect makes of an order.
-    fn decision_of_defect(&self, body: &[u8], read: &Result<DeclaredVersions, String>) -> Option<Decision> {
+    fn decision_of_defect(
+        &self,
+        body: &[u8],
+        read: &Result<DeclaredVersions, ConfigurationError>,
+    ) -> Option<Decision> {
         let DeclaredVersions { base, version } = *read.as_ref().ok()?;
         let (current, taken) = (self.state.version(), self.state.is_applied(body));
         let other = || Some(Decision::Conflict { current });
--- a/crates/control/control-node/src/standing/tests.rs
+++ b/crates/control/control-node/src/standing/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn all_is_saved_once_at_the_start_and_after_each_failure_before_the_disk_counts() {
+fn full_save_precedes_healthy_storage_at_start_and_after_failures() {
     let mut standing = StorageHealth::new(0);
     assert!(!standing.is_healthy() && standing.is_full_save_due(0));
     assert!(!standing.start_full_save());
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_save_that_is_late_is_waited_for_and_then_all_is_saved() {
+fn overdue_save_is_awaited_and_followed_by_a_full_save() {
     let mut standing = StorageHealth::new(0);
     standing.start_full_save();
     standing.on_saved(MS);
--- a/crates/control/control-node/tests/alone.rs
+++ b/crates/control/control-node/tests/alone.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn each_call_is_answered_at_once_or_in_time_and_nothing_is_confirmed() {
+fn isolated_node_answers_every_call_in_time_and_acknowledges_nothing() {
     let mut p = prompter();
     run(&mut p, 0, 100 * MS);
     let fact = Heartbeat { instance: "i".into(), address: "a:1".into(), sequence: 1, ..Heartbeat::default() };
@@ -67,7 +67,7 @@
 
 /// A leader tells it that it is in touch until 3 s; the backend has beat last 1.4 s before, here, and elsewhere from then on.
 #[test]
-fn it_ends_no_backend() {
+fn isolated_node_expires_no_backend() {
     let mut p = prompter();
     run(&mut p, 0, 100 * MS);
     let leader = NodeId { name: "10.0.0.2".into(), disk_id: 2 };
@@ -106,7 +106,7 @@
 
 /// All seeds of its settings file are gone; its log names those who vote.
 #[test]
-fn it_knows_the_voters_of_its_log() {
+fn node_knows_the_voters_of_its_log() {
     let mut stored = PersistedState { term: 3, ..PersistedState::default() };
     stored.snapshot.index = 4;
     stored.snapshot.term = 3;
@@ -127,7 +127,7 @@
 
 /// Callers that come and go at once leave calls behind, which wait for their time.
 #[test]
-fn what_waits_is_bounded_and_one_more_is_told_at_once() {
+fn pending_calls_are_bounded() {
     let mut p = prompter();
     run(&mut p, 0, 100 * MS);
     let members = [("10.0.0.1".to_string(), 1)].into();
--- a/crates/control/control-plane/src/control.rs
+++ b/crates/control/control-plane/src/control.rs
@@ -253,7 +253,7 @@
     fn answer(&self, said: Option<Said>, path: &str) -> Reply {
         match said {
             Some(Said::Acknowledged) => json(StatusCode::OK, "{}"),
-            Some(Said::Invalid(why)) => error_reply(StatusCode::BAD_REQUEST, &why),
+            Some(Said::Invalid(why)) => error_reply(StatusCode::BAD_REQUEST, &why.to_string()),
             Some(Said::Conflict { current }) => {
                 error_reply(StatusCode::PRECONDITION_FAILED, &format!("{current:08x} stands"))
             }
--- a/crates/control/control-plane/src/disk/golden_tests.rs
+++ b/crates/control/control-plane/src/disk/golden_tests.rs
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn a_folder_of_the_version_before_is_opened_with_all_that_it_held() {
+fn directory_of_the_previous_version_is_opened_with_all_it_held() {
     if std::env::var_os(RECORD_VARIABLE).is_some() && !recorded().exists() {
         std::fs::create_dir_all(recorded()).unwrap();
         write(&recorded());
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn the_same_state_is_written_as_the_same_rows_and_files() {
+fn state_is_written_as_the_same_rows_and_files_as_before() {
     let mut golden = Golden::open("stored-rows");
     let path = scratch("written");
     write(&path);
--- a/crates/control/control-plane/src/disk/tests.rs
+++ b/crates/control/control-plane/src/disk/tests.rs
@@ -181,7 +181,7 @@
 
 /// Power is lost, or the process is killed, at each operation that writes: no voter ever finds less than it has saved.
 #[test]
-fn whenever_it_is_cut_short_what_was_saved_is_found_under_the_same_id() {
+fn crash_at_any_operation_keeps_saved_state_and_disk_id() {
     let whole = {
         let disk = FakeDisk::default();
         play(&disk, &mut Seen::default(), 1, 10);
@@ -218,7 +218,7 @@
 
 /// A disk that takes nothing for a while, and forgets what it was to sync: what is saved afterwards is found, whatever happens then.
 #[test]
-fn a_disk_that_was_full_holds_all_again_and_forgets_nothing() {
+fn disk_that_was_full_holds_everything_again() {
     for seed in 0..24 {
         let (disk, mut seen) = (FakeDisk::default(), Seen::default());
         let (mut storage, held) = open(&disk);
@@ -254,7 +254,7 @@
 
 /// A save is refused, and so is something of the whole that is to make up for it, at each operation of both: the process is killed then.
 #[test]
-fn a_save_that_was_refused_may_be_found_whole_and_is_never_found_in_part() {
+fn failed_save_is_found_whole_or_not_at_all() {
     for first in 0..12 {
         for second in 0..16 {
             let (disk, mut seen) = (FakeDisk::default(), Seen::default());
@@ -293,7 +293,7 @@
 
 /// Changes without end: what stands on the disk is bounded, and a configuration is written once.
 #[test]
-fn a_thousand_changes_take_no_more_room_than_ten() {
+fn thousand_changes_take_no_more_disk_than_ten() {
     let disk = FakeDisk::default();
     let (mut storage, held) = open(&disk);
     let (mut core, mut book) = (sole(held.disk_id), ControlState::new());
@@ -336,7 +336,7 @@
         match output {
             Output::Persist(save) => saves.push(save),
             Output::Apply { index: place, command: word, .. } => {
-                drop(book.apply(place, &Command::decode(&word).unwrap()))
+                _ = book.apply(place, &Command::decode(&word).unwrap())
             }
             _ => {}
         }
@@ -350,7 +350,7 @@
 /// The longest configurations, one after the other, with a disk that fails between them: each is taken, within the bound. Without folding
 /// the sixth is refused, nothing of the five is lost, and the bound holds.
 #[test]
-fn the_longest_configurations_stay_within_the_bound() {
+fn longest_configurations_stay_within_the_disk_bound() {
     let disk = FakeDisk::default();
     let (mut storage, held) = open(&disk);
     let (mut core, mut book) = (sole(held.disk_id), ControlState::new());
@@ -377,7 +377,7 @@
 
 /// Whatever the file is: one that makes no sense, half of one, another's. A lost disk, one line, no panic.
 #[test]
-fn what_makes_no_sense_is_a_lost_disk_and_stays_to_be_looked_at() {
+fn damaged_generation_counts_as_a_lost_disk_and_is_kept() {
     let disk = FakeDisk::default();
     let (mut storage, held) = open(&disk);
     let mut follower = Follower::new(held, 3);
@@ -430,7 +430,7 @@
 /// A generation that something rests on comes to make no sense, and power is lost: the one before it, which is older, never comes back
 /// in its place.
 #[test]
-fn one_that_is_spoilt_later_is_a_lost_disk_and_not_the_one_before() {
+fn corrupted_generation_counts_as_a_lost_disk() {
     let disk = FakeDisk::default();
     for seed in 0..8 {
         let (mut storage, held) = open(&disk);
@@ -451,7 +451,7 @@
 
 /// The lives that were kept are there again, whichever of the two files was being written.
 #[test]
-fn the_cell_is_kept_by_turns() {
+fn registry_file_alternates_between_two_files() {
     let disk = FakeDisk::default();
     let (mut storage, held) = open(&disk);
     assert!(held.heartbeats.is_empty());
@@ -472,7 +472,7 @@
 
 /// The folder of the system's, and one of an earlier form beside it.
 #[tokio::test]
-async fn a_folder_is_read_again_and_an_earlier_form_is_a_lost_disk() {
+async fn directory_is_reopened_and_a_legacy_store_counts_as_a_lost_disk() {
     let folder = std::env::temp_dir().join(format!("prompter-disk-{}", std::process::id()));
     // Of an earlier run.
     let _ = std::fs::remove_dir_all(&folder);
--- a/crates/control/control-plane/src/driver.rs
+++ b/crates/control/control-plane/src/driver.rs
@@ -5,6 +5,7 @@
 mod tests;
 
 use crate::disk::{Completion, StorageError, StorageHandle};
+use configuration::ConfigurationError;
 use control_node::{ControlNode, Effect, Reply, Time};
 use control_state::DeclaredVersions;
 use messages::message::{ControlMessage, GatewayUpdate};
@@ -21,7 +22,7 @@
 const MAX_INLINE_VALIDATION_BYTES: usize = 64 << 10;
 
 /// Whether a configuration is sound, and what it builds on.
-pub type Validate = Arc<dyn Fn(&[u8]) -> Result<DeclaredVersions, String> + Send + Sync>;
+pub type Validate = Arc<dyn Fn(&[u8]) -> Result<DeclaredVersions, ConfigurationError> + Send + Sync>;
 
 /// Where what is handed to a gateway goes, and that there may be a part for it.
 pub struct GatewayLink {
--- a/crates/control/control-plane/src/driver/tests.rs
+++ b/crates/control/control-plane/src/driver/tests.rs
@@ -37,10 +37,11 @@
     body
 }
 
-fn check(body: &[u8]) -> Result<DeclaredVersions, String> {
+fn check(body: &[u8]) -> Result<DeclaredVersions, ConfigurationError> {
     let number = |at: usize| body.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
     let read = number(0).zip(number(4));
-    read.map(|(base, version)| DeclaredVersions { base, version }).ok_or("too short".into())
+    read.map(|(base, version)| DeclaredVersions { base, version })
+        .ok_or_else(|| ConfigurationError::Malformed("too short".into()))
 }
 
 impl Three {
@@ -216,18 +217,18 @@
 }
 
 #[tokio::test]
-async fn a_full_disk_at_the_leader_hands_its_duty_on_and_ends_nothing() {
+async fn full_disk_of_the_leader_transfers_leadership() {
     local(without_the_leaders_disk(DiskBehaviour::Full)).await;
 }
 
 #[tokio::test]
-async fn a_disk_that_does_not_answer_at_the_leader_hands_its_duty_on() {
+async fn stalled_disk_of_the_leader_transfers_leadership() {
     local(without_the_leaders_disk(DiskBehaviour::Stalled)).await;
 }
 
 /// All disks are full at once, as with one log on all of them: nothing is taken, nothing ends, and it goes on when they work.
 #[tokio::test]
-async fn all_disks_full_at_once_end_nothing_and_lose_nothing() {
+async fn all_disks_full_at_once_lose_nothing() {
     local(async {
         let mut three = Three::new().await;
         three.change(1, 9000).await;
@@ -263,7 +264,7 @@
 
 /// A member that was away for hundreds of changes, and is started anew: it has the state at once, and whoever leads then, leads with it.
 #[tokio::test]
-async fn a_member_that_returns_after_hundreds_of_changes_catches_up_and_leads_with_the_newest() {
+async fn node_returning_after_hundreds_of_changes_catches_up_and_leads() {
     local(async {
         let mut three = Three::new().await;
         three.take(&Command::Drain { instance: "i-1".into() }, |b| b.is_draining("i-1")).await;
--- a/crates/control/control-plane/src/main.rs
+++ b/crates/control/control-plane/src/main.rs
@@ -136,7 +136,6 @@
     Arc::new(move |body| {
         let read = checker.get_or_init(Validator::default).validate(body);
         read.map(|c| DeclaredVersions { base: c.base_version, version: c.config_version })
-            .map_err(|f| f.to_string())
     })
 }
 
--- a/crates/control/control-plane/tests/wire/followers.rs
+++ b/crates/control/control-plane/tests/wire/followers.rs
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn a_gateway_is_told_what_it_lacks_and_hears_when_that_is_not_proven_any_more() {
+async fn gateway_gets_missed_changes_and_learns_when_contact_is_lost() {
     let mut core = Core::open(3);
     let bodies: Vec<Vec<u8>> = [(0, 3), (3, 4), (4, 5)]
         .into_iter()
--- a/crates/control/control-plane/tests/wire/orders.rs
+++ b/crates/control/control-plane/tests/wire/orders.rs
@@ -7,7 +7,7 @@
 use std::time::Instant;
 
 #[test]
-fn one_of_eight_on_one_base_is_confirmed_and_what_was_taken_is_never_refused() {
+fn one_of_eight_changes_on_one_base_is_acknowledged() {
     let core = Core::open(1);
     let first = configuration(0, 3, "first", 3);
     assert_eq!(core.order(0, &first), 200);
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn who_has_lost_the_others_says_neither_yes_nor_no_and_whose_answer_was_lost_hears_it_later() {
+fn isolated_node_neither_acknowledges_nor_refuses_changes() {
     let mut core = Core::open(3);
     let first = configuration(0, 3, "first", 3);
     assert_eq!(core.order(0, &first), 200);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn what_lay_in_a_leader_that_stood_still_is_not_confirmed_on_an_old_base() {
+fn frozen_leader_acknowledges_nothing_on_an_old_base() {
     let core = Core::open(3);
     let first = configuration(0, 3, "first", 3);
     assert_eq!(core.order(0, &first), 200);
--- a/crates/control/control-state/tests/orders.rs
+++ b/crates/control/control-state/tests/change_decisions.rs
@@ -1,7 +1,9 @@
 //! What becomes of an operator's order: the order of the questions, and what is known again for how long.
 
+use configuration::ConfigurationError;
 use control_state::{
-    decide_change, Applied, Command, ControlState, Decision, DeclaredVersions, MAX_APPLIED_VERSIONS,
+    decide_change, Applied, Command, ControlState, Decision, DeclaredVersions, InvalidChange,
+    MAX_APPLIED_VERSIONS,
 };
 
 fn body(base: u32, version: u32, by: &str) -> Vec<u8> {
@@ -9,14 +11,14 @@
 }
 
 /// Reads what [`body`] wrote; what "nobody" wrote is not sound.
-fn read(body: &[u8]) -> Result<DeclaredVersions, String> {
-    let text = std::str::from_utf8(body).map_err(|e| e.to_string())?;
+fn read(body: &[u8]) -> Result<DeclaredVersions, ConfigurationError> {
+    let text = std::str::from_utf8(body).map_err(|e| ConfigurationError::Malformed(e.to_string()))?;
     let words: Vec<&str> = text.split(' ').collect();
     match words[..] {
         [base, version, by] if by != "nobody" => {
             Ok(DeclaredVersions { base: base.parse().unwrap(), version: version.parse().unwrap() })
         }
-        _ => Err("not sound".into()),
+        _ => Err(ConfigurationError::Malformed("not sound".into())),
     }
 }
 
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn of_two_operators_with_one_number_on_one_base_one_is_confirmed_also_when_both_are_under_way() {
+fn one_of_two_concurrent_changes_of_one_version_is_acknowledged() {
     let mut book = ControlState::new();
     taken(&mut book, 1, 0, 3, "first");
     // Both were decided on before either was agreed on, by two who each held the duty once.
@@ -54,7 +56,7 @@
 }
 
 #[test]
-fn an_order_that_was_proposed_twice_is_taken_once_and_confirmed_twice() {
+fn change_proposed_twice_is_applied_once_and_acknowledged_twice() {
     let mut book = ControlState::new();
     let order = body(0, 3, "one");
     let (first, again) = (asked(&book, &order), asked(&book, &order));
@@ -66,21 +68,22 @@
 }
 
 #[test]
-fn what_was_taken_is_confirmed_again_whatever_a_later_version_thinks_of_it() {
+fn applied_change_is_acknowledged_again_even_if_now_invalid() {
     let mut book = ControlState::new();
     let order = taken(&mut book, 1, 0, 3, "one");
-    let stricter = |_: &[u8]| Err("not sound any more".to_string());
+    let error = ConfigurationError::Malformed("not sound any more".into());
+    let stricter = |_: &[u8]| Err(error.clone());
     assert_eq!(decide_change(&book, &order, stricter), Decision::Acknowledged);
     taken(&mut book, 2, 3, 4, "two");
     assert_eq!(decide_change(&book, &order, stricter), Decision::Acknowledged, "behind another one, too");
     assert_eq!(
         decide_change(&book, &body(4, 5, "new"), stricter),
-        Decision::Invalid("not sound any more".into())
+        Decision::Invalid(InvalidChange::Configuration(error.clone()))
     );
 }
 
 #[test]
-fn the_refusals_in_their_order() {
+fn refusals_are_checked_in_order() {
     let mut book = ControlState::new();
     taken(&mut book, 1, 0, 3, "one");
     taken(&mut book, 2, 3, 7, "two");
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn two_days_of_changes_are_known_again_and_older_ones_are_left_without_an_answer() {
+fn digests_cover_two_days_and_older_changes_are_unknown() {
     let mut book = ControlState::new();
     let last = MAX_APPLIED_VERSIONS as u32 + 100;
     let mut orders = Vec::new();
--- a/crates/control/control-state/tests/parcels.rs
+++ b/crates/control/control-state/tests/configuration_transfer.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_change_of_one_route_of_3000_goes_out_as_some_hundred_bytes() {
+fn change_of_one_route_of_3000_is_sent_as_a_few_hundred_bytes() {
     let (old, new) = (body(1, 3000, 9999), body(2, 3000, 1700));
     let difference = Delta::between(&old, &new);
     assert_eq!(difference.apply(&old, 1 << 20), Some(new.clone()));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn any_two_lead_to_each_other() {
+fn delta_between_any_two_bodies_applies() {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut text =
         |most: usize| -> Vec<u8> { (0..rng.usize(..most)).map(|_| b"{}{}aab,"[rng.usize(..8)]).collect() };
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_follower_gets_the_whole_once_and_then_what_it_lacks() {
+fn gateway_gets_the_whole_once_and_then_deltas() {
     let mut steps = DeltaHistory::default();
     let mut newest = configuration(1, body(1, 3000, 0));
     let mut links: Vec<Link> = (0..3).map(|_| Link::default()).collect();
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn who_holds_other_bytes_under_a_place_is_told_the_whole() {
+fn gateway_with_other_bytes_gets_the_whole() {
     let mut steps = DeltaHistory::default();
     let (one, two) = (configuration(1, body(1, 300, 0)), configuration(2, body(2, 300, 7)));
     steps.record(&one, &two);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_prompter_that_is_behind_tells_its_follower_nothing() {
+fn control_node_that_lags_claims_no_contact() {
     let newest = configuration(5, body(5, 3, 0));
     let mut sender = ConfigurationSender::new(9);
     assert_eq!(sender.next_chunk(&DeltaHistory::default(), Some(&newest)), None);
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_slow_link_is_never_filled_and_changes_that_come_meanwhile_are_not_lost() {
+fn slow_link_is_never_filled_and_later_changes_are_not_lost() {
     let mut steps = DeltaHistory::default();
     let mut newest = configuration(1, body(1, 3000, 0));
     let (mut link, mut queue, mut sent) = (Link::default(), std::collections::VecDeque::new(), 0usize);
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded_and_who_is_further_behind_gets_the_whole() {
+fn delta_history_is_bounded_and_laggards_get_the_whole() {
     let mut steps = DeltaHistory::default();
     let mut newest = configuration(1, body(1, 300, 0));
     let mut link = Link::default();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn parts_that_belong_to_nothing_end_the_link() {
+fn invalid_chunks_end_the_connection() {
     let newest = configuration(1, body(1, 300, 0));
     let part = |sender: &mut ConfigurationSender| {
         sender.next_chunk(&DeltaHistory::default(), Some(&newest)).unwrap()
--- a/crates/control/control-state/tests/changes.rs
+++ b/crates/control/control-state/tests/deltas.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_change_comes_to_the_same_book_as_the_whole_with_far_fewer_bytes() {
+fn delta_yields_the_same_state_as_the_whole_configuration() {
     let (mut one, mut other) = books();
     let mut base = 3;
     for (place, version) in (2..).zip([4, 7, 8, 20]) {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn of_two_changes_of_one_base_the_second_changes_nothing_nor_does_one_that_does_not_fit() {
+fn second_delta_on_one_base_and_unfit_delta_conflict() {
     let (_, mut book) = books();
     let change = |version: u32, moved| whole(3, version, &body(version, 3000, moved)).as_delta(&book);
     let (first, second) = (change(5, 1), change(5, 2));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_is_short_or_wholly_new_stands_whole() {
+fn short_or_wholly_new_configuration_is_no_delta() {
     let (_, book) = books();
     let new: Vec<u8> = body(5, 3000, 0).iter().map(|b| if *b == b'p' { b'q' } else { *b }).collect();
     let word = whole(3, 5, &new);
--- a/crates/control/control-state/tests/gateways.rs
+++ b/crates/control/control-state/tests/gateways.rs
@@ -3,7 +3,7 @@
 use control_state::{Applied, Command, ControlState};
 
 #[test]
-fn beyond_the_most_nothing_is_asked_for_again_and_again() {
+fn gateways_beyond_the_maximum_are_not_added() {
     let mut book = ControlState::new();
     let mut place = 0;
     while book.can_add_gateway(&format!("edge-{place}")) {
--- a/crates/data/data-plane/src/house.rs
+++ b/crates/data/data-plane/src/house.rs
@@ -167,7 +167,7 @@
     }
 
     #[test]
-    fn further_tries_need_the_budget_also_where_a_backend_turned_the_request_away() {
+    fn retries_need_the_budget_also_after_a_rejection() {
         let mut h = house(Effect::Safe, 3);
         let sent = asked(&mut h, 1);
         let refused = ended(&mut h, &sent, 0, Ending::Full);
@@ -186,7 +186,7 @@
     }
 
     #[test]
-    fn a_connection_that_never_came_up_costs_nothing_and_a_route_bounds_what_arrives() {
+    fn failed_connection_is_no_attempt_and_max_attempts_bounds_arrivals() {
         let mut h = house(Effect::Safe, 1);
         for id in 10..40 {
             let sent = asked(&mut h, id);
@@ -200,7 +200,7 @@
     }
 
     #[test]
-    fn what_may_have_run_and_cannot_be_repeated_fails_and_costs_no_try() {
+    fn unsafe_attempt_that_may_have_run_fails_without_a_retry() {
         let mut h = house(Effect::Unsafe, 3);
         let sent = asked(&mut h, 1);
         let end = ended(&mut h, &sent, 0, Ending::Cut);
--- a/crates/data/data-plane/src/pools/tests.rs
+++ b/crates/data/data-plane/src/pools/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn no_request_ever_shares_a_pool_with_a_backend_of_another_service() {
+fn services_never_share_a_pool() {
     let mut pools = Pools::default();
     let names: Vec<String> = (0..200).map(|n| format!("service-{n}")).collect();
     // Backends and requests are heard of in any order.
--- a/crates/data/data-plane/src/sorts/tests.rs
+++ b/crates/data/data-plane/src/sorts/tests.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_request_that_may_run_once_is_never_taken_for_one_that_may_run_again() {
+fn unsafe_request_never_gets_a_safe_class() {
     let mut sorts = RequestClasses::new();
     for n in 0..1000 {
         let (safe, once) =
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_place_keeps_what_a_rule_rests_on_for_requests_that_are_in_hand() {
+fn class_index_keeps_its_fixed_terms_for_requests_in_flight() {
     let mut sorts = RequestClasses::new();
     let mut before: Vec<(RouteKind, u32)> = Vec::new();
     for n in 0..500u32 {
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn where_there_is_no_room_the_nearest_place_allows_no_more_than_the_route() {
+fn full_class_table_uses_the_nearest_stricter_class() {
     let mut sorts = RequestClasses::new();
     let safe: Vec<Route> =
         (0..200).map(|n| route(RouteKind::Safe, 1000.0 + 10.0 * f64::from(n), 2)).collect();
--- a/crates/data/data-plane/src/wire.rs
+++ b/crates/data/data-plane/src/wire.rs
@@ -188,7 +188,7 @@
     }
 
     #[test]
-    fn only_what_says_so_has_not_run_and_no_other_status_promises_it() {
+    fn only_not_executed_and_421_promise_that_nothing_ran() {
         let said = |status, headers: &[(&'static str, &'static str)]| interpret(&head(status, headers));
         assert_eq!(said(200, &[("server-seal", "x")]), AnswerMeaning::Success);
         assert_eq!(said(200, &[]), AnswerMeaning::Invalid, "no seal");
@@ -205,7 +205,7 @@
     }
 
     #[test]
-    fn only_the_echoed_id_is_ours() {
+    fn only_an_echoed_attempt_id_matches() {
         let id = HeaderValue::from_static("9c41");
         let echoed =
             |status, headers: &[(&'static str, &'static str)]| echo(Some(&id), &head(status, headers));
@@ -219,14 +219,14 @@
     }
 
     #[test]
-    fn an_idle_time_is_read_as_it_is_stated() {
+    fn keep_alive_timeout_is_parsed() {
         let told = |text| keep_alive_timeout(&head(200, &[("keep-alive", text)]));
         assert_eq!(told("timeout=5, max=100"), Some(Duration::from_secs(5)));
         assert_eq!((told("max=100"), told("timeout=x")), (None, None));
     }
 
     #[test]
-    fn what_concerns_one_connection_goes_no_further() {
+    fn hop_by_hop_headers_are_stripped() {
         let mut headers =
             head(200, &[("connection", "x-a, close"), ("x-a", "1"), ("x-b", "2"), ("te", "x")]).headers;
         strip_hop_by_hop_headers(&mut headers);
--- a/crates/data/subscription/src/fold/tests.rs
+++ b/crates/data/subscription/src/fold/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn nothing_goes_back_whoever_tells() {
+fn view_never_goes_back() {
     let mut f = View::default();
     assert_eq!(f.replace_configuration(configuration(5)).len(), 1);
     assert_eq!(f.apply_snapshot(0, scene(&[fact("a", 1, false)], true)).len(), 1);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_young_prompter_ends_nobody_at_once() {
+fn incomplete_snapshot_removes_no_backend_at_once() {
     let mut f = View::default();
     f.apply_snapshot(0, scene(&[fact("a", 1, false), fact("b", 1, false)], true));
     assert_eq!(f.apply_snapshot(10, scene(&[fact("b", 2, false)], false)), []);
@@ -51,7 +51,7 @@
 /// `rehearsal`, seed 1031: a gateway that had no link for seven seconds took a backend that lived for over with the first word behind
 /// that, since it had been in doubt for long by then.
 #[test]
-fn who_is_in_doubt_is_so_for_no_longer_while_nobody_tells() {
+fn doubtful_backends_are_not_expired_without_a_connection() {
     let mut f = View::default();
     f.apply_snapshot(0, scene(&[fact("a", 1, false)], true));
     f.apply_snapshot(10, scene(&[], false));
@@ -63,7 +63,7 @@
 /// `rehearsal`, seed 11: a young prompter heard of it by an earlier beat than the one that the gateway knew of, and the gateway took
 /// a backend that lived for over eight seconds later.
 #[test]
-fn whoever_is_named_again_is_in_doubt_no_more_however_old_the_word() {
+fn backend_named_again_is_no_longer_doubtful() {
     let mut f = View::default();
     f.apply_snapshot(0, scene(&[fact("a", 9, false), fact("b", 9, false)], true));
     f.apply_snapshot(10, scene(&[], false));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_gateway_that_lives_for_long_hears_every_drain_and_forgets_those_that_are_over() {
+fn drains_are_remembered_for_known_backends_and_bounded_for_others() {
     let mut f = View::default();
     f.apply_snapshot(0, scene(&[fact("old", 1, false), fact("new", 1, false)], true));
     f.apply_change(FleetChange::BackendDraining("old".into()));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_drain_known_before_its_backend_counts() {
+fn drain_known_before_its_backend_counts() {
     let mut f = View::default();
     assert_eq!(f.apply_change(FleetChange::BackendDraining("a".into())), []);
     assert_eq!(f.apply_change(FleetChange::Backend(fact("a", 1, false))), []);
--- a/crates/data/subscription/tests/follow.rs
+++ b/crates/data/subscription/tests/follow.rs
@@ -47,7 +47,7 @@
 
 /// Seed 591. The second pulse was sent at 200 ms and is read by a gateway that has stood still for twenty seconds.
 #[test]
-fn a_pulse_proves_no_more_than_the_number_that_it_bears() {
+fn heartbeat_proves_no_more_than_its_contact_number() {
     let mut f = follow();
     let first = begin(&mut f, 0, ip(1));
     let number = said(&f.on_update(10 * MS, pulse(first, 5, 0), Vec::new)).expect("a number for the next");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn who_lacks_the_newest_configuration_is_not_fresh() {
+fn gateway_without_the_newest_configuration_is_not_fresh() {
     let mut f = follow();
     let first = begin(&mut f, 1000 * MS, ip(1));
     f.on_update(1010 * MS, pulse(first, 5, 7), Vec::new);
@@ -71,7 +71,7 @@
 
 /// All processes were killed: whoever begins again holds nothing, and no prompter is in contact with a majority yet.
 #[test]
-fn who_holds_nothing_takes_what_is_on_its_way_from_whoever_has_it() {
+fn gateway_without_a_configuration_accepts_one_without_contact() {
     let mut f = follow();
     let first = begin(&mut f, 0, ip(1));
     let body = vec![7; 3 * CHUNK_BYTES];
@@ -100,7 +100,7 @@
 
 /// Seed 11763: a gateway in the middle of a long configuration left for its own zone's prompter, which was cut off, and began anew.
 #[test]
-fn nobody_leaves_for_a_nearer_one_in_the_middle_of_a_configuration() {
+fn subscription_stays_while_a_configuration_is_in_transfer() {
     let mut f = follow();
     let near = |contact| {
         let prompters = vec![(ip(1).to_string(), "z".into()), (ip(2).to_string(), String::new())];
@@ -131,7 +131,7 @@
 
 /// Seed 3471: one that refuses is not dialled again and again while others have not been tried for long.
 #[test]
-fn where_none_answers_each_is_tried_in_turn() {
+fn unreachable_nodes_are_tried_in_turn() {
     let (mut f, seeds) = (follow(), [ip(1), ip(2), ip(3)]);
     let (mut now, mut tried) = (0, Vec::new());
     for _ in 0..40 {
@@ -151,7 +151,7 @@
 
 /// Seed 1543: a gateway was cut off from all; the first that it reaches again is a control machine that is cut off itself.
 #[test]
-fn who_reaches_a_prompter_without_a_majority_tries_those_that_it_could_not_reach_before() {
+fn nodes_that_timed_out_are_retried_when_another_has_no_quorum() {
     let (mut f, seeds) = (follow(), [ip(1), ip(2), ip(3)]);
     let mut now = 0;
     for _ in 0..20 {
--- a/crates/testing/control-sim/src/ledger.rs
+++ b/crates/testing/control-sim/src/ledger.rs
@@ -2,7 +2,7 @@
 
 use crate::rules::Broken;
 use crate::Time;
-use configuration::Version;
+use configuration::{ConfigurationError, Version};
 use control_state::{body_digest, BodyDigest, Command, DeclaredVersions, LogIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -33,10 +33,11 @@
 }
 
 /// What a machine reads in an order.
-pub fn check(body: &[u8]) -> Result<DeclaredVersions, String> {
+pub fn check(body: &[u8]) -> Result<DeclaredVersions, ConfigurationError> {
     let number = |at: usize| body.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
     let read = number(0).zip(number(4));
-    read.map(|(base, version)| DeclaredVersions { base, version }).ok_or_else(|| "it is cut short".into())
+    read.map(|(base, version)| DeclaredVersions { base, version })
+        .ok_or_else(|| ConfigurationError::Malformed("it is cut short".into()))
 }
 
 /// What tells one body from another here.
--- a/crates/testing/control-sim/src/system.rs
+++ b/crates/testing/control-sim/src/system.rs
@@ -8,6 +8,7 @@
 use crate::net::Net;
 use crate::rules::Broken;
 use crate::{Time, MS};
+use configuration::ConfigurationError;
 use consensus::{EntryPayload, MessageBody, NodeId};
 use control_node::{AppliedRecord, ControlNode, Effect, Reply, HELLO_INTERVAL, UPDATE_INTERVAL};
 use control_state::{DeclaredVersions, LogIndex};
@@ -133,7 +134,7 @@
 }
 
 /// What a machine reads a configuration with.
-pub type Check = fn(&[u8]) -> Result<DeclaredVersions, String>;
+pub type Check = fn(&[u8]) -> Result<DeclaredVersions, ConfigurationError>;
 
 pub struct System<E> {
     pub rng: Rng,
