--- /dev/null
+++ b/crates/common/quota/src/quota_coordinator.rs
@@ -0,0 +1,182 @@
+//! The coordinator of all quota: the leader of the control plane, for as long as its lease lasts.
+
+use crate::lease::{LeaseGrant, LeaseRequest};
+use crate::limit::Limit;
+use crate::time::Time;
+use crate::token_bucket::TokenBucket;
+use crate::trial_throttle::{GatewayQueue, TrialThrottle};
+use crate::{FALLBACK_RESERVE_TIMEOUT, PHASE_NOTICE};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What a bucket holds that a new coordinator begins with, as a part of the burst.
+const INITIAL_FILL: f64 = 0.25;
+
+/// How a trial stands.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TrialStatus {
+    /// Whose.
+    pub tenant: String,
+    /// Now.
+    pub throttled: bool,
+    /// In how long that changes, if it is announced.
+    pub changes_in: Option<Time>,
+    /// What gateways said of it.
+    pub gateways: Vec<GatewayQueue>,
+}
+
+/// The coordinator of all quota.
+#[derive(Clone, Debug)]
+pub struct QuotaCoordinator {
+    id: u64,
+    /// Until then grants of the coordinator before may be out.
+    previous_grants_until: Time,
+    buckets: BTreeMap<String, TokenBucket>,
+    /// Tenants whose trial has expired, as replicated.
+    expired_trials: BTreeSet<String>,
+    /// When each gateway was last heard.
+    gateways: BTreeMap<String, Option<Time>>,
+}
+
+impl QuotaCoordinator {
+    /// A coordinator that knows nothing of what the one before has granted in the last half second, nor of how full its
+    /// buckets were: they begin at a quarter of their burst, and all gateways count as silent until they are heard. So a
+    /// change of the coordinator adds a quarter of the burst to what may pass. `id`: no two coordinators have the same.
+    pub fn new(
+        now: Time,
+        id: u64,
+        limits: &BTreeMap<String, Limit>,
+        expired_trials: &BTreeSet<String>,
+        gateways: &BTreeSet<String>,
+    ) -> Self {
+        let bucket = |(tenant, limit): (&String, &Limit)| {
+            let mut bucket = TokenBucket::new(now, *limit, INITIAL_FILL * limit.burst);
+            // What the one before announced is not known: throttled, and at full speed once that has been announced.
+            bucket.throttle = limit.after_trial.map(|pace| TrialThrottle::new(now, pace, true));
+            (tenant.clone(), bucket)
+        };
+        let mut coordinator = QuotaCoordinator {
+            id,
+            previous_grants_until: now + PHASE_NOTICE,
+            buckets: limits.iter().map(bucket).collect(),
+            expired_trials: expired_trials.clone(),
+            gateways: gateways.iter().map(|name| (name.clone(), None)).collect(),
+        };
+        coordinator.advance_phases(now);
+        coordinator
+    }
+
+    /// Takes new limits and expired trials. A tenant that was not limited before begins with a whole burst.
+    pub fn set_limits(
+        &mut self,
+        now: Time,
+        limits: &BTreeMap<String, Limit>,
+        expired_trials: &BTreeSet<String>,
+    ) {
+        self.refill(now);
+        self.expired_trials = expired_trials.clone();
+        self.buckets.retain(|tenant, _| limits.contains_key(tenant));
+        for (tenant, limit) in limits {
+            let bucket = self
+                .buckets
+                .entry(tenant.clone())
+                .or_insert_with(|| TokenBucket::new(now, *limit, limit.burst));
+            bucket.limit = *limit;
+            bucket.level = bucket.level.min(limit.burst);
+            match (&mut bucket.throttle, limit.after_trial) {
+                (Some(throttle), Some(pace)) => throttle.pace = pace,
+                (None, Some(pace)) => {
+                    let throttled = now < self.previous_grants_until;
+                    bucket.throttle = Some(TrialThrottle::new(now, pace, throttled));
+                }
+                // A tenant that is throttled stays so until it has been announced that it is no more.
+                (_, None) => {}
+            }
+        }
+        self.advance_phases(now);
+    }
+
+    /// These gateways exist.
+    pub fn add_gateways(&mut self, all: &BTreeSet<String>) {
+        for name in all {
+            self.gateways.entry(name.clone()).or_insert(None);
+        }
+    }
+
+    /// Whether a gateway is known.
+    pub fn knows_gateway(&self, gateway: &str) -> bool {
+        self.gateways.contains_key(gateway)
+    }
+
+    /// The part of all rates that is available: silent gateways may be using their fallback shares.
+    fn available_share(&self, now: Time) -> f64 {
+        let is_silent =
+            |heard: &&Option<Time>| heard.is_none_or(|at| now.saturating_sub(at) >= FALLBACK_RESERVE_TIMEOUT);
+        let all = self.gateways.len().max(1);
+        1.0 - self.gateways.values().filter(is_silent).count() as f64 / all as f64
+    }
+
+    fn refill(&mut self, now: Time) {
+        let share = self.available_share(now);
+        self.buckets.values_mut().for_each(|bucket| bucket.refill(now, share));
+    }
+
+    /// Makes the changes between full speed and throttling that are due.
+    fn advance_phases(&mut self, now: Time) {
+        // Where no gateway has been told anything for so long, none goes by it.
+        let is_silent = |at: &Option<Time>| at.is_none_or(|at| now.saturating_sub(at) >= PHASE_NOTICE);
+        let nobody_was_told = now >= self.previous_grants_until && self.gateways.values().all(is_silent);
+        for (tenant, bucket) in &mut self.buckets {
+            let is_over = bucket.is_trial_over(self.expired_trials.contains(tenant));
+            let has_trial = bucket.limit.after_trial.is_some();
+            let Some(throttle) = &mut bucket.throttle else { continue };
+            if nobody_was_told {
+                (throttle.throttled, throttle.changes_at) = (is_over, None);
+            }
+            throttle.advance(now, is_over);
+            if !has_trial && !throttle.throttled && throttle.changes_at.is_none() {
+                bucket.throttle = None;
+            }
+        }
+    }
+
+    /// Answers a gateway's request. None to a gateway that is not known: its fallback share is not kept back yet.
+    pub fn grant(&mut self, now: Time, gateway: &str, request: &LeaseRequest) -> Option<LeaseGrant> {
+        if !self.knows_gateway(gateway) {
+            return None;
+        }
+        self.refill(now);
+        self.advance_phases(now);
+        self.gateways.insert(gateway.to_string(), Some(now));
+        let mut units = Vec::with_capacity(request.units.len());
+        for wanted in &request.units {
+            units.extend(self.buckets.get_mut(&wanted.tenant).map(|bucket| bucket.grant_units(wanted)));
+        }
+        let share = if now < self.previous_grants_until { 0.0 } else { self.available_share(now) };
+        let turns = request.turns.iter().filter_map(|wanted| {
+            let bucket = self.buckets.get_mut(&wanted.tenant)?;
+            bucket.throttle.as_mut()?.record_queue(now, gateway, wanted);
+            bucket.grant_turns(now, wanted, share)
+        });
+        let turns = turns.collect();
+        let phases = self
+            .buckets
+            .iter()
+            .filter_map(|(tenant, bucket)| Some(bucket.throttle.as_ref()?.announcement(now, tenant)))
+            .collect();
+        Some(LeaseGrant { number: request.number, coordinator: self.id, units, phases, turns })
+    }
+
+    /// How all trials stand.
+    pub fn trial_status(&self, now: Time) -> Vec<TrialStatus> {
+        let status = |(tenant, bucket): (&String, &TokenBucket)| {
+            let throttle = bucket.throttle.as_ref()?;
+            Some(TrialStatus {
+                tenant: tenant.clone(),
+                throttled: throttle.throttled,
+                changes_in: throttle.changes_at.map(|at| at.saturating_sub(now)),
+                gateways: throttle.gateways.values().cloned().collect(),
+            })
+        };
+        self.buckets.iter().filter_map(status).collect()
+    }
+}
