--- a/crates/common/process/src/settings.rs
+++ b/crates/common/process/src/settings.rs
@@ -1,4 +1,8 @@
-//! The settings file that the variable [`VARIABLE`] names.
+//! The settings file that the variable [`PATH_VARIABLE`] names (`DEPLOY.md`, What a process is told). Fields that are not
+//! known are ignored.
+
+#[cfg(test)]
+mod tests;
 
 use displaydoc::Display;
 use serde::Deserialize;
@@ -14,38 +18,49 @@
 
 /// What a process is told.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-#[serde(rename_all = "camelCase")]
 pub struct Settings {
+    /// Who it is.
     #[serde(rename = "ownIdentity")]
     pub identity: Identity,
+    /// Where it and others are.
     #[serde(rename = "networkTerms")]
     pub network: Network,
+    /// What the platform does.
     #[serde(default, rename = "platformTerms")]
     pub platform: Platform,
+    /// What it is held to.
     #[serde(default, rename = "contractTerms")]
     pub contract: Contract,
 }
 
+/// Who a process is.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Identity {
+    /// The machine's name.
     pub node_name: String,
+    /// The machine's address.
     pub ip_address: IpAddr,
+    /// The machine's zone.
     pub zone: String,
-    /// Only at the first start of the whole system.
+    /// This is the first start of the whole system.
     #[serde(default)]
     pub initial_start: bool,
-    /// Where a disk is.
+    /// Where a disk is, if there is one.
     #[serde(default)]
     pub data_directory: Option<PathBuf>,
+    /// What the process may use.
     #[serde(default)]
     pub limits: ResourceLimits,
 }
 
+/// What a process may use.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ResourceLimits {
+    /// In megabytes.
     pub memory_mb: f64,
+    /// Files and sockets.
     pub max_file_descriptors: usize,
 }
 
@@ -55,30 +70,38 @@
     }
 }
 
+/// Where a process and others are.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Network {
-    /// The first and the last.
+    /// The first and the last port that is free for the system's own use.
     pub internal_port_range: (u16, u16),
     /// `controlPlane` addresses of machines that serve it, or served it when the file was written.
     pub seed_nodes: Vec<SocketAddr>,
+    /// Where the process listens.
     pub listen_addresses: ListenAddresses,
     /// Regions by zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
 }
 
+/// Where a process listens, by what it serves.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ListenAddresses {
+    /// Clients.
     pub front_http1: Option<SocketAddr>,
+    /// Readiness checks.
     pub readiness: Option<SocketAddr>,
+    /// Backends and operators.
     pub control_plane: Option<SocketAddr>,
 }
 
+/// What the platform does.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Platform {
+    /// Between two heartbeats of a backend, in milliseconds.
     pub heartbeat_interval_ms: f64,
 }
 
@@ -88,20 +111,23 @@
     }
 }
 
+/// What a process is held to.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Contract {
+    /// The figures of the rules.
     pub bounds: Bounds,
 }
 
-/// Figures of the rules.
+/// The figures of the rules (`RULES.md`) that a process uses.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Bounds {
-    /// From SIGTERM to SIGKILL.
+    /// From SIGTERM to SIGKILL, in seconds.
     pub grace_s: f64,
+    /// How long a draining backend serves on, in milliseconds.
     pub drain_ms: f64,
-    /// Further tries for each request.
+    /// Retries for each request.
     pub retry_budget_ratio: f64,
 }
 
@@ -111,70 +137,82 @@
     }
 }
 
-/// What is wrong with a settings file.
+/// What is wrong with a settings file, in one line. Causes are kept as text.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum SettingsError {
-    /// {0}: {1}
-    Malformed(String, String),
-    /// {0}: at {1}: {2}
-    Schema(String, String, String),
+    /// {file}: {reason}
+    Malformed {
+        /// The file's name.
+        file: String,
+        /// What the system or the parser says.
+        reason: String,
+    },
+    /// {file}: at {path}: {reason}
+    Schema {
+        /// The file's name.
+        file: String,
+        /// JSON pointer to the value.
+        path: String,
+        /// What the schema wants of it.
+        reason: String,
+    },
 }
 
 impl std::error::Error for SettingsError {}
 
-/// The file's path: the variable's, or the usual one.
+/// The file's path: the variable's, or the default.
 pub fn settings_path() -> PathBuf {
     std::env::var_os(PATH_VARIABLE).map_or_else(|| DEFAULT_PATH.into(), PathBuf::from)
 }
 
 impl Settings {
-    /// Reads a file and checks it against its schema.
+    /// Reads a file.
     ///
     /// # Errors
-    /// What is wrong with it, in one line.
+    /// What is wrong with it.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
-        let name = path.display().to_string();
+        let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|e| SettingsError::Malformed(name.clone(), e.to_string()))?;
-        Settings::parse(&name, &text)
+            .map_err(|error| SettingsError::Malformed { file: file.clone(), reason: error.to_string() })?;
+        Settings::parse(&file, &text)
     }
 
-    /// Reads the text of a file of this name. What the types accept is taken as it is; only what they do not is held
-    /// against the schema, which says where the fault is: the schema's library takes 7 MB, more than the rest of a gateway.
+    /// Reads the text of a file of this name.
+    ///
+    /// What the types accept is taken as it is; only what they do not is validated by the schema, which says where the fault
+    /// is: its library takes 7 MB, more than the rest of a gateway.
     ///
     /// # Errors
-    /// What is wrong with it, in one line.
-    pub fn parse(name: &str, text: &str) -> Result<Settings, SettingsError> {
-        let unread = |e: String| SettingsError::Malformed(name.into(), e.trim_end().replace('\n', " "));
+    /// What is wrong with it.
+    pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
         match toml::from_str::<Settings>(text) {
             Ok(settings) => Ok(settings),
-            Err(e) => Settings::validate(name, text).and(Err(unread(e.to_string()))),
+            Err(error) => Settings::validate(file, text).and(Err(malformed(file, &error))),
         }
     }
 
-    /// Holds a file's text against the schema and reads it.
+    /// Validates a file's text by the schema and reads it.
     ///
     /// # Errors
-    /// What is wrong with it, in one line.
-    pub fn validate(name: &str, text: &str) -> Result<Settings, SettingsError> {
-        let unread = |e: String| SettingsError::Malformed(name.into(), e.trim_end().replace('\n', " "));
-        let value: Value = toml::from_str(text).map_err(|e| unread(e.to_string()))?;
-        let schema: Value = serde_json::from_str(SCHEMA).expect("the schema is JSON");
+    /// What is wrong with it.
+    pub fn validate(file: &str, text: &str) -> Result<Settings, SettingsError> {
+        let value: Value = toml::from_str(text).map_err(|error| malformed(file, &error))?;
+        let schema: Value = serde_json::from_str(SCHEMA).expect("the built-in schema is JSON");
         let options = jsonschema::draft7::options();
-        let schema = options.build(&schema).expect("the schema is one");
-        if let Err(e) = schema.validate(&value) {
-            let place = e.instance_path.to_string();
-            return Err(SettingsError::Schema(name.into(), place, e.to_string()));
+        let schema = options.build(&schema).expect("the built-in schema is one");
+        if let Err(error) = schema.validate(&value) {
+            let (path, reason) = (error.instance_path.to_string(), error.to_string());
+            return Err(SettingsError::Schema { file: file.into(), path, reason });
         }
-        serde_json::from_value(value).map_err(|e| unread(e.to_string()))
+        serde_json::from_value(value).map_err(|error| malformed(file, &error))
     }
 
-    /// Where prompters hear each other and their gateways; the same on all machines.
+    /// Where control nodes listen for each other and for gateways; the same on all machines.
     pub fn control_port(&self) -> u16 {
         self.network.internal_port_range.0
     }
 
-    /// Where gateways let others through to their prompter, if the range has room for it.
+    /// Where gateways relay others to their control node, if the range has room for it.
     pub fn relay_port(&self) -> Option<u16> {
         let (first, last) = self.network.internal_port_range;
         (first < last).then(|| first + 1)
@@ -192,54 +230,8 @@
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    const TEXT: &str = r#"
-        [ownIdentity]
-        nodeName = "edge-1"
-        ipAddress = "10.1.0.5"
-        zone = "a"
-        initialStart = true
-        later = 1
-        [ownIdentity.limits]
-        memoryMb = 260
-        maxFileDescriptors = 4100
-        [networkTerms]
-        internalPortRange = [7660, 7675]
-        seedNodes = ["10.1.0.5:8407", "10.2.0.3:8407"]
-        [networkTerms.listenAddresses]
-        controlPlane = "10.1.0.5:8407"
-        [contractTerms.bounds]
-        graceS = 6
-        quotaOvershoot = 0.1
-        [new]
-        x = []
-    "#;
-
-    #[test]
-    fn unknown_settings_are_ignored_and_defaults_apply() {
-        let s = Settings::parse("f", TEXT).unwrap();
-        assert_eq!((s.control_port(), s.seed_addresses().len(), s.identity.initial_start), (7660, 2, true));
-        assert_eq!((s.identity.data_directory, s.contract.bounds.drain_ms), (None, 2500.0));
-    }
-
-    #[test]
-    fn invalid_setting_is_reported_in_one_line_with_its_path() {
-        let line =
-            |from: &str, to: &str| Settings::parse("f", &TEXT.replace(from, to)).unwrap_err().to_string();
-        assert!(line("zone = \"a\"", "").starts_with("f: at /ownIdentity: "));
-        assert!(line("[7660, 7675]", "[7660]").starts_with("f: at /networkTerms/internalPortRange: "));
-        assert!(line("10.2.0.3:8407", "nowhere").starts_with("f: "));
-        let negative = TEXT.replace("graceS = 6", "graceS = -6");
-        assert!(Settings::validate("f", &negative)
-            .unwrap_err()
-            .to_string()
-            .starts_with("f: at /contractTerms/bounds/graceS"));
-        assert_eq!(Settings::validate("f", TEXT), Settings::parse("f", TEXT));
-        for line in [line("zone = \"a\"", "zone ="), line("graceS = 6", "graceS = \"x\"")] {
-            assert!(!line.contains('\n'), "{line:?}");
-        }
-    }
+/// A parser's error in one line.
+fn malformed(file: &str, error: &impl std::fmt::Display) -> SettingsError {
+    let reason = error.to_string().trim_end().replace('\n', " ");
+    SettingsError::Malformed { file: file.into(), reason }
 }
--- a/crates/control/control-node/src/defect.rs
+++ b/crates/control/control-node/src/defect.rs
@@ -1,55 +1,55 @@
-//! Defects to plant, each of which some simulated world must find.
+//! Defects that the simulation plants, each of which some simulated world must find.
 
-/// A way to get a prompter wrong.
+/// A way to get a control node wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Messages go out before what they rest on is on the disk.
+    /// Messages are sent before what they rest on is durable.
     SendBeforeSync,
-    /// Whoever leads answers reads without asking anybody.
+    /// The leader answers reads without a heartbeat round.
     ReadWithoutQuorum,
     /// A change is acknowledged when it is proposed.
     AcknowledgeBeforeCommit,
-    /// The leader lends for a second beyond its lease.
+    /// The leader grants quota for a second beyond its lease.
     LeasePastItsEnd,
-    /// Two changes on one base are both taken.
+    /// Two changes on one base are both applied.
     BaseIgnored,
-    /// A drain is acknowledged before it is agreed on.
+    /// A drain is acknowledged before it is committed.
     DrainForgotten,
-    /// A prompter that begins again votes at once, though it may have promised not to.
+    /// A restarted node votes at once, though it may have heard a leader just before.
     VoteRightAfterRestart,
-    /// The keeper lends the even parts of those that it does not hear.
+    /// The coordinator grants the fallback shares of gateways that it does not hear.
     FallbackSharesGranted,
-    /// A trial is over when the leader's own clock says so.
+    /// A trial expires when the leader's own clock says so.
     LeadersClockAlone,
-    /// A new keeper does not know whose trial is over.
+    /// A new coordinator does not know whose trial has expired.
     ExpiredTrialsForgotten,
-    /// A prompter that has lost the majority goes on telling gateways that it is in touch.
+    /// A node that has lost the majority goes on telling gateways that it is in contact.
     ClaimsQuorumContact,
-    /// To have heard the leader is taken for contact with a majority.
+    /// A heartbeat of the leader counts as contact with a majority.
     HeartbeatCountsAsContact,
-    /// What rests on a save is said though the disk refused it.
+    /// What rests on a save is sent though the save failed.
     SendWithoutStorage,
-    /// Whoever is asked decides on an order by what it knows itself, without asking a majority.
+    /// Any node decides on a change by what it knows itself, without asking a majority.
     DecideWithoutQuorum,
-    /// Only the newest order is known again when it is sent again.
+    /// Only the newest change is recognised when it is sent again.
     AppliedChangeForgotten,
-    /// An order with a number that was taken is confirmed, whatever its bytes.
+    /// A change of an applied version is acknowledged, whatever its bytes.
     VersionAloneAcknowledged,
-    /// The base is looked at before whether that very order was taken.
+    /// The base is checked before whether that very change was applied.
     BaseCheckedFirst,
-    /// The snapshot knows the newest order alone.
+    /// A snapshot holds the newest applied version alone.
     SnapshotForgetsVersions,
-    /// The log is folded, and the state stays the old one.
+    /// The log is compacted, and the snapshot holds the old state.
     StaleSnapshotState,
-    /// A prompter that was cut off ends the backends that it did not hear.
+    /// A node that was isolated expires the backends that it did not hear.
     IsolatedNodeExpiresBackends,
-    /// A backend that others name by its id alone is not asked for where it is not known.
+    /// Heartbeats of unknown backends that others name by id alone are not asked for.
     UnknownInstancesIgnored,
-    /// A scene does not name those who leave.
+    /// A snapshot for gateways does not name draining backends.
     SnapshotForgetsDrains,
-    /// A pulse does not say that there is a newer configuration, which is still on its way.
+    /// A heartbeat to gateways does not say that a newer configuration is on its way.
     HeartbeatHidesNewest,
-    /// Nobody who is not among the first voters ever votes.
+    /// No node but the first voters ever becomes one.
     LearnerNeverVotes,
 }
 
@@ -83,13 +83,3 @@
         Defect::LearnerNeverVotes,
     ];
 }
-
-impl crate::ControlNode {
-    /// Whether this defect was planted; never in what ships.
-    pub(crate) fn has(&self, _defect: Defect) -> bool {
-        #[cfg(feature = "simulation")]
-        return self.defect == Some(_defect);
-        #[cfg(not(feature = "simulation"))]
-        false
-    }
-}
--- a/crates/control/control-node/src/drains.rs
+++ b/crates/control/control-node/src/drains.rs
@@ -1,46 +1,46 @@
-//! Backends that leave: told to one prompter, agreed on by a majority before it is acknowledged.
+//! Backends that drain: told to one node, committed before it is acknowledged.
 
-use crate::orders::{CALL_TIMEOUT, MAX_PENDING_CALLS};
-use crate::{ControlNode, Defect, Effect, Reply, Time, MS};
+use crate::configuration_changes::{CALL_TIMEOUT, MAX_PENDING_CALLS};
+use crate::effect::{Effect, Reply};
+use crate::{ControlNode, Defect, Time, MS};
 use consensus::Input;
 use control_state::Command;
-use messages::message::ControlMessage;
+use messages::ControlMessage;
 
-/// Something that was passed on to the leader is passed on again after so long.
+/// What was passed on to the leader is passed on again after so long.
 const RETRY_INTERVAL: Time = 150 * MS;
 
-/// A call that waits until it is agreed on that its backend leaves.
+/// A call that waits until it is committed that its backend drains.
 #[derive(Debug)]
 pub(crate) struct PendingDrain {
     call: u64,
     instance: String,
-    /// Its life is over with it.
+    /// The backend ends with it.
     deregisters: bool,
     deadline: Time,
     next_attempt: Time,
 }
 
 impl ControlNode {
-    /// A backend says that its life is over.
+    /// A backend ends.
     pub fn deregister(&mut self, now: Time, call: u64, instance: &str) {
         self.now = now;
         self.start_drain(call, instance, true);
     }
 
-    /// Has it agreed on that this backend leaves, and answers then, or in time that nobody can say.
-    pub(crate) fn start_drain(&mut self, call: u64, instance: &str, ends: bool) {
-        let again = self.now;
+    /// Has it committed that this backend drains, and replies then, or in time that this node cannot say.
+    pub(crate) fn start_drain(&mut self, call: u64, instance: &str, deregisters: bool) {
         let drain = PendingDrain {
             call,
             instance: instance.into(),
-            deregisters: ends,
+            deregisters,
             deadline: self.now + CALL_TIMEOUT,
-            next_attempt: again,
+            next_attempt: self.now,
         };
-        if self.state.is_draining(instance) || self.has(Defect::DrainForgotten) {
+        if self.state.is_draining(instance) || self.has_defect(Defect::DrainForgotten) {
             return self.complete_drain(drain);
         }
-        // Who is cut off has nobody to agree with: the next gateway is called at once.
+        // A node that is cut off can have nothing committed: the backend calls another gateway at once.
         if !self.has_quorum_contact() || self.drains.len() >= MAX_PENDING_CALLS {
             return self.effects.push(Effect::Reply { call, reply: Reply::Unavailable });
         }
@@ -51,47 +51,48 @@
     fn complete_drain(&mut self, drain: PendingDrain) {
         if drain.deregisters {
             self.remove_backend(&drain.instance);
-            self.effects.push(Effect::Broadcast {
-                message: ControlMessage::Deregistered { instance: drain.instance },
-            });
+            let message = ControlMessage::Deregistered { instance: drain.instance };
+            self.effects.push(Effect::Broadcast { message });
         }
         self.effects.push(Effect::Reply { call: drain.call, reply: Reply::Acknowledged });
     }
 
     pub(crate) fn next_drain_due(&self) -> Time {
-        self.drains.iter().map(|d| d.deadline.min(d.next_attempt)).min().unwrap_or(Time::MAX)
+        let due = self.drains.iter().map(|drain| drain.deadline.min(drain.next_attempt));
+        due.min().unwrap_or(Time::MAX)
     }
 
-    /// Passes them on, again and again; ends those that have waited for long enough.
+    /// Passes drains on to the leader, again and again; ends calls that have waited for too long.
     pub(crate) fn retry_drains(&mut self) {
         let now = self.now;
         let (late, mut drains): (Vec<PendingDrain>, Vec<PendingDrain>) =
-            std::mem::take(&mut self.drains).into_iter().partition(|d| d.deadline <= now);
+            std::mem::take(&mut self.drains).into_iter().partition(|drain| drain.deadline <= now);
         for drain in late {
             self.effects.push(Effect::Reply { call: drain.call, reply: Reply::Unavailable });
         }
-        for drain in drains.iter_mut().filter(|d| d.next_attempt <= now) {
+        for drain in drains.iter_mut().filter(|drain| drain.next_attempt <= now) {
             drain.next_attempt = now + RETRY_INTERVAL;
-            self.propose_to_leader(Command::Drain { instance: drain.instance.clone() }.encode());
+            self.propose_to_leader(&Command::Drain { instance: drain.instance.clone() });
         }
         self.drains = drains;
     }
 
-    /// What was waited for may have been agreed on.
+    /// Replies to calls whose drains are committed.
     pub(crate) fn complete_committed_drains(&mut self) {
-        let book = &self.state;
-        let (done, drains): (Vec<PendingDrain>, Vec<PendingDrain>) =
-            std::mem::take(&mut self.drains).into_iter().partition(|d| book.is_draining(&d.instance));
+        let state = &self.state;
+        let (committed, drains): (Vec<PendingDrain>, Vec<PendingDrain>) =
+            std::mem::take(&mut self.drains).into_iter().partition(|d| state.is_draining(&d.instance));
         self.drains = drains;
-        done.into_iter().for_each(|drain| self.complete_drain(drain));
+        committed.into_iter().for_each(|drain| self.complete_drain(drain));
     }
 
-    /// Has the leader propose something. It may be lost.
-    pub(crate) fn propose_to_leader(&mut self, word: Vec<u8>) {
+    /// Has the leader propose a command. It may be lost.
+    pub(crate) fn propose_to_leader(&mut self, command: &Command) {
+        let command = command.encode();
         if self.leadership.is_leader {
-            self.enqueue(Input::Propose { tag: 0, command: word });
-        } else if let Some(leader) = self.leadership.leader.as_ref().map(|l| l.name.clone()) {
-            self.send_to(&leader, ControlMessage::Propose { command: word });
+            self.enqueue(Input::Propose { tag: 0, command });
+        } else if let Some(leader) = self.leadership.leader.as_ref().map(|leader| leader.name.clone()) {
+            self.send_to(&leader, ControlMessage::Propose { command });
         }
     }
 }
--- a/crates/control/control-node/src/standing.rs
+++ b/crates/control/control-node/src/storage_health.rs
@@ -1,50 +1,57 @@
-//! How the disk stands, and what that asks for: when the agreement goes on without it, when it is tried again, when all is saved
-//! again. No I/O.
+//! How storage stands, and what that asks for: when consensus goes on without it, when it is retried, when everything is
+//! saved again. No I/O.
 
 #[cfg(test)]
 mod tests;
 
-use consensus::Time;
+use crate::{Time, MS};
 
-const MS: Time = 1_000_000;
-/// The agreement waits so long for a save. Less than the others wait for a leader that is silent, [`consensus::PATIENCE`].
-pub const SAVE_TIMEOUT: Time = 400 * MS;
-/// A disk that refused is tried again after so long, and after twice that each time, up to [`LATER`].
+/// Consensus waits so long for a save: less than the others wait for a silent leader,
+/// [`consensus::MIN_ELECTION_TIMEOUT`].
+pub(crate) const SAVE_TIMEOUT: Time = 400 * MS;
+/// Storage that failed is retried after so long, and after twice that each time, up to [`MAX_RETRY_DELAY`].
 const MIN_RETRY_DELAY: Time = 200 * MS;
 const MAX_RETRY_DELAY: Time = 2_000 * MS;
-/// It is said so often that the disk does not work.
+/// So that the shift that doubles the delay does not overflow.
+const MAX_RETRY_DOUBLINGS: u32 = 8;
+/// A warning is logged this often while storage is unhealthy.
 const WARNING_INTERVAL: Time = 10_000 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StorageState {
-    /// What is saved is on the disk.
+    /// What is saved is durable.
     Healthy,
-    /// A save was not done in time, and is under way.
+    /// A save was not done in time, and goes on.
     SaveOverdue,
-    /// The whole is to be saved, from this time on. `again`: it was, and there was more by then.
-    FullSaveDue { at: Time, after_missed: bool },
-    /// The whole is being saved. `missed`: something has come to be saved since.
-    FullSaveRunning { missed: bool },
+    /// Everything is to be saved, from this time on.
+    FullSaveDue {
+        at: Time,
+        /// It was, and more had come by then.
+        after_missed: bool,
+    },
+    /// Everything is being saved.
+    FullSaveRunning {
+        /// Something has come since that is to be saved, too.
+        missed: bool,
+    },
 }
 
-/// How the disk stands.
+/// How storage stands.
 #[derive(Clone, Debug)]
-pub struct StorageHealth {
+pub(crate) struct StorageHealth {
     state: StorageState,
-    /// Since when it has not worked.
     unhealthy_since: Time,
-    /// Failures in a row.
-    failures: u32,
+    failures_in_a_row: u32,
     next_warning: Time,
 }
 
 impl StorageHealth {
-    /// At the start all is to be saved once: what was read may stand in the system's memory alone.
+    /// At the start everything is to be saved once: what was read may be in the system's cache alone.
     pub fn new(now: Time) -> Self {
         StorageHealth {
             state: StorageState::FullSaveDue { at: now, after_missed: false },
             unhealthy_since: now,
-            failures: 0,
+            failures_in_a_row: 0,
             next_warning: now + WARNING_INTERVAL,
         }
     }
@@ -53,16 +60,16 @@
         self.state == StorageState::Healthy
     }
 
-    /// A save is not done after [`WAIT`].
+    /// A save is not done after [`SAVE_TIMEOUT`].
     pub fn on_save_overdue(&mut self, now: Time) {
         self.set_unhealthy(now, StorageState::SaveOverdue);
     }
 
-    /// Something was refused.
     pub fn on_save_failed(&mut self, now: Time) {
-        let pause = (MIN_RETRY_DELAY << self.failures.min(8)).min(MAX_RETRY_DELAY);
-        self.failures += 1;
-        self.set_unhealthy(now, StorageState::FullSaveDue { at: now + pause, after_missed: false });
+        let doublings = self.failures_in_a_row.min(MAX_RETRY_DOUBLINGS);
+        let delay = (MIN_RETRY_DELAY << doublings).min(MAX_RETRY_DELAY);
+        self.failures_in_a_row += 1;
+        self.set_unhealthy(now, StorageState::FullSaveDue { at: now + delay, after_missed: false });
     }
 
     /// Something was to be saved, and was not.
@@ -72,30 +79,29 @@
         }
     }
 
-    /// Whether the whole is to be saved now.
     pub fn is_full_save_due(&self, now: Time) -> bool {
         matches!(self.state, StorageState::FullSaveDue { at, .. } if now >= at)
     }
 
-    /// When something is next to be done or said.
+    /// When something is next to be saved or logged.
     pub fn next_due(&self) -> Time {
         match self.state {
             StorageState::Healthy => Time::MAX,
             StorageState::FullSaveDue { at, .. } => at.min(self.next_warning),
-            _ => self.next_warning,
+            StorageState::SaveOverdue | StorageState::FullSaveRunning { .. } => self.next_warning,
         }
     }
 
-    /// The whole is being saved from now on. Whether to wait for it, so that nothing more comes.
+    /// Everything is being saved from now on. Whether to wait for it, so that nothing more comes meanwhile.
     pub fn start_full_save(&mut self) -> bool {
-        let again = matches!(self.state, StorageState::FullSaveDue { after_missed: true, .. });
+        let must_wait = matches!(self.state, StorageState::FullSaveDue { after_missed: true, .. });
         self.state = StorageState::FullSaveRunning { missed: false };
-        again
+        must_wait
     }
 
-    /// What was under way is done. For how long the disk has not worked, if it works now: all that there is is on it.
+    /// What was being saved is durable. For how long storage was unhealthy, if it is healthy now.
     pub fn on_saved(&mut self, now: Time) -> Option<Time> {
-        self.failures = 0;
+        self.failures_in_a_row = 0;
         self.state = match self.state {
             StorageState::FullSaveRunning { missed: false } => StorageState::Healthy,
             StorageState::FullSaveRunning { missed: true } => {
@@ -106,7 +112,7 @@
         self.is_healthy().then(|| now - self.unhealthy_since)
     }
 
-    /// For how long it has not worked, if that is to be said again.
+    /// For how long storage has been unhealthy, if that is to be logged again.
     pub fn take_warning(&mut self, now: Time) -> Option<Time> {
         if self.is_healthy() || now < self.next_warning {
             return None;
--- a/crates/control/control-node/tests/alone.rs
+++ b/crates/control/control-node/tests/isolated_node.rs
@@ -2,7 +2,7 @@
 
 use consensus::{Message, MessageBody, NodeId, PersistedState, PreviousEntry};
 use control_node::{ControlNode, Effect, NodeConfig, Reply, Time};
-use messages::message::ControlMessage;
+use messages::ControlMessage;
 use registry::Heartbeat;
 use trial::TenantTerms;
 
@@ -29,7 +29,7 @@
     let (mut now, mut all) = (from, Vec::new());
     loop {
         for effect in p.take_effects() {
-            if let Effect::Persist { request: number, .. } = effect {
+            if let Effect::Persist { number, .. } = effect {
                 p.on_persisted(now, number, true);
             } else {
                 all.push(effect);
--- a/crates/control/control-plane/src/driver.rs
+++ b/crates/control/control-plane/src/driver.rs
@@ -1,14 +1,15 @@
-//! What drives the one value that decides here, [`Prompter`]: hands it what comes with the time of day, and carries out what it
-//! wants done, with the disk, links to others, gateways that follow, callers.
+//! The driver of the one value that decides here, [`ControlNode`]: hands it what arrives, with the time, and carries out
+//! what it wants done, with storage, links to other nodes, gateways that subscribe, callers.
 
 #[cfg(test)]
 mod tests;
 
-use crate::disk::{Completion, StorageError, StorageHandle};
+use crate::storage::{Completion, StorageError, StorageHandle};
+use bytes::Bytes;
 use configuration::ConfigurationError;
 use control_node::{ControlNode, Effect, Reply, Time};
 use control_state::DeclaredVersions;
-use messages::message::{ControlMessage, GatewayUpdate};
+use messages::{ControlMessage, GatewayUpdate};
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::rc::{Rc, Weak};
@@ -18,54 +19,67 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::{sleep_until, Instant};
 
-/// Larger configurations are checked on another thread: 700 KB take 80 ms of a core, 8 MB 0.4 s, and this one has rounds to answer.
+/// Larger configurations are validated on another thread: 700 KB take 80 ms of a core, 8 MB 0.4 s, and this thread has
+/// heartbeats to answer.
 const MAX_INLINE_VALIDATION_BYTES: usize = 64 << 10;
+/// Timers further away than this are set anew meanwhile.
+const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
-/// Whether a configuration is sound, and what it builds on.
+/// Validates a configuration: what it declares, or what is wrong with it.
 pub type Validate = Arc<dyn Fn(&[u8]) -> Result<DeclaredVersions, ConfigurationError> + Send + Sync>;
 
-/// Where what is handed to a gateway goes, and that there may be a part for it.
+/// The connection of a gateway that subscribes.
 pub struct GatewayLink {
+    /// Tells its connections apart.
     pub link: u64,
+    /// What is to be sent to it beside changes and chunks.
     pub grants: mpsc::Sender<GatewayUpdate>,
+    /// There may be a chunk for it.
     pub chunk_window: Rc<Notify>,
 }
 
+/// A write that storage is working on.
+struct PendingWrite {
+    number: u64,
+    completion: Completion,
+}
+
+/// The driver of this process's control node.
 pub struct Driver {
     weak_self: Weak<Driver>,
     started: Instant,
     node: RefCell<ControlNode>,
     storage: StorageHandle,
     validate: Validate,
-    /// What the disk is at.
-    pending_write: RefCell<Option<(u64, Completion)>>,
-    /// Links to the other prompters, by name.
+    /// Handed over to [`Driver::run`].
+    pending_write: RefCell<Option<PendingWrite>>,
+    /// Links to the other control nodes, by name.
     pub links: RefCell<BTreeMap<String, mpsc::Sender<ControlMessage>>>,
-    /// Gateways that follow.
+    /// Gateways that subscribe, by name.
     pub gateway_links: RefCell<HashMap<String, GatewayLink>>,
     /// Calls that wait, by number.
     calls: RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>,
     last_call: Cell<u64>,
     changes: watch::Sender<()>,
-    /// The prompter wants to work sooner than is waited for.
+    /// The node wants to advance sooner than [`Driver::run`] sleeps.
     wake: Notify,
     sleeping_until: Cell<Time>,
 }
 
 /// This machine's time of day, in Unix milliseconds. Alone it decides nothing.
 pub fn unix_millis() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
 impl Driver {
-    /// `begins`: the prompter as of time 0.
-    pub fn new(begins: ControlNode, disk: StorageHandle, check: Validate) -> Rc<Self> {
-        Rc::new_cyclic(|me| Driver {
-            weak_self: me.clone(),
+    /// `node`: as of time 0.
+    pub fn new(node: ControlNode, storage: StorageHandle, validate: Validate) -> Rc<Self> {
+        Rc::new_cyclic(|weak_self| Driver {
+            weak_self: weak_self.clone(),
             started: Instant::now(),
-            node: RefCell::new(begins),
-            storage: disk,
-            validate: check,
+            node: RefCell::new(node),
+            storage,
+            validate,
             pending_write: RefCell::default(),
             links: RefCell::default(),
             gateway_links: RefCell::default(),
@@ -77,62 +91,62 @@
         })
     }
 
-    /// Nanoseconds since the process began, on the steady clock.
+    /// Nanoseconds since the process started, on the steady clock.
     pub fn now(&self) -> Time {
         self.started.elapsed().as_nanos() as Time
     }
 
     fn instant(&self, time: Time) -> Instant {
-        let far = Duration::from_secs(3600);
-        self.started + Duration::from_nanos(time).min(self.started.elapsed() + far)
+        self.started + Duration::from_nanos(time).min(self.started.elapsed() + MAX_SLEEP)
     }
 
-    /// Tells of each change from now on.
+    /// Notifies of each change from now on.
     pub fn changes(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
 
-    /// What it knows.
+    /// What the node knows.
     pub fn node(&self) -> Ref<'_, ControlNode> {
         self.node.borrow()
     }
 
-    /// Something has come for it.
+    /// Hands something to the node, and carries out what it wants done.
     pub fn with<T>(&self, act: impl FnOnce(&mut ControlNode, Time) -> T) -> T {
         let now = self.now();
-        let told = act(&mut self.node.borrow_mut(), now);
+        let result = act(&mut self.node.borrow_mut(), now);
         self.perform_effects();
-        told
+        result
     }
 
-    /// A call, which is always answered in time; none: nobody says anything any more.
+    /// A call, which the node always answers in time; none: the process is ending.
     pub async fn call(&self, act: impl FnOnce(&mut ControlNode, Time, u64)) -> Option<Reply> {
         self.last_call.set(self.last_call.get() + 1);
-        let (call, (sender, reply)) = (self.last_call.get(), oneshot::channel());
+        let call = self.last_call.get();
+        let (sender, reply) = oneshot::channel();
         self.calls.borrow_mut().insert(call, sender);
-        self.with(|p, now| act(p, now, call));
+        self.with(|node, now| act(node, now, call));
         reply.await.ok()
     }
 
-    /// Runs the agreement. It ends only with the process.
+    /// Runs the node. It ends only with the process.
     pub async fn run(self: Rc<Self>) {
         let mut writing = None;
         loop {
             self.sleeping_until.set(0);
-            self.with(|p, now| p.advance(now, unix_millis()));
-            if let Some(begun) = self.pending_write.borrow_mut().take() {
-                writing = Some(begun);
+            self.with(|node, now| node.advance(now, unix_millis()));
+            if let Some(write) = self.pending_write.borrow_mut().take() {
+                writing = Some(write);
             }
             let due = self.node.borrow().next_due();
             self.sleeping_until.set(due);
             tokio::select! {
                 biased;
-                (number, saved) = storage_completion(&mut writing) => {
+                (number, result) = storage_completion(&mut writing) => {
                     writing = None;
-                    if let Err(fault) = &saved {
-                        log::warn!("disk: {fault}");
+                    if let Err(error) = &result {
+                        log::warn!("storage: {error}");
                     }
-                    self.with(|p, now| p.on_persisted(now, number, saved.is_ok()));
+                    self.with(|node, now| node.on_persisted(now, number, result.is_ok()));
                 }
                 () = sleep_until(self.instant(due)) => {}
                 () = self.wake.notified() => {}
@@ -146,58 +160,46 @@
             if effects.is_empty() {
                 break;
             }
-            effects.into_iter().for_each(|e| self.perform(e));
+            effects.into_iter().for_each(|effect| self.perform(effect));
         }
-        let prompter = self.node.borrow();
-        if prompter.has_ready_input() || prompter.next_due() < self.sleeping_until.get() {
+        let node = self.node.borrow();
+        if node.has_ready_input() || node.next_due() < self.sleeping_until.get() {
             self.wake.notify_one();
         }
     }
 
     fn perform(&self, effect: Effect) {
         match effect {
-            // Whatever is told or handed may be lost.
-            Effect::SendToNode { to, message: peer } => {
+            // Whatever is sent may be lost.
+            Effect::SendToNode { to, message } => {
                 if let Some(link) = self.links.borrow().get(&to) {
-                    let _ = link.try_send(peer);
+                    let _ = link.try_send(message);
                 }
             }
-            Effect::Broadcast { message: peer } => {
+            Effect::Broadcast { message } => {
                 for link in self.links.borrow().values() {
-                    let _ = link.try_send(peer.clone());
+                    let _ = link.try_send(message.clone());
                 }
             }
-            Effect::SendToGateway { gateway, update: down } => {
-                if let Some(outlet) = self.gateway_links.borrow().get(&gateway) {
-                    let _ = outlet.grants.try_send(down);
+            Effect::SendToGateway { gateway, update } => {
+                if let Some(link) = self.gateway_links.borrow().get(&gateway) {
+                    let _ = link.grants.try_send(update);
                 }
             }
             Effect::ChunkWindowOpened { gateway } => {
-                if let Some(outlet) = self.gateway_links.borrow().get(&gateway) {
-                    outlet.chunk_window.notify_one();
+                if let Some(link) = self.gateway_links.borrow().get(&gateway) {
+                    link.chunk_window.notify_one();
                 }
             }
             Effect::NotifySubscribers => {
                 self.changes.send_replace(());
             }
-            Effect::Persist { request: number, work } => {
-                let begun = self.pending_write.borrow_mut().replace((number, self.storage.request(work)));
-                debug_assert!(begun.is_none(), "one write at a time");
-            }
-            Effect::Validate { change: job, body } if body.len() > MAX_INLINE_VALIDATION_BYTES => {
-                let (check, driver) = (self.validate.clone(), self.weak_self.clone());
-                spawn_local(async move {
-                    let read = spawn_blocking(move || check(&body)).await;
-                    if let Some(driver) = driver.upgrade() {
-                        driver.with(|p, now| p.on_validated(now, job, read.ok()));
-                    }
-                });
-            }
-            Effect::Validate { change: job, body } => {
-                let read = (self.validate)(&body);
-                let now = self.now();
-                self.node.borrow_mut().on_validated(now, job, Some(read));
+            Effect::Persist { number, request } => {
+                let write = PendingWrite { number, completion: self.storage.request(request) };
+                let earlier = self.pending_write.borrow_mut().replace(write);
+                debug_assert!(earlier.is_none(), "the node asks for one write at a time");
             }
+            Effect::Validate { change, body } => self.validate(change, body),
             Effect::Reply { call, reply } => {
                 if let Some(caller) = self.calls.borrow_mut().remove(&call) {
                     // It may have given up waiting.
@@ -206,12 +208,30 @@
             }
         }
     }
+
+    fn validate(&self, change: u64, body: Bytes) {
+        if body.len() <= MAX_INLINE_VALIDATION_BYTES {
+            let validated = (self.validate)(&body);
+            let now = self.now();
+            return self.node.borrow_mut().on_validated(now, change, Some(validated));
+        }
+        let (validate, driver) = (self.validate.clone(), self.weak_self.clone());
+        spawn_local(async move {
+            let validated = spawn_blocking(move || validate(&body)).await;
+            if let Some(driver) = driver.upgrade() {
+                driver.with(|node, now| node.on_validated(now, change, validated.ok()));
+            }
+        });
+    }
 }
 
-/// What the disk says, when it is at something.
-async fn storage_completion(writing: &mut Option<(u64, Completion)>) -> (u64, Result<(), StorageError>) {
-    match writing {
-        Some((number, done)) => (*number, done.await.unwrap_or(Err(StorageError::ThreadEnded))),
+/// What storage says of the pending write, if there is one.
+async fn storage_completion(pending: &mut Option<PendingWrite>) -> (u64, Result<(), StorageError>) {
+    match pending {
+        Some(write) => {
+            let result = (&mut write.completion).await;
+            (write.number, result.unwrap_or(Err(StorageError::ThreadEnded)))
+        }
         None => std::future::pending().await,
     }
 }
--- a/crates/control/control-plane/src/driver/tests.rs
+++ b/crates/control/control-plane/src/driver/tests.rs
@@ -1,9 +1,9 @@
 //! Three prompters in one process, each with a disk that a test may fill, stall, or take power from.
 
 use super::*;
-use crate::disk::folder::Directory;
-use crate::disk::stand_in::{DiskBehaviour, FakeDisk, PowerLoss};
-use crate::disk::storage::Store;
+use crate::storage::directory::Directory;
+use crate::storage::fake_disk::{DiskBehaviour, FakeDisk, PowerLoss};
+use crate::storage::store::Store;
 use consensus::{NodeId, VoterSet};
 use control_node::NodeConfig;
 use control_state::Command;
--- /dev/null
+++ b/crates/control/control-plane/src/error.rs
@@ -0,0 +1,54 @@
+//! Why the process ends with a failure.
+
+use crate::storage::StorageError;
+use displaydoc::Display;
+use process::sockets::ListenError;
+use std::io;
+use tokio::task::JoinError;
+
+/// Why the process ends with a failure.
+#[derive(Debug, Display)]
+pub enum ControlPlaneError {
+    /// cannot listen for signals: {0}
+    Signals(io::Error),
+    /// no controlPlane address is given
+    NoControlAddress,
+    /// {0}
+    Listen(ListenError),
+    /// {0}
+    Storage(StorageError),
+    /// no random numbers are to be had: {0}
+    Random(getrandom::Error),
+    /// consensus ended: {0:?}
+    ConsensusEnded(Result<(), JoinError>),
+    /// the call server ended: {0:?}
+    CallServerEnded(Result<(), JoinError>),
+}
+
+impl std::error::Error for ControlPlaneError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            ControlPlaneError::Signals(error) => Some(error),
+            ControlPlaneError::Listen(error) => Some(error),
+            ControlPlaneError::Storage(error) => Some(error),
+            ControlPlaneError::Random(error) => Some(error),
+            ControlPlaneError::ConsensusEnded(Err(error))
+            | ControlPlaneError::CallServerEnded(Err(error)) => Some(error),
+            ControlPlaneError::NoControlAddress
+            | ControlPlaneError::ConsensusEnded(Ok(()))
+            | ControlPlaneError::CallServerEnded(Ok(())) => None,
+        }
+    }
+}
+
+impl From<ListenError> for ControlPlaneError {
+    fn from(error: ListenError) -> Self {
+        ControlPlaneError::Listen(error)
+    }
+}
+
+impl From<StorageError> for ControlPlaneError {
+    fn from(error: StorageError) -> Self {
+        ControlPlaneError::Storage(error)
+    }
+}
--- a/crates/control/control-plane/src/disk/stand_in.rs
+++ b/crates/control/control-plane/src/storage/fake_disk.rs
@@ -2,7 +2,7 @@
 //! disk may. Written bytes that were not synced are there, missing or torn; names made, renamed and removed are kept or
 //! lost one by one before the folder was synced.
 
-use super::folder::{DataFile, Directory};
+use super::directory::{DataFile, Directory};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/control/control-plane/src/disk/golden_tests.rs
+++ b/crates/control/control-plane/src/storage/golden_tests.rs
@@ -1,18 +1,18 @@
 //! A folder that an earlier version wrote is opened with all that it held, and the same is written byte for byte.
 
-use super::folder::{Directory, SystemDirectory};
-use super::storage::Store;
+use super::directory::{Directory, SystemDirectory};
+use super::store::Store;
 use super::*;
 use compatibility::{Golden, RECORD_VARIABLE};
 use consensus::{Entry, EntryPayload, NodeId, Snapshot, VoterSet};
 use control_state::{Command, ControlState};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
-const NAME: &str = "10.0.0.1";
-const ID: u64 = 77;
+pub(super) const NAME: &str = "10.0.0.1";
+pub(super) const ID: u64 = 77;
 
 /// The folder as it was written by version 0.1.0 before names were changed.
-fn recorded() -> PathBuf {
+pub(super) fn recorded() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../testing/compatibility/golden/agreement")
 }
 
@@ -26,7 +26,7 @@
 }
 
 /// Entries of each kind, with configurations that stand where they are, as values, and as files of their own.
-fn stored() -> PersistedState {
+pub(super) fn stored() -> PersistedState {
     let mut book = ControlState::new();
     book.apply(2, &Command::ReplaceConfiguration { base: 0, version: 1, body: vec![b'x'; 5000] });
     book.apply(3, &Command::Drain { instance: "i-1".into() });
@@ -63,7 +63,7 @@
 }
 
 /// An empty folder of this test's own.
-fn scratch(test: &str) -> PathBuf {
+pub(super) fn scratch(test: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("granitethread-{test}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
@@ -77,7 +77,7 @@
     storage.sync_registry();
 }
 
-fn copy(from: &Path, to: &Path) {
+pub(super) fn copy(from: &Path, to: &Path) {
     for entry in std::fs::read_dir(from).unwrap() {
         let entry = entry.unwrap();
         std::fs::copy(entry.path(), to.join(entry.file_name())).unwrap();
--- a/crates/control/control-plane/src/disk/tests.rs
+++ b/crates/control/control-plane/src/storage/tests.rs
@@ -1,8 +1,8 @@
 //! What is kept, against a stand-in that loses power at each operation, refuses, and forgets.
 
-use super::folder::Directory;
-use super::stand_in::{DiskBehaviour, FakeDisk, PowerLoss};
-use super::storage::{Store, MAX_BYTES};
+use super::directory::Directory;
+use super::fake_disk::{DiskBehaviour, FakeDisk, PowerLoss};
+use super::store::{Store, MAX_BYTES};
 use super::*;
 use consensus::{
     Entry, EntryPayload, Input, LogIndex, Message, MessageBody, NodeId, Output, Persist, PersistedState,
@@ -487,7 +487,7 @@
     let word = EntryPayload::Command(configuration(1, 9000));
     let entries = vec![Entry { term: 3, payload: word }];
     let save = Persist::Entries { from: 5, entries: entries.clone() };
-    disk.request(StorageRequest::Append(vec![save], 5)).await.unwrap().unwrap();
+    disk.request(StorageRequest::Append { changes: vec![save], commit_index: 5 }).await.unwrap().unwrap();
     drop(disk);
     let (_, again) = StorageHandle::open(&folder, NAME).await.unwrap();
     assert_eq!(
--- a/crates/control/control-plane/tests/wire/main.rs
+++ b/crates/control/control-plane/tests/wire/main.rs
@@ -1,5 +1,5 @@
-//! Prompters as processes, over real sockets.
+//! Control planes as processes, over real sockets.
 
+mod configuration_changes;
 mod core;
-mod followers;
-mod orders;
+mod subscribers;
--- a/crates/control/control-plane/tests/wire/followers.rs
+++ b/crates/control/control-plane/tests/wire/subscribers.rs
@@ -4,7 +4,7 @@
 use crate::core::{configuration, Core, PATIENCE};
 use control_state::{CommittedConfiguration, ConfigurationReceiver, LogIndex, ReceiveOutcome};
 use messages::frame::{self, FrameReader, FrameWriter};
-use messages::message::{GatewayMessage, GatewayUpdate, Greeting, MESSAGE_FORMAT};
+use messages::{GatewayMessage, GatewayUpdate, Greeting, MESSAGE_FORMAT};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::net::TcpStream;
@@ -31,7 +31,7 @@
         let (name, zone) = ("edge-1".to_string(), "zone-0".to_string());
         writer
             .write(&Greeting::Gateway {
-                form: MESSAGE_FORMAT,
+                format: MESSAGE_FORMAT,
                 name,
                 zone,
                 offset: None,
--- a/crates/data/data-plane/src/wire.rs
+++ b/crates/data/data-plane/src/backend_protocol.rs
@@ -1,5 +1,8 @@
 //! How backends of the system are spoken to (`PROTOCOL.md`, Backends).
 
+#[cfg(test)]
+mod tests;
+
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_ENCODING};
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
@@ -10,12 +13,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// A try of a client, on the request and on its answer.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("attempt-id");
+/// How long the client waits, in milliseconds.
 pub const REMAINING: HeaderName = HeaderName::from_static("remaining-time");
+/// The backend that a request is meant for.
 pub const TARGET: HeaderName = HeaderName::from_static("target-instance");
+/// The tenant's name, for backends.
 pub const TENANT: HeaderName = HeaderName::from_static("tenant-name");
+/// A client's API key.
 pub const CREDENTIAL: HeaderName = HeaderName::from_static("credential");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+/// On each whole answer of a backend's.
 const SEAL: HeaderName = HeaderName::from_static("server-seal");
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
 
@@ -31,24 +40,29 @@
     hyper::header::CONTENT_LENGTH,
 ];
 
-/// Takes out what concerns one connection only, and what `Connection` names; what says whose an answer is stays.
+/// Removes the headers that concern one connection only, and those that `Connection` names; those that prove whose an answer
+/// is stay.
 pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(hyper::header::CONNECTION)
         .iter()
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(','))
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .filter(|name| ![ATTEMPT, SEAL].contains(name))
         .collect();
-    HOP_BY_HOP_HEADERS.iter().chain(&named).for_each(|name| drop(headers.remove(name)));
+    for name in HOP_BY_HOP_HEADERS.iter().chain(&named) {
+        headers.remove(name);
+    }
 }
 
-/// Backends whose address has another owner now: they said so.
+/// Backends at whose address another one answered.
 pub type Misdirected = Rc<RefCell<Vec<Name>>>;
 
+/// How backends are spoken to.
 #[derive(Default)]
 pub struct BackendProtocol {
+    /// To be taken out.
     pub misdirected: Misdirected,
     /// Answers of other requests so far.
     foreign_answers: Cell<u64>,
@@ -61,11 +75,11 @@
     Success,
     /// A failure of a run.
     Failed,
-    /// A failure of a run, by a status that promises clients that it has not run: it must not reach them.
+    /// A failure of a run, with a status that promises clients that nothing has run: it must not reach them.
     Misleading,
-    /// It turned the request away.
+    /// The backend rejected the request.
     Rejected,
-    /// Another stands there.
+    /// Another backend is there.
     OtherInstance,
     /// It cannot be the backend's.
     Invalid,
@@ -77,22 +91,22 @@
 }
 
 fn interpret(head: &Parts) -> AnswerMeaning {
-    let h = &head.headers;
-    let whole = !h.contains_key(CONTENT_ENCODING) && h.contains_key(SEAL);
+    let headers = &head.headers;
+    let is_whole = !headers.contains_key(CONTENT_ENCODING) && headers.contains_key(SEAL);
     match head.status {
         StatusCode::MISDIRECTED_REQUEST => AnswerMeaning::OtherInstance,
         _ if is_not_executed(head) => AnswerMeaning::Rejected,
-        s if s.is_success() && !whole => AnswerMeaning::Invalid,
-        s if s.is_success() => AnswerMeaning::Success,
+        status if status.is_success() && !is_whole => AnswerMeaning::Invalid,
+        status if status.is_success() => AnswerMeaning::Success,
         StatusCode::REQUEST_TIMEOUT | StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             AnswerMeaning::Misleading
         }
-        s if s.is_server_error() => AnswerMeaning::Failed,
+        status if status.is_server_error() => AnswerMeaning::Failed,
         _ => AnswerMeaning::Success,
     }
 }
 
-/// Whose id an answer bears. Two are none that could be compared.
+/// Whose id an answer echoes. Two ids are none that could be compared.
 fn echo(attempt: Option<&HeaderValue>, head: &Parts) -> Echo {
     let mut ids = head.headers.get_all(ATTEMPT).iter();
     match (ids.next(), ids.next()) {
@@ -105,8 +119,8 @@
 /// `timeout` of a `Keep-Alive` header, in seconds.
 fn keep_alive_timeout(head: &Parts) -> Option<Duration> {
     let text = head.headers.get(KEEP_ALIVE)?.to_str().ok()?;
-    let told = text.split(',').filter_map(|part| part.trim().strip_prefix("timeout="));
-    told.filter_map(|seconds| seconds.trim().parse().ok()).map(Duration::from_secs).min()
+    let timeouts = text.split(',').filter_map(|parameter| parameter.trim().strip_prefix("timeout="));
+    timeouts.filter_map(|seconds| seconds.trim().parse().ok()).map(Duration::from_secs).min()
 }
 
 impl Wire for BackendProtocol {
@@ -126,10 +140,8 @@
         let echo = echo(request.headers.get(ATTEMPT), head);
         if echo == Echo::Other {
             self.foreign_answers.set(self.foreign_answers.get() + 1);
-            log::info!(
-                "answers: one of another request came and goes to nobody, {} so far",
-                self.foreign_answers.get()
-            );
+            let count = self.foreign_answers.get();
+            log::info!("backends: an answer to another request was dropped, {count} so far");
         }
         echo
     }
@@ -148,8 +160,8 @@
 
     fn read(&self, _: &Outgoing, server: &Name, answer: Response<Content>) -> Outcome {
         let (mut head, content) = answer.into_parts();
-        let says = interpret(&head);
-        let ending = match says {
+        let meaning = interpret(&head);
+        let ending = match meaning {
             AnswerMeaning::Success if head.status.is_success() => Ending::Pass,
             AnswerMeaning::Success => Ending::Undone,
             AnswerMeaning::Failed | AnswerMeaning::Misleading => Ending::Fault,
@@ -158,14 +170,14 @@
             AnswerMeaning::Invalid => Ending::Spoilt,
         };
         let mut outcome = Outcome::without_answer(ending);
-        if says == AnswerMeaning::OtherInstance {
+        if meaning == AnswerMeaning::OtherInstance {
             self.misdirected.borrow_mut().push(server.clone());
         }
-        if matches!(says, AnswerMeaning::Success | AnswerMeaning::Failed) {
+        if matches!(meaning, AnswerMeaning::Success | AnswerMeaning::Failed) {
             strip_hop_by_hop_headers(&mut head.headers);
             let served = Some(Served { status: head.status, headers: head.headers, content });
-            // Whether a failure may be tried elsewhere is not settled here.
-            if says == AnswerMeaning::Success {
+            // Whether a failure may be tried elsewhere is not decided here.
+            if meaning == AnswerMeaning::Success {
                 outcome.served = served;
             } else {
                 outcome.failure = served;
@@ -174,66 +186,3 @@
         outcome
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn head(status: u16, headers: &[(&'static str, &'static str)]) -> Parts {
-        let mut answer = Response::builder().status(status);
-        for (name, value) in headers {
-            answer = answer.header(*name, *value);
-        }
-        answer.body(()).unwrap().into_parts().0
-    }
-
-    #[test]
-    fn only_not_executed_and_421_promise_that_nothing_ran() {
-        let said = |status, headers: &[(&'static str, &'static str)]| interpret(&head(status, headers));
-        assert_eq!(said(200, &[("server-seal", "x")]), AnswerMeaning::Success);
-        assert_eq!(said(200, &[]), AnswerMeaning::Invalid, "no seal");
-        assert_eq!(said(200, &[("server-seal", "x"), ("content-encoding", "gzip")]), AnswerMeaning::Invalid);
-        assert_eq!(said(503, &[("not-executed", "1")]), AnswerMeaning::Rejected);
-        assert_eq!(said(421, &[("instance-id", "i-2")]), AnswerMeaning::OtherInstance);
-        assert_eq!(
-            (said(500, &[]), said(504, &[]), said(404, &[])),
-            (AnswerMeaning::Failed, AnswerMeaning::Failed, AnswerMeaning::Success)
-        );
-        for promises in [408, 429, 503] {
-            assert_eq!(said(promises, &[("server-seal", "x")]), AnswerMeaning::Misleading, "{promises}");
-        }
-    }
-
-    #[test]
-    fn only_an_echoed_attempt_id_matches() {
-        let id = HeaderValue::from_static("9c41");
-        let echoed =
-            |status, headers: &[(&'static str, &'static str)]| echo(Some(&id), &head(status, headers));
-        assert_eq!(echoed(200, &[("attempt-id", "9c41")]), Echo::Same);
-        assert_eq!(echoed(200, &[("attempt-id", "9c42")]), Echo::Other, "a late one");
-        assert_eq!(echoed(200, &[("attempt-id", "9c41"), ("attempt-id", "9c42")]), Echo::Other);
-        assert_eq!(echoed(200, &[]), Echo::Missing { turned_away: false });
-        assert_eq!(echoed(503, &[("not-executed", "1")]), Echo::Missing { turned_away: true });
-        assert_eq!(echoed(503, &[("attempt-id", "9c42"), ("not-executed", "1")]), Echo::Other);
-        assert_eq!(echo(None, &head(200, &[("attempt-id", "9c42")])), Echo::Other);
-    }
-
-    #[test]
-    fn keep_alive_timeout_is_parsed() {
-        let told = |text| keep_alive_timeout(&head(200, &[("keep-alive", text)]));
-        assert_eq!(told("timeout=5, max=100"), Some(Duration::from_secs(5)));
-        assert_eq!((told("max=100"), told("timeout=x")), (None, None));
-    }
-
-    #[test]
-    fn hop_by_hop_headers_are_stripped() {
-        let mut headers =
-            head(200, &[("connection", "x-a, close"), ("x-a", "1"), ("x-b", "2"), ("te", "x")]).headers;
-        strip_hop_by_hop_headers(&mut headers);
-        assert_eq!(headers.keys().map(HeaderName::as_str).collect::<Vec<_>>(), ["x-b"]);
-        let mut headers =
-            head(200, &[("connection", "server-seal, attempt-id"), ("server-seal", "x")]).headers;
-        strip_hop_by_hop_headers(&mut headers);
-        assert!(headers.contains_key(SEAL), "a success without its seal is none");
-    }
-}
--- a/crates/data/data-plane/src/door.rs
+++ b/crates/data/data-plane/src/client_requests.rs
@@ -1,9 +1,9 @@
 //! What clients' requests mean (`PROTOCOL.md`, Requests and Answers).
 
-use crate::playing::Gateway;
-use crate::rights::Admission;
-use crate::wire::{strip_hop_by_hop_headers, ATTEMPT, CREDENTIAL, REMAINING, TARGET, TENANT};
-use configuration::{Route, RouteKind};
+use crate::backend_protocol::{strip_hop_by_hop_headers, ATTEMPT, CREDENTIAL, REMAINING, TARGET, TENANT};
+use crate::gateway::Gateway;
+use crate::tenant_quota::Admission;
+use configuration::{Route, RouteKind, Tenant};
 use http_body_util::Full;
 use hyper::body::Incoming as IncomingBody;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, EXPECT, HOST, RETRY_AFTER};
@@ -19,15 +19,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After SIGTERM the entry sends clients until it has missed twice, a second apart.
+/// After SIGTERM the entry sends clients until it has missed two readiness checks, a second apart.
 const DRAIN_WINDOW: Duration = Duration::from_millis(2600);
 /// The last of the grace is left for the end itself.
 const EXIT_RESERVE: Duration = Duration::from_millis(400);
 /// What a client is told that comes while nothing is known yet.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Who says nothing of how long it waits is given so long.
+/// A client that says nothing of how long it waits is given so long.
 const DEFAULT_REMAINING_TIME: Duration = Duration::from_secs(60);
+const MIN_REMAINING_TIME: Duration = Duration::from_millis(1);
+/// Longer times are cut, in milliseconds.
+const MAX_TIME_MS: f64 = 3.6e6;
+/// The least time-out of a client's connection, in milliseconds.
+const MIN_CLIENT_TIMEOUT_MS: f64 = 100.0;
 
+/// What clients' requests mean, by the configuration in force.
 pub struct ClientRequests {
     gateway: Rc<Gateway>,
     next_request_id: Cell<u64>,
@@ -35,6 +41,7 @@
 }
 
 impl ClientRequests {
+    /// `grace`: from SIGTERM to the end of the process.
     pub fn new(gateway: Rc<Gateway>, grace: Duration) -> Self {
         ClientRequests { gateway, next_request_id: Cell::new(1), grace }
     }
@@ -44,33 +51,49 @@
         if self.gateway.is_fresh() {
             unsound(status)
         } else {
-            retry_later(StatusCode::SERVICE_UNAVAILABLE, UNAVAILABLE_RETRY_AFTER)
+            unavailable()
         }
     }
 }
 
 /// A refusal that promises that nothing has run, with when to come back.
 fn retry_later(status: StatusCode, after: Duration) -> Unsound {
-    let mut reply = unsound(status);
+    let mut response = unsound(status);
     if let Ok(after) = HeaderValue::try_from(format!("{:.3}", after.as_secs_f64())) {
-        reply.headers_mut().insert(RETRY_AFTER, after);
+        response.headers_mut().insert(RETRY_AFTER, after);
     }
-    reply
+    response
+}
+
+fn unavailable() -> Unsound {
+    retry_later(StatusCode::SERVICE_UNAVAILABLE, UNAVAILABLE_RETRY_AFTER)
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-fn millis(ms: f64) -> Duration {
-    Duration::from_micros((ms.clamp(0.0, 3.6e6) * 1e3) as u64)
+fn from_millis(ms: f64) -> Duration {
+    Duration::from_micros((ms.clamp(0.0, MAX_TIME_MS) * 1e3) as u64)
 }
 
-/// How long its client waits, no longer than the route allows.
+/// How long the client waits, no longer than the route allows.
 fn remaining_time(headers: &HeaderMap, route: &Route) -> Duration {
-    let told = text(headers, &REMAINING).and_then(|t| t.trim().parse().ok());
-    let most = if route.timeout_ms > 0.0 { millis(route.timeout_ms) } else { DEFAULT_REMAINING_TIME };
-    told.map_or(DEFAULT_REMAINING_TIME, millis).min(most).max(Duration::from_millis(1))
+    let stated = text(headers, &REMAINING).and_then(|text| text.trim().parse().ok());
+    let longest = if route.timeout_ms > 0.0 { from_millis(route.timeout_ms) } else { DEFAULT_REMAINING_TIME };
+    stated.map_or(DEFAULT_REMAINING_TIME, from_millis).min(longest).max(MIN_REMAINING_TIME)
+}
+
+/// The headers that a backend gets: the client's, without those that concern one connection or are the system's own.
+fn backend_headers(mut headers: HeaderMap, tenant: Option<&Tenant>) -> HeaderMap {
+    strip_hop_by_hop_headers(&mut headers);
+    for name in [CREDENTIAL, TENANT, REMAINING, TARGET, EXPECT] {
+        headers.remove(name);
+    }
+    if let Some(name) = tenant.and_then(|tenant| HeaderValue::try_from(&tenant.name).ok()) {
+        headers.insert(TENANT, name);
+    }
+    headers
 }
 
 impl Door for ClientRequests {
@@ -78,42 +101,30 @@
         None
     }
 
-    fn parse(&self, mut head: Parts, arrived: Instant) -> Result<Incoming, Unsound> {
-        let Some(table) = self.gateway.routes() else {
-            return Err(retry_later(StatusCode::SERVICE_UNAVAILABLE, UNAVAILABLE_RETRY_AFTER));
-        };
+    fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, Unsound> {
+        let Some(routes) = self.gateway.routes() else { return Err(unavailable()) };
         // Backends are asked for a path, also if this client thinks that it talks to a proxy.
         let uri = head.uri.path_and_query().cloned().map(Uri::from);
         let uri = uri.ok_or_else(|| unsound(StatusCode::BAD_REQUEST))?;
         let host = head.uri.host().or_else(|| text(&head.headers, &HOST)).unwrap_or_default();
-        let route =
-            table.route(host, uri.path()).ok_or_else(|| self.reject_unknown(StatusCode::NOT_FOUND))?;
-        let tenant = text(&head.headers, &CREDENTIAL).and_then(|key| table.tenant(key));
-        if tenant.is_none() && table.requires_api_key() && !route.public {
+        let route = routes.route(host, uri.path());
+        let route = route.ok_or_else(|| self.reject_unknown(StatusCode::NOT_FOUND))?;
+        let tenant = text(&head.headers, &CREDENTIAL).and_then(|key| routes.tenant(key));
+        if tenant.is_none() && routes.requires_api_key() && !route.public {
             return Err(self.reject_unknown(StatusCode::UNAUTHORIZED));
         }
         if !head.headers.contains_key(ATTEMPT) {
             return Err(unsound(StatusCode::BAD_REQUEST));
         }
-        let service = route.target(fastrand::f64());
-        let service =
-            service.ok_or_else(|| retry_later(StatusCode::SERVICE_UNAVAILABLE, UNAVAILABLE_RETRY_AFTER))?;
-        let wait = remaining_time(&head.headers, route);
-        strip_hop_by_hop_headers(&mut head.headers);
-        for name in [CREDENTIAL, TENANT, REMAINING, TARGET, EXPECT] {
-            head.headers.remove(name);
-        }
-        if let Some(name) = tenant.and_then(|t| HeaderValue::try_from(&t.name).ok()) {
-            head.headers.insert(TENANT, name);
-        }
-        let id = self.next_request_id.replace(self.next_request_id.get() + 1);
-        let priority = tenant.and_then(|t| t.priority).unwrap_or(route.priority);
+        let service = route.target(fastrand::f64()).ok_or_else(unavailable)?;
+        let timeout = remaining_time(&head.headers, route);
+        let priority = tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority);
         let request = engine::Incoming {
-            id,
+            id: self.next_request_id.replace(self.next_request_id.get() + 1),
             class: self.gateway.class(route),
             plan: Gateway::plan_for_priority(priority),
-            customer: tenant.map_or("", |t| &t.name).into(),
-            timeout: wait.as_nanos() as Time,
+            customer: tenant.map_or("", |tenant| &tenant.name).into(),
+            timeout: timeout.as_nanos() as Time,
             open: false,
             units: Gateway::estimate_units(route),
             spread: 1,
@@ -124,7 +135,7 @@
         let outgoing = Outgoing {
             method: head.method,
             uri,
-            headers: head.headers,
+            headers: backend_headers(head.headers, tenant),
             at_most_once: route.route_kind == RouteKind::Unsafe,
             ..Outgoing::default()
         };
@@ -134,28 +145,28 @@
     async fn admit(&self, incoming: &mut Incoming) -> Result<(), Unsound> {
         let tenant: &Name = &incoming.request.customer;
         let refused = |after| retry_later(StatusCode::TOO_MANY_REQUESTS, after);
-        let pass = self.gateway.quota.acquire(tenant).await.map_err(refused)?;
-        if let Admission::Queued { max_wait: wait } = pass {
-            let request = &mut incoming.request;
-            let left = Duration::from_nanos(request.timeout).saturating_sub(incoming.arrived.elapsed());
-            let (wait, pressing) = self.gateway.max_wait(request.class, left, wait);
-            self.gateway.quota.enqueue(&request.customer, request.id, wait, pressing).map_err(refused)?;
-            let until = self.gateway.time_in(wait);
-            (request.plan, request.allowance) = (Gateway::THROTTLED_PLAN, Allowance::Awaited { until });
-        }
+        let admission = self.gateway.quota.acquire(tenant).await.map_err(refused)?;
+        let Admission::Queued { max_wait } = admission else { return Ok(()) };
+        let request = &mut incoming.request;
+        let time_left = Duration::from_nanos(request.timeout).saturating_sub(incoming.arrived.elapsed());
+        let (wait, urgent_within) = self.gateway.max_wait(request.class, time_left, max_wait);
+        let queued = self.gateway.quota.enqueue(&request.customer, request.id, wait, urgent_within);
+        queued.map_err(refused)?;
+        request.plan = Gateway::THROTTLED_PLAN;
+        request.allowance = Allowance::Awaited { until: self.gateway.time_in(wait) };
         Ok(())
     }
 
     fn reply(&self, answer: Answer) -> Response<Payload> {
         match answer {
             Answer::Served(served) => {
-                let mut reply = Response::new(match served.content {
+                let mut response = Response::new(match served.content {
                     Content::Whole(bytes) => Payload::Whole(Full::new(bytes)),
                     Content::Stream(stream) => Payload::Stream(stream),
                 });
-                *reply.status_mut() = served.status;
-                *reply.headers_mut() = served.headers;
-                reply
+                *response.status_mut() = served.status;
+                *response.headers_mut() = served.headers;
+                response
             }
             Answer::Refused { retry_after, .. } => *retry_later(StatusCode::SERVICE_UNAVAILABLE, retry_after),
             Answer::Turned(status) => plain(status, ""),
@@ -174,8 +185,8 @@
     }
 
     fn patience(&self) -> Patience {
-        let limits = self.gateway.routes().map(|t| t.configuration().limits).unwrap_or_default();
-        let nanos = |ms: f64| (ms.clamp(100.0, 3.6e6) * 1e6) as Time;
+        let limits = self.gateway.routes().map(|routes| routes.configuration().limits).unwrap_or_default();
+        let nanos = |ms: f64| (ms.clamp(MIN_CLIENT_TIMEOUT_MS, MAX_TIME_MS) * 1e6) as Time;
         let head = nanos(limits.header_timeout_ms);
         let silent = nanos(limits.idle_timeout_ms);
         Patience { silent, head, first: silent + head }
--- /dev/null
+++ b/crates/data/data-plane/src/gateway.rs
@@ -0,0 +1,305 @@
+//! The configuration in force and the backends, as requests need them. Fed by the subscription to a control node.
+
+use crate::budgeted_module::MaxAttempts;
+use crate::pools::{Pools, POOL_COUNT};
+use crate::request_classes::{RequestClass, RequestClasses};
+use crate::tenant_quota::TenantQuota;
+use configuration::{Configuration, Route, RouteTable};
+use control_state::CommittedConfiguration;
+use interface::{Effect, Plan, Scope, Settings};
+use messages::GatewayMessage;
+use proxy::driver::Driver;
+use proxy::list::{List, State, Target};
+use registry::Heartbeat;
+use std::cell::{Cell, RefCell};
+use std::net::IpAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use subscription::{Subscription, SubscriptionConfig, View, ViewChange};
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+use trial::TenantTerms;
+
+/// Priorities that are told apart: the highest has this weight, each lower one less by one.
+const PRIORITY_LEVELS: usize = 8;
+/// How long backends are slow from their start at most.
+pub const WARMUP_TIME: Duration = Duration::from_secs(3);
+/// A starting backend's speed, as a part of its full one.
+const WARMUP_INITIAL_SPEED: f64 = 0.5;
+/// How much longer a wait at a backend of the own zone may be: bytes between zones have a price.
+const CROSS_ZONE_PRICE: f64 = 0.25;
+/// A unit of work, in milliseconds.
+const UNIT_MS: f64 = 100.0;
+/// The work of a request is guessed from its target latency: operators set that by the work.
+const TARGET_LATENCY_PER_WORK: f64 = 4.0;
+const MIN_UNITS: f64 = 0.25;
+/// The most units of one request.
+pub const MAX_UNITS: f64 = 16.0;
+/// Gateways that are assumed until their number is known: a guess errs on the side of small shares.
+const ASSUMED_GATEWAYS: u32 = 8;
+const MAX_RETRY_AFTER_NANOS: u64 = 1_000_000_000;
+const TRY_LIMIT: u32 = 4;
+const TICK_NANOS: u64 = 1_000_000;
+
+/// The configuration in force and the backends.
+pub struct Gateway {
+    /// Tenants' quota.
+    pub quota: Rc<TenantQuota>,
+    subscription: RefCell<Subscription>,
+    routes: RefCell<Option<Rc<RouteTable>>>,
+    request_classes: RefCell<RequestClasses>,
+    /// The most attempts of each class, for the module.
+    pub max_attempts: MaxAttempts,
+    pools: RefCell<Pools>,
+    settings: RefCell<Settings>,
+    driver: RefCell<Option<Rc<Driver>>>,
+    name: String,
+    /// The control node that it is connected to directly.
+    control_node: Cell<Option<IpAddr>>,
+}
+
+impl Gateway {
+    /// The plan of tenants that are throttled.
+    pub const THROTTLED_PLAN: usize = PRIORITY_LEVELS;
+
+    /// `zone`: the place of its zone among all.
+    pub fn new(quota: Rc<TenantQuota>, config: SubscriptionConfig, zone: u32) -> Rc<Self> {
+        let classes = RequestClasses::new();
+        let max_attempts = classes.all().iter().map(|class| class.max_attempts).collect();
+        let settings = module_settings(&classes, zone);
+        Rc::new(Gateway {
+            quota,
+            name: config.name.clone(),
+            subscription: RefCell::new(Subscription::new(config)),
+            routes: RefCell::default(),
+            max_attempts: Rc::new(RefCell::new(max_attempts)),
+            request_classes: RefCell::new(classes),
+            pools: RefCell::default(),
+            settings: RefCell::new(settings),
+            driver: RefCell::default(),
+            control_node: Cell::new(None),
+        })
+    }
+
+    /// The module's settings.
+    pub fn settings(&self) -> Settings {
+        self.settings.borrow().clone()
+    }
+
+    /// The driver that requests and backends are handed to.
+    pub fn set_driver(&self, driver: Rc<Driver>) {
+        self.quota.set_driver(driver.clone());
+        *self.driver.borrow_mut() = Some(driver);
+    }
+
+    /// The routes of the configuration in force.
+    pub fn routes(&self) -> Option<Rc<RouteTable>> {
+        self.routes.borrow().clone()
+    }
+
+    /// Whether what this gateway refuses for want of a route or a key may be refused for good.
+    pub fn is_fresh(&self) -> bool {
+        self.subscription.borrow().freshness().is_fresh(self.quota.now())
+    }
+
+    /// Whether new clients do well to come here.
+    pub fn is_ready(&self) -> bool {
+        let has_routes = self.routes.borrow().is_some();
+        has_routes && self.subscription.borrow().freshness().is_ready(self.quota.now())
+    }
+
+    /// A connection stands: directly to this control node, or through another gateway.
+    pub fn on_connected(&self, uplink: mpsc::Sender<GatewayMessage>, control_node: Option<IpAddr>) {
+        self.quota.set_uplink(Some(uplink));
+        self.control_node.set(control_node);
+    }
+
+    /// The connection has ended.
+    pub fn on_disconnected(&self) {
+        self.quota.set_uplink(None);
+        self.control_node.set(None);
+    }
+
+    /// The control node that it is connected to directly.
+    pub fn control_node(&self) -> Option<IpAddr> {
+        self.control_node.get()
+    }
+
+    /// Acts on its subscription.
+    pub fn with_subscription<T>(&self, act: impl FnOnce(&mut Subscription, subscription::Time) -> T) -> T {
+        act(&mut self.subscription.borrow_mut(), self.quota.now())
+    }
+
+    /// The pool that a request for this service goes to.
+    pub fn pool_for_service(&self, service: &str) -> usize {
+        self.pools.borrow_mut().pool_for_requests(service)
+    }
+
+    /// The pools of this service's backends, a bit each.
+    pub fn pools_of_backend(&self, service: &str) -> u32 {
+        self.pools.borrow_mut().pools_of_backend(service)
+    }
+
+    /// A route's class.
+    pub fn class(&self, route: &Route) -> usize {
+        self.request_classes.borrow().index_of(&RequestClass::of_route(route))
+    }
+
+    /// The plan of requests of a priority.
+    pub fn plan_for_priority(priority: u32) -> usize {
+        (priority as usize).min(PRIORITY_LEVELS - 1)
+    }
+
+    /// How long a request of this class may wait for its turn, with so much time left: not so long that it could not be served
+    /// behind it. And, if it can be sent only once, how long without missing its target latency.
+    pub fn max_wait(
+        &self,
+        class: usize,
+        time_left: Duration,
+        max_wait: Duration,
+    ) -> (Duration, Option<Duration>) {
+        let settings = self.settings.borrow();
+        let class = &settings.classes[class.min(settings.classes.len() - 1)];
+        let target_latency = Duration::from_nanos(class.aim);
+        let urgent_within = (class.effect == Effect::Unsafe).then_some(target_latency / 2);
+        (max_wait.min(time_left - target_latency.min(time_left / 2)), urgent_within)
+    }
+
+    /// The driver's time in so long.
+    pub fn time_in(&self, after: Duration) -> interface::Time {
+        self.driver.borrow().as_ref().map_or(0, |driver| driver.time(Instant::now() + after))
+    }
+
+    /// A guess at a request's units, which nothing tells beforehand.
+    pub fn estimate_units(route: &Route) -> f64 {
+        let work_ms = route.target_latency_ms / TARGET_LATENCY_PER_WORK;
+        (work_ms / UNIT_MS).clamp(MIN_UNITS, MAX_UNITS)
+    }
+
+    // ---- Changes ----
+
+    /// Something that this gateway has observed itself.
+    pub fn observe(&self, act: impl FnOnce(&mut View) -> Vec<ViewChange>) {
+        let changes = self.with_subscription(|subscription, _| subscription.observe(act));
+        self.apply_changes(changes);
+    }
+
+    /// Applies changes of the view.
+    pub fn apply_changes(&self, changes: Vec<ViewChange>) {
+        let driver = self.driver.borrow().clone();
+        let now = driver.as_ref().map_or(0, |driver| driver.time(Instant::now()));
+        let mut targets = Vec::new();
+        for change in changes {
+            match change {
+                ViewChange::Configuration(configuration) => self.apply_configuration(&configuration),
+                ViewChange::BackendReady(heartbeat) => targets.push(ready_target(&heartbeat, now)),
+                ViewChange::BackendDraining(id) => {
+                    targets.push(target_in_state(id, State::Terminating));
+                }
+                ViewChange::BackendRemoved(id) => targets.push(target_in_state(id, State::Gone)),
+                ViewChange::Gateways => self.update_gateways(),
+            }
+        }
+        if let Some(driver) = driver.filter(|_| !targets.is_empty()) {
+            driver.list(Scope::Changes, List { rev: 0, all: false, targets });
+        }
+    }
+
+    fn apply_configuration(&self, committed: &CommittedConfiguration) {
+        let version = committed.version;
+        match Configuration::parse(&committed.body) {
+            Ok(configuration) => {
+                log::info!("configuration {version:08x} in force");
+                self.configure(configuration);
+            }
+            Err(error) => log::error!("configuration {version:08x}: {error}; the old one stands"),
+        }
+    }
+
+    fn configure(&self, configuration: Configuration) {
+        let mut classes = self.request_classes.borrow_mut();
+        classes.configure(&configuration.routes);
+        self.quota.set_limits(&TenantTerms::from_configuration(&configuration).limits);
+        *self.max_attempts.borrow_mut() = classes.all().iter().map(|class| class.max_attempts).collect();
+        self.settings.borrow_mut().classes =
+            classes.all().iter().map(RequestClass::to_module_class).collect();
+        drop(classes);
+        self.reconfigure();
+        *self.routes.borrow_mut() = Some(Rc::new(RouteTable::new(configuration)));
+    }
+
+    fn update_gateways(&self) {
+        let subscription = self.subscription.borrow();
+        let gateways = subscription.view().gateways();
+        let own_place = gateways.iter().position(|name| *name == self.name);
+        self.quota.set_gateway_count(own_place.map_or(0, |_| gateways.len() as u32));
+        // Of many backends each gateway keeps to some, by its place among the gateways.
+        if let (Some(place), Some(driver)) = (own_place, &*self.driver.borrow()) {
+            driver.neighbours(Some((place as u32, gateways.len() as u32)));
+        }
+        self.settings.borrow_mut().gateways = gateways.len().max(1) as u32;
+        drop(subscription);
+        self.reconfigure();
+    }
+
+    fn reconfigure(&self) {
+        if let Some(driver) = &*self.driver.borrow() {
+            driver.reconfigure(self.settings());
+        }
+    }
+}
+
+fn module_settings(classes: &RequestClasses, zone: u32) -> Settings {
+    let priorities = (0..PRIORITY_LEVELS).map(|level| Plan {
+        value_factor: (PRIORITY_LEVELS - level) as f64,
+        ..Plan::new(&format!("rank {level}"), 0.0, 0.0)
+    });
+    // Throttled tenants wait in queues of their own, of the least weight.
+    let plans = priorities.chain([Plan::new("slowed", 0.0, 0.0)]);
+    Settings {
+        zone,
+        gateways: ASSUMED_GATEWAYS,
+        pools: POOL_COUNT,
+        classes: classes.all().iter().map(RequestClass::to_module_class).collect(),
+        plans: plans.collect(),
+        cancelling: true,
+        retry_after: true,
+        max_retry_after: MAX_RETRY_AFTER_NANOS,
+        try_limit: TRY_LIMIT,
+        most_units: MAX_UNITS,
+        cold: WARMUP_TIME.as_nanos() as u64,
+        cold_from: WARMUP_INITIAL_SPEED,
+        cross_zone_price: CROSS_ZONE_PRICE,
+        tick: TICK_NANOS,
+        ..Settings::default()
+    }
+}
+
+/// `now`: on the driver's clock, by which it tells how long backends have run.
+fn ready_target(heartbeat: &Heartbeat, now: u64) -> Target {
+    let warmup_left = Duration::from_millis(u64::from(heartbeat.warmup_left_ms));
+    let running_for = WARMUP_TIME.saturating_sub(warmup_left);
+    Target {
+        uid: heartbeat.instance.clone(),
+        endpoint: heartbeat.address.clone(),
+        az: heartbeat.zone.clone(),
+        model: heartbeat.service.clone(),
+        pod_group: 0,
+        state: State::Ready,
+        capacity_hint: 1.0,
+        boot_ms: now / 1_000_000 - running_for.as_millis() as u64,
+    }
+}
+
+fn target_in_state(id: String, state: State) -> Target {
+    Target {
+        uid: id,
+        endpoint: String::new(),
+        az: String::new(),
+        model: String::new(),
+        pod_group: 0,
+        state,
+        capacity_hint: 1.0,
+        boot_ms: 0,
+    }
+}
--- a/crates/data/data-plane/src/pools.rs
+++ b/crates/data/data-plane/src/pools.rs
@@ -1,23 +1,23 @@
-//! Services in the decision module's pools: which backends a request may go to. A service beyond the last place has none: its
-//! requests are refused at once, and its backends take nobody else's. No I/O.
+//! Services as pools of the decision module: which backends a request may go to. A service beyond the last pool has none: its
+//! requests are refused at once, and its backends take no other service's. No I/O.
 
 #[cfg(test)]
 mod tests;
 
 use std::collections::HashMap;
 
-/// Pools of the module. The last one is nobody's: it stays empty.
+/// Pools of the module. The last one stays empty.
 pub const POOL_COUNT: usize = 32;
 const UNROUTABLE_POOL: usize = POOL_COUNT - 1;
 
-/// Services, in the order in which they were first heard of.
+/// Services and their pools, in the order in which they were first heard of.
 #[derive(Clone, Debug, Default)]
 pub struct Pools(HashMap<String, usize>);
 
 impl Pools {
     fn assign(&mut self, service: &str) -> Option<usize> {
-        if let Some(known) = self.0.get(service) {
-            return Some(*known);
+        if let Some(pool) = self.0.get(service) {
+            return Some(*pool);
         }
         let next = self.0.len();
         if service.is_empty() || next >= UNROUTABLE_POOL {
@@ -34,6 +34,6 @@
 
     /// The pools that a backend of this service is in, a bit each.
     pub fn pools_of_backend(&mut self, service: &str) -> u32 {
-        self.assign(service).map_or(0, |place| 1 << place)
+        self.assign(service).map_or(0, |pool| 1 << pool)
     }
 }
--- a/crates/data/data-plane/src/rights.rs
+++ b/crates/data/data-plane/src/tenant_quota.rs
@@ -1,9 +1,9 @@
-//! The desk's sockets: asks go up the link to the prompter, requests wait here for a unit.
+//! The quota client's connection: requests go up the link to the control node, clients' requests wait here for a unit.
 
 use interface::{Allowance, Name, RequestId};
-use messages::message::GatewayMessage;
+use messages::GatewayMessage;
 use proxy::driver::Driver;
-use quota::{Decision, LeaseGrant, LeaseRequest, Limit, QueueOutcome, QueuedRequest, QuotaClient};
+use quota::{Decision, LeaseGrant, Limit, QueueOutcome, QueuedRequest, QuotaClient};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -11,19 +11,24 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// How a request that may pass goes on.
+/// How a request that is admitted goes on.
 pub enum Admission {
+    /// At once.
     Immediate,
-    /// By [`Rights::enter`]: its tenant is slowed.
+    /// By [`TenantQuota::enqueue`]: its tenant is throttled.
     Queued {
+        /// How long it may wait.
         max_wait: Duration,
     },
 }
 
+/// Tenants' quota at this gateway.
 pub struct TenantQuota {
     started: Instant,
     client: RefCell<QuotaClient>,
+    /// A grant has arrived by which a request that waits may go on.
     grants: watch::Sender<()>,
+    /// The client has something to ask for at once.
     urgent: Notify,
     uplink: RefCell<Option<mpsc::Sender<GatewayMessage>>>,
     /// Where requests wait for their turn.
@@ -31,6 +36,7 @@
 }
 
 impl TenantQuota {
+    /// Without tenants.
     pub fn new() -> Rc<Self> {
         Rc::new(TenantQuota {
             started: Instant::now(),
@@ -42,20 +48,24 @@
         })
     }
 
+    /// Nanoseconds since the process started.
     pub fn now(&self) -> u64 {
         self.started.elapsed().as_nanos() as u64
     }
 
+    /// Takes new limits.
     pub fn set_limits(&self, limits: &BTreeMap<String, Limit>) {
         self.client.borrow_mut().set_limits(self.now(), limits);
     }
 
-    pub fn set_gateway_count(&self, gateways: u32) {
-        self.client.borrow_mut().set_gateway_count(gateways);
+    /// How many gateways are replicated, if this one is among them; else 0.
+    pub fn set_gateway_count(&self, gateway_count: u32) {
+        self.client.borrow_mut().set_gateway_count(gateway_count);
     }
 
-    pub fn on_grant(&self, lent: &LeaseGrant) {
-        if self.client.borrow_mut().on_grant(self.now(), lent) {
+    /// Takes the coordinator's answer.
+    pub fn on_grant(&self, grant: &LeaseGrant) {
+        if self.client.borrow_mut().on_grant(self.now(), grant) {
             self.grants.send_replace(());
             self.release_due();
             // What is due has changed.
@@ -63,11 +73,12 @@
         }
     }
 
+    /// Where requests wait for their turn.
     pub fn set_driver(&self, driver: Rc<Driver>) {
         *self.driver.borrow_mut() = Some(driver);
     }
 
-    /// Where asks go from now on.
+    /// Where requests to the coordinator go from now on.
     pub fn set_uplink(&self, uplink: Option<mpsc::Sender<GatewayMessage>>) {
         *self.uplink.borrow_mut() = uplink;
     }
@@ -78,31 +89,31 @@
     /// None is to be had: when to come back.
     pub async fn acquire(&self, tenant: &Name) -> Result<Admission, Duration> {
         let draw = fastrand::f64();
-        let mut news = self.grants.subscribe();
+        let mut grants = self.grants.subscribe();
         let mut since = None;
         loop {
             let now = self.now();
-            let verdict = self.client.borrow_mut().acquire(now, tenant, draw, since);
-            match verdict {
+            let decision = self.client.borrow_mut().acquire(now, tenant, draw, since);
+            match decision {
                 Decision::Granted => return Ok(Admission::Immediate),
-                Decision::Throttled { max_wait: wait } => {
-                    return Ok(Admission::Queued { max_wait: Duration::from_nanos(wait) })
+                Decision::Throttled { max_wait } => {
+                    return Ok(Admission::Queued { max_wait: Duration::from_nanos(max_wait) });
                 }
-                Decision::Refused { retry_after: advice } => return Err(Duration::from_nanos(advice)),
+                Decision::Refused { retry_after } => return Err(Duration::from_nanos(retry_after)),
                 Decision::Wait { until } => {
                     since.get_or_insert(now);
                     self.urgent.notify_one();
-                    let waiting = PendingWait { rights: self, tenant, armed: true };
+                    let waiting = PendingWait { quota: self, tenant, is_armed: true };
                     let until = self.started + Duration::from_nanos(until);
-                    let _ = timeout_at(until, news.changed()).await;
+                    let _ = timeout_at(until, grants.changed()).await;
                     waiting.disarm();
                 }
             }
         }
     }
 
-    /// A request waits for its turn from now on, for so long at the most, and if it is pressed for time for so long. It is
-    /// handed to the driver next, and hears there.
+    /// A request waits for its turn from now on, for so long at most, and if it is urgent for so long. It is handed to the
+    /// driver next, and hears there.
     ///
     /// # Errors
     /// Too many wait: when to come back.
@@ -110,74 +121,74 @@
         &self,
         tenant: &Name,
         id: RequestId,
-        wait: Duration,
-        pressing: Option<Duration>,
+        max_wait: Duration,
+        urgent_within: Option<Duration>,
     ) -> Result<(), Duration> {
-        let since = self.now();
-        let after = |d: Duration| since + d.as_nanos() as u64;
-        let waiter =
-            QueuedRequest { id, enqueued_at: since, deadline: after(wait), urgent_by: pressing.map(after) };
-        self.client.borrow_mut().enqueue(tenant, waiter).map_err(Duration::from_nanos)?;
+        let enqueued_at = self.now();
+        let after = |wait: Duration| enqueued_at + wait.as_nanos() as u64;
+        let request =
+            QueuedRequest { id, enqueued_at, deadline: after(max_wait), urgent_by: urgent_within.map(after) };
+        self.client.borrow_mut().enqueue(tenant, request).map_err(Duration::from_nanos)?;
         self.urgent.notify_one();
         Ok(())
     }
 
-    /// Whose turn it is goes; who would wait in vain is told so.
+    /// Tells the driver of requests whose turn it is, and of those that would wait in vain.
     fn release_due(&self) {
         let Some(driver) = self.driver.borrow().clone() else { return };
         let now = self.now();
         loop {
-            let Some((tenant, id, word)) = self.client.borrow_mut().next_outcome(now) else { return };
-            let allowance = match word {
+            let Some((tenant, id, outcome)) = self.client.borrow_mut().next_outcome(now) else { return };
+            let allowance = match outcome {
                 QueueOutcome::Proceed => Allowance::Granted,
-                QueueOutcome::Refused { retry_after: advice } => Allowance::Refused { advice },
+                QueueOutcome::Refused { retry_after } => Allowance::Refused { advice: retry_after },
             };
-            if !driver.allowed(id, allowance) && word == QueueOutcome::Proceed {
+            if !driver.allowed(id, allowance) && outcome == QueueOutcome::Proceed {
                 self.client.borrow_mut().return_turn(now, &tenant);
             }
         }
     }
 
-    /// Asks whenever it is time, and lets go whose turn it is.
+    /// Sends requests to the coordinator whenever it is time, and releases the requests whose turn it is.
     pub async fn run(self: Rc<Self>) {
         loop {
-            let due = {
-                let desk = self.client.borrow();
-                desk.next_outcome_at(self.now()).map_or(desk.next_due(), |at| at.min(desk.next_due()))
-            };
-            let due = self.started + Duration::from_nanos(due);
+            let due = self.started + Duration::from_nanos(self.next_due());
             tokio::select! {
                 () = sleep_until(due) => {}
                 () = self.urgent.notified() => {}
             }
             self.release_due();
-            let ask: Option<LeaseRequest> = self.client.borrow_mut().next_request(self.now());
-            if let Some(ask) = ask {
-                if let Some(uplink) = &*self.uplink.borrow() {
-                    let _ = uplink.try_send(GatewayMessage::LeaseRequest(ask));
-                }
+            let request = self.client.borrow_mut().next_request(self.now());
+            if let (Some(request), Some(uplink)) = (request, &*self.uplink.borrow()) {
+                let _ = uplink.try_send(GatewayMessage::LeaseRequest(request));
             }
         }
     }
+
+    fn next_due(&self) -> u64 {
+        let client = self.client.borrow();
+        let next_request = client.next_due();
+        client.next_outcome_at(self.now()).map_or(next_request, |at| at.min(next_request))
+    }
 }
 
-/// A request that waits for a unit; the desk hears if it is dropped.
+/// A request that waits for a unit; the client learns if it is dropped.
 struct PendingWait<'a> {
-    rights: &'a TenantQuota,
+    quota: &'a TenantQuota,
     tenant: &'a Name,
-    armed: bool,
+    is_armed: bool,
 }
 
 impl PendingWait<'_> {
     fn disarm(mut self) {
-        self.armed = false;
+        self.is_armed = false;
     }
 }
 
 impl Drop for PendingWait<'_> {
     fn drop(&mut self) {
-        if self.armed {
-            self.rights.client.borrow_mut().cancel_wait(self.tenant);
+        if self.is_armed {
+            self.quota.client.borrow_mut().cancel_wait(self.tenant);
         }
     }
 }
--- a/crates/data/subscription/src/lib.rs
+++ b/crates/data/subscription/src/lib.rs
@@ -1,17 +1,21 @@
-//! A gateway's side of the link to a prompter, as values: which prompter it follows, what it makes of what that tells, how far its
-//! word may be taken for the newest. Driven by the gateway with sockets and a clock, and by `rehearsal` with its own. No I/O.
+//! A gateway's side of the connection to a control node, as values: to which node it subscribes, what it makes of updates,
+//! how far they may be taken for the newest. Driven by the gateway with sockets and a clock, and by the simulation with its
+//! own. No I/O.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
-mod fold;
-mod follow;
-mod touch;
+mod backoff;
+mod freshness;
+mod subscription;
+mod view;
 
-pub use fold::{View, ViewChange};
-pub use follow::{
-    DisconnectReason, Effect, Subscription, SubscriptionConfig, MAX_MESSAGE_TIME, SILENCE_TIMEOUT,
+pub use freshness::Freshness;
+pub use subscription::{
+    DisconnectReason, Effect, NextNode, Subscription, SubscriptionConfig, MAX_MESSAGE_TIME, SILENCE_TIMEOUT,
 };
-pub use touch::Freshness;
+pub use view::{View, ViewChange};
 
 /// Nanoseconds on the gateway's steady clock.
 pub type Time = u64;
-pub(crate) const MS: Time = 1_000_000;
+
+const MS: Time = 1_000_000;
--- a/crates/data/subscription/tests/follow.rs
+++ b/crates/data/subscription/tests/subscription.rs
@@ -1,7 +1,7 @@
 //! Which prompter a gateway follows, and how far it takes its word. Stories that `rehearsal` told first.
 
 use control_state::{CommittedConfiguration, ConfigurationSender, DeltaHistory, CHUNK_BYTES};
-use messages::message::{GatewayMessage, GatewayUpdate, Greeting};
+use messages::{GatewayMessage, GatewayUpdate, Greeting};
 use std::collections::BTreeSet;
 use std::net::IpAddr;
 use std::sync::Arc;
@@ -135,7 +135,7 @@
     let (mut f, seeds) = (follow(), [ip(1), ip(2), ip(3)]);
     let (mut now, mut tried) = (0, Vec::new());
     for _ in 0..40 {
-        let (at, _) = f.next_node(now, &seeds, |_| 0).expect("one of three");
+        let at = f.next_node(now, &seeds, |_| 0).expect("one of three").ip;
         tried.push(at);
         let (end, takes) =
             if at == ip(2) { (DisconnectReason::Refused, 1) } else { (DisconnectReason::TimedOut, 200) };
@@ -155,7 +155,7 @@
     let (mut f, seeds) = (follow(), [ip(1), ip(2), ip(3)]);
     let mut now = 0;
     for _ in 0..20 {
-        let (at, _) = f.next_node(now, &seeds, |_| 0).expect("one of three");
+        let at = f.next_node(now, &seeds, |_| 0).expect("one of three").ip;
         f.on_disconnected(now + 200 * MS, at, now, DisconnectReason::TimedOut);
         now += 250 * MS;
     }
@@ -165,7 +165,8 @@
     f.on_disconnected(now + 5 * MS, ip(1), now, DisconnectReason::NoQuorum);
     let mut tried = BTreeSet::new();
     for _ in 0..2 {
-        let (at, open) = f.next_node(now + 6 * MS, &seeds, |_| 0).expect("one of three");
+        let next = f.next_node(now + 6 * MS, &seeds, |_| 0).expect("one of three");
+        let (at, open) = (next.ip, !next.is_backed_off);
         assert!(open, "at once");
         tried.insert(at);
         f.on_disconnected(now + 206 * MS, at, now + 6 * MS, DisconnectReason::TimedOut);
--- a/crates/testing/compatibility/tests/messages.rs
+++ b/crates/testing/compatibility/tests/messages.rs
@@ -7,7 +7,7 @@
     NodeId, PreviousEntry, TransferContent, VoterSet,
 };
 use control_state::{ConfigurationChunk, TransferHeader};
-use messages::message::{
+use messages::{
     ControlMessage, FleetChange, FleetSnapshot, GatewayMessage, GatewayUpdate, Greeting, Query, QueryAnswer,
     QueryResponse, TrialReport, MESSAGE_FORMAT,
 };
@@ -80,11 +80,11 @@
 #[test]
 fn first_messages_keep_their_bytes() {
     let mut golden = Golden::open("first");
-    golden.assert_message("control", &Greeting::ControlPlane { form: MESSAGE_FORMAT, id: id(1) });
+    golden.assert_message("control", &Greeting::ControlPlane { format: MESSAGE_FORMAT, id: id(1) });
     golden.assert_message(
         "gateway",
         &Greeting::Gateway {
-            form: MESSAGE_FORMAT,
+            format: MESSAGE_FORMAT,
             name: "edge-1".into(),
             zone: "otavi-hall".into(),
             offset: Some(Offset { incarnation: 77, position: 12 }),
@@ -92,7 +92,7 @@
             contact_number: 6,
         },
     );
-    golden.assert_message("shell", &Greeting::Shell { form: MESSAGE_FORMAT });
+    golden.assert_message("shell", &Greeting::Shell { format: MESSAGE_FORMAT });
     assert_eq!(golden.len(), 3);
 }
 
--- a/crates/testing/control-sim/src/gateways.rs
+++ b/crates/testing/control-sim/src/gateways.rs
@@ -83,8 +83,8 @@
 }
 
 /// What is sent to it, in bytes, roughly.
-pub fn bytes(down: &messages::message::GatewayUpdate) -> usize {
-    use messages::message::GatewayUpdate;
+pub fn bytes(down: &messages::GatewayUpdate) -> usize {
+    use messages::GatewayUpdate;
     match down {
         GatewayUpdate::ConfigurationChunk(part) => 60 + part.bytes.len(),
         GatewayUpdate::Snapshot { snapshot: scene, .. } => {
--- a/crates/testing/control-sim/src/growth.rs
+++ b/crates/testing/control-sim/src/growth.rs
@@ -4,7 +4,7 @@
 mod pieces;
 
 use control_state::CommittedConfiguration;
-use messages::message::{ControlMessage, FleetChange, FleetSnapshot, GatewayMessage, GatewayUpdate};
+use messages::{ControlMessage, FleetChange, FleetSnapshot, GatewayMessage, GatewayUpdate};
 use quota::{Decision, LeaseRequest, Limit, QuotaClient, QuotaCoordinator};
 use registry::Heartbeat;
 use rustix::time::{clock_gettime, ClockId};
--- a/crates/testing/control-sim/src/growth/pieces.rs
+++ b/crates/testing/control-sim/src/growth/pieces.rs
@@ -4,7 +4,7 @@
 use configuration::{Configuration, RouteTable, Validator};
 use consensus::{Entry, EntryPayload, Message, MessageBody, NodeId, PreviousEntry, VoterSet};
 use control_state::{body_digest, Command, CommittedConfiguration, ControlState, Delta, DeltaHistory};
-use messages::message::{ControlMessage, FleetChange, FleetSnapshot, GatewayUpdate};
+use messages::{ControlMessage, FleetChange, FleetSnapshot, GatewayUpdate};
 use quota::{Decision, LeaseRequest, QuotaClient, QuotaCoordinator, UnitRequest};
 use registry::{HeartbeatOutcome, ZoneRegistry};
 use std::collections::BTreeSet;
@@ -299,7 +299,7 @@
             let Some(ask) = desk.next_request(now) else { continue };
             made += spent() - before;
             let Some(lent) = keeper.grant(now, "edge-long-bien-0", &ask) else { continue };
-            told += bytes(&messages::message::GatewayMessage::LeaseRequest(ask))
+            told += bytes(&messages::GatewayMessage::LeaseRequest(ask))
                 + bytes(&GatewayUpdate::LeaseGrant(lent.clone()));
             let before = spent();
             desk.on_grant(now, &lent);
--- a/crates/testing/control-sim/src/machine.rs
+++ b/crates/testing/control-sim/src/machine.rs
@@ -169,7 +169,7 @@
 
     fn keep(&mut self, work: StorageRequest) {
         match work {
-            StorageRequest::Append(saves, agreed) => {
+            StorageRequest::Append { changes: saves, commit_index: agreed } => {
                 saves.iter().for_each(|s| save(&mut self.disk, s));
                 self.disk.commit_index = agreed;
             }
--- a/crates/testing/control-sim/src/system.rs
+++ b/crates/testing/control-sim/src/system.rs
@@ -13,12 +13,12 @@
 use control_node::{AppliedRecord, ControlNode, Effect, Reply, HELLO_INTERVAL, UPDATE_INTERVAL};
 use control_state::{DeclaredVersions, LogIndex};
 use fastrand::Rng;
-use messages::message::{ControlMessage, GatewayMessage, GatewayUpdate, Greeting};
+use messages::{ControlMessage, GatewayMessage, GatewayUpdate, Greeting};
 use quota::LeaseGrant;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::net::IpAddr;
-use subscription::{DisconnectReason, ViewChange, SILENCE_TIMEOUT};
+use subscription::{DisconnectReason, NextNode, ViewChange, SILENCE_TIMEOUT};
 use trial::UnixMillis;
 
 /// Who is not linked yet is dialled so often.
@@ -347,7 +347,7 @@
                         }
                     }
                     Effect::NotifySubscribers => news = true,
-                    Effect::Persist { request: number, work } => {
+                    Effect::Persist { number, request: work } => {
                         let (life, done) =
                             (self.machines[n].life, self.disks.write_done(n, self.now, &mut self.rng));
                         self.machines[n].begin(number, work);
@@ -462,13 +462,14 @@
         }
         let seeds = gateway.seeds.clone();
         let rng = &mut self.rng;
-        let Some((ip, open)) = gateway.follow.next_node(now, &seeds, |n| rng.usize(..n)) else {
+        let Some(NextNode { ip, is_backed_off }) = gateway.follow.next_node(now, &seeds, |n| rng.usize(..n))
+        else {
             return self.at(now + PAUSE, Event::Dial(g));
         };
         gateway.number += 1;
         let (number, n) = (gateway.number, place(&ip.to_string()));
         let cut = gateway.cut_until > now;
-        let wait = if open { 0 } else { PAUSE + self.rng.u64(..PAUSE) };
+        let wait = if is_backed_off { PAUSE + self.rng.u64(..PAUSE) } else { 0 };
         self.gateways[g].began = now + wait;
         let there = n < self.machines.len() && !self.machines[n].gone;
         let event = match there {
--- a/crates/testing/control-sim/src/world.rs
+++ b/crates/testing/control-sim/src/world.rs
@@ -12,7 +12,7 @@
 use control_node::Reply;
 use control_state::Command;
 use fastrand::Rng;
-use messages::message::GatewayMessage;
+use messages::GatewayMessage;
 use quota::{Decision, QuotaClient};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::ops::{Deref, DerefMut};
--- a/crates/testing/test-harness/src/scale/hollow.rs
+++ b/crates/testing/test-harness/src/scale/hollow.rs
@@ -5,7 +5,7 @@
 use crate::fleet::lock;
 use crate::house::House;
 use crate::scenario::Play;
-use messages::message::{FleetChange, GatewayMessage, GatewayUpdate, Greeting, MESSAGE_FORMAT};
+use messages::{FleetChange, GatewayMessage, GatewayUpdate, Greeting, MESSAGE_FORMAT};
 use quota::{LeaseRequest, UnitRequest};
 use serde_json::json;
 use std::collections::HashSet;
@@ -261,7 +261,7 @@
     let said = write(
         &mut writer,
         &Greeting::Gateway {
-            form: MESSAGE_FORMAT,
+            format: MESSAGE_FORMAT,
             name,
             zone,
             offset: None,
--- a/crates/tools/granitethread-ctl/src/main.rs
+++ b/crates/tools/granitethread-ctl/src/main.rs
@@ -6,8 +6,8 @@
 mod show;
 
 use messages::frame;
-use messages::message::{Greeting, Query, QueryAnswer, QueryResponse, MESSAGE_FORMAT};
-use process::net::connect;
+use messages::{Greeting, Query, QueryAnswer, QueryResponse, MESSAGE_FORMAT};
+use process::sockets::connect;
 use std::collections::BTreeSet;
 use std::io::Write;
 use std::net::{IpAddr, SocketAddr};
@@ -169,7 +169,7 @@
 async fn one(query: Query, at: SocketAddr) -> std::io::Result<(QueryResponse, QueryResponse)> {
     let (mut reader, mut writer) = frame::split(connect(at).await?);
     reader.accept_long_frames();
-    writer.write(&Greeting::Shell { form: MESSAGE_FORMAT }).await?;
+    writer.write(&Greeting::Shell { format: MESSAGE_FORMAT }).await?;
     let gone = || std::io::Error::from(std::io::ErrorKind::UnexpectedEof);
     writer.write(&Query::Status).await?;
     let status: QueryResponse = reader.read().await?.ok_or_else(gone)?;
--- a/crates/tools/granitethread-ctl/src/operator.rs
+++ b/crates/tools/granitethread-ctl/src/operator.rs
@@ -93,7 +93,7 @@
 /// The first thing that is wrong with it, and where.
 pub fn check(file: &str) -> Result<String, String> {
     let text = std::fs::read(file).map_err(|e| format!("{file}: {e}"))?;
-    let playbill = configuration::check(&text).map_err(|e| format!("{file}: {e}"))?;
+    let playbill = configuration::validate(&text).map_err(|e| format!("{file}: {e}"))?;
     let (routes, tenants) = (playbill.routes.len(), playbill.tenants.len());
     Ok(format!(
         "{file}: sound: version {:08x} on {:08x}, {routes} routes, {tenants} tenants",
--- a/crates/tools/granitethread-ctl/src/show.rs
+++ b/crates/tools/granitethread-ctl/src/show.rs
@@ -1,6 +1,6 @@
 //! Answers in words and as JSON.
 
-use messages::message::{Query, QueryAnswer, QueryResponse, TrialReport};
+use messages::{Query, QueryAnswer, QueryResponse, TrialReport};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
 
