--- a/crates/common/quota/src/tenant_quota.rs
+++ b/crates/common/quota/src/tenant_quota.rs
@@ -55,6 +55,7 @@
 }
 
 impl TenantQuota {
+    /// A tenant of this limit, with no unit granted yet.
     pub fn new(now: Time, limit: Limit) -> Self {
         TenantQuota {
             limit,
@@ -88,18 +89,21 @@
         self.demand * (-to_seconds(now.saturating_sub(self.demand_updated)) / DEMAND_WINDOW_S).exp()
     }
 
+    /// A request came past the refusal probability.
     pub fn record_arrival(&mut self, now: Time) {
         self.demand = self.demand(now) + 1.0 / DEMAND_WINDOW_S;
         self.demand_updated = now;
         self.arrivals += 1;
     }
 
+    /// Drops granted units whose time is up; they are returned with the next request.
     pub fn expire_grants(&mut self, now: Time) {
         while self.grants.front().is_some_and(|grant| grant.expires_at <= now) {
             self.returned += self.grants.pop_front().map_or(0, |grant| grant.units);
         }
     }
 
+    /// Takes a granted unit, if there is one.
     pub fn take_granted_unit(&mut self, now: Time) -> bool {
         self.expire_grants(now);
         let Some(first) = self.grants.front_mut() else { return false };
--- a/crates/common/quota/src/throttle_queue.rs
+++ b/crates/common/quota/src/throttle_queue.rs
@@ -109,6 +109,7 @@
 }
 
 impl ThrottleQueue {
+    /// An empty queue; `trial_removed`: the configuration names no trial.
     pub fn new(pace: TrialPace, trial_removed: bool) -> Self {
         ThrottleQueue {
             pace,
@@ -134,10 +135,12 @@
         now < self.full_speed_from || now >= self.full_speed_until
     }
 
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
+    /// How many requests wait.
     pub fn len(&self) -> u32 {
         self.requests.len() as u32
     }
--- a/crates/common/quota/src/token_bucket.rs
+++ b/crates/common/quota/src/token_bucket.rs
@@ -25,6 +25,7 @@
 }
 
 impl TokenBucket {
+    /// A bucket that holds `level` units.
     pub fn new(now: Time, limit: Limit, level: f64) -> Self {
         TokenBucket { limit, level, updated: now, arrival_rate: 0.0, throttle: None }
     }
--- a/crates/common/quota/src/trial_throttle.rs
+++ b/crates/common/quota/src/trial_throttle.rs
@@ -34,6 +34,7 @@
 }
 
 impl TrialThrottle {
+    /// A throttle without a change announced.
     pub fn new(now: Time, pace: TrialPace, throttled: bool) -> Self {
         TrialThrottle {
             pace,
@@ -68,6 +69,7 @@
         }
     }
 
+    /// A gateway says how many requests wait there.
     pub fn record_queue(&mut self, now: Time, gateway: &str, request: &TurnRequest) {
         let queue = GatewayQueue {
             name: gateway.to_string(),
--- a/crates/control/change-log/tests/change_log.rs
+++ b/crates/control/change-log/tests/change_log.rs
@@ -1,12 +1,12 @@
 use change_log::{ChangeLog, FollowOutcome, FollowPosition, Offset};
 
 #[test]
-fn who_is_not_too_far_behind_gets_what_came_since_and_others_a_snapshot() {
-    let mut board = ChangeLog::new(7, 3);
-    let start = board.end();
-    (0..5).for_each(|n| board.append(n));
+fn changes_since_an_offset_or_none_if_too_old() {
+    let mut log = ChangeLog::new(7, 3);
+    let start = log.end();
+    (0..5).for_each(|n| log.append(n));
     let since = |life, at| {
-        board.since(Offset { incarnation: life, position: at }).map(|c| c.copied().collect::<Vec<_>>())
+        log.since(Offset { incarnation: life, position: at }).map(|c| c.copied().collect::<Vec<_>>())
     };
     assert_eq!(since(7, 2), Some(vec![2, 3, 4]));
     assert_eq!(since(7, 5), Some(vec![]));
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_follower_takes_each_change_once_and_none_behind_a_gap() {
+fn follower_applies_each_change_once_and_none_behind_a_gap() {
     let at = |at| Offset { incarnation: 7, position: at };
     let mut f = FollowPosition::default();
     assert_eq!(f.on_changes(at(0), 2), FollowOutcome::NeedsSnapshot);
--- a/crates/control/change-log/tests/quorum_contact.rs
+++ b/crates/control/change-log/tests/quorum_contact.rs
@@ -1,4 +1,4 @@
-//! What proves that a prompter holds all that is agreed on, and what does not.
+//! What proves that a control-plane node holds all that is agreed on, and what does not.
 
 use change_log::QuorumContact;
 
--- a/crates/control/consensus/src/node/leader_state.rs
+++ b/crates/control/consensus/src/node/leader_state.rs
@@ -53,6 +53,7 @@
 }
 
 impl LeaderState {
+    /// What a leader that was elected now begins with.
     pub fn new(now: Time, first_index: LogIndex, others: BTreeSet<NodeId>) -> Self {
         LeaderState {
             progress: others.into_iter().map(|id| (id, Progress::new(first_index))).collect(),
--- a/crates/control/consensus/src/progress.rs
+++ b/crates/control/consensus/src/progress.rs
@@ -30,6 +30,7 @@
 }
 
 impl Progress {
+    /// A node of which nothing is known: entries are sent from there on.
     pub fn new(next_index: LogIndex) -> Self {
         Progress {
             match_index: 0,
--- a/crates/control/consensus/src/raft_log.rs
+++ b/crates/control/consensus/src/raft_log.rs
@@ -29,6 +29,7 @@
 }
 
 impl RaftLog {
+    /// A log of this snapshot and the entries behind it.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let voters = EffectiveVoters { index: 0, configuration: VoterConfiguration::default() };
         let mut log = RaftLog { snapshot: Arc::new(snapshot), entries, voters };
@@ -49,6 +50,7 @@
         });
     }
 
+    /// The voters in effect: the latest that an entry names, committed or not.
     pub fn voters(&self) -> &VoterConfiguration {
         &self.voters.configuration
     }
@@ -58,18 +60,22 @@
         self.voters.index
     }
 
+    /// What stands in place of the log's beginning.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
+    /// The last index that the snapshot covers.
     pub fn snapshot_index(&self) -> LogIndex {
         self.snapshot.index
     }
 
+    /// How many entries stand behind the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// The entries behind the snapshot.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
@@ -79,15 +85,18 @@
         (self.snapshot_index() + 1..).zip(self.entries.iter().map(Entry::size))
     }
 
+    /// The term and index of the last entry.
     pub fn last_position(&self) -> LogPosition {
         let index = self.snapshot_index() + self.entries.len() as LogIndex;
         LogPosition { term: self.entries.last().map_or(self.snapshot.term, |entry| entry.term), index }
     }
 
+    /// The index of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.last_position().index
     }
 
+    /// The entry at an index behind the snapshot.
     pub fn get(&self, index: LogIndex) -> Option<&Entry> {
         let offset = index.checked_sub(self.snapshot_index() + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
--- a/crates/control/consensus/src/transfer.rs
+++ b/crates/control/consensus/src/transfer.rs
@@ -73,10 +73,12 @@
         self.content.index()
     }
 
+    /// Whether a snapshot is sent, and no entry.
     pub fn is_snapshot(&self) -> bool {
         self.snapshot.is_some()
     }
 
+    /// Bytes that have arrived.
     #[cfg(feature = "defects")]
     pub fn acknowledged(&self) -> u64 {
         self.acknowledged
--- a/crates/control/consensus/src/voter_configuration.rs
+++ b/crates/control/consensus/src/voter_configuration.rs
@@ -36,6 +36,7 @@
         self.next.as_ref().unwrap_or(&self.current)
     }
 
+    /// Whether the voters are being changed.
     pub fn is_joint(&self) -> bool {
         self.next.is_some()
     }
@@ -44,6 +45,7 @@
         std::iter::once(&self.current).chain(&self.next)
     }
 
+    /// Whether a node is a voter of either set.
     pub fn contains(&self, id: &NodeId) -> bool {
         self.sets().any(|set| set.get(&id.name) == Some(&id.disk_id))
     }
--- a/crates/control/consensus/tests/bootstrap.rs
+++ b/crates/control/consensus/tests/bootstrap.rs
@@ -16,12 +16,12 @@
         let mut rng = Rng::with_seed(seed);
         let new = |name: &str| Some(Bootstrap::new(name, names.map(String::from)));
         let mut seeds = names.map(new);
-        let mut under_way: Vec<(usize, String, BootstrapMessage)> = Vec::new();
-        let mut agreed: BTreeSet<VoterSet> = BTreeSet::new();
+        let mut in_flight: Vec<(usize, String, BootstrapMessage)> = Vec::new();
+        let mut committed: BTreeSet<VoterSet> = BTreeSet::new();
         let mut left = 2;
         for _ in 0..120 {
             let n = rng.usize(..3);
-            let said = if rng.u8(..12) == 0 {
+            let sent_messages = if rng.u8(..12) == 0 {
                 // Each has heard of others.
                 let mut members = VoterSet::from([(names[n].to_string(), 1)]);
                 members.extend((rng.bool()).then(|| (format!("x{}", rng.u8(..3)), 2)));
@@ -31,28 +31,28 @@
                 left -= 1;
                 seeds[n] = None;
                 None
-            } else if !under_way.is_empty() {
-                let at = rng.usize(..under_way.len());
-                let (from, to, what) = under_way[at].clone();
+            } else if !in_flight.is_empty() {
+                let at = rng.usize(..in_flight.len());
+                let (from, to, what) = in_flight[at].clone();
                 if rng.u8(..10) > 0 {
-                    under_way.swap_remove(at);
+                    in_flight.swap_remove(at);
                 }
                 let to = names.iter().position(|name| *name == to).expect("a seed");
                 let lost = rng.u8(..8) == 0;
                 let answers =
                     seeds[to].as_mut().filter(|_| !lost).map(|s| s.on_message(&id(names[from]), what));
                 answers.map(|a| {
-                    under_way.extend(a.into_iter().map(|(back, said)| (to, back, said)));
+                    in_flight.extend(a.into_iter().map(|(back, sent_messages)| (to, back, sent_messages)));
                     Vec::new()
                 })
             } else {
                 None
             };
-            under_way.extend(said.into_iter().flatten().map(|(to, what)| (n, to, what)));
-            agreed.extend(seeds.iter().flatten().filter_map(|s| s.chosen().cloned()));
-            assert!(agreed.len() < 2, "seed {seed}: {agreed:?}");
+            in_flight.extend(sent_messages.into_iter().flatten().map(|(to, what)| (n, to, what)));
+            committed.extend(seeds.iter().flatten().filter_map(|s| s.chosen().cloned()));
+            assert!(committed.len() < 2, "seed {seed}: {committed:?}");
         }
-        ends += agreed.len();
+        ends += committed.len();
     }
     assert!(ends > 1500, "most come to an end: {ends}");
 }
@@ -64,9 +64,9 @@
     assert!(alone.propose(members.clone()).is_empty());
     assert_eq!(alone.chosen(), Some(&members));
     let mut one = Bootstrap::new("a", ["a", "b", "c"].map(String::from));
-    let said = one.propose(members);
-    assert_eq!(said.len(), 2);
-    let Some((_, BootstrapMessage::Prepare { ballot })) = said.into_iter().next() else {
+    let sent_messages = one.propose(members);
+    assert_eq!(sent_messages.len(), 2);
+    let Some((_, BootstrapMessage::Prepare { ballot })) = sent_messages.into_iter().next() else {
         panic!("it prepares")
     };
     let promise = BootstrapMessage::Promise { ballot: ballot.clone(), accepted: None };
--- a/crates/control/consensus/tests/common/mod.rs
+++ b/crates/control/consensus/tests/common/mod.rs
@@ -25,7 +25,7 @@
     /// None while it is down.
     pub core: Option<RaftNode>,
     pub now: Time,
-    /// What it has applied, as a book would hold it.
+    /// What it has applied, as the state machine would hold it.
     pub state: Vec<u8>,
     pub applied: LogIndex,
 }
@@ -46,17 +46,17 @@
         let snapshot = core.snapshot();
         (self.applied, self.state) = (snapshot.index, snapshot.state.clone());
         for output in core.committed_outputs() {
-            if let Output::Apply { index: place, command: word, .. } = output {
-                self.apply(place, &word);
+            if let Output::Apply { index, command, .. } = output {
+                self.apply(index, &command);
             }
         }
         self.core = Some(core);
     }
 
-    /// The state is the latest word, behind how many there were.
-    fn apply(&mut self, place: LogIndex, word: &[u8]) {
-        self.applied = place;
-        self.state = word.to_vec();
+    /// The state is the latest command, behind how many there were.
+    fn apply(&mut self, index: LogIndex, command: &[u8]) {
+        self.applied = index;
+        self.state = command.to_vec();
     }
 
     pub fn is_leader(&self) -> bool {
@@ -69,16 +69,16 @@
         if let Some(core) = &mut self.core {
             core.handle(self.now, input, &mut out);
         }
-        let (mut said, mut done) = (Vec::new(), Vec::new());
+        let (mut sent_messages, mut done) = (Vec::new(), Vec::new());
         for output in out {
             match output {
-                Output::Persist(save) => saved(&mut self.disk, &save),
-                Output::Send(message) => said.push(message),
+                Output::Persist(save) => persist(&mut self.disk, &save),
+                Output::Send(message) => sent_messages.push(message),
                 other => {
                     match &other {
-                        Output::Apply { index: place, command: word, .. } => self.apply(*place, word),
-                        Output::InstallSnapshot { index: place, state } => {
-                            (self.applied, self.state) = (*place, state.clone());
+                        Output::Apply { index, command, .. } => self.apply(*index, command),
+                        Output::InstallSnapshot { index, state } => {
+                            (self.applied, self.state) = (*index, state.clone());
                         }
                         _ => {}
                     }
@@ -89,14 +89,14 @@
         if let Some(core) = &self.core {
             self.disk.commit_index = core.commit_index();
         }
-        (said, done)
+        (sent_messages, done)
     }
 
     /// Folds the log into the state if it has so many entries.
-    pub fn fold(&mut self, most: usize) {
+    pub fn compact(&mut self, most: usize) {
         let Some(core) = self.core.as_mut().filter(|c| c.entry_count() > most) else { return };
         if let Some(save) = core.compact(self.applied, self.state.clone()) {
-            saved(&mut self.disk, &save);
+            persist(&mut self.disk, &save);
         }
     }
 
@@ -109,8 +109,8 @@
     }
 
     /// What its log says there.
-    pub fn entry(&self, place: LogIndex) -> Option<&Entry> {
-        let at = place.checked_sub(self.disk.snapshot.index + 1)?;
+    pub fn entry(&self, index: LogIndex) -> Option<&Entry> {
+        let at = index.checked_sub(self.disk.snapshot.index + 1)?;
         self.disk.entries.get(at as usize)
     }
 
@@ -119,7 +119,7 @@
     }
 }
 
-fn saved(disk: &mut PersistedState, save: &Persist) {
+fn persist(disk: &mut PersistedState, save: &Persist) {
     match save {
         Persist::HardState { term, vote } => (disk.term, disk.vote) = (*term, vote.clone()),
         Persist::Entries { from, entries } => {
@@ -140,30 +140,30 @@
 
 /// Which rule is broken, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub enum Violation {
     /// Two led in one term.
     TwoLeaders(Term),
-    /// Two logs hold another entry of the same term at the same place.
+    /// Two logs hold another entry of the same term at the same index.
     LogMatching(LogIndex),
     /// What was applied here was applied otherwise elsewhere.
-    Undone(LogIndex),
+    AppliedDiffers(LogIndex),
     /// Whoever leads lacks what was agreed on.
-    Incomplete(LogIndex),
+    LeaderIncomplete(LogIndex),
     /// After a change of the voters fewer losses are borne than before.
-    BearsLess(LogIndex),
+    FaultToleranceReduced(LogIndex),
 }
 
 /// What was seen by now.
 #[derive(Clone, Debug, Default, Hash)]
-pub struct Seen {
+pub struct Observations {
     leaders: BTreeMap<Term, NodeId>,
     applied: BTreeMap<LogIndex, (Term, Vec<u8>)>,
 }
 
-impl Seen {
-    /// The latest place that was applied anywhere.
+impl Observations {
+    /// The latest index that was applied anywhere.
     pub fn newest(&self) -> LogIndex {
-        self.applied.last_key_value().map_or(0, |(place, _)| *place)
+        self.applied.last_key_value().map_or(0, |(index, _)| *index)
     }
 
     /// Whether a member's step brings anything that was not seen before.
@@ -173,59 +173,66 @@
     }
 
     /// Takes in what a member has done.
-    pub fn step(&mut self, member: &Member, done: &[Output]) -> Result<(), Broken> {
+    pub fn record(&mut self, member: &Member, done: &[Output]) -> Result<(), Violation> {
         for output in done {
-            if let Output::Apply { index: place, term, command: word } = output {
-                let there = self.applied.entry(*place).or_insert((*term, word.clone()));
-                if (there.0, &there.1) != (*term, word) {
-                    return Err(Broken::Undone(*place));
+            if let Output::Apply { index, term, command } = output {
+                let there = self.applied.entry(*index).or_insert((*term, command.clone()));
+                if (there.0, &there.1) != (*term, command) {
+                    return Err(Violation::AppliedDiffers(*index));
                 }
             }
         }
         let Some(core) = member.core.as_ref().filter(|c| c.is_leader()) else { return Ok(()) };
         self.leaders.entry(core.term()).or_insert(core.id().clone());
-        for (place, (term, word)) in &self.applied {
-            let has = match member.entry(*place) {
-                Some(entry) => entry.term == *term && entry.payload == EntryPayload::Command(word.clone()),
-                None => *place <= member.disk.snapshot.index,
+        for (index, (term, command)) in &self.applied {
+            let has = match member.entry(*index) {
+                Some(entry) => entry.term == *term && entry.payload == EntryPayload::Command(command.clone()),
+                None => *index <= member.disk.snapshot.index,
             };
             // One that led before and does not know yet that it is over may lack the newest.
             let newer = self.leaders.last_key_value().is_some_and(|(t, _)| *t > core.term());
             if !has && !newer {
-                return Err(Broken::Incomplete(*place));
+                return Err(Violation::LeaderIncomplete(*index));
             }
         }
         Ok(())
     }
 
     /// Looks at a member that has just taken a step; `before`: how its log ended.
-    pub fn look<M: Borrow<Member>>(&self, members: &[M], n: usize, before: LogIndex) -> Result<(), Broken> {
+    pub fn check<M: Borrow<Member>>(
+        &self,
+        members: &[M],
+        n: usize,
+        before: LogIndex,
+    ) -> Result<(), Violation> {
         let member: &Member = members[n].borrow();
         let Some(core) = &member.core else { return Ok(()) };
         if core.is_leader() {
             if self.leaders.get(&core.term()).is_some_and(|leader| leader != core.id()) {
-                return Err(Broken::TwoLeaders(core.term()));
+                return Err(Violation::TwoLeaders(core.term()));
             }
-            for place in before + 1..=member.last() {
+            for index in before + 1..=member.last() {
                 if let Some(Entry { payload: EntryPayload::JointConfiguration { old, new }, .. }) =
-                    member.entry(place)
+                    member.entry(index)
                 {
-                    bears(members, core, old, new).then_some(()).ok_or(Broken::BearsLess(place))?;
+                    tolerates_as_many_failures(members, core, old, new)
+                        .then_some(())
+                        .ok_or(Violation::FaultToleranceReduced(index))?;
                 }
                 let plain = matches!(
-                    member.entry(place),
+                    member.entry(index),
                     Some(Entry { payload: EntryPayload::Configuration(_), .. })
                 );
-                let was = (1..place).rev().find_map(|p| match &member.entry(p)?.payload {
+                let was = (1..index).rev().find_map(|p| match &member.entry(p)?.payload {
                     EntryPayload::Configuration(old) => Some((old.clone(), false)),
                     EntryPayload::JointConfiguration { old, .. } => Some((old.clone(), true)),
                     _ => None,
                 });
                 let was = was.unwrap_or_else(|| (member.disk.snapshot.voters.clone(), false));
                 if let (true, (old, false)) = (plain, was) {
-                    bears(members, core, &old, core.voters())
+                    tolerates_as_many_failures(members, core, &old, core.voters())
                         .then_some(())
-                        .ok_or(Broken::BearsLess(place))?;
+                        .ok_or(Violation::FaultToleranceReduced(index))?;
                 }
             }
         }
@@ -233,10 +240,10 @@
             let other: &Member = other.borrow();
             let from = member.disk.snapshot.index.max(other.disk.snapshot.index) + 1;
             let to = member.last().min(other.last());
-            for place in (from..=to).rev() {
-                let (Some(a), Some(b)) = (member.entry(place), other.entry(place)) else { continue };
+            for index in (from..=to).rev() {
+                let (Some(a), Some(b)) = (member.entry(index), other.entry(index)) else { continue };
                 if a.term == b.term && a != b {
-                    return Err(Broken::LogMatching(place));
+                    return Err(Violation::LogMatching(index));
                 }
             }
         }
@@ -246,14 +253,19 @@
 
 /// Whether the new voters bear as many losses as the old: there are as many or more by the majority, and all that are new
 /// among them hold what is agreed on.
-fn bears<M: Borrow<Member>>(members: &[M], core: &RaftNode, old: &VoterSet, new: &VoterSet) -> bool {
+fn tolerates_as_many_failures<M: Borrow<Member>>(
+    members: &[M],
+    core: &RaftNode,
+    old: &VoterSet,
+    new: &VoterSet,
+) -> bool {
     let holds = |(name, disk): (&String, &u64)| {
-        let place = core.commit_index();
+        let index = core.commit_index();
         members.iter().map(Borrow::borrow).any(|m: &Member| {
-            m.id.name == *name && m.id.disk_id == *disk && m.disk.commit_index.max(m.last()) >= place
+            m.id.name == *name && m.id.disk_id == *disk && m.disk.commit_index.max(m.last()) >= index
         })
     };
-    let fresh = new.iter().filter(|(name, disk)| old.get(*name) != Some(*disk));
-    let spare = |set: &VoterSet| (set.len() - 1) / 2;
-    fresh.clone().all(holds) && spare(new) >= spare(old)
+    let added = new.iter().filter(|(name, disk)| old.get(*name) != Some(*disk));
+    let failures_tolerated = |set: &VoterSet| (set.len() - 1) / 2;
+    added.clone().all(holds) && failures_tolerated(new) >= failures_tolerated(old)
 }
--- a/crates/control/consensus/tests/common/net.rs
+++ b/crates/control/consensus/tests/common/net.rs
@@ -1,6 +1,6 @@
-//! Members on a simulated network with clocks: delays, bandwidth, cuts, and knocks twice a second.
+//! Nodes on a simulated network with clocks: delays, bandwidth, partitions, and requests to join twice a second.
 
-use super::{id, Member, Seen, MS};
+use super::{id, Member, Observations, MS};
 use consensus::{Input, Message, MessageBody, NodeId, Output, Time, VoterSet};
 use fastrand::Rng;
 use std::cmp::Reverse;
@@ -11,24 +11,24 @@
 pub struct Net {
     pub now: Time,
     pub members: Vec<Member>,
-    pub seen: Seen,
+    pub observations: Observations,
     /// Those that cannot reach each other, one way.
-    pub cuts: BTreeSet<(String, String)>,
+    pub partitions: BTreeSet<(String, String)>,
     /// Bytes a second from one to the other, where they are few.
     pub slow: BTreeMap<(String, String), u64>,
     busy: BTreeMap<(String, String), Time>,
     queue: BinaryHeap<Reverse<(Time, u64)>>,
-    under_way: BTreeMap<u64, Message>,
+    in_flight: BTreeMap<u64, Message>,
     next: u64,
     rng: Rng,
     /// How many bytes went to each.
     pub sent: BTreeMap<String, u64>,
-    pub agreed: u64,
-    /// A word each so often, if not 0.
+    pub committed: u64,
+    /// The interval between proposed commands; 0 for none.
     pub every: Time,
     pub size: usize,
-    /// Folds at so many entries.
-    pub fold: usize,
+    /// The log is compacted beyond this many entries.
+    pub compact: usize,
 }
 
 fn bytes(message: &Message) -> u64 {
@@ -36,7 +36,7 @@
         MessageBody::AppendEntries { entries, .. } => entries
             .iter()
             .map(|e| match &e.payload {
-                consensus::EntryPayload::Command(word) => word.len() as u64 + 16,
+                consensus::EntryPayload::Command(command) => command.len() as u64 + 16,
                 _ => 64,
             })
             .sum(),
@@ -50,24 +50,24 @@
         Net {
             now: 0,
             members: Vec::new(),
-            seen: Seen::default(),
-            cuts: BTreeSet::new(),
+            observations: Observations::default(),
+            partitions: BTreeSet::new(),
             slow: BTreeMap::new(),
             busy: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            under_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             next: 0,
             rng: Rng::with_seed(seed),
             sent: BTreeMap::new(),
-            agreed: 0,
+            committed: 0,
             every: 0,
             size: 8,
-            fold: 24,
+            compact: 24,
         }
     }
 
-    /// Voters of these names that have founded and agreed on somebody.
-    pub fn founded(seed: u64, names: &[&str]) -> Self {
+    /// Voters of these names that have bootstrapped and elected a leader.
+    pub fn bootstrapped(seed: u64, names: &[&str]) -> Self {
         let mut net = Net::empty(seed);
         names.iter().for_each(|name| net.join(name));
         let members: VoterSet = net.members.iter().map(|m| (m.id.name.clone(), m.id.disk_id)).collect();
@@ -121,9 +121,9 @@
         for other in names.into_iter().filter(|o| o != name) {
             for pair in [(name.to_string(), other.clone()), (other, name.to_string())] {
                 if off {
-                    self.cuts.insert(pair);
+                    self.partitions.insert(pair);
                 } else {
-                    self.cuts.remove(&pair);
+                    self.partitions.remove(&pair);
                 }
             }
         }
@@ -134,7 +134,7 @@
         leaders.max_by_key(|m| m.core.as_ref().map(|c| c.term()))
     }
 
-    /// Who votes by the leader's word.
+    /// The voters that the leader knows.
     pub fn voters(&self) -> String {
         let voters = self.leader().and_then(|l| l.core.as_ref()).map(|c| c.voters().keys().cloned());
         voters.map(|v| v.collect::<Vec<_>>().join(" ")).unwrap_or_default()
@@ -147,19 +147,19 @@
     pub fn take(&mut self, n: usize, input: Input) {
         self.members[n].now = self.now;
         let before = self.members[n].last();
-        let (said, done) = self.members[n].take(input);
-        let seen = self.seen.look(&self.members, n, before);
-        if let Err(broken) = seen.and_then(|()| self.seen.step(&self.members[n], &done)) {
-            panic!("{broken:?} at {} ms by {}", self.now / MS, self.members[n].id);
+        let (sent_messages, done) = self.members[n].take(input);
+        let checked = self.observations.check(&self.members, n, before);
+        if let Err(violation) = checked.and_then(|()| self.observations.record(&self.members[n], &done)) {
+            panic!("{violation:?} at {} ms by {}", self.now / MS, self.members[n].id);
         }
-        self.agreed += done.iter().filter(|o| matches!(o, Output::Apply { .. })).count() as u64;
-        self.members[n].fold(self.fold);
-        said.into_iter().for_each(|message| self.send(message));
+        self.committed += done.iter().filter(|o| matches!(o, Output::Apply { .. })).count() as u64;
+        self.members[n].compact(self.compact);
+        sent_messages.into_iter().for_each(|message| self.send(message));
     }
 
     fn send(&mut self, message: Message) {
         let link = (message.from.name.clone(), message.to.name.clone());
-        if self.cuts.contains(&link) {
+        if self.partitions.contains(&link) {
             return;
         }
         let size = bytes(&message);
@@ -171,7 +171,7 @@
         let at = free + 2 * MS;
         self.next += 1;
         self.queue.push(Reverse((at, self.next)));
-        self.under_way.insert(self.next, message);
+        self.in_flight.insert(self.next, message);
     }
 
     /// So many milliseconds go by.
@@ -181,10 +181,10 @@
             self.now += STEP;
             while self.queue.peek().is_some_and(|Reverse((at, _))| *at <= self.now) {
                 let Some(Reverse((_, key))) = self.queue.pop() else { break };
-                let Some(message) = self.under_way.remove(&key) else { continue };
+                let Some(message) = self.in_flight.remove(&key) else { continue };
                 let link = (message.from.name.clone(), message.to.name.clone());
                 let to = self.members.iter().position(|m| m.id.name == message.to.name);
-                if let Some(to) = to.filter(|_| !self.cuts.contains(&link)) {
+                if let Some(to) = to.filter(|_| !self.partitions.contains(&link)) {
                     self.take(to, Input::Message(message));
                 }
             }
@@ -194,7 +194,7 @@
                 }
             }
             if self.now.is_multiple_of(500 * MS) {
-                self.knocks();
+                self.send_join_requests();
             }
             if self.every > 0 && self.now.is_multiple_of(self.every) {
                 self.propose();
@@ -202,22 +202,22 @@
         }
     }
 
-    /// A word is proposed to whoever leads.
+    /// A command is proposed to whoever leads.
     pub fn propose(&mut self) {
         let Some(n) = self.leader().map(|l| self.at(&l.id.name)) else { return };
         self.next += 1;
-        let mut word = vec![0; self.size];
-        word[..8].copy_from_slice(&self.next.to_be_bytes());
-        self.take(n, Input::Propose { tag: 0, command: word });
+        let mut command = vec![0; self.size];
+        command[..8].copy_from_slice(&self.next.to_be_bytes());
+        self.take(n, Input::Propose { tag: 0, command });
     }
 
-    fn knocks(&mut self) {
+    fn send_join_requests(&mut self) {
         let up: Vec<NodeId> =
             self.members.iter().filter(|m| m.core.is_some()).map(|m| m.id.clone()).collect();
         for from in &up {
             for to in &up {
                 let link = (from.name.clone(), to.name.clone());
-                if from.name != to.name && !self.cuts.contains(&link) {
+                if from.name != to.name && !self.partitions.contains(&link) {
                     let n = self.at(&to.name);
                     self.take(n, Input::Join { id: from.clone(), wants_vote: true });
                 }
@@ -226,12 +226,12 @@
     }
 
     /// Something new is agreed on within so many milliseconds.
-    pub fn agrees_within(&mut self, ms: u64) -> bool {
-        let before = self.seen.newest();
+    pub fn commits_within(&mut self, ms: u64) -> bool {
+        let before = self.observations.newest();
         for _ in 0..ms / 100 {
             self.propose();
             self.run(100);
-            if self.seen.newest() > before {
+            if self.observations.newest() > before {
                 return true;
             }
         }
--- a/crates/control/consensus/tests/slow_links.rs
+++ b/crates/control/consensus/tests/slow_links.rs
@@ -26,7 +26,7 @@
 
 #[test]
 fn node_returning_after_500_changes_gets_one_snapshot_and_heartbeats() {
-    let mut net = Net::founded(1, &["a", "b", "c"]);
+    let mut net = Net::bootstrapped(1, &["a", "b", "c"]);
     let (back, _) = pair(&net);
     net.stop(&back);
     for n in 0..500 {
@@ -36,9 +36,9 @@
     }
     net.size = LARGE;
     net.propose();
-    net.fold = 0;
+    net.compact = 0;
     net.run(1_000);
-    let (term, target) = (net.term(), net.seen.newest());
+    let (term, target) = (net.term(), net.observations.newest());
     slow(&mut net, &back);
     net.start(&back);
     net.sent.clear();
@@ -60,7 +60,7 @@
 /// `rehearsal`, seed 991: the leader repeated the last part for ever to one that had begun again in the middle of a state.
 #[test]
 fn restarted_node_gets_a_snapshot_transfer_from_its_start() {
-    let mut net = Net::founded(5, &["a", "b", "c"]);
+    let mut net = Net::bootstrapped(5, &["a", "b", "c"]);
     let (back, _) = pair(&net);
     net.stop(&back);
     net.size = 200;
@@ -68,10 +68,10 @@
         net.propose();
         net.run(50);
     }
-    (net.size, net.fold) = (LARGE, 0);
+    (net.size, net.compact) = (LARGE, 0);
     net.propose();
     net.run(1_000);
-    let (term, target) = (net.term(), net.seen.newest());
+    let (term, target) = (net.term(), net.observations.newest());
     slow(&mut net, &back);
     for _ in 0..3 {
         net.start(&back);
@@ -87,16 +87,16 @@
 
 #[test]
 fn large_command_delays_no_heartbeat_and_is_sent_once() {
-    let mut net = Net::founded(2, &["a", "b", "c"]);
+    let mut net = Net::bootstrapped(2, &["a", "b", "c"]);
     let (behind, leader) = pair(&net);
     slow(&mut net, &behind);
     let term = net.term();
     net.size = LARGE;
     net.sent.clear();
-    let before = net.seen.newest();
+    let before = net.observations.newest();
     net.propose();
     net.run(300);
-    assert!(net.seen.newest() > before, "the others agree at once");
+    assert!(net.observations.newest() > before, "the others agree at once");
     net.size = 100;
     let mut unheard = 0;
     for _ in 0..450 {
@@ -105,7 +105,7 @@
             net.member(&behind).core.as_ref().and_then(|c| c.last_quorum_contact()).expect("it has heard");
         unheard = unheard.max((net.now - heard) / MS);
     }
-    assert!(net.member(&behind).applied >= net.seen.newest());
+    assert!(net.member(&behind).applied >= net.observations.newest());
     assert!(net.sent[&behind] < LARGE as u64 * 11 / 10, "{} bytes", net.sent[&behind]);
     assert!(unheard < 500, "unheard for {unheard} ms");
     assert_eq!((net.term(), net.leader().expect("one leads").id.name.clone()), (term, leader));
@@ -113,17 +113,17 @@
 
 #[test]
 fn learner_on_a_slow_link_votes_once_caught_up_despite_a_wipe() {
-    let mut net = Net::founded(3, &["a", "b", "c"]);
+    let mut net = Net::bootstrapped(3, &["a", "b", "c"]);
     let (gone, leader) = pair(&net);
     let third = ["a", "b", "c"].into_iter().find(|n| *n != gone && *n != leader).expect("three").to_string();
     net.size = LARGE;
     net.propose();
     net.run(200);
-    net.fold = 0;
+    net.compact = 0;
     net.join("d");
     slow(&mut net, "d");
     net.run(1_000);
-    // In the middle of it the old one is told to end, and comes back; nobody else has its place meanwhile.
+    // In the middle of it the old one is told to end, and comes back; nobody else replaces it meanwhile.
     net.terminate(&gone);
     assert_eq!(net.voters(), "a b c");
     net.start(&gone);
@@ -138,8 +138,8 @@
     net.size = 100;
     net.every = 500 * MS;
     net.run(8_000);
-    assert!(net.agrees_within(2_000));
-    // Its new disk or the newcomer has its place, and the other waits.
+    assert!(net.commits_within(2_000));
+    // Its new disk or the newcomer replaces it, and the other waits.
     let now = net.voters();
     assert!(now.contains(&gone) && now.contains(&leader) && now.len() == 5, "{now}");
     net.stop(&gone);
@@ -152,7 +152,7 @@
 #[test]
 fn malformed_messages_are_ignored() {
     use consensus::{Message, MessageBody, NodeId, PreviousEntry, TransferContent};
-    let mut net = Net::founded(4, &["a", "b", "c"]);
+    let mut net = Net::bootstrapped(4, &["a", "b", "c"]);
     let (other, leader) = pair(&net);
     let (n, term) = (net.at(&other), net.term());
     let from = net.member(&leader).id.clone();
@@ -161,7 +161,7 @@
         let whole = TransferContent::Snapshot { index: 99, term, voters: consensus::VoterSet::new() };
         MessageBody::Chunk { content: whole, size, offset: at, bytes, round: 0 }
     };
-    let said = [
+    let sent_messages = [
         state(0, u64::MAX, vec![0; 10]),
         state(u64::MAX, 100, vec![0; 10]),
         state(50, 100, vec![0; 10]),
@@ -175,7 +175,7 @@
         MessageBody::ChunkReceived { index: 7, received: u64::MAX, round: 3 },
         MessageBody::LeaveRequest,
     ];
-    for body in said {
+    for body in sent_messages {
         net.take(n, Input::Message(Message { from: from.clone(), to: to.clone(), term, body: body.clone() }));
         let stranger = NodeId { name: "x".into(), disk_id: 1 };
         let at = net.at(&leader);
@@ -183,6 +183,6 @@
         net.take(at, Input::Message(Message { from: stranger, to, term: 0, body }));
     }
     net.run(1_000);
-    assert!(net.agrees_within(1_000));
+    assert!(net.commits_within(1_000));
     assert_eq!((net.term(), net.voters()), (term, "a b c".to_string()));
 }
--- a/crates/control/consensus/tests/small_worlds.rs
+++ b/crates/control/consensus/tests/small_worlds.rs
@@ -1,10 +1,10 @@
 //! Small worlds explored whole: three voters and a newcomer, each order in which messages come or are lost for good, with so
-//! many elections, changes, exchanges, wipes and restarts. Chance and clocks are left out: who stands for election does so
-//! when it is worst. The rules are looked at after each step.
+//! many elections, changes, exchanges, wipes and restarts. Chance and clocks are left out: a node starts an election
+//! at the worst moment. The rules are looked at after each step.
 
 mod common;
 
-use common::{id, Broken, Member, Seen, MS};
+use common::{id, Member, Observations, Violation, MS};
 use consensus::{Defect, Input, Message, MessageBody, NodeId, VoterSet};
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, HashSet, VecDeque};
@@ -16,11 +16,11 @@
 struct Budget {
     elections: u8,
     changes: u8,
-    knocks: u8,
+    join_requests: u8,
     leaves: u8,
     wipes: u8,
     restarts: u8,
-    pulses: u8,
+    heartbeats: u8,
 }
 
 #[derive(Clone)]
@@ -29,30 +29,30 @@
     members: Vec<Arc<Member>>,
     digests: Vec<u64>,
     /// What is under way from one to another, in order.
-    links: BTreeMap<(usize, usize), VecDeque<Line>>,
+    links: BTreeMap<(usize, usize), VecDeque<DigestedMessage>>,
     left: Budget,
-    seen: Arc<Seen>,
+    observations: Arc<Observations>,
     /// A defect: who loses its disk comes back as the voter that it was.
     wiped_votes: bool,
     /// Who may stand for election.
-    stand: &'static [usize],
+    candidates: &'static [usize],
 }
 
 /// A message, and its digest.
-type Line = (u64, Arc<Message>);
+type DigestedMessage = (u64, Arc<Message>);
 
 #[derive(Clone, Debug)]
 enum Step {
     /// What is under way on this link comes; what is answered comes back at once, or never. That some of it comes later is
-    /// the same as that the rest of it was said later.
+    /// the same as that the rest of it was sent later.
     Deliver(usize, usize, bool),
-    Stand(usize),
+    StartElection(usize),
     Propose(usize),
-    Knock(usize, usize),
+    RequestJoin(usize, usize),
     Leave(usize, usize),
     Wipe(usize),
     Restart(usize),
-    Pulse(usize),
+    Heartbeat(usize),
 }
 
 fn digest(value: &impl Hash) -> u64 {
@@ -62,7 +62,7 @@
 }
 
 /// Rounds tell times alone, which are left out here.
-fn line(message: Message) -> Line {
+fn digested(message: Message) -> DigestedMessage {
     let mut plain = message.clone();
     match &mut plain.body {
         MessageBody::AppendEntries { round, .. }
@@ -76,7 +76,7 @@
 }
 
 impl World {
-    /// Three voters that have founded, the first of which leads, and a newcomer with an empty disk.
+    /// Three voters that have bootstrapped, the first of which leads, and a newcomer with an empty disk.
     fn new(left: Budget, defect: Option<Defect>) -> Self {
         let names = ["a", "b", "c", "d"];
         let member = |(n, name): (usize, &&str)| Member::new(id(name, n as u64 + 1), 0, n as u64, defect);
@@ -87,45 +87,45 @@
             digests,
             links,
             left,
-            seen: Arc::default(),
+            observations: Arc::default(),
             wiped_votes: false,
-            stand: &[0, 1, 2, 3],
+            candidates: &[0, 1, 2, 3],
         };
         let voters: VoterSet = (0..3).map(|n| (names[n].to_string(), n as u64 + 1)).collect();
         for n in 0..3 {
             world.take(n, Input::Bootstrap { voters: voters.clone() }).expect("nothing is wrong yet");
         }
         while let Some((from, to)) = world.links.keys().next().copied() {
-            world.go(&Step::Deliver(from, to, true)).expect("nothing is wrong yet");
+            world.execute(&Step::Deliver(from, to, true)).expect("nothing is wrong yet");
         }
         assert!(world.members[0].is_leader());
         world
     }
 
     /// The newcomer has caught up, and waits.
-    fn with_a_newcomer(left: Budget, defect: Option<Defect>) -> Self {
-        let mut world = World::new(Budget { knocks: 1, ..left }, defect);
-        world.go(&Step::Knock(0, 3)).expect("nothing is wrong yet");
+    fn with_a_waiting_node(left: Budget, defect: Option<Defect>) -> Self {
+        let mut world = World::new(Budget { join_requests: 1, ..left }, defect);
+        world.execute(&Step::RequestJoin(0, 3)).expect("nothing is wrong yet");
         while let Some((from, to)) = world.links.keys().next().copied() {
-            world.go(&Step::Deliver(from, to, true)).expect("nothing is wrong yet");
+            world.execute(&Step::Deliver(from, to, true)).expect("nothing is wrong yet");
         }
         world.left = left;
         world
     }
 
     /// An answer comes.
-    fn hear(&mut self, message: Message) -> Result<(), Broken> {
+    fn deliver_response(&mut self, message: Message) -> Result<(), Violation> {
         let to = self.members.iter().position(|m| m.id == message.to);
         to.map_or(Ok(()), |n| self.take(n, Input::Message(message)).map(drop))
     }
 
-    /// What is said by it: requests are under way then, answers are given back.
-    fn take(&mut self, n: usize, input: Input) -> Result<Vec<Message>, Broken> {
+    /// What it sends: requests are under way then, answers are given back.
+    fn take(&mut self, n: usize, input: Input) -> Result<Vec<Message>, Violation> {
         let mut answers = Vec::new();
         let before = self.members[n].last();
-        let (said, done) = Arc::make_mut(&mut self.members[n]).take(input);
+        let (sent_messages, done) = Arc::make_mut(&mut self.members[n]).take(input);
         self.changed(n);
-        for message in said {
+        for message in sent_messages {
             let is_answer = matches!(
                 message.body,
                 MessageBody::AppendAccepted { .. }
@@ -139,12 +139,12 @@
             }
             // What is meant for a disk that is gone is nobody's.
             if let Some(to) = self.members.iter().position(|m| m.id == message.to) {
-                self.links.entry((n, to)).or_default().push_back(line(message));
+                self.links.entry((n, to)).or_default().push_back(digested(message));
             }
         }
-        self.seen.look(&self.members, n, before)?;
-        if self.seen.is_new(&self.members[n], &done) {
-            Arc::make_mut(&mut self.seen).step(&self.members[n], &done)?;
+        self.observations.check(&self.members, n, before)?;
+        if self.observations.is_new(&self.members[n], &done) {
+            Arc::make_mut(&mut self.observations).record(&self.members[n], &done)?;
         }
         // What nobody would do anything about any more.
         let term = self.members[n].core.as_ref().map_or(0, |c| c.term());
@@ -163,8 +163,8 @@
         for ((from, to), lines) in &self.links {
             steps.push(Step::Deliver(*from, *to, true));
             // Whether a pulse is answered tells of times alone.
-            let is_pulse = |m: &Message| matches!(&m.body, MessageBody::AppendEntries { entries, .. } if entries.is_empty());
-            if !lines.iter().all(|(_, m)| is_pulse(m)) {
+            let is_heartbeat = |m: &Message| matches!(&m.body, MessageBody::AppendEntries { entries, .. } if entries.is_empty());
+            if !lines.iter().all(|(_, m)| is_heartbeat(m)) {
                 steps.push(Step::Deliver(*from, *to, false));
             }
         }
@@ -173,17 +173,17 @@
             let voter = core.voters().get(&member.id.name) == Some(&member.id.disk_id);
             if core.is_leader() {
                 steps.extend((left.changes > 0).then_some(Step::Propose(n)));
-                steps.extend((left.pulses > 0).then_some(Step::Pulse(n)));
+                steps.extend((left.heartbeats > 0).then_some(Step::Heartbeat(n)));
                 for m in (0..self.members.len()).filter(|m| *m != n) {
                     let known =
                         core.voters().get(&self.members[m].id.name) == Some(&self.members[m].id.disk_id);
-                    steps.extend((left.knocks > 0 && !known).then_some(Step::Knock(n, m)));
+                    steps.extend((left.join_requests > 0 && !known).then_some(Step::RequestJoin(n, m)));
                     // The second and the third are alike.
                     steps.extend((left.leaves > 0 && known && m != 1).then_some(Step::Leave(n, m)));
                 }
             } else if voter {
-                let stands = left.elections > 0 && self.stand.contains(&n);
-                steps.extend(stands.then_some(Step::Stand(n)));
+                let may_campaign = left.elections > 0 && self.candidates.contains(&n);
+                steps.extend(may_campaign.then_some(Step::StartElection(n)));
             }
             steps.extend((left.wipes > 0 && voter).then_some(Step::Wipe(n)));
             steps.extend((left.restarts > 0).then_some(Step::Restart(n)));
@@ -191,7 +191,7 @@
         steps
     }
 
-    fn go(&mut self, step: &Step) -> Result<(), Broken> {
+    fn execute(&mut self, step: &Step) -> Result<(), Violation> {
         match *step {
             Step::Deliver(from, to, answered) => {
                 let lines = self.links.remove(&(from, to)).unwrap_or_default();
@@ -199,10 +199,10 @@
                 for (_, message) in lines {
                     answers.extend(self.take(to, Input::Message(Message::clone(&message)))?);
                 }
-                answers.into_iter().filter(|_| answered).try_for_each(|answer| self.hear(answer))
+                answers.into_iter().filter(|_| answered).try_for_each(|answer| self.deliver_response(answer))
             }
             // Nothing is more daring than to stand at once and to be heard by all, as who is named may.
-            Step::Stand(n) => {
+            Step::StartElection(n) => {
                 self.left.elections -= 1;
                 let to = self.members[n].id.clone();
                 let term = self.members[n].core.as_ref().map_or(0, |c| c.term());
@@ -212,14 +212,14 @@
             }
             Step::Propose(n) => {
                 self.left.changes -= 1;
-                let word = vec![self.left.changes];
-                self.take(n, Input::Propose { tag: 0, command: word }).map(drop)
+                let command = vec![self.left.changes];
+                self.take(n, Input::Propose { tag: 0, command }).map(drop)
             }
-            Step::Knock(n, m) => {
-                self.left.knocks -= 1;
+            Step::RequestJoin(n, m) => {
+                self.left.join_requests -= 1;
                 let id = self.members[m].id.clone();
                 self.take(n, Input::Join { id, wants_vote: true })?;
-                self.pulse(n)
+                self.send_heartbeat(n)
             }
             Step::Leave(n, m) => {
                 self.left.leaves -= 1;
@@ -248,15 +248,15 @@
                 self.changed(n);
                 Ok(())
             }
-            Step::Pulse(n) => {
-                self.left.pulses -= 1;
-                self.pulse(n)
+            Step::Heartbeat(n) => {
+                self.left.heartbeats -= 1;
+                self.send_heartbeat(n)
             }
         }
     }
 
     /// The clocks of a leader go on by a round, others' stand still.
-    fn pulse(&mut self, n: usize) -> Result<(), Broken> {
+    fn send_heartbeat(&mut self, n: usize) -> Result<(), Violation> {
         Arc::make_mut(&mut self.members[n]).now += consensus::HEARTBEAT_INTERVAL;
         self.take(n, Input::Tick).map(drop)
     }
@@ -274,40 +274,40 @@
             link.hash(&mut hasher);
             lines.iter().for_each(|l| l.0.hash(&mut hasher));
         }
-        (self.left, &self.seen).hash(&mut hasher);
+        (self.left, &self.observations).hash(&mut hasher);
         hasher.finish()
     }
 }
 
 /// The leader has begun to exchange the third for the newcomer.
-fn exchanging(left: Budget, defect: Option<Defect>) -> World {
-    let mut world = World::with_a_newcomer(Budget { leaves: 1, ..left }, defect);
-    world.go(&Step::Leave(0, 2)).expect("nothing is wrong yet");
+fn during_replacement(left: Budget, defect: Option<Defect>) -> World {
+    let mut world = World::with_a_waiting_node(Budget { leaves: 1, ..left }, defect);
+    world.execute(&Step::Leave(0, 2)).expect("nothing is wrong yet");
     world
 }
 
 /// All worlds that can come of this one, or the first that breaks a rule. How many there were.
-fn explore(first: World, most: usize) -> Result<usize, (Broken, Vec<Step>)> {
+fn explore(first: World, most: usize) -> Result<usize, (Violation, Vec<Step>)> {
     let left = first.left;
     let mut known = HashSet::from([first.digest()]);
     let mut next = VecDeque::from([(first, 0usize)]);
     // Where each world came from, to tell the story.
-    let mut came: Vec<(usize, Step)> = vec![(0, Step::Pulse(0))];
+    let mut predecessors: Vec<(usize, Step)> = vec![(0, Step::Heartbeat(0))];
     while let Some((world, at)) = next.pop_front() {
         for step in world.steps() {
             let mut new = world.clone();
-            if let Err(broken) = new.go(&step) {
+            if let Err(violation) = new.execute(&step) {
                 let (mut story, mut at) = (vec![step], at);
                 while at > 0 {
-                    story.push(came[at].1.clone());
-                    at = came[at].0;
+                    story.push(predecessors[at].1.clone());
+                    at = predecessors[at].0;
                 }
                 story.reverse();
-                return Err((broken, story));
+                return Err((violation, story));
             }
             if known.insert(new.digest()) {
-                came.push((at, step));
-                next.push_back((new, came.len() - 1));
+                predecessors.push((at, step));
+                next.push_back((new, predecessors.len() - 1));
             }
         }
         assert!(known.len() <= most, "more than {most} worlds, of {left:?}");
@@ -315,87 +315,87 @@
     Ok(known.len())
 }
 
-const NONE: Budget =
-    Budget { elections: 0, changes: 0, knocks: 0, leaves: 0, wipes: 0, restarts: 0, pulses: 0 };
+const NO_EVENTS: Budget =
+    Budget { elections: 0, changes: 0, join_requests: 0, leaves: 0, wipes: 0, restarts: 0, heartbeats: 0 };
 /// So many worlds take some 25 seconds of a processor.
-const MOST: usize = 400_000;
+const MAX_WORLDS: usize = 400_000;
 
-fn whole(first: World) {
+fn explore_all(first: World) {
     let (began, left) = (std::time::Instant::now(), first.left);
-    match explore(first, MOST) {
+    match explore(first, MAX_WORLDS) {
         Ok(count) => println!("{count} worlds in {:?}: {left:?}", began.elapsed()),
-        Err((broken, story)) => panic!("{broken:?}: {story:#?}"),
+        Err((violation, story)) => panic!("{violation:?}: {story:#?}"),
     }
 }
 
-/// The rule that is broken with a defect.
-fn found(first: World) -> Option<Broken> {
-    explore(first, MOST).err().map(|(broken, _)| broken)
+/// The rule that a planted defect breaks.
+fn first_violation(first: World) -> Option<Violation> {
+    explore(first, MAX_WORLDS).err().map(|(violation, _)| violation)
 }
 
 #[test]
 fn two_elections_and_a_change() {
-    whole(World::new(Budget { elections: 2, changes: 1, ..NONE }, None));
+    explore_all(World::new(Budget { elections: 2, changes: 1, ..NO_EVENTS }, None));
 }
 
 #[test]
 fn learner_replaces_a_leaving_voter_during_a_change() {
-    whole(World::new(Budget { knocks: 1, leaves: 1, changes: 1, ..NONE }, None));
+    explore_all(World::new(Budget { join_requests: 1, leaves: 1, changes: 1, ..NO_EVENTS }, None));
 }
 
 #[test]
 fn waiting_node_replaces_a_leaving_voter_during_two_changes() {
-    whole(World::with_a_newcomer(Budget { leaves: 1, changes: 2, ..NONE }, None));
+    explore_all(World::with_a_waiting_node(Budget { leaves: 1, changes: 2, ..NO_EVENTS }, None));
 }
 
 #[test]
 fn waiting_node_replaces_a_leaving_voter_during_an_election() {
-    whole(World::with_a_newcomer(Budget { leaves: 1, elections: 1, ..NONE }, None));
+    explore_all(World::with_a_waiting_node(Budget { leaves: 1, elections: 1, ..NO_EVENTS }, None));
 }
 
 #[test]
 fn replacement_continues_during_a_change_and_an_election() {
-    let mut world = exchanging(Budget { elections: 1, changes: 1, ..NONE }, None);
-    world.stand = &[2, 3];
-    whole(world);
+    let mut world = during_replacement(Budget { elections: 1, changes: 1, ..NO_EVENTS }, None);
+    world.candidates = &[2, 3];
+    explore_all(world);
 }
 
 #[test]
 fn replacement_continues_during_two_elections() {
-    let mut world = exchanging(Budget { elections: 2, ..NONE }, None);
-    // The one that is to leave, and the one that has its place.
-    world.stand = &[2, 3];
-    whole(world);
+    let mut world = during_replacement(Budget { elections: 2, ..NO_EVENTS }, None);
+    // The leaving voter, and its replacement.
+    world.candidates = &[2, 3];
+    explore_all(world);
 }
 
 #[test]
 fn disk_lost_during_a_change_and_an_election() {
-    whole(World::new(Budget { wipes: 1, elections: 1, changes: 1, ..NONE }, None));
+    explore_all(World::new(Budget { wipes: 1, elections: 1, changes: 1, ..NO_EVENTS }, None));
 }
 
 #[test]
 fn disk_lost_right_after_a_replacement() {
-    whole(World::with_a_newcomer(Budget { leaves: 1, wipes: 1, elections: 1, ..NONE }, None));
+    explore_all(World::with_a_waiting_node(Budget { leaves: 1, wipes: 1, elections: 1, ..NO_EVENTS }, None));
 }
 
 #[test]
 fn each_node_restarts_at_the_worst_moment() {
-    let mut world = exchanging(Budget { restarts: 1, elections: 1, ..NONE }, None);
-    world.stand = &[2, 3];
-    whole(world);
+    let mut world = during_replacement(Budget { restarts: 1, elections: 1, ..NO_EVENTS }, None);
+    world.candidates = &[2, 3];
+    explore_all(world);
 }
 
 #[test]
 fn every_planted_defect_is_found() {
     for defect in Defect::ALL {
-        let left = Budget { leaves: 1, elections: 2, changes: 1, ..NONE };
-        let broken = found(World::with_a_newcomer(left, Some(defect)));
-        println!("{}: {broken:?}", defect.name());
-        assert!(broken.is_some(), "{}", defect.name());
+        let left = Budget { leaves: 1, elections: 2, changes: 1, ..NO_EVENTS };
+        let violation = first_violation(World::with_a_waiting_node(left, Some(defect)));
+        println!("{}: {violation:?}", defect.name());
+        assert!(violation.is_some(), "{}", defect.name());
     }
-    let mut world = World::new(Budget { wipes: 1, elections: 2, changes: 1, ..NONE }, None);
+    let mut world = World::new(Budget { wipes: 1, elections: 2, changes: 1, ..NO_EVENTS }, None);
     world.wiped_votes = true;
-    let broken = found(world);
-    println!("wiped-votes: {broken:?}");
-    assert!(broken.is_some(), "wiped-votes");
+    let violation = first_violation(world);
+    println!("wiped-votes: {violation:?}");
+    assert!(violation.is_some(), "wiped-votes");
 }
--- a/crates/control/consensus/tests/storage_health.rs
+++ b/crates/control/consensus/tests/storage_health.rs
@@ -12,7 +12,7 @@
     cores: Vec<RaftNode>,
     /// The last that came to each disk.
     disks: Vec<PersistedState>,
-    broken: Vec<bool>,
+    violation: Vec<bool>,
     applied: Vec<Vec<(LogIndex, Vec<u8>)>>,
     /// Messages of these reach nobody.
     cut: Vec<bool>,
@@ -27,7 +27,8 @@
         let members: VoterSet = (0..3).map(|n| (id(n).name, id(n).disk_id)).collect();
         let cores = (0..3).map(|n| RaftNode::new(id(n), PersistedState::default(), n as u64, 0)).collect();
         let (disks, applied) = (vec![PersistedState::default(); 3], vec![Vec::new(); 3]);
-        let mut three = Three { now: 0, cores, disks, broken: vec![false; 3], applied, cut: vec![false; 3] };
+        let mut three =
+            Three { now: 0, cores, disks, violation: vec![false; 3], applied, cut: vec![false; 3] };
         three.give(0, Input::Bootstrap { voters: members });
         three.run(2000 * MS);
         three
@@ -39,7 +40,7 @@
             let mut outputs = Vec::new();
             self.cores[n].handle(self.now, input, &mut outputs);
             let saves = outputs.iter().any(|o| matches!(o, Output::Persist(_)));
-            if saves && !self.broken[n] {
+            if saves && !self.violation[n] {
                 self.disks[n] = self.cores[n].persisted_state();
             }
             for output in outputs {
@@ -50,7 +51,7 @@
                             queue.push_back((to, Input::Message(m)));
                         }
                     }
-                    Output::Apply { index: place, command: word, .. } => self.applied[n].push((place, word)),
+                    Output::Apply { index, command, .. } => self.applied[n].push((index, command)),
                     _ => {}
                 }
             }
@@ -76,29 +77,29 @@
     }
 
     fn breaks(&mut self, n: usize) {
-        self.broken[n] = true;
+        self.violation[n] = true;
         self.give(n, Input::StorageHealth { healthy: false });
     }
 
     fn mends(&mut self, n: usize) {
-        self.broken[n] = false;
+        self.violation[n] = false;
         self.disks[n] = self.cores[n].persisted_state();
         self.give(n, Input::StorageHealth { healthy: true });
     }
 
-    fn propose(&mut self, word: &[u8]) {
+    fn propose(&mut self, command: &[u8]) {
         let leader = self.leader();
-        self.give(leader, Input::Propose { tag: 1, command: word.to_vec() });
+        self.give(leader, Input::Propose { tag: 1, command: command.to_vec() });
     }
 
-    fn has(&self, n: usize, word: &[u8]) -> bool {
-        self.applied[n].iter().any(|(_, w)| w == word)
+    fn has(&self, n: usize, command: &[u8]) -> bool {
+        self.applied[n].iter().any(|(_, w)| w == command)
     }
 
     fn kills_and_starts(&mut self, n: usize) {
         self.cores[n] = RaftNode::new(id(n), self.disks[n].clone(), 9, self.now);
         self.applied[n].clear();
-        self.broken[n] = false;
+        self.violation[n] = false;
     }
 }
 
@@ -114,7 +115,7 @@
     three.run(300 * MS);
     assert!((0..3).all(|n| three.has(n, b"a")), "who does not save hears it all the same");
     assert!(three.disks[old].entries.len() < three.disks[new].entries.len());
-    // Nothing rests on it meanwhile: nothing is agreed on by its word.
+    // Nothing rests on it meanwhile: nothing is committed by its acknowledgment.
     three.cut[3 - old - new] = true;
     three.propose(b"b");
     three.run(400 * MS);
@@ -151,26 +152,26 @@
         three.run(700 * MS);
         three.propose(b"a");
         three.run(300 * MS);
-        let broken = if seed == 0 { leader } else { one };
-        assert!(three.has(broken, b"a"));
-        three.kills_and_starts(broken);
-        assert!(!three.has(broken, b"a"), "it was not on its disk");
+        let violation = if seed == 0 { leader } else { one };
+        assert!(three.has(violation, b"a"));
+        three.kills_and_starts(violation);
+        assert!(!three.has(violation, b"a"), "it was not on its disk");
         three.run(300 * MS);
-        assert!(three.has(broken, b"a"), "the others hold it");
+        assert!(three.has(violation, b"a"), "the others hold it");
         // Whoever is lost now, a majority has it.
         three.cut[if seed == 1 { leader } else { other }] = true;
         three.run(4000 * MS);
-        three.propose_to_whom_leads(b"b", broken);
+        three.propose_to_the_leader(b"b", violation);
         three.run(500 * MS);
-        assert!(three.has(broken, b"a") && three.has(broken, b"b"));
+        assert!(three.has(violation, b"a") && three.has(violation, b"b"));
     }
 }
 
 impl Three {
     /// There may be a leader that is cut off beside the one that this one believes in.
-    fn propose_to_whom_leads(&mut self, word: &[u8], believes: usize) {
+    fn propose_to_the_leader(&mut self, command: &[u8], believes: usize) {
         let leader: usize = self.cores[believes].leader().unwrap().name.parse().unwrap();
-        self.give(leader, Input::Propose { tag: 1, command: word.to_vec() });
+        self.give(leader, Input::Propose { tag: 1, command: command.to_vec() });
     }
 }
 
--- a/crates/control/consensus/tests/voter_replacement.rs
+++ b/crates/control/consensus/tests/voter_replacement.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn two_planned_replacements_leave_a_working_quorum() {
-    let mut net = Net::founded(1, &NAMES);
+    let mut net = Net::bootstrapped(1, &NAMES);
     net.every = 300 * MS;
     for (old, new) in [("a", "d"), ("b", "e")] {
         net.join(new);
@@ -20,12 +20,12 @@
     }
     assert_eq!(net.voters(), "c d e");
     net.stop("d");
-    assert!(net.agrees_within(4_000), "and one more may be lost");
+    assert!(net.commits_within(4_000), "and one more may be lost");
 }
 
 #[test]
 fn voter_shutting_down_is_replaced_by_a_waiting_node() {
-    let mut net = Net::founded(2, &NAMES);
+    let mut net = Net::bootstrapped(2, &NAMES);
     net.join("d");
     net.run(2_000);
     assert_eq!(net.voters(), "a b c", "an even number bears no more");
@@ -37,7 +37,7 @@
 
 #[test]
 fn failed_voter_is_replaced_only_by_a_waiting_node() {
-    let mut net = Net::founded(3, &NAMES);
+    let mut net = Net::bootstrapped(3, &NAMES);
     net.stop("b");
     net.run(30_000);
     assert_eq!(net.voters(), "a b c", "unheard alone proves nothing");
@@ -48,14 +48,14 @@
     net.run(2_000);
     assert_eq!(net.voters(), "a c d", "it waits now");
     net.stop("a");
-    assert!(net.agrees_within(4_000));
+    assert!(net.commits_within(4_000));
     net.run(4_000);
     assert_eq!(net.voters(), "b c d");
 }
 
 #[test]
 fn rolling_restarts_and_partitions_change_no_voters() {
-    let mut net = Net::founded(4, &NAMES);
+    let mut net = Net::bootstrapped(4, &NAMES);
     net.every = 300 * MS;
     for name in NAMES {
         net.terminate(name);
@@ -73,7 +73,7 @@
 
 #[test]
 fn partition_changes_voters_only_on_the_majority_side() {
-    let mut net = Net::founded(5, &NAMES);
+    let mut net = Net::bootstrapped(5, &NAMES);
     net.join("d");
     net.every = 300 * MS;
     net.run(2_000);
@@ -82,19 +82,19 @@
     // The leader and the newcomer on one side: no majority, so no change.
     for name in NAMES.into_iter().filter(|n| *n != leader) {
         for pair in [(leader.clone(), name.to_string()), (name.to_string(), leader.clone())] {
-            net.cuts.insert(pair);
+            net.partitions.insert(pair);
         }
         for pair in [("d".to_string(), name.to_string()), (name.to_string(), "d".to_string())] {
-            net.cuts.insert(pair);
+            net.partitions.insert(pair);
         }
     }
     net.run(10_000);
     assert_eq!(net.voters(), "a b c");
-    net.cuts.clear();
+    net.partitions.clear();
     net.run(4_000);
-    assert!(net.agrees_within(2_000));
+    assert!(net.commits_within(2_000));
     assert_eq!(net.voters(), "a b c");
-    // One alone is cut off: the newcomer has its place, and it waits when it is back. As many vote as before.
+    // One alone is cut off: the newcomer has its index, and it waits when it is back. As many vote as before.
     net.cut(other, true);
     net.run(20_000);
     assert!(!net.voters().contains(other));
@@ -105,7 +105,7 @@
 
 #[test]
 fn empty_disk_replaces_a_lost_one_but_not_a_responding_voter() {
-    let mut net = Net::founded(6, &NAMES);
+    let mut net = Net::bootstrapped(6, &NAMES);
     net.every = 300 * MS;
     let leader = net.leader().expect("one leads").id.name.clone();
     let wiped = NAMES.into_iter().find(|n| *n != leader).expect("there are three");
@@ -125,13 +125,13 @@
     net.run(2_000);
     assert_eq!(voter(&net), Some(disk));
     net.stop(&leader);
-    assert!(net.agrees_within(4_000));
+    assert!(net.commits_within(4_000));
 }
 
 #[test]
 fn all_voters_replaced_three_times_with_changes_and_wipes() {
     for seed in 0..8 {
-        let mut net = Net::founded(10 + seed, &NAMES);
+        let mut net = Net::bootstrapped(10 + seed, &NAMES);
         net.every = 100 * MS;
         let mut names: Vec<String> = NAMES.iter().map(|n| (*n).to_string()).collect();
         for round in 0..9 {
@@ -149,7 +149,7 @@
                 net.start(name);
             }
             net.run(4_000);
-            assert!(net.agrees_within(3_000), "seed {seed}, round {round}");
+            assert!(net.commits_within(3_000), "seed {seed}, round {round}");
             net.run(1_000);
             let mut all = names.clone();
             all.sort();
@@ -160,7 +160,7 @@
 
 #[test]
 fn second_waiting_node_extends_three_voters_to_five() {
-    let mut net = Net::founded(7, &NAMES);
+    let mut net = Net::bootstrapped(7, &NAMES);
     net.join("d");
     net.run(5_000);
     assert_eq!(net.voters(), "a b c");
@@ -169,19 +169,19 @@
     assert_eq!(net.voters(), "a b c d e");
     net.stop("a");
     net.stop("b");
-    assert!(net.agrees_within(4_000), "five bear two");
+    assert!(net.commits_within(4_000), "five bear two");
 }
 
 #[test]
 fn four_bootstrapped_voters_shrink_to_three_when_one_fails() {
-    let mut net = Net::founded(8, &["a", "b", "c", "d"]);
+    let mut net = Net::bootstrapped(8, &["a", "b", "c", "d"]);
     net.stop("d");
     net.run(5_000);
     assert_eq!(net.voters(), "a b c");
     net.start("d");
     net.run(3_000);
     net.stop("a");
-    assert!(net.agrees_within(4_000));
+    assert!(net.commits_within(4_000));
 }
 
 #[test]
@@ -196,7 +196,7 @@
         net.take(n, Input::Bootstrap { voters: members.clone() });
     }
     net.run(3_000);
-    assert!(net.agrees_within(1_000));
+    assert!(net.commits_within(1_000));
     net.start("a");
     net.run(1_000);
     assert!(net.member("a").core.as_ref().is_some_and(consensus::RaftNode::is_voter));
@@ -213,5 +213,5 @@
         net.take(n, Input::Bootstrap { voters: members.clone() });
     }
     net.run(3_000);
-    assert!(net.agrees_within(1_000));
+    assert!(net.commits_within(1_000));
 }
--- a/crates/control/control-node/src/bootstrapper.rs
+++ b/crates/control/control-node/src/bootstrapper.rs
@@ -55,6 +55,7 @@
         })
     }
 
+    /// When it next looks whether it is its turn.
     pub fn next_due(&self) -> Time {
         self.next_poll
     }
--- a/crates/control/control-node/src/change_feed.rs
+++ b/crates/control/control-node/src/change_feed.rs
@@ -21,11 +21,13 @@
 }
 
 impl ChangeFeed {
+    /// An empty feed.
     pub fn new(incarnation: u64) -> Self {
         let log = ChangeLog::new(incarnation, MAX_CHANGES);
         ChangeFeed { log, incarnation, deltas: DeltaHistory::default() }
     }
 
+    /// The offset behind the latest change.
     pub fn end(&self) -> Offset {
         self.log.end()
     }
--- a/crates/control/control-node/src/configuration_changes.rs
+++ b/crates/control/control-node/src/configuration_changes.rs
@@ -72,6 +72,7 @@
 }
 
 impl Changes {
+    /// When the next call or change has waited for too long.
     pub fn next_due(&self) -> Time {
         let changes = self.in_progress.values().map(|change| change.deadline);
         self.calls.values().copied().chain(changes).min().unwrap_or(Time::MAX)
@@ -178,11 +179,11 @@
     ) -> Option<Decision> {
         let DeclaredVersions { base, version } = *validated.as_ref().ok()?;
         let (current, is_applied) = (self.state.version(), self.state.is_applied(body));
-        let conflict = || Some(Decision::Conflict { current });
-        if self.has_defect(Defect::AppliedChangeForgotten) && is_applied && current != version {
-            conflict()
-        } else if self.has_defect(Defect::BaseCheckedFirst) && base != current {
-            conflict()
+        let is_forgotten =
+            self.has_defect(Defect::AppliedChangeForgotten) && is_applied && current != version;
+        let is_refused_by_base = self.has_defect(Defect::BaseCheckedFirst) && base != current;
+        if is_forgotten || is_refused_by_base {
+            Some(Decision::Conflict { current })
         } else if self.has_defect(Defect::BaseIgnored) && !is_applied && version > current {
             Some(Decision::Propose(Command::ReplaceConfiguration { base, version, body: body.to_vec() }))
         } else if self.has_defect(Defect::VersionAloneAcknowledged) && version == current {
--- a/crates/control/control-node/src/persistence.rs
+++ b/crates/control/control-node/src/persistence.rs
@@ -90,6 +90,7 @@
 }
 
 impl PersistenceQueue {
+    /// An empty queue.
     pub fn new(now: Time) -> Self {
         PersistenceQueue {
             inputs: VecDeque::new(),
@@ -106,6 +107,7 @@
         }
     }
 
+    /// Whether an input waits that could be processed now.
     pub fn has_ready_input(&self) -> bool {
         self.pending.is_none() && !self.inputs.is_empty()
     }
--- a/crates/control/control-node/src/quota_grants.rs
+++ b/crates/control/control-node/src/quota_grants.rs
@@ -45,6 +45,7 @@
 }
 
 impl QuotaState {
+    /// A node that coordinates nothing yet.
     pub fn new(now: Time) -> Self {
         QuotaState {
             coordinator: None,
@@ -54,6 +55,7 @@
         }
     }
 
+    /// When trials are next looked at.
     pub fn next_due(&self) -> Time {
         self.next_trial_poll
     }
--- a/crates/control/control-node/src/storage_health.rs
+++ b/crates/control/control-node/src/storage_health.rs
@@ -56,6 +56,7 @@
         }
     }
 
+    /// Whether what is saved is durable.
     pub fn is_healthy(&self) -> bool {
         self.state == StorageState::Healthy
     }
@@ -65,6 +66,7 @@
         self.set_unhealthy(now, StorageState::SaveOverdue);
     }
 
+    /// A save failed: everything is saved again, later each time.
     pub fn on_save_failed(&mut self, now: Time) {
         let doublings = self.failures_in_a_row.min(MAX_RETRY_DOUBLINGS);
         let delay = (MIN_RETRY_DELAY << doublings).min(MAX_RETRY_DELAY);
@@ -79,6 +81,7 @@
         }
     }
 
+    /// Whether everything is to be saved now.
     pub fn is_full_save_due(&self, now: Time) -> bool {
         matches!(self.state, StorageState::FullSaveDue { at, .. } if now >= at)
     }
--- a/crates/control/control-node/tests/isolated_node.rs
+++ b/crates/control/control-node/tests/isolated_node.rs
@@ -1,4 +1,4 @@
-//! A prompter that is cut off from all others.
+//! A control-plane node that is cut off from all others.
 
 use consensus::{Message, MessageBody, NodeId, PersistedState, PreviousEntry};
 use control_node::{ControlNode, Effect, NodeConfig, Reply, Time};
@@ -7,9 +7,9 @@
 use trial::TenantTerms;
 
 const MS: Time = 1_000_000;
-const BEAT: Time = 1000 * MS;
+const HEARTBEAT_INTERVAL: Time = 1000 * MS;
 
-fn prompter() -> ControlNode {
+fn isolated_node() -> ControlNode {
     let me = NodeId { name: "10.0.0.1".into(), disk_id: 1 };
     let setup = NodeConfig {
         id: me,
@@ -17,7 +17,7 @@
         can_vote: true,
         initial_start: true,
         seeds: vec!["10.0.0.1".into(), "10.0.0.2".into(), "10.0.0.3".into()],
-        heartbeat_interval: BEAT,
+        heartbeat_interval: HEARTBEAT_INTERVAL,
         read_terms: |_| TenantTerms::default(),
         seed: 7,
     };
@@ -54,10 +54,11 @@
 
 #[test]
 fn isolated_node_answers_every_call_in_time_and_acknowledges_nothing() {
-    let mut p = prompter();
+    let mut p = isolated_node();
     run(&mut p, 0, 100 * MS);
-    let fact = Heartbeat { instance: "i".into(), address: "a:1".into(), sequence: 1, ..Heartbeat::default() };
-    p.heartbeat(100 * MS, 1, fact);
+    let heartbeat =
+        Heartbeat { instance: "i".into(), address: "a:1".into(), sequence: 1, ..Heartbeat::default() };
+    p.heartbeat(100 * MS, 1, heartbeat);
     p.deregister(100 * MS, 2, "i");
     p.replace_configuration(100 * MS, 3, b"{}".as_slice().into());
     p.read_configuration(100 * MS, 4);
@@ -68,7 +69,7 @@
 /// A leader tells it that it is in touch until 3 s; the backend has beat last 1.4 s before, here, and elsewhere from then on.
 #[test]
 fn isolated_node_expires_no_backend() {
-    let mut p = prompter();
+    let mut p = isolated_node();
     run(&mut p, 0, 100 * MS);
     let leader = NodeId { name: "10.0.0.2".into(), disk_id: 2 };
     for now in (100..=3000).step_by(50).map(|ms| ms * MS) {
@@ -91,13 +92,13 @@
         }
         if now == 1600 * MS {
             assert!(p.quorum_contact_age(now) < 200 * MS);
-            let fact = Heartbeat {
+            let heartbeat = Heartbeat {
                 instance: "i".into(),
                 address: "a:1".into(),
                 sequence: 1,
                 ..Heartbeat::default()
             };
-            p.heartbeat(now, 1, fact);
+            p.heartbeat(now, 1, heartbeat);
         }
     }
     run(&mut p, 3000 * MS, 60_000 * MS);
@@ -117,7 +118,7 @@
         can_vote: true,
         initial_start: false,
         seeds: vec!["10.0.0.9".into()],
-        heartbeat_interval: BEAT,
+        heartbeat_interval: HEARTBEAT_INTERVAL,
         read_terms: |_| TenantTerms::default(),
         seed: 7,
     };
@@ -128,7 +129,7 @@
 /// Callers that come and go at once leave calls behind, which wait for their time.
 #[test]
 fn pending_calls_are_bounded() {
-    let mut p = prompter();
+    let mut p = isolated_node();
     run(&mut p, 0, 100 * MS);
     let members = [("10.0.0.1".to_string(), 1)].into();
     let leader = NodeId { name: "10.0.0.2".into(), disk_id: 2 };
--- a/crates/control/control-plane/src/driver/tests.rs
+++ b/crates/control/control-plane/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Three prompters in one process, each with a disk that a test may fill, stall, or take power from.
+//! Three control nodes in one process, each with a disk that a test may fill, stall, or take power from.
 
 use super::*;
 use crate::storage::directory::Directory;
@@ -87,7 +87,7 @@
         held.disk_id
     }
 
-    /// Another prompter says this.
+    /// Another control-plane node says this.
     fn say(&self, n: usize, peer: ControlMessage) {
         let from = NodeId { name: name((n + 1) % 3), disk_id: 0 };
         self.one(n).driver.with(|p, now| p.on_control_message(now, &from, peer));
@@ -170,12 +170,12 @@
         timeout(LONG_ENOUGH, taken).await.expect("it was never taken")
     }
 
-    /// Has a word agreed on, by whoever leads.
-    async fn take(&self, word: &Command, stands: impl Fn(&control_state::ControlState) -> bool) {
+    /// Has a command agreed on, by whoever leads.
+    async fn take(&self, command: &Command, stands: impl Fn(&control_state::ControlState) -> bool) {
         let taken = async {
             while !self.leader().is_some_and(|n| stands(self.one(n).driver.node().state())) {
                 if let Some(leader) = self.leader() {
-                    self.say(leader, ControlMessage::Propose { command: word.encode() });
+                    self.say(leader, ControlMessage::Propose { command: command.encode() });
                 }
                 self.news(0).await;
             }
@@ -203,7 +203,7 @@
     };
     three.until("it follows another", follows).await;
     three.disks[old].set_behaviour(DiskBehaviour::Healthy);
-    // Its word is wanted now.
+    // Its command is wanted now.
     three.cut(3 - old - new);
     three.change(3, 9000).await;
     three.until("it has it", |t| t.version(old) == 3).await;
@@ -301,11 +301,11 @@
         // The snapshot holds all that was ever said, and both know earlier configurations again in the same way.
         let before = three.one(away).driver.node().state().clone();
         assert_eq!(before, *three.one(other).driver.node().state());
-        let book = &before;
+        let state = &before;
         assert!(
-            book.is_draining("i-1") && book.gateways().contains("g-1") && book.is_trial_expired("t-1", 7)
+            state.is_draining("i-1") && state.gateways().contains("g-1") && state.is_trial_expired("t-1", 7)
         );
-        assert!(book.is_applied_as(470, &body(469, 470, 5000)));
+        assert!(state.is_applied_as(470, &body(469, 470, 5000)));
         // All lose power: the same is there again.
         for n in [away, other] {
             three.stop(n);
--- a/crates/control/control-plane/src/storage/database_file.rs
+++ b/crates/control/control-plane/src/storage/database_file.rs
@@ -45,6 +45,7 @@
 pub struct MemoryCopy(Mutex<Vec<u8>>);
 
 impl MemoryCopy {
+    /// A copy of these bytes.
     pub fn new(bytes: Vec<u8>) -> Self {
         MemoryCopy(Mutex::new(bytes))
     }
--- a/crates/control/control-plane/src/storage/generation.rs
+++ b/crates/control/control-plane/src/storage/generation.rs
@@ -43,6 +43,7 @@
 }
 
 impl Owner {
+    /// This node, with its disk's id.
     pub fn new(name: &str, disk_id: u64) -> Self {
         Owner { format: FORMAT, name: name.into(), disk_id }
     }
@@ -72,6 +73,7 @@
     values: BTreeSet<Digest>,
 }
 
+/// The name of the generation file of this number.
 pub fn file_name(number: u64) -> String {
     format!("{PREFIX}{number:08}")
 }
--- a/crates/control/control-plane/src/storage/golden_tests.rs
+++ b/crates/control/control-plane/src/storage/golden_tests.rs
@@ -27,9 +27,9 @@
 
 /// Entries of each kind, with configurations that stand where they are, as values, and as files of their own.
 pub(super) fn stored() -> PersistedState {
-    let mut book = ControlState::new();
-    book.apply(2, &Command::ReplaceConfiguration { base: 0, version: 1, body: vec![b'x'; 5000] });
-    book.apply(3, &Command::Drain { instance: "i-1".into() });
+    let mut state = ControlState::new();
+    state.apply(2, &Command::ReplaceConfiguration { base: 0, version: 1, body: vec![b'x'; 5000] });
+    state.apply(3, &Command::Drain { instance: "i-1".into() });
     let said = [
         EntryPayload::Noop,
         EntryPayload::Configuration(members()),
@@ -41,13 +41,13 @@
     PersistedState {
         term: 5,
         vote: Some(NodeId { name: "10.0.0.2".into(), disk_id: 78 }),
-        snapshot: Snapshot { index: 3, term: 4, voters: members(), state: book.encode() },
+        snapshot: Snapshot { index: 3, term: 4, voters: members(), state: state.encode() },
         entries: said.into_iter().map(|said| Entry { term: 5, payload: said }).collect(),
         commit_index: 4,
     }
 }
 
-fn facts() -> Vec<Heartbeat> {
+fn heartbeats() -> Vec<Heartbeat> {
     vec![Heartbeat {
         instance: "i-1".into(),
         address: "10.1.0.1:9000".into(),
@@ -73,7 +73,7 @@
 fn write(path: &Path) {
     let (mut storage, _) = open(path);
     storage.save_full(&stored()).unwrap();
-    storage.write_registry(&facts());
+    storage.write_registry(&heartbeats());
     storage.sync_registry();
 }
 
@@ -108,7 +108,7 @@
     let path = scratch("opened");
     copy(&recorded(), &path);
     let (_, held) = open(&path);
-    assert_eq!((held.disk_id, held.stored, held.heartbeats), (ID, stored(), facts()));
+    assert_eq!((held.disk_id, held.stored, held.heartbeats), (ID, stored(), heartbeats()));
     std::fs::remove_dir_all(path).unwrap();
 }
 
--- a/crates/control/control-plane/src/storage/tests.rs
+++ b/crates/control/control-plane/src/storage/tests.rs
@@ -26,7 +26,7 @@
     term: Term,
     agreed: LogIndex,
     rng: Rng,
-    book: ControlState,
+    state: ControlState,
     applied: LogIndex,
 }
 
@@ -37,7 +37,7 @@
         let (term, agreed) = (stored.term.max(1), stored.commit_index);
         let mut log = vec![Entry { term: 1, payload: EntryPayload::Noop }; stored.snapshot.index as usize];
         log.extend(stored.entries.iter().cloned());
-        let book = ControlState::decode(&stored.snapshot.state).unwrap();
+        let state = ControlState::decode(&stored.snapshot.state).unwrap();
         let applied = stored.snapshot.index;
         let mut new = Follower {
             core: RaftNode::new(id, stored, seed, 0),
@@ -45,7 +45,7 @@
             term,
             agreed,
             rng: Rng::with_seed(seed),
-            book,
+            state,
             applied,
         };
         let known = new.core.committed_outputs();
@@ -54,9 +54,9 @@
     }
 
     fn apply(&mut self, output: &Output) {
-        if let Output::Apply { index: place, command: word, .. } = output {
-            self.book.apply(*place, &Command::decode(word).unwrap());
-            self.applied = *place;
+        if let Output::Apply { index, command: word, .. } = output {
+            self.state.apply(*index, &Command::decode(word).unwrap());
+            self.applied = *index;
         }
     }
 
@@ -66,12 +66,12 @@
                 Command::Drain { instance: format!("i-{}", self.rng.u16(..)) }.encode(),
             );
         }
-        let version = self.book.version() + 1 + self.rng.u32(..3);
+        let version = self.state.version() + 1 + self.rng.u32(..3);
         // Some stand where they are, some are values, some files.
         let bytes = [3000, 9000, 70_000][self.rng.usize(..3)];
         let body = vec![self.rng.u8(..); bytes];
         EntryPayload::Command(
-            Command::ReplaceConfiguration { base: self.book.version(), version, body }.encode(),
+            Command::ReplaceConfiguration { base: self.state.version(), version, body }.encode(),
         )
     }
 
@@ -82,7 +82,7 @@
             && self.rng.u8(..4) == 0
             && self.applied > self.core.snapshot().index
         {
-            return self.core.compact(self.applied, self.book.encode()).into_iter().collect();
+            return self.core.compact(self.applied, self.state.encode()).into_iter().collect();
         }
         if self.rng.u8(..5) == 0 {
             self.term += 1;
@@ -259,11 +259,11 @@
         for second in 0..16 {
             let (disk, mut seen) = (FakeDisk::default(), Seen::default());
             let (mut storage, held) = open(&disk);
-            let (mut core, mut book) = (sole(held.disk_id), ControlState::new());
+            let (mut core, mut state) = (sole(held.disk_id), ControlState::new());
             let done = storage.save_full(&core.persisted_state());
             seen.note(core.persisted_state(), &done);
             disk.refuses_after(first);
-            let saves = change(&mut core, &mut book, 1, 70_000, false);
+            let saves = change(&mut core, &mut state, 1, 70_000, false);
             let done = storage.save(&saves, core.commit_index());
             seen.note(core.persisted_state(), &done);
             disk.refuses_after(second);
@@ -296,14 +296,14 @@
 fn thousand_changes_take_no_more_disk_than_ten() {
     let disk = FakeDisk::default();
     let (mut storage, held) = open(&disk);
-    let (mut core, mut book) = (sole(held.disk_id), ControlState::new());
+    let (mut core, mut state) = (sole(held.disk_id), ControlState::new());
     storage.save_full(&core.persisted_state()).unwrap();
     let (mut before, mut after_ten) = (disk.counts(), 0);
     let mut folds = 0;
     for version in 1..=1000 {
         let fold = core.entry_count() >= 64;
         folds += usize::from(fold);
-        storage.save(&change(&mut core, &mut book, version, 20_000, fold), core.commit_index()).unwrap();
+        storage.save(&change(&mut core, &mut state, version, 20_000, fold), core.commit_index()).unwrap();
         if version == 10 {
             (before, after_ten) = (disk.counts(), disk.counts().peak);
         }
@@ -324,7 +324,7 @@
 /// A change, agreed on at once, and folded or not.
 fn change(
     core: &mut RaftNode,
-    book: &mut ControlState,
+    state: &mut ControlState,
     version: u32,
     bytes: usize,
     fold: bool,
@@ -335,14 +335,14 @@
     for output in outputs {
         match output {
             Output::Persist(save) => saves.push(save),
-            Output::Apply { index: place, command: word, .. } => {
-                _ = book.apply(place, &Command::decode(&word).unwrap())
+            Output::Apply { index, command: word, .. } => {
+                _ = state.apply(index, &Command::decode(&word).unwrap())
             }
             _ => {}
         }
     }
     if fold {
-        saves.extend(core.compact(core.commit_index(), book.encode()));
+        saves.extend(core.compact(core.commit_index(), state.encode()));
     }
     saves
 }
@@ -353,10 +353,10 @@
 fn longest_configurations_stay_within_the_disk_bound() {
     let disk = FakeDisk::default();
     let (mut storage, held) = open(&disk);
-    let (mut core, mut book) = (sole(held.disk_id), ControlState::new());
+    let (mut core, mut state) = (sole(held.disk_id), ControlState::new());
     storage.save_full(&core.persisted_state()).unwrap();
     for version in 1..=3 {
-        let saves = change(&mut core, &mut book, version, 8 << 20, true);
+        let saves = change(&mut core, &mut state, version, 8 << 20, true);
         disk.set_behaviour(if version == 2 { DiskBehaviour::Full } else { DiskBehaviour::Healthy });
         let done = storage.save(&saves, core.commit_index());
         assert_eq!(done.is_ok(), version == 1, "{done:?}");
@@ -364,10 +364,10 @@
     storage.save_full(&core.persisted_state()).unwrap();
     assert_eq!(open(&disk.after(PowerLoss::All)).1.stored, core.persisted_state());
     for version in 4..=7 {
-        storage.save(&change(&mut core, &mut book, version, 8 << 20, false), core.commit_index()).unwrap();
+        storage.save(&change(&mut core, &mut state, version, 8 << 20, false), core.commit_index()).unwrap();
     }
     let sure = core.persisted_state();
-    let saves = change(&mut core, &mut book, 8, 8 << 20, false);
+    let saves = change(&mut core, &mut state, 8, 8 << 20, false);
     assert!(matches!(storage.save(&saves, core.commit_index()), Err(StorageError::SizeLimit)));
     assert!(matches!(storage.save_full(&core.persisted_state()), Err(StorageError::SizeLimit)));
     assert_eq!(open(&disk.after(PowerLoss::All)).1.stored, sure, "as it was");
@@ -456,17 +456,17 @@
     let (mut storage, held) = open(&disk);
     assert!(held.heartbeats.is_empty());
     storage.save_full(&PersistedState::default()).unwrap();
-    let fact = |n: u64| Heartbeat { instance: format!("i-{n}"), ..Heartbeat::default() };
+    let heartbeat = |n: u64| Heartbeat { instance: format!("i-{n}"), ..Heartbeat::default() };
     for n in 1..5 {
-        storage.write_registry(&[fact(n)]);
+        storage.write_registry(&[heartbeat(n)]);
         storage.sync_registry();
-        storage.write_registry(&[fact(n + 100)]);
+        storage.write_registry(&[heartbeat(n + 100)]);
         assert_eq!(
             open(&disk.after(PowerLoss::None)).1.heartbeats,
-            [fact(n + 100)],
+            [heartbeat(n + 100)],
             "a process that is killed"
         );
-        assert_eq!(open(&disk.after(PowerLoss::All)).1.heartbeats, [fact(n)], "what was synced");
+        assert_eq!(open(&disk.after(PowerLoss::All)).1.heartbeats, [heartbeat(n)], "what was synced");
     }
 }
 
--- a/crates/control/control-plane/tests/wire/configuration_changes.rs
+++ b/crates/control/control-plane/tests/wire/configuration_changes.rs
@@ -1,4 +1,4 @@
-//! Orders over real sockets: sent at once, sent again, cut short, too large, and to a prompter that has lost the others.
+//! Orders over real sockets: sent at once, sent again, cut short, too large, and to a control-plane node that has lost the others.
 
 use crate::core::{answer, call, configuration, connect, head, post, send, Core, PATIENCE};
 use std::io::Write;
--- a/crates/control/control-plane/tests/wire/core.rs
+++ b/crates/control/control-plane/tests/wire/core.rs
@@ -1,4 +1,4 @@
-//! Prompters as processes on loopback, and calls as operators and backends make them.
+//! Control-plane node as processes on loopback, and calls as operators and backends make them.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
--- a/crates/control/control-plane/tests/wire/subscribers.rs
+++ b/crates/control/control-plane/tests/wire/subscribers.rs
@@ -1,4 +1,4 @@
-//! What a gateway that follows is told, over real sockets: the whole configuration once, then differences; and that a prompter
+//! What a gateway that follows is told, over real sockets: the whole configuration once, then differences; and that a control-plane node
 //! which has lost the others cannot prove what it tells.
 
 use crate::core::{configuration, Core, PATIENCE};
@@ -18,7 +18,7 @@
     /// Bytes of parts, and how many heads of wholes came.
     bytes: usize,
     wholes: usize,
-    /// How old the prompter's word is, as it says, and where the newest stands.
+    /// How old the control-plane node's command is, as it says, and where the newest stands.
     pulse: (u32, LogIndex),
 }
 
@@ -52,13 +52,13 @@
                     self.bytes += part.bytes.len();
                     self.wholes += usize::from(part.header.as_ref().is_some_and(|h| h.base_index.is_none()));
                     let up = match self.receiver.receive(self.held.as_deref(), part) {
-                        ReceiveOutcome::Incomplete { index: place, bytes } => {
-                            GatewayMessage::ChunkReceived { index: place, received: bytes }
+                        ReceiveOutcome::Incomplete { index, bytes } => {
+                            GatewayMessage::ChunkReceived { index, received: bytes }
                         }
                         ReceiveOutcome::Complete { configuration, bytes } => {
-                            let place = configuration.index;
+                            let index = configuration.index;
                             self.held = Some(configuration);
-                            GatewayMessage::ChunkReceived { index: place, received: bytes }
+                            GatewayMessage::ChunkReceived { index, received: bytes }
                         }
                         ReceiveOutcome::BaseMissing => GatewayMessage::BaseMissing,
                         ReceiveOutcome::Invalid => panic!("wrong"),
@@ -95,21 +95,21 @@
     one.until_it_holds(&bodies[1]).await;
     assert!(one.bytes < bodies[0].len() + 300, "{} of {}", one.bytes, bodies[0].len());
 
-    // At another prompter it goes on from what it holds; with other bytes under that place it is told the whole.
+    // At another control-plane node it goes on from what it holds; with other bytes under that place it is told the whole.
     let held = one.held.clone();
     let mut two = Gateway::follow(&core, 1, held.clone()).await;
-    let place = held.as_ref().unwrap().index;
-    two.until(|g| g.pulse.1 == place).await;
+    let index = held.as_ref().unwrap().index;
+    two.until(|g| g.pulse.1 == index).await;
     assert_eq!(two.bytes, 0, "it lacks nothing");
-    let other = CommittedConfiguration { version: 4, index: place, body: b"spoilt".to_vec() };
+    let other = CommittedConfiguration { version: 4, index, body: b"spoilt".to_vec() };
     let mut three = Gateway::follow(&core, 2, Some(Arc::new(other))).await;
-    three.until(|g| g.pulse.1 == place).await;
+    three.until(|g| g.pulse.1 == index).await;
     assert_eq!(core.order(0, &bodies[2]), 200);
     two.until_it_holds(&bodies[2]).await;
     three.until_it_holds(&bodies[2]).await;
     assert_eq!((two.wholes, three.wholes), (0, 1));
 
-    // In contact, the word is young; alone, the prompter says itself that it is old.
+    // In contact, the command is young; alone, the control-plane node says itself that it is old.
     one.until(|g| g.pulse.0 < 1000).await;
     core.kill(1);
     core.kill(2);
--- a/crates/control/control-state/src/applied_versions.rs
+++ b/crates/control/control-state/src/applied_versions.rs
@@ -45,6 +45,7 @@
         oldest.is_some_and(|oldest| version < oldest.version)
     }
 
+    /// A configuration of this digest was applied.
     pub fn record(&mut self, version: Version, digest: BodyDigest) {
         self.0.push_back(AppliedVersion { version, digest });
         if self.0.len() > MAX_APPLIED_VERSIONS {
--- a/crates/control/control-state/tests/configuration_transfer.rs
+++ b/crates/control/control-state/tests/configuration_transfer.rs
@@ -20,8 +20,8 @@
         .into_bytes()
 }
 
-fn configuration(place: u64, body: Vec<u8>) -> Arc<CommittedConfiguration> {
-    Arc::new(CommittedConfiguration { version: place as u32, index: place, body })
+fn configuration(index: u64, body: Vec<u8>) -> Arc<CommittedConfiguration> {
+    Arc::new(CommittedConfiguration { version: index as u32, index, body })
 }
 
 /// A follower with its link: all is told that can be, and how many bytes went.
@@ -44,7 +44,7 @@
         self.bytes += part.bytes.len();
         self.wholes += usize::from(part.header.as_ref().is_some_and(|h| h.base_index.is_none()));
         match self.receiver.receive(self.held.as_deref(), part) {
-            ReceiveOutcome::Incomplete { index: place, bytes } => self.sender.on_received(place, bytes),
+            ReceiveOutcome::Incomplete { index, bytes } => self.sender.on_received(index, bytes),
             ReceiveOutcome::Complete { configuration, bytes } => {
                 self.sender.on_received(configuration.index, bytes);
                 let newer = self.held.as_ref().is_none_or(|c| c.index < configuration.index);
@@ -210,8 +210,8 @@
     broken.bytes[40] ^= 1;
     receiver.receive(None, broken);
     let mut last = receiver.receive(None, second);
-    while let ReceiveOutcome::Incomplete { index: place, bytes } = last {
-        sender.on_received(place, bytes);
+    while let ReceiveOutcome::Incomplete { index, bytes } = last {
+        sender.on_received(index, bytes);
         last = receiver.receive(None, part(&mut sender));
     }
     assert_eq!(last, ReceiveOutcome::Invalid);
--- a/crates/control/control-state/tests/deltas.rs
+++ b/crates/control/control-state/tests/deltas.rs
@@ -13,35 +13,35 @@
     Command::ReplaceConfiguration { base, version, body: body.to_vec() }
 }
 
-/// Two books: one that is told all whole, one that is told what is shorter.
-fn books() -> (ControlState, ControlState) {
+/// Two states: one that is told all whole, one that is told what is shorter.
+fn states() -> (ControlState, ControlState) {
     let first = whole(0, 3, &body(3, 3000, 9999));
-    let mut book = ControlState::new();
-    assert_eq!(first.clone().as_delta(&book), first, "there is none to change");
-    assert_eq!(book.apply(1, &first), Applied::Changed);
-    (book.clone(), book)
+    let mut state = ControlState::new();
+    assert_eq!(first.clone().as_delta(&state), first, "there is none to change");
+    assert_eq!(state.apply(1, &first), Applied::Changed);
+    (state.clone(), state)
 }
 
 #[test]
 fn delta_yields_the_same_state_as_the_whole_configuration() {
-    let (mut one, mut other) = books();
+    let (mut one, mut other) = states();
     let mut base = 3;
-    for (place, version) in (2..).zip([4, 7, 8, 20]) {
-        let word = whole(base, version, &body(version, 3000, version as usize));
-        let short = word.clone().as_delta(&other);
+    for (index, version) in (2..).zip([4, 7, 8, 20]) {
+        let command = whole(base, version, &body(version, 3000, version as usize));
+        let short = command.clone().as_delta(&other);
         assert!(matches!(short, Command::ConfigurationDelta { .. }));
-        let (long, bytes) = (word.encode().len(), short.encode().len());
+        let (long, bytes) = (command.encode().len(), short.encode().len());
         assert!(long > 100_000 && bytes < 500, "{bytes} of {long}");
         assert_eq!(Command::decode(&short.encode()), Some(short.clone()));
         assert_eq!(
-            (one.apply(place, &word), other.apply(place, &short)),
+            (one.apply(index, &command), other.apply(index, &short)),
             (Applied::Changed, Applied::Changed)
         );
         assert_eq!(one, other);
         assert!(other.is_applied(&body(version, 3000, version as usize)));
         // Proposed twice, or once more as a whole.
         assert_eq!(
-            (other.apply(90, &short), other.apply(91, &word)),
+            (other.apply(90, &short), other.apply(91, &command)),
             (Applied::Unchanged, Applied::Unchanged)
         );
         base = version;
@@ -50,33 +50,33 @@
 
 #[test]
 fn second_delta_on_one_base_and_unfit_delta_conflict() {
-    let (_, mut book) = books();
-    let change = |version: u32, moved| whole(3, version, &body(version, 3000, moved)).as_delta(&book);
+    let (_, mut state) = states();
+    let change = |version: u32, moved| whole(3, version, &body(version, 3000, moved)).as_delta(&state);
     let (first, second) = (change(5, 1), change(5, 2));
-    assert_eq!(book.apply(2, &first), Applied::Changed);
-    let stands = book.clone();
-    assert_eq!(book.apply(3, &second), Applied::Conflict, "the base is another");
+    assert_eq!(state.apply(2, &first), Applied::Changed);
+    let stands = state.clone();
+    assert_eq!(state.apply(3, &second), Applied::Conflict, "the base is another");
     let Command::ConfigurationDelta { digest: mark, delta: difference, .. } = second else {
         panic!("a change")
     };
     let spoilt = Command::ConfigurationDelta { base: 5, version: 6, digest: mark, delta: difference };
-    assert_eq!(book.apply(4, &spoilt), Applied::Conflict, "it comes to other bytes than it says");
+    assert_eq!(state.apply(4, &spoilt), Applied::Conflict, "it comes to other bytes than it says");
     let nonsense =
         Command::ConfigurationDelta { base: 5, version: 6, digest: mark, delta: b"nonsense".to_vec() };
-    assert_eq!(book.apply(5, &nonsense), Applied::Conflict);
-    assert_eq!(book, stands);
+    assert_eq!(state.apply(5, &nonsense), Applied::Conflict);
+    assert_eq!(state, stands);
     let mut empty = ControlState::new();
     assert_eq!(empty.apply(1, &first), Applied::Conflict, "there is none to change");
 }
 
 #[test]
 fn short_or_wholly_new_configuration_is_no_delta() {
-    let (_, book) = books();
+    let (_, state) = states();
     let new: Vec<u8> = body(5, 3000, 0).iter().map(|b| if *b == b'p' { b'q' } else { *b }).collect();
-    let word = whole(3, 5, &new);
-    assert_eq!(word.clone().as_delta(&book), word);
+    let command = whole(3, 5, &new);
+    assert_eq!(command.clone().as_delta(&state), command);
     let mut small = ControlState::new();
     small.apply(1, &whole(0, 3, &body(3, 8, 0)));
-    let word = whole(3, 5, &body(5, 8, 1));
-    assert_eq!(word.clone().as_delta(&small), word);
+    let command = whole(3, 5, &body(5, 8, 1));
+    assert_eq!(command.clone().as_delta(&small), command);
 }
--- a/crates/data/data-plane/src/gateway.rs
+++ b/crates/data/data-plane/src/gateway.rs
@@ -221,8 +221,7 @@
         classes.configure(&configuration.routes);
         self.quota.set_limits(&TenantTerms::from_configuration(&configuration).limits);
         *self.max_attempts.borrow_mut() = classes.all().iter().map(|class| class.max_attempts).collect();
-        self.settings.borrow_mut().classes =
-            classes.all().iter().map(RequestClass::to_module_class).collect();
+        self.settings.borrow_mut().classes = classes.all().iter().map(RequestClass::module_class).collect();
         drop(classes);
         self.reconfigure();
         *self.routes.borrow_mut() = Some(Rc::new(RouteTable::new(configuration)));
@@ -260,7 +259,7 @@
         zone,
         gateways: ASSUMED_GATEWAYS,
         pools: POOL_COUNT,
-        classes: classes.all().iter().map(RequestClass::to_module_class).collect(),
+        classes: classes.all().iter().map(RequestClass::module_class).collect(),
         plans: plans.collect(),
         cancelling: true,
         retry_after: true,
--- a/crates/data/data-plane/src/request_classes.rs
+++ b/crates/data/data-plane/src/request_classes.rs
@@ -45,7 +45,7 @@
     }
 
     /// As the module has it.
-    pub fn to_module_class(&self) -> Class {
+    pub fn module_class(&self) -> Class {
         let nanos = |ms: f64| (ms.clamp(MIN_TIME_MS, MAX_TIME_MS) * 1e6) as u64;
         let effect = match self.kind {
             RouteKind::Safe => Effect::Safe,
--- a/crates/data/data-plane/src/request_classes/tests.rs
+++ b/crates/data/data-plane/src/request_classes/tests.rs
@@ -21,7 +21,7 @@
 /// What a request of this route may do at the most, by the place that it gets.
 fn allowed(sorts: &RequestClasses, route: &Route) -> (Effect, u32) {
     let sort = sorts.all()[sorts.index_of(&RequestClass::of_route(route))];
-    (sort.to_module_class().effect, sort.max_attempts)
+    (sort.module_class().effect, sort.max_attempts)
 }
 
 #[test]
@@ -33,9 +33,9 @@
         sorts.configure(&[safe.clone(), once.clone()]);
         assert_eq!(allowed(&sorts, &once), (Effect::Unsafe, 1), "change {n}");
         assert_eq!(allowed(&sorts, &safe), (Effect::Safe, 2), "change {n}");
-        let place = sorts.index_of(&RequestClass::of_route(&safe));
+        let index = sorts.index_of(&RequestClass::of_route(&safe));
         assert_eq!(
-            sorts.all()[place],
+            sorts.all()[index],
             RequestClass::of_route(&safe),
             "it has a place of its own, also behind {n} changes"
         );
--- a/crates/data/subscription/src/backoff.rs
+++ b/crates/data/subscription/src/backoff.rs
@@ -30,6 +30,7 @@
         self.0.retain(|ip, _| nodes.contains(ip));
     }
 
+    /// Whether a node is not to be tried now.
     pub fn is_backed_off(&self, ip: &IpAddr, now: Time) -> bool {
         self.0.get(ip).is_some_and(|backoff| backoff.until > now)
     }
--- a/crates/data/subscription/src/view/tests.rs
+++ b/crates/data/subscription/src/view/tests.rs
@@ -1,14 +1,14 @@
-//! Nothing goes back, and nothing that lives is ended by a word that is not whole.
+//! Nothing goes back, and nothing that lives is ended by a command that is not whole.
 
 use super::*;
 
-fn fact(id: &str, sequence: u64, draining: bool) -> Heartbeat {
+fn heartbeat(id: &str, sequence: u64, draining: bool) -> Heartbeat {
     let (id, address) = (id.to_string(), format!("{id}:1"));
     Heartbeat { instance: id, address, service: "s".into(), sequence, draining, ..Heartbeat::default() }
 }
 
-fn configuration(place: u64) -> Arc<CommittedConfiguration> {
-    Arc::new(CommittedConfiguration { version: place as u32, index: place, body: vec![] })
+fn configuration(index: u64) -> Arc<CommittedConfiguration> {
+    Arc::new(CommittedConfiguration { version: index as u32, index, body: vec![] })
 }
 
 fn scene(backends: &[Heartbeat], whole: bool) -> FleetSnapshot {
@@ -19,57 +19,61 @@
 fn view_never_goes_back() {
     let mut f = View::default();
     assert_eq!(f.replace_configuration(configuration(5)).len(), 1);
-    assert_eq!(f.apply_snapshot(0, scene(&[fact("a", 1, false)], true)).len(), 1);
+    assert_eq!(f.apply_snapshot(0, scene(&[heartbeat("a", 1, false)], true)).len(), 1);
     assert_eq!(
         f.apply_change(FleetChange::BackendDraining("a".into())),
         [ViewChange::BackendDraining("a".into())]
     );
-    // A slower prompter: an older configuration, and the backend still takes work there.
+    // A slower control-plane node: an older configuration, and the backend still takes work there.
     assert_eq!(f.replace_configuration(configuration(4)), []);
-    assert_eq!(f.apply_snapshot(0, scene(&[fact("a", 3, false)], true)), []);
-    assert_eq!(f.apply_change(FleetChange::Backend(fact("a", 4, false))), []);
+    assert_eq!(f.apply_snapshot(0, scene(&[heartbeat("a", 3, false)], true)), []);
+    assert_eq!(f.apply_change(FleetChange::Backend(heartbeat("a", 4, false))), []);
     assert_eq!(
         f.apply_change(FleetChange::BackendRemoved("a".into())),
         [ViewChange::BackendRemoved("a".into())]
     );
-    assert_eq!(f.apply_change(FleetChange::Backend(fact("a", 5, false))), [], "also when it is told as new");
+    assert_eq!(
+        f.apply_change(FleetChange::Backend(heartbeat("a", 5, false))),
+        [],
+        "also when it is told as new"
+    );
 }
 
 #[test]
 fn incomplete_snapshot_removes_no_backend_at_once() {
     let mut f = View::default();
-    f.apply_snapshot(0, scene(&[fact("a", 1, false), fact("b", 1, false)], true));
-    assert_eq!(f.apply_snapshot(10, scene(&[fact("b", 2, false)], false)), []);
+    f.apply_snapshot(0, scene(&[heartbeat("a", 1, false), heartbeat("b", 1, false)], true));
+    assert_eq!(f.apply_snapshot(10, scene(&[heartbeat("b", 2, false)], false)), []);
     assert_eq!(f.expire_doubtful(10 + DOUBT_TIMEOUT - 1), []);
     let mut told = f.clone();
-    told.apply_change(FleetChange::Backend(fact("a", 3, false)));
+    told.apply_change(FleetChange::Backend(heartbeat("a", 3, false)));
     assert_eq!(told.expire_doubtful(10 + DOUBT_TIMEOUT), [], "it was heard of since");
     assert_eq!(f.expire_doubtful(10 + DOUBT_TIMEOUT), [ViewChange::BackendRemoved("a".into())]);
     assert_eq!(f.apply_snapshot(20, scene(&[], true)), [ViewChange::BackendRemoved("b".into())]);
 }
 
-/// `rehearsal`, seed 1031: a gateway that had no link for seven seconds took a backend that lived for over with the first word behind
+/// `rehearsal`, seed 1031: a gateway that had no link for seven seconds took a backend that lived for over with the first command behind
 /// that, since it had been in doubt for long by then.
 #[test]
 fn doubtful_backends_are_not_expired_without_a_connection() {
     let mut f = View::default();
-    f.apply_snapshot(0, scene(&[fact("a", 1, false)], true));
+    f.apply_snapshot(0, scene(&[heartbeat("a", 1, false)], true));
     f.apply_snapshot(10, scene(&[], false));
     f.on_connected(DOUBT_TIMEOUT);
     assert_eq!(f.expire_doubtful(10 + DOUBT_TIMEOUT), []);
     assert_eq!(f.expire_doubtful(2 * DOUBT_TIMEOUT), [ViewChange::BackendRemoved("a".into())]);
 }
 
-/// `rehearsal`, seed 11: a young prompter heard of it by an earlier beat than the one that the gateway knew of, and the gateway took
+/// `rehearsal`, seed 11: a young control-plane node heard of it by an earlier beat than the one that the gateway knew of, and the gateway took
 /// a backend that lived for over eight seconds later.
 #[test]
 fn backend_named_again_is_no_longer_doubtful() {
     let mut f = View::default();
-    f.apply_snapshot(0, scene(&[fact("a", 9, false), fact("b", 9, false)], true));
+    f.apply_snapshot(0, scene(&[heartbeat("a", 9, false), heartbeat("b", 9, false)], true));
     f.apply_snapshot(10, scene(&[], false));
-    assert_eq!(f.apply_change(FleetChange::Backend(fact("a", 4, false))), []);
-    f.apply_snapshot(20, scene(&[fact("b", 4, false)], false));
-    f.apply_snapshot(30, scene(&[fact("a", 4, false), fact("b", 4, false)], false));
+    assert_eq!(f.apply_change(FleetChange::Backend(heartbeat("a", 4, false))), []);
+    f.apply_snapshot(20, scene(&[heartbeat("b", 4, false)], false));
+    f.apply_snapshot(30, scene(&[heartbeat("a", 4, false), heartbeat("b", 4, false)], false));
     assert_eq!(f.expire_doubtful(30 + DOUBT_TIMEOUT), []);
     assert!(f.accepts_work("a") && f.accepts_work("b"));
 }
@@ -77,7 +81,7 @@
 #[test]
 fn drains_are_remembered_for_known_backends_and_bounded_for_others() {
     let mut f = View::default();
-    f.apply_snapshot(0, scene(&[fact("old", 1, false), fact("new", 1, false)], true));
+    f.apply_snapshot(0, scene(&[heartbeat("old", 1, false), heartbeat("new", 1, false)], true));
     f.apply_change(FleetChange::BackendDraining("old".into()));
     for n in 0..MAX_DRAINING + 10 {
         f.apply_change(FleetChange::BackendDraining(format!("i-{n}")));
@@ -89,7 +93,7 @@
         "though all is full"
     );
     // The first is remembered for as long as it is there.
-    assert_eq!(f.apply_change(FleetChange::Backend(fact("old", 2, false))), []);
+    assert_eq!(f.apply_change(FleetChange::Backend(heartbeat("old", 2, false))), []);
     assert!(f.draining.contains("old") && !f.draining.contains("i-0"));
     f.apply_change(FleetChange::BackendRemoved("old".into()));
     f.apply_change(FleetChange::BackendDraining("one more".into()));
@@ -100,6 +104,6 @@
 fn drain_known_before_its_backend_counts() {
     let mut f = View::default();
     assert_eq!(f.apply_change(FleetChange::BackendDraining("a".into())), []);
-    assert_eq!(f.apply_change(FleetChange::Backend(fact("a", 1, false))), []);
-    assert_eq!(f.apply_change(FleetChange::Backend(fact("b", 1, true))), []);
+    assert_eq!(f.apply_change(FleetChange::Backend(heartbeat("a", 1, false))), []);
+    assert_eq!(f.apply_change(FleetChange::Backend(heartbeat("b", 1, true))), []);
 }
--- a/crates/data/subscription/tests/subscription.rs
+++ b/crates/data/subscription/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! Which prompter a gateway follows, and how far it takes its word. Stories that `rehearsal` told first.
+//! Which control-plane node a gateway follows, and how far it takes its command. Stories that `rehearsal` told first.
 
 use control_state::{CommittedConfiguration, ConfigurationSender, DeltaHistory, CHUNK_BYTES};
 use messages::{GatewayMessage, GatewayUpdate, Greeting};
@@ -22,12 +22,12 @@
 }
 
 fn pulse(contact: u64, touch_ms: u32, newest: u64) -> GatewayUpdate {
-    let prompters = (1..=3).map(|n| (ip(n).to_string(), String::new())).collect();
+    let control_nodes = (1..=3).map(|n| (ip(n).to_string(), String::new())).collect();
     GatewayUpdate::Heartbeat {
         contact_number: contact,
         quorum_contact_ms: touch_ms,
         newest_configuration: newest,
-        control_nodes: prompters,
+        control_nodes,
     }
 }
 
@@ -69,7 +69,7 @@
     assert!(f.freshness().is_ready(1020 * MS) && !f.freshness().is_fresh(1020 * MS));
 }
 
-/// All processes were killed: whoever begins again holds nothing, and no prompter is in contact with a majority yet.
+/// All processes were killed: whoever begins again holds nothing, and no control-plane node is in contact with a majority yet.
 #[test]
 fn gateway_without_a_configuration_accepts_one_without_contact() {
     let mut f = follow();
@@ -98,17 +98,17 @@
     assert!(!f.freshness().is_fresh(5 * MS) && !f.freshness().is_ready(5 * MS));
 }
 
-/// Seed 11763: a gateway in the middle of a long configuration left for its own zone's prompter, which was cut off, and began anew.
+/// Seed 11763: a gateway in the middle of a long configuration left for its own zone's control-plane node, which was cut off, and began anew.
 #[test]
 fn subscription_stays_while_a_configuration_is_in_transfer() {
     let mut f = follow();
     let near = |contact| {
-        let prompters = vec![(ip(1).to_string(), "z".into()), (ip(2).to_string(), String::new())];
+        let control_nodes = vec![(ip(1).to_string(), "z".into()), (ip(2).to_string(), String::new())];
         GatewayUpdate::Heartbeat {
             contact_number: contact,
             quorum_contact_ms: 0,
             newest_configuration: 9,
-            control_nodes: prompters,
+            control_nodes,
         }
     };
     let first = begin(&mut f, 0, ip(2));
