--- a/crates/data/data-plane/src/backend_protocol.rs
+++ b/crates/data/data-plane/src/backend_protocol.rs
@@ -7,7 +7,7 @@
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
 use interface::{Ending, Name};
-use lifecycle::upstream::{Begins, Echo};
+use lifecycle::upstream::{Echo, ExecutionStart};
 use proxy::backends::{Content, Outcome, Outgoing, Served, Wire};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -110,7 +110,7 @@
 fn echo(attempt: Option<&HeaderValue>, head: &Parts) -> Echo {
     let mut ids = head.headers.get_all(ATTEMPT).iter();
     match (ids.next(), ids.next()) {
-        (None, _) => Echo::Missing { turned_away: is_not_executed(head) },
+        (None, _) => Echo::Missing { is_rejection: is_not_executed(head) },
         (Some(id), None) if Some(id) == attempt => Echo::Same,
         _ => Echo::Other,
     }
@@ -132,8 +132,8 @@
         }
     }
 
-    fn begins(&self) -> Begins {
-        Begins::Head
+    fn begins(&self) -> ExecutionStart {
+        ExecutionStart::FullHead
     }
 
     fn echo(&self, request: &Outgoing, head: &Parts) -> Echo {
@@ -162,12 +162,12 @@
         let (mut head, content) = answer.into_parts();
         let meaning = interpret(&head);
         let ending = match meaning {
-            AnswerMeaning::Success if head.status.is_success() => Ending::Pass,
-            AnswerMeaning::Success => Ending::Undone,
-            AnswerMeaning::Failed | AnswerMeaning::Misleading => Ending::Fault,
-            AnswerMeaning::Rejected => Ending::Full,
+            AnswerMeaning::Success if head.status.is_success() => Ending::Success,
+            AnswerMeaning::Success => Ending::Cancelled,
+            AnswerMeaning::Failed | AnswerMeaning::Misleading => Ending::Failure,
+            AnswerMeaning::Rejected => Ending::Overloaded,
             AnswerMeaning::OtherInstance => Ending::Stale,
-            AnswerMeaning::Invalid => Ending::Spoilt,
+            AnswerMeaning::Invalid => Ending::Unreadable,
         };
         let mut outcome = Outcome::without_answer(ending);
         if meaning == AnswerMeaning::OtherInstance {
--- a/crates/data/data-plane/src/backend_protocol/tests.rs
+++ b/crates/data/data-plane/src/backend_protocol/tests.rs
@@ -32,8 +32,8 @@
     assert_eq!(echoed(200, &[("attempt-id", "9c41")]), Echo::Same);
     assert_eq!(echoed(200, &[("attempt-id", "9c42")]), Echo::Other, "a late one");
     assert_eq!(echoed(200, &[("attempt-id", "9c41"), ("attempt-id", "9c42")]), Echo::Other);
-    assert_eq!(echoed(200, &[]), Echo::Missing { turned_away: false });
-    assert_eq!(echoed(503, &[("not-executed", "1")]), Echo::Missing { turned_away: true });
+    assert_eq!(echoed(200, &[]), Echo::Missing { is_rejection: false });
+    assert_eq!(echoed(503, &[("not-executed", "1")]), Echo::Missing { is_rejection: true });
     assert_eq!(echoed(503, &[("attempt-id", "9c42"), ("not-executed", "1")]), Echo::Other);
     assert_eq!(echo(None, &head(200, &[("attempt-id", "9c42")])), Echo::Other);
 }
--- a/crates/data/data-plane/src/budgeted_module.rs
+++ b/crates/data/data-plane/src/budgeted_module.rs
@@ -72,11 +72,11 @@
     fn may_retry(&mut self, id: RequestId, ending: Ending) -> bool {
         let Some(request) = self.requests.get_mut(&id) else { return true };
         // Nothing of it reached a backend.
-        if ending == Ending::NoRoute {
+        if ending == Ending::Unreachable {
             return true;
         }
         request.attempts_arrived += 1;
-        let has_not_run = matches!(ending, Ending::Full | Ending::Stale);
+        let has_not_run = matches!(ending, Ending::Overloaded | Ending::Stale);
         if !has_not_run && self.effects.get(request.class) == Some(&Effect::Unsafe) {
             // The design's module ends it here anyway.
             return true;
@@ -93,7 +93,7 @@
                 let state = RequestState { class, pool, attempts_arrived: 0, deposited: false };
                 self.requests.insert(request.id, state);
             }
-            Event::ClientGone { id } => {
+            Event::ClientLeft { id } => {
                 self.requests.remove(id);
             }
             Event::AttemptEnd(end) => self.on_attempt_end(end, out),
@@ -102,7 +102,7 @@
     }
 
     fn on_attempt_end(&mut self, end: &mut AttemptEnd, out: &mut Vec<Action>) {
-        if end.last || end.ending == Ending::Pass {
+        if end.last || end.ending == Ending::Success {
             self.requests.remove(&end.id);
         } else if !self.may_retry(end.id, end.ending) {
             // The design's module lets go of it, and it is answered: as rejected only if nothing ran.
--- a/crates/data/data-plane/src/budgeted_module/tests.rs
+++ b/crates/data/data-plane/src/budgeted_module/tests.rs
@@ -7,7 +7,7 @@
     let settings = Settings {
         classes: vec![Class::new("c", 600 * MS, 2000 * MS, effect, Group::All)],
         plans: vec![Plan::new("p", 0.0, 0.0)],
-        try_limit: 9,
+        max_attempts: 9,
         max_retry_after: 1000 * MS,
         ..Settings::default()
     };
@@ -52,17 +52,17 @@
 fn retries_need_the_budget_also_after_a_rejection() {
     let mut h = house(Effect::Safe, 3);
     let sent = asked(&mut h, 1);
-    let refused = ended(&mut h, &sent, 0, Ending::Full);
+    let refused = ended(&mut h, &sent, 0, Ending::Overloaded);
     assert!(matches!(refused[..], [Action::Reject { id: 1, .. }]), "nothing is earned yet: {refused:?}");
     // Ten requests earn one more try.
     for id in 10..20 {
         let sent = asked(&mut h, id);
-        ended(&mut h, &sent, 0, Ending::Pass);
+        ended(&mut h, &sent, 0, Ending::Success);
     }
     let sent = asked(&mut h, 2);
-    let again = ended(&mut h, &sent, 0, Ending::Fault);
+    let again = ended(&mut h, &sent, 0, Ending::Failure);
     assert!(matches!(again[..], [Action::Send { id: 2, .. }]), "{again:?}");
-    let end = ended(&mut h, &again, 1, Ending::Fault);
+    let end = ended(&mut h, &again, 1, Ending::Failure);
     assert!(matches!(end[..], [Action::Reject { id: 2, .. }]), "the budget is spent: {end:?}");
     assert_eq!(h.requests.len(), 0, "nothing is kept of what is over");
 }
@@ -72,12 +72,12 @@
     let mut h = house(Effect::Safe, 1);
     for id in 10..40 {
         let sent = asked(&mut h, id);
-        ended(&mut h, &sent, 0, Ending::Pass);
+        ended(&mut h, &sent, 0, Ending::Success);
     }
     let sent = asked(&mut h, 1);
-    let again = ended(&mut h, &sent, 0, Ending::NoRoute);
+    let again = ended(&mut h, &sent, 0, Ending::Unreachable);
     assert!(matches!(again[..], [Action::Send { id: 1, .. }]), "{again:?}");
-    let end = ended(&mut h, &again, 1, Ending::Full);
+    let end = ended(&mut h, &again, 1, Ending::Overloaded);
     assert!(matches!(end[..], [Action::Reject { id: 1, .. }]), "{end:?}");
 }
 
@@ -85,6 +85,6 @@
 fn unsafe_attempt_that_may_have_run_fails_without_a_retry() {
     let mut h = house(Effect::Unsafe, 3);
     let sent = asked(&mut h, 1);
-    let end = ended(&mut h, &sent, 0, Ending::Cut);
+    let end = ended(&mut h, &sent, 0, Ending::Interrupted);
     assert!(matches!(end[..], [Action::Fail { id: 1 }]), "{end:?}");
 }
--- a/crates/data/data-plane/src/client_requests.rs
+++ b/crates/data/data-plane/src/client_requests.rs
@@ -10,10 +10,10 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode, Uri};
 use interface::{Allowance, Name, Time};
-use lifecycle::connection::Patience;
+use lifecycle::connection::Timeouts;
 use proxy::backends::{Content, Outgoing};
 use proxy::driver::{Answer, Incoming};
-use proxy::fronts::http1::{plain, unsound, Door, Payload, Unsound};
+use proxy::fronts::http1::{plain, unsound, Door, ErrorReply, Payload};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -47,7 +47,7 @@
     }
 
     /// What the newest configuration does not know is refused for good; an old one is no ground for that.
-    fn reject_unknown(&self, status: StatusCode) -> Unsound {
+    fn reject_unknown(&self, status: StatusCode) -> ErrorReply {
         if self.gateway.is_fresh() {
             unsound(status)
         } else {
@@ -57,7 +57,7 @@
 }
 
 /// A refusal that promises that nothing has run, with when to come back.
-fn retry_later(status: StatusCode, after: Duration) -> Unsound {
+fn retry_later(status: StatusCode, after: Duration) -> ErrorReply {
     let mut response = unsound(status);
     if let Ok(after) = HeaderValue::try_from(format!("{:.3}", after.as_secs_f64())) {
         response.headers_mut().insert(RETRY_AFTER, after);
@@ -65,7 +65,7 @@
     response
 }
 
-fn unavailable() -> Unsound {
+fn unavailable() -> ErrorReply {
     retry_later(StatusCode::SERVICE_UNAVAILABLE, UNAVAILABLE_RETRY_AFTER)
 }
 
@@ -101,7 +101,7 @@
         None
     }
 
-    fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, Unsound> {
+    fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, ErrorReply> {
         let Some(routes) = self.gateway.routes() else { return Err(unavailable()) };
         // Backends are asked for a path, also if this client thinks that it talks to a proxy.
         let uri = head.uri.path_and_query().cloned().map(Uri::from);
@@ -142,7 +142,7 @@
         Ok(Incoming { arrived, request, outgoing })
     }
 
-    async fn admit(&self, incoming: &mut Incoming) -> Result<(), Unsound> {
+    async fn admit(&self, incoming: &mut Incoming) -> Result<(), ErrorReply> {
         let tenant: &Name = &incoming.request.customer;
         let refused = |after| retry_later(StatusCode::TOO_MANY_REQUESTS, after);
         let admission = self.gateway.quota.acquire(tenant).await.map_err(refused)?;
@@ -161,7 +161,7 @@
         match answer {
             Answer::Served(served) => {
                 let mut response = Response::new(match served.content {
-                    Content::Whole(bytes) => Payload::Whole(Full::new(bytes)),
+                    Content::Complete(bytes) => Payload::Full(Full::new(bytes)),
                     Content::Stream(stream) => Payload::Stream(stream),
                 });
                 *response.status_mut() = served.status;
@@ -169,14 +169,14 @@
                 response
             }
             Answer::Refused { retry_after, .. } => *retry_later(StatusCode::SERVICE_UNAVAILABLE, retry_after),
-            Answer::Turned(status) => plain(status, ""),
+            Answer::Rejected(status) => plain(status, ""),
             Answer::Failed { late: true } => plain(StatusCode::GATEWAY_TIMEOUT, ""),
             Answer::Failed { late: false } => plain(StatusCode::BAD_GATEWAY, ""),
         }
     }
 
     /// 408 would promise that nothing has run.
-    fn cut_short(&self, status: StatusCode) -> StatusCode {
+    fn aborted_body_status(&self, status: StatusCode) -> StatusCode {
         if status == StatusCode::REQUEST_TIMEOUT {
             StatusCode::BAD_GATEWAY
         } else {
@@ -184,15 +184,15 @@
         }
     }
 
-    fn patience(&self) -> Patience {
+    fn client_timeouts(&self) -> Timeouts {
         let limits = self.gateway.routes().map(|routes| routes.configuration().limits).unwrap_or_default();
         let nanos = |ms: f64| (ms.clamp(MIN_CLIENT_TIMEOUT_MS, MAX_TIME_MS) * 1e6) as Time;
         let head = nanos(limits.header_timeout_ms);
         let silent = nanos(limits.idle_timeout_ms);
-        Patience { silent, head, first: silent + head }
+        Timeouts { idle: silent, head, first_head: silent + head }
     }
 
-    fn leaving(&self) -> (Duration, Duration) {
+    fn shutdown_times(&self) -> (Duration, Duration) {
         (DRAIN_WINDOW.min(self.grace / 2), self.grace.saturating_sub(EXIT_RESERVE))
     }
 }
--- a/crates/data/data-plane/src/gateway.rs
+++ b/crates/data/data-plane/src/gateway.rs
@@ -160,7 +160,7 @@
     ) -> (Duration, Option<Duration>) {
         let settings = self.settings.borrow();
         let class = &settings.classes[class.min(settings.classes.len() - 1)];
-        let target_latency = Duration::from_nanos(class.aim);
+        let target_latency = Duration::from_nanos(class.latency_target);
         let urgent_within = (class.effect == Effect::Unsafe).then_some(target_latency / 2);
         (max_wait.min(time_left - target_latency.min(time_left / 2)), urgent_within)
     }
@@ -201,7 +201,7 @@
             }
         }
         if let Some(driver) = driver.filter(|_| !targets.is_empty()) {
-            driver.list(Scope::Changes, List { rev: 0, all: false, targets });
+            driver.apply_list(Scope::Changes, List { rev: 0, all: false, targets });
         }
     }
 
@@ -264,10 +264,10 @@
         cancelling: true,
         retry_after: true,
         max_retry_after: MAX_RETRY_AFTER_NANOS,
-        try_limit: TRY_LIMIT,
+        max_attempts: TRY_LIMIT,
         most_units: MAX_UNITS,
-        cold: WARMUP_TIME.as_nanos() as u64,
-        cold_from: WARMUP_INITIAL_SPEED,
+        warm_up_time: WARMUP_TIME.as_nanos() as u64,
+        initial_warmth: WARMUP_INITIAL_SPEED,
         cross_zone_price: CROSS_ZONE_PRICE,
         tick: TICK_NANOS,
         ..Settings::default()
--- a/crates/data/data-plane/src/main.rs
+++ b/crates/data/data-plane/src/main.rs
@@ -19,7 +19,7 @@
 use budgeted_module::BudgetedModule;
 use client_requests::ClientRequests;
 use control_link::ControlLink;
-use engine::Figures;
+use engine::Timing;
 use error::DataPlaneError;
 use gateway::Gateway;
 use interface::Module;
@@ -29,7 +29,7 @@
 use process::settings::Settings;
 use process::sockets::{listen, PEER_TIMEOUT};
 use proxy::backends::{Backends, Limits};
-use proxy::driver::{Driver, Setup};
+use proxy::driver::{Config, Driver};
 use proxy::fronts::http1::Server;
 use proxy::fronts::Budget;
 use proxy::handover::Link;
@@ -105,7 +105,7 @@
     spawn_local(quota.run());
     let membership = Membership::open(&settings)?;
     spawn_control_side(&settings, &gateway, membership.clone())?;
-    spawn_local(backends.clone().reap());
+    spawn_local(backends.clone().close_idle());
 
     let server = Rc::new(new_server(&settings, &gateway, &driver, backends, sockets));
     let (ready_gateway, ready_server) = (gateway.clone(), server.clone());
@@ -137,11 +137,11 @@
 
 fn backend_limits(sockets: usize) -> Limits {
     Limits {
-        sockets: sockets / 2,
+        max_connections: sockets / 2,
         connect_timeout: BACKEND_CONNECT_TIMEOUT,
         keepalive: BACKEND_KEEPALIVE,
-        unheard: Some(PEER_TIMEOUT),
-        overtime: Some(STREAM_OVERTIME),
+        unacknowledged_timeout: Some(PEER_TIMEOUT),
+        relay_overtime: Some(STREAM_OVERTIME),
     }
 }
 
@@ -151,14 +151,19 @@
     backends: &Rc<Backends>,
     seed: u64,
 ) -> Result<Rc<Driver>, DataPlaneError> {
-    let figures = Figures { way_back: RESPONSE_MARGIN, module_grace: MODULE_GRACE, key_margin: 0, gap: 0 };
+    let figures = Timing {
+        way_back: RESPONSE_MARGIN,
+        module_grace: MODULE_GRACE,
+        key_margin: 0,
+        min_batch_interval: 0,
+    };
     let (module_settings, max_attempts) = (gateway.settings(), gateway.max_attempts.clone());
     let retry_ratio = settings.contract.bounds.retry_budget_ratio;
     let pools = gateway.clone();
-    let driver = Driver::new(Setup {
+    let driver = Driver::new(Config {
         settings: gateway.settings(),
         seed,
-        figures,
+        timing: figures,
         module: Box::new(move |seed, now| {
             let (settings, max_attempts) = (module_settings.clone(), max_attempts.clone());
             let module = BudgetedModule::new(settings, max_attempts, retry_ratio, seed, now);
--- a/crates/data/data-plane/src/membership.rs
+++ b/crates/data/data-plane/src/membership.rs
@@ -3,7 +3,7 @@
 //! reaches no control node looks among them for one that does.
 
 use crate::error::DataPlaneError;
-use ::membership::{Config, Input, Keys, Output, State, Time, View, MOST_BYTES};
+use ::membership::{Config, Input, Keys, Output, State, Time, View, MAX_DATAGRAM_BYTES};
 use process::settings::Settings;
 use std::cell::RefCell;
 use std::io::ErrorKind;
@@ -61,7 +61,7 @@
 
     /// Runs for as long as the process lives.
     pub async fn run(self: Rc<Self>) {
-        let mut buffer = [0; MOST_BYTES + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let due = self.view.borrow().next_due();
             let due = due.map_or(Instant::now() + MAX_SLEEP, |at| {
@@ -119,7 +119,7 @@
     /// The addresses of gateways that are believed to live, except this one, those that are not suspected first.
     pub fn live_peers(&self) -> Vec<IpAddr> {
         let view = self.view.borrow();
-        let live = view.members().filter(|member| member.record.state.lives() && member.since > 0);
+        let live = view.members().filter(|member| member.record.state.is_alive() && member.since > 0);
         let mut peers: Vec<(bool, IpAddr)> =
             live.map(|member| (member.record.state == State::Suspect, member.record.address.ip())).collect();
         fastrand::shuffle(&mut peers);
@@ -143,8 +143,8 @@
     // All edge machines run a gateway, and so do the seeds.
     let seeds = settings.seed_addresses().into_iter();
     config.seeds = seeds.map(|ip| SocketAddr::new(ip, address.port())).collect();
-    config.period = PROBE_INTERVAL;
-    config.keep_dead = DEAD_RETENTION;
+    config.probe_interval = PROBE_INTERVAL;
+    config.dead_retention = DEAD_RETENTION;
     config
 }
 
--- a/crates/data/data-plane/src/request_classes.rs
+++ b/crates/data/data-plane/src/request_classes.rs
@@ -58,7 +58,7 @@
             timeout_ms * DEFAULT_TARGET_RATIO
         };
         let class = Class::new("", nanos(target_ms), nanos(timeout_ms), effect, Group::All);
-        Class { late_worth: LATE_WORTH, ..class }
+        Class { late_value: LATE_WORTH, ..class }
     }
 
     /// What a rule rests on: it never changes in a place of the list, for requests in flight are judged by their place.
--- a/crates/data/data-plane/src/tenant_quota.rs
+++ b/crates/data/data-plane/src/tenant_quota.rs
@@ -143,7 +143,7 @@
                 QueueOutcome::Proceed => Allowance::Granted,
                 QueueOutcome::Refused { retry_after } => Allowance::Refused { advice: retry_after },
             };
-            if !driver.allowed(id, allowance) && outcome == QueueOutcome::Proceed {
+            if !driver.set_allowance(id, allowance) && outcome == QueueOutcome::Proceed {
                 self.client.borrow_mut().return_turn(now, &tenant);
             }
         }
--- a/crates/gateway/engine/src/admission.rs
+++ b/crates/gateway/engine/src/admission.rs
@@ -11,38 +11,38 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// So long a request waits for a grant that may bring what it needs: three of the longest usual ticks.
-const PATIENCE: Time = 150_000_000;
+const MAX_GRANT_WAIT: Time = 150_000_000;
 
 /// Units taken for a request.
-struct Taken {
+struct Reservation {
     customer: Name,
     units: f64,
     /// The account's life in which they were.
-    life: u64,
+    account_generation: u64,
     /// Whether any attempt was begun.
-    begun: bool,
+    has_attempt: bool,
 }
 
 /// What is said of a request, or waits to be.
 #[derive(Default)]
 pub(crate) struct Admission {
     account: Option<Account>,
-    taken: HashMap<RequestId, Taken>,
+    reservations: HashMap<RequestId, Reservation>,
     /// Requests that wait for the next grant, and since when.
     waiting: Vec<(Request, Time)>,
     /// Tells the lives of an account: from the caller's chance.
-    lives: u64,
+    account_generation: u64,
     /// Whether the account has panicked since it was last asked.
     panicked: bool,
 }
 
 impl Admission {
     pub fn set_account(&mut self, account: Account) {
-        (self.lives, self.account) = (account.incarnation(), Some(account));
+        (self.account_generation, self.account) = (account.incarnation(), Some(account));
     }
 
-    pub fn share(&self) -> Option<f64> {
-        self.account.as_ref().map(Account::share)
+    pub fn work_share(&self) -> Option<f64> {
+        self.account.as_ref().map(Account::work_share)
     }
 
     pub fn mode(&self) -> Option<Mode> {
@@ -50,21 +50,26 @@
     }
 
     /// The request, with what is known of its allowance, if it may go to the module now; else it waits here.
-    pub fn consider(&mut self, now: Time, mut request: Request, since: Option<Time>) -> Option<Request> {
+    pub fn admit(&mut self, now: Time, mut request: Request, since: Option<Time>) -> Option<Request> {
         if self.account.is_none() {
             return Some(request);
         }
         let (customer, plan, units) = (request.customer.clone(), request.plan, request.units);
         let verdict = self.guarded(now, |a| a.spend(now, &customer, plan, units, since.is_some()));
-        request.allowance = match verdict.unwrap_or(Verdict::Refused { advice: PATIENCE }) {
+        request.allowance = match verdict.unwrap_or(Verdict::Refused { advice: MAX_GRANT_WAIT }) {
             Verdict::Granted => {
-                let taken = Taken { customer, units, life: self.lives, begun: false };
-                self.taken.insert(request.id, taken);
+                let taken = Reservation {
+                    customer,
+                    units,
+                    account_generation: self.account_generation,
+                    has_attempt: false,
+                };
+                self.reservations.insert(request.id, taken);
                 Allowance::Granted
             }
             Verdict::Refused { advice } => Allowance::Refused { advice },
-            Verdict::Wait if since.is_some_and(|s| now.saturating_sub(s) >= PATIENCE) => {
-                Allowance::Refused { advice: PATIENCE }
+            Verdict::Wait if since.is_some_and(|s| now.saturating_sub(s) >= MAX_GRANT_WAIT) => {
+                Allowance::Refused { advice: MAX_GRANT_WAIT }
             }
             Verdict::Wait => {
                 self.waiting.push((request, since.unwrap_or(now)));
@@ -80,22 +85,22 @@
     }
 
     /// An attempt of this request has begun.
-    pub fn begun(&mut self, id: RequestId) {
+    pub fn attempt_started(&mut self, id: RequestId) {
         if self.account.is_some() {
-            self.taken.entry(id).and_modify(|t| t.begun = true);
+            self.reservations.entry(id).and_modify(|t| t.has_attempt = true);
         }
     }
 
     /// This request's life is over.
-    pub fn over(&mut self, id: RequestId, now: Time) {
+    pub fn request_ended(&mut self, id: RequestId, now: Time) {
         if self.account.is_none() {
             return;
         }
-        let Some(taken) = self.taken.remove(&id) else { return };
+        let Some(taken) = self.reservations.remove(&id) else { return };
         // What an earlier life of the account took is not this one's to give back.
-        if taken.life == self.lives {
-            let unsent = if taken.begun { 0.0 } else { taken.units };
-            self.guarded(now, |a| a.done(&taken.customer, unsent));
+        if taken.account_generation == self.account_generation {
+            let unsent = if taken.has_attempt { 0.0 } else { taken.units };
+            self.guarded(now, |a| a.request_ended(&taken.customer, unsent));
         }
     }
 
@@ -106,9 +111,9 @@
     }
 
     /// What a view of the fleet says of the planners.
-    pub fn believe(&mut self, lives: &[Option<bool>]) {
+    pub fn planners_observed(&mut self, lives: &[Option<bool>]) {
         if let Some(account) = &mut self.account {
-            account.believe(lives);
+            account.planners_observed(lives);
         }
     }
 
@@ -129,13 +134,13 @@
         let done = catch_unwind(AssertUnwindSafe(|| act(account)));
         if done.is_err() {
             self.panicked = true;
-            self.lives = self.lives.wrapping_add(1).max(1);
-            account.start_again(now, self.lives);
+            self.account_generation = self.account_generation.wrapping_add(1).max(1);
+            account.restart(now, self.account_generation);
         }
         done.ok()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.taken.is_empty() && self.waiting.is_empty()
+        self.reservations.is_empty() && self.waiting.is_empty()
     }
 }
--- a/crates/gateway/engine/src/words.rs
+++ b/crates/gateway/engine/src/events.rs
@@ -1,39 +1,40 @@
-//! What goes in and out of an [`crate::Engine`], in plain values.
+//! Inputs and outputs of an [`crate::Engine`], as plain values.
 
 use interface::{Allowance, Ending, Load, Name, Node, RequestId, Scope, Time};
-use lifecycle::{Final, Reply, Step};
+use lifecycle::{FinalAnswer, Reply, Step};
 use plan::message::{Grant, Report};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A client's request that a front found well-formed.
+/// A client's well-formed request.
 #[derive(Clone, Debug)]
 pub struct Incoming {
     pub id: RequestId,
-    /// Places in the settings. A class that is not there is judged by the rules of the first.
+    /// Indices into the settings. An unknown class follows the rules of the first.
     pub class: usize,
     pub plan: usize,
     pub customer: Name,
     /// How long after it came the client stops waiting.
     pub timeout: Time,
-    /// Whether its body is still coming: then that counts from [`Input::Whole`] on, and it can be sent once.
+    /// Whether its body is still arriving: the timeout then counts from [`Input::BodyCompleted`], and it can be sent
+    /// once.
     pub open: bool,
     /// 0 or more, no more than the settings' most.
     pub units: f64,
-    /// Through how many gateways the customer's requests may come.
+    /// Through how many gateways the customer's requests may arrive.
     pub spread: u32,
     /// Whether the client marked it as a repeat.
     pub repeat: bool,
-    /// Which pool's servers may take it; its place in the settings.
+    /// The pool whose servers may take it, as an index into the settings.
     pub pool: usize,
-    /// What its front knows of its allowance.
+    /// What the front end knows of its allowance.
     pub allowance: Allowance,
 }
 
-/// What an attempt's end tells beside its ending.
+/// Measurements of an attempt, beside its ending.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Facts {
-    /// Since the order to start it.
+pub struct AttemptFacts {
+    /// Since it was started.
     pub elapsed: Time,
     /// True units, where the answer settles them.
     pub settled: f64,
@@ -43,57 +44,57 @@
 }
 
 /// One entry of the server list, and where new work for it goes.
-pub type Entry = (Node, Option<SocketAddr>);
+pub type ListEntry = (Node, Option<SocketAddr>);
 
 /// What happened.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A front: a request came whole.
+    /// A front end: a complete request has arrived.
     Received(Incoming),
-    /// A front: the last byte of an open request has come, and its client waits for so long from now on.
-    Whole { id: RequestId, timeout: Time },
-    /// A front: nobody waits for the answer any more.
-    Left { id: RequestId },
-    /// An attempt: its connection is up. The answer is `Write` or `Withhold`.
+    /// A front end: the last byte of an open request has arrived; its client waits this long from now on.
+    BodyCompleted { id: RequestId, timeout: Time },
+    /// A front end: nobody waits for the answer any more.
+    ClientLeft { id: RequestId },
+    /// An attempt: its connection is established. The answer is `Write` or `Withhold`.
     Connected { id: RequestId, attempt: u32 },
     /// An attempt: how far it has come since.
     Progress { id: RequestId, attempt: u32, step: Step },
-    /// An attempt: a good answer has begun that is passed on as it comes. An error: nobody wants it.
-    Begun { id: RequestId, attempt: u32, facts: Facts },
-    /// An attempt: its end, told once.
-    Ended { id: RequestId, attempt: u32, ending: Ending, reply: Reply, facts: Facts },
-    /// Whoever was awaited: what is known by now of a request's allowance.
+    /// An attempt: a good answer has started that is streamed. An error means that nobody waits for it.
+    AnswerStarted { id: RequestId, attempt: u32, facts: AttemptFacts },
+    /// An attempt: its end, reported once.
+    AttemptEnded { id: RequestId, attempt: u32, ending: Ending, reply: Reply, facts: AttemptFacts },
+    /// The allowance of a request that awaited it.
     Allowed { id: RequestId, allowance: Allowance },
     /// Discovery: the list, or changes to it. `rev` is its number.
-    List { scope: Scope, rev: u64, entries: Vec<Entry> },
-    /// Discovery: it can't be reached, or says what can't be read.
+    List { scope: Scope, rev: u64, entries: Vec<ListEntry> },
+    /// Discovery: it cannot be reached, or its answer cannot be read.
     ListFailed,
     /// A planner: what it grants.
     Grant { planner: usize, grant: Grant },
-    /// A view of the fleet: so many gateways are believed to live, and this is the `me`th; 0: what the settings say.
+    /// Membership: the number of gateways believed alive and this one's position among them; 0: as the settings say.
     Neighbours { me: u32, gateways: u32 },
-    /// A view of the fleet: which planners live, in their order; none: it says nothing of this one.
+    /// Membership: which planners are alive, in their order; none: not known.
     Planners(Vec<Option<bool>>),
     /// A tick of planning has passed: reports are wanted.
     PlanningTick,
-    /// Time has passed: what is due is done, and the module hears what has happened.
+    /// Time has passed: due timers fire, and the module is called with what has happened.
     Wake,
 }
 
 /// What to do about it, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Begin an attempt; its connection's being up is to be told before a byte is written.
-    Start { id: RequestId, attempt: u32, server: Name, place: SocketAddr, not_past: Time },
+    /// Start an attempt; `Connected` must be reported before a byte is written.
+    Start { id: RequestId, attempt: u32, server: Name, address: SocketAddr, not_past: Time },
     /// The attempt may write.
     Write { id: RequestId, attempt: u32 },
     /// The attempt must not write. It ends as one that never ran.
     Withhold { id: RequestId, attempt: u32 },
-    /// Stop the attempt: nothing of it goes out any more, nothing that it brings is awaited.
+    /// Stop the attempt: nothing more is written, and its answer is not awaited.
     Abort { id: RequestId, attempt: u32 },
-    /// The final answer. `Served` and `Turned` have the bytes that the attempt just ended has brought.
-    Answer { id: RequestId, answer: Final },
-    /// The request's life is over: whatever was kept for it can go.
+    /// The final answer. `Served` and `Rejected` carry the bytes of the attempt that just ended.
+    Answer { id: RequestId, answer: FinalAnswer },
+    /// The request is over: all that is kept for it can be dropped.
     Over { id: RequestId },
     /// A report for a planner.
     Report { planner: usize, report: Report },
@@ -101,19 +102,19 @@
     Notice(Notice),
 }
 
-/// What an operator wants to read.
+/// An event worth a line in the operators' log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// Discovery answers again.
     ListBack { rev: u64 },
     /// Discovery does not; the old list stands.
     ListLost,
-    /// The module panicked, and a new one has begun: so many requests end.
+    /// The module panicked and was replaced: this many requests end.
     ModulePanicked { ended: usize },
-    /// The account of allowances panicked, and a new one has begun.
+    /// The account of allowances panicked and was replaced.
     AccountPanicked,
-    /// An attempt told what can't be; it was ended.
-    Attempt(lifecycle::Wrong),
+    /// An attempt reported what cannot be; it was ended.
+    Attempt(lifecycle::InvalidInput),
 }
 
 impl fmt::Display for Notice {
@@ -131,32 +132,32 @@
 }
 
 /// An input without a meaning in the present state. Nothing has changed.
-pub type Error = lifecycle::Wrong;
+pub type Error = lifecycle::InvalidInput;
 
-/// Final answers, and clients that went without theirs (failed).
+/// Final answers by kind; clients that left without theirs count as failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Calls {
+pub struct AnswerCounts {
     pub served: u64,
     pub refused: u64,
     pub failed: u64,
 }
 
-/// What a gateway has done since it began, and how it stands.
+/// Counts since the start, and the present state of the server list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     /// By class, in the settings' order.
-    pub calls: Vec<Calls>,
-    /// Attempts whose last byte went out.
+    pub answers: Vec<AnswerCounts>,
+    /// Attempts whose last byte was written.
     pub attempts: u64,
-    /// Servers in the list; those of them that get nothing new, by hand, by the list or by the module's choice.
+    /// Servers in the list; those of them without new work: banned, draining or avoided.
     pub listed: usize,
     pub down: usize,
 }
 
-/// Counts since they were last taken.
+/// Counts since they were last read.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Answered here because the module had not by the deadline; also in one of the others.
+pub struct EngineCounts {
+    /// Requests answered by the engine because the module had not answered by the deadline.
     pub overdue: u64,
     /// Calls to the module.
     pub batches: u64,
--- a/crates/gateway/engine/src/lib.rs
+++ b/crates/gateway/engine/src/lib.rs
@@ -1,108 +1,110 @@
-//! One whole gateway as a value: the lives of its requests, the decision module, the account of allowances, held
-//! requests and timers, joined. No I/O and no clock: [`Engine::handle`] takes what happened with the time, and
-//! says what to do about it; [`Engine::next_due`] says when it wants to be woken. The program turns sockets into
-//! inputs and outputs into sockets; the simulator does the same in virtual time.
+//! One whole gateway as a state machine: requests, the decision module, the account of allowances and timers. No I/O
+//! and no clock: [`Engine::handle`] takes an input with its time and returns outputs; [`Engine::next_due`] is when it
+//! wants to be woken. The proxy turns sockets into inputs and outputs into socket operations; the simulator does so in
+//! virtual time.
 #![forbid(unsafe_code)]
 
 mod admission;
-mod words;
+mod events;
 
-pub use lifecycle::{Final, Listed, Reply, Step};
-pub use words::{Calls, Counts, Entry, Error, Facts, Incoming, Input, Notice, Output, Totals};
+pub use events::{
+    AnswerCounts, AttemptFacts, EngineCounts, Error, Incoming, Input, ListEntry, Notice, Output, Totals,
+};
+pub use lifecycle::{FinalAnswer, ListedServer, Reply, Step};
 
 use admission::Admission;
 use forward::{Account, Mode};
 use interface::{Action, AttemptEnd, Event, Health, Module, Name, Request, RequestId, Scope, Settings, Time};
-use lifecycle::{self as lifecycle, Arrival, Limits, Lives, Order, Told};
+use lifecycle::{self as lifecycle, Arrival, Command, Limits, ModuleEvent, RequestTable};
 use maintenance::{Bans, NeverListed};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Makes a module that knows nothing, from a seed and the time.
-pub type Make<M> = Box<dyn Fn(u64, Time) -> Result<M, String>>;
+/// Makes a decision module without state, from a seed and the time.
+pub type ModuleFactory<M> = Box<dyn Fn(u64, Time) -> Result<M, String>>;
 
-/// Figures of a request's life, in nanoseconds.
+/// Time limits of requests, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Figures {
-    /// So long before the client's time is up the final answer is due; a tenth of that time at most.
+pub struct Timing {
+    /// How long before the client's time is up the final answer is due; a tenth of that time at most.
     pub way_back: Time,
-    /// How long past that the module may still have the last word.
+    /// How long after that the module may still answer.
     pub module_grace: Time,
-    /// So long before servers forget a key its last repeat is written.
+    /// How long before servers forget a key its last repeat may be written.
     pub key_margin: Time,
-    /// Between two calls of the module, at the least: what comes in between is handed over together. 0: what finds
-    /// the loop idle is handed over at once, and what comes while it works is the next batch.
-    pub gap: Time,
+    /// The least time between two calls of the module: events in between are handed over together. 0: events are handed
+    /// over at once when the loop is idle, and otherwise with the next batch.
+    pub min_batch_interval: Time,
 }
 
-/// An open request whose last byte has not come by then is given up; its front gives up on slow ones long before.
-const LONGEST_OPEN: Time = 3_600_000_000_000;
+/// An open request that is not complete by then is given up; its front end gives up on slow ones long before.
+const MAX_OPEN_REQUEST_TIME: Time = 3_600_000_000_000;
 
 pub struct Engine<M> {
     settings: Settings,
     way_back: Time,
-    gap: Time,
+    min_batch_interval: Time,
     module: M,
-    make: Make<M>,
-    lives: Lives,
+    module_factory: ModuleFactory<M>,
+    requests: RequestTable,
     admission: Admission,
     /// Discovery's list as it stands.
-    nodes: BTreeMap<Name, Entry>,
-    /// Laid over it wherever it goes on.
+    nodes: BTreeMap<Name, ListEntry>,
+    /// Applied to the list wherever it is passed on.
     bans: Bans,
     list_lost: bool,
-    /// What the module has yet to hear, and no sooner than when.
+    /// Events for the module's next call, and the earliest time of that call.
     events: Vec<Event>,
-    earliest: Time,
+    next_batch_at: Time,
     timers: BinaryHeap<Reverse<(Time, u64)>>,
-    /// The part of all work that the module was told last.
-    placed: f64,
-    counts: Counts,
-    /// Since the start, by class; and attempts written whole.
-    calls: Vec<Calls>,
+    /// The share of all work that the module was told last.
+    announced_share: f64,
+    counts: EngineCounts,
+    /// Final answers since the start, by class; and attempts that were completely written.
+    answers: Vec<AnswerCounts>,
     attempts: u64,
-    /// Empty between calls: kept for their room.
-    orders: Vec<Order>,
+    /// Empty between calls: kept to reuse their allocations.
+    orders: Vec<Command>,
     actions: Vec<Action>,
 }
 
 impl<M: Module> Engine<M> {
-    /// An engine that holds nothing and knows no server.
+    /// An engine without requests that knows no server.
     ///
     /// # Errors
     /// What the module says of the settings, or that they name no class.
     pub fn new(
         settings: Settings,
         seed: u64,
-        figures: Figures,
+        figures: Timing,
         now: Time,
-        make: Make<M>,
+        make: ModuleFactory<M>,
     ) -> Result<Self, String> {
         if settings.classes.is_empty() {
             return Err("no class is named".into());
         }
         let limits = Limits {
-            attempts: settings.try_limit,
+            attempts: settings.max_attempts,
             grace: figures.module_grace,
             key_margin: figures.key_margin,
         };
         Ok(Engine {
             module: make(seed, now)?,
-            make,
+            module_factory: make,
             way_back: figures.way_back,
-            gap: figures.gap,
-            lives: Lives::new(limits),
+            min_batch_interval: figures.min_batch_interval,
+            requests: RequestTable::new(limits),
             admission: Admission::default(),
             nodes: BTreeMap::new(),
             bans: Bans::default(),
             list_lost: false,
             events: Vec::new(),
-            earliest: now,
+            next_batch_at: now,
             timers: BinaryHeap::new(),
-            placed: 1.0 / f64::from(settings.gateways.max(1)),
-            counts: Counts::default(),
-            calls: vec![Calls::default(); settings.classes.len()],
+            announced_share: 1.0 / f64::from(settings.gateways.max(1)),
+            counts: EngineCounts::default(),
+            answers: vec![AnswerCounts::default(); settings.classes.len()],
             attempts: 0,
             orders: Vec::new(),
             actions: Vec::new(),
@@ -113,34 +115,34 @@
     /// Goes on by these settings, which name at least the classes, plans and pools that the old ones did, in their
     /// places; requests in hand keep what they came with.
     pub fn reconfigure(&mut self, settings: Settings) {
-        self.calls.resize(settings.classes.len().max(self.calls.len()), Calls::default());
+        self.answers.resize(settings.classes.len().max(self.answers.len()), AnswerCounts::default());
         self.module.reconfigure(&settings);
         self.settings = settings;
     }
 
-    /// From now on this account says what may be spent.
+    /// From now on this account decides on allowances.
     pub fn set_account(&mut self, account: Account) {
         self.admission.set_account(account);
     }
 
     /// Whether some server takes new work.
     pub fn can_serve(&self) -> bool {
-        self.lives.fleet().any_ready()
+        self.requests.server_list().any_ready()
     }
 
-    /// Whether a request is in hand.
-    pub fn holds(&self, id: RequestId) -> bool {
-        self.lives.get(id).is_some()
+    /// Whether a request with this id is not over.
+    pub fn has_request(&self, id: RequestId) -> bool {
+        self.requests.get(id).is_some()
     }
 
-    /// How many requests are in hand.
-    pub fn held(&self) -> usize {
-        self.lives.len()
+    /// How many requests are not over.
+    pub fn request_count(&self) -> usize {
+        self.requests.len()
     }
 
-    /// Whether nothing is held of any request: all tables are empty but for what servers and customers are known.
+    /// Whether nothing is kept of any request.
     pub fn is_idle(&self) -> bool {
-        self.lives.is_empty() && self.admission.is_empty()
+        self.requests.is_empty() && self.admission.is_empty()
     }
 
     /// Where the account stands, if there is one.
@@ -148,37 +150,37 @@
         self.admission.mode()
     }
 
-    /// What it has done since it began, and how it stands.
+    /// Counts since the start, and the present state of the server list.
     pub fn totals(&self) -> Totals {
         let avoided = self.module.avoided();
-        let down = |(node, _): &&Entry| {
-            node.health != Health::Up || self.bans.is_out(&node.name) || avoided.contains(&node.name)
+        let down = |(node, _): &&ListEntry| {
+            node.health != Health::Up || self.bans.is_banned(&node.name) || avoided.contains(&node.name)
         };
         Totals {
-            calls: self.calls.clone(),
+            answers: self.answers.clone(),
             attempts: self.attempts,
             listed: self.nodes.len(),
             down: self.nodes.values().filter(down).count(),
         }
     }
 
-    pub fn take_counts(&mut self) -> Counts {
+    pub fn take_counts(&mut self) -> EngineCounts {
         std::mem::take(&mut self.counts)
     }
 
-    /// When the module may next be called: the stated gap after the last time.
-    pub fn earliest(&self) -> Time {
-        self.earliest
+    /// When the module may next be called.
+    pub fn next_batch_at(&self) -> Time {
+        self.next_batch_at
     }
 
     /// When [`Input::Wake`] is next wanted, if nothing else happens.
     pub fn next_due(&self) -> Option<Time> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
-        let event = (!self.events.is_empty()).then_some(self.earliest);
-        timer.into_iter().chain(self.lives.next_due()).chain(event).min()
+        let event = (!self.events.is_empty()).then_some(self.next_batch_at);
+        timer.into_iter().chain(self.requests.next_due()).chain(event).min()
     }
 
-    /// Whether the module has something to hear.
+    /// Whether events wait for the module's next call.
     pub fn wants_wake(&self) -> bool {
         !self.events.is_empty()
     }
@@ -190,32 +192,37 @@
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) -> Result<(), Error> {
         match input {
             Input::Received(incoming) => return self.received(now, incoming, out),
-            Input::Whole { id, timeout } => {
+            Input::BodyCompleted { id, timeout } => {
                 let deadline = self.deadline(now, timeout);
-                self.feed(now, lifecycle::Input::Whole { id, deadline }, Facts::default(), out)?;
+                self.feed(
+                    now,
+                    lifecycle::Input::BodyCompleted { id, deadline },
+                    AttemptFacts::default(),
+                    out,
+                )?;
             }
-            Input::Left { id } => {
-                let (heard, class) = (self.events.len(), self.lives.get(id).map(|l| l.class()));
-                self.feed(now, lifecycle::Input::Left { id }, Facts::default(), out)?;
-                // It went without its answer; else the two have crossed.
+            Input::ClientLeft { id } => {
+                let (heard, class) = (self.events.len(), self.requests.get(id).map(|l| l.class()));
+                self.feed(now, lifecycle::Input::ClientLeft { id }, AttemptFacts::default(), out)?;
+                // It left without its answer; else the two have crossed.
                 if let Some(class) = class.filter(|_| self.events.len() > heard) {
-                    self.count(class, Final::Failed { late: false });
+                    self.count(class, FinalAnswer::Failed { late: false });
                 }
             }
             Input::Connected { id, attempt } => {
-                self.feed(now, lifecycle::Input::Connected { id, attempt }, Facts::default(), out)?;
+                self.feed(now, lifecycle::Input::Connected { id, attempt }, AttemptFacts::default(), out)?;
             }
-            // Nothing is ordered on such news.
+            // No commands follow from progress.
             Input::Progress { id, attempt, step } => {
                 let input = lifecycle::Input::Progress { id, attempt, step };
-                self.lives.handle(now, input, &mut self.orders)?;
+                self.requests.handle(now, input, &mut self.orders)?;
                 self.attempts += u64::from(step == Step::Written);
             }
-            Input::Begun { id, attempt, facts } => {
-                self.feed(now, lifecycle::Input::Begun { id, attempt }, facts, out)?;
+            Input::AnswerStarted { id, attempt, facts } => {
+                self.feed(now, lifecycle::Input::AnswerStarted { id, attempt }, facts, out)?;
             }
-            Input::Ended { id, attempt, ending, reply, facts } => {
-                let input = lifecycle::Input::Ended { id, attempt, ending, reply };
+            Input::AttemptEnded { id, attempt, ending, reply, facts } => {
+                let input = lifecycle::Input::AttemptEnded { id, attempt, ending, reply };
                 self.feed(now, input, facts, out)?;
             }
             Input::List { scope, rev, entries } => self.list(now, scope, rev, entries, out),
@@ -232,8 +239,10 @@
                 }
                 self.notice_account(out);
             }
-            Input::Neighbours { me, gateways } => self.events.push(Event::Neighbours { me, gateways }),
-            Input::Planners(lives) => self.admission.believe(&lives),
+            Input::Neighbours { me, gateways } => {
+                self.events.push(Event::Neighbours { position: me, gateways })
+            }
+            Input::Planners(lives) => self.admission.planners_observed(&lives),
             Input::PlanningTick => self.planning_tick(now, out),
             Input::Wake => self.wake(now, out),
         }
@@ -246,10 +255,11 @@
         let classes = &self.settings.classes;
         let number = if r.class < classes.len() { r.class } else { 0 };
         let class = &classes[number];
-        let deadline = if r.open { now + LONGEST_OPEN } else { self.deadline(now, r.timeout) };
+        let deadline = if r.open { now + MAX_OPEN_REQUEST_TIME } else { self.deadline(now, r.timeout) };
         let (effect, group, key_ttl) = (class.effect, class.group, class.key_ttl);
-        let arrival = Arrival { id: r.id, class: number, effect, group, key_ttl, deadline, once: r.open };
-        self.feed(now, lifecycle::Input::Received(arrival), Facts::default(), out)?;
+        let arrival =
+            Arrival { id: r.id, class: number, effect, group, key_ttl, deadline, has_single_attempt: r.open };
+        self.feed(now, lifecycle::Input::Received(arrival), AttemptFacts::default(), out)?;
         let request = Request {
             id: r.id,
             class: r.class,
@@ -262,7 +272,7 @@
             pool: r.pool,
             allowance: r.allowance,
         };
-        self.events.extend(self.admission.consider(now, request, None).map(Event::Request));
+        self.events.extend(self.admission.admit(now, request, None).map(Event::Request));
         self.notice_account(out);
         Ok(())
     }
@@ -274,8 +284,8 @@
 
     fn consider_again(&mut self, now: Time) {
         for (request, since) in self.admission.waiting() {
-            if self.lives.get(request.id).is_some() {
-                self.events.extend(self.admission.consider(now, request, Some(since)).map(Event::Request));
+            if self.requests.get(request.id).is_some() {
+                self.events.extend(self.admission.admit(now, request, Some(since)).map(Event::Request));
             }
         }
     }
@@ -284,9 +294,13 @@
         let reports = self.admission.reports(now);
         out.extend(reports.into_iter().map(|(planner, report)| Output::Report { planner, report }));
         // The module is not woken for every small change.
-        if let Some(share) = self.admission.share().filter(|s| (s - self.placed).abs() > self.placed / 8.0) {
-            self.placed = share;
-            self.events.push(Event::Placement { share });
+        if let Some(share) = self
+            .admission
+            .work_share()
+            .filter(|s| (s - self.announced_share).abs() > self.announced_share / 8.0)
+        {
+            self.announced_share = share;
+            self.events.push(Event::Placement { work_share: share });
         }
         self.consider_again(now);
         self.notice_account(out);
@@ -305,34 +319,37 @@
         &mut self,
         now: Time,
         input: lifecycle::Input,
-        facts: Facts,
+        facts: AttemptFacts,
         out: &mut Vec<Output>,
     ) -> Result<(), Error> {
-        let begun = matches!(input, lifecycle::Input::Begun { .. });
+        let begun = matches!(input, lifecycle::Input::AnswerStarted { .. });
         let mut orders = std::mem::take(&mut self.orders);
-        let done = self.lives.handle(now, input, &mut orders);
+        let done = self.requests.handle(now, input, &mut orders);
         for order in orders.drain(..) {
             match order {
-                Order::Start { id, attempt, server, place, not_past } => {
-                    self.admission.begun(id);
-                    out.push(Output::Start { id, attempt, server, place, not_past });
+                Command::Start { id, attempt, server, address: place, not_past } => {
+                    self.admission.attempt_started(id);
+                    out.push(Output::Start { id, attempt, server, address: place, not_past });
                 }
-                Order::Write { id, attempt } => out.push(Output::Write { id, attempt }),
-                Order::Withhold { id, attempt } => out.push(Output::Withhold { id, attempt }),
-                Order::Abort { id, attempt } => out.push(Output::Abort { id, attempt }),
-                Order::Answer { id, class, answer } => {
+                Command::Write { id, attempt } => out.push(Output::Write { id, attempt }),
+                Command::Withhold { id, attempt } => out.push(Output::Withhold { id, attempt }),
+                Command::Abort { id, attempt } => out.push(Output::Abort { id, attempt }),
+                Command::Answer { id, class, answer } => {
                     // What is passed on as it comes counts when it has come.
                     if !begun {
                         self.count(class, answer);
                     }
                     out.push(Output::Answer { id, answer });
-                    self.over(now, id, out);
+                    self.request_ended(now, id, out);
                 }
-                Order::Streamed { id, class, whole } => {
-                    self.count(class, if whole { Final::Served } else { Final::Failed { late: false } });
-                    self.over(now, id, out);
+                Command::Streamed { id, class, is_complete: whole } => {
+                    self.count(
+                        class,
+                        if whole { FinalAnswer::Served } else { FinalAnswer::Failed { late: false } },
+                    );
+                    self.request_ended(now, id, out);
                 }
-                Order::Tell(told) => self.tell(now, told, facts, out),
+                Command::NotifyModule(told) => self.notify_module(now, told, facts, out),
             }
         }
         self.orders = orders;
@@ -340,33 +357,33 @@
     }
 
     /// The one place where answers count.
-    fn count(&mut self, class: usize, answer: Final) {
-        let Some(calls) = self.calls.get_mut(class) else { return };
+    fn count(&mut self, class: usize, answer: FinalAnswer) {
+        let Some(calls) = self.answers.get_mut(class) else { return };
         *match answer {
-            Final::Served => &mut calls.served,
-            Final::Refused { .. } => &mut calls.refused,
-            Final::Turned | Final::Failed { .. } => &mut calls.failed,
+            FinalAnswer::Served => &mut calls.served,
+            FinalAnswer::Refused { .. } => &mut calls.refused,
+            FinalAnswer::Rejected | FinalAnswer::Failed { .. } => &mut calls.failed,
         } += 1;
     }
 
     /// Lets go of a request whose life is over.
-    fn over(&mut self, now: Time, id: RequestId, out: &mut Vec<Output>) {
-        if self.lives.get(id).is_none() {
-            self.admission.over(id, now);
+    fn request_ended(&mut self, now: Time, id: RequestId, out: &mut Vec<Output>) {
+        if self.requests.get(id).is_none() {
+            self.admission.request_ended(id, now);
             out.push(Output::Over { id });
         }
     }
 
     /// Tells the module.
-    fn tell(&mut self, now: Time, told: Told, facts: Facts, out: &mut Vec<Output>) {
-        let Facts { elapsed, settled, metered, load } = facts;
+    fn notify_module(&mut self, now: Time, told: ModuleEvent, facts: AttemptFacts, out: &mut Vec<Output>) {
+        let AttemptFacts { elapsed, settled, metered, load } = facts;
         let event = match told {
-            Told::ClientGone { id } => {
-                self.over(now, id, out);
-                Event::ClientGone { id }
+            ModuleEvent::ClientLeft { id } => {
+                self.request_ended(now, id, out);
+                Event::ClientLeft { id }
             }
-            Told::Ended { id, attempt, server, ending, last } => {
-                self.over(now, id, out);
+            ModuleEvent::Ended { id, attempt, server, ending, last } => {
+                self.request_ended(now, id, out);
                 Event::AttemptEnd(AttemptEnd {
                     id,
                     attempt,
@@ -385,51 +402,52 @@
 
     // ---- The list ----
 
-    fn list(&mut self, now: Time, scope: Scope, rev: u64, entries: Vec<Entry>, out: &mut Vec<Output>) {
+    fn list(&mut self, now: Time, scope: Scope, rev: u64, entries: Vec<ListEntry>, out: &mut Vec<Output>) {
         if scope != Scope::Cached && std::mem::take(&mut self.list_lost) {
             out.push(Output::Notice(Notice::ListBack { rev }));
         }
         if scope != Scope::Changes {
             self.nodes.clear();
         }
-        self.bans.listed(entries.iter().map(|(n, _)| &n.name));
+        self.bans.record_names(entries.iter().map(|(n, _)| &n.name));
         self.nodes.extend(entries.iter().map(|e| (e.0.name.clone(), e.clone())));
         self.nodes.retain(|_, (n, _)| n.health != Health::Removed);
         let nodes = &self.nodes;
         self.bans.sweep(|name| nodes.contains_key(name));
-        self.tell_list(now, scope, rev, entries);
+        self.apply_list(now, scope, rev, entries);
     }
 
     /// Entries of the list go on, under the bans: the one way by which lives and module hear of servers.
-    fn tell_list(&mut self, now: Time, scope: Scope, seq: u64, mut entries: Vec<Entry>) {
+    fn apply_list(&mut self, now: Time, scope: Scope, seq: u64, mut entries: Vec<ListEntry>) {
         for (node, place) in &mut entries {
-            self.bans.lay_over(node);
+            self.bans.apply_to(node);
             *place = place.filter(|_| node.health == Health::Up);
         }
-        let servers = entries.iter().map(|(n, place)| Listed {
+        let servers = entries.iter().map(|(n, place)| ListedServer {
             name: n.name.clone(),
             zone: n.zone,
             cell: n.cell,
-            place: *place,
-            gone: n.health == Health::Removed,
+            address: *place,
+            is_removed: n.health == Health::Removed,
         });
         // Before the module hears of it: an attempt on its way asks for the leave to write.
-        let input = lifecycle::Input::Fleet { whole: scope != Scope::Changes, servers: servers.collect() };
-        let done = self.lives.handle(now, input, &mut self.orders);
+        let input =
+            lifecycle::Input::ServerList { is_full: scope != Scope::Changes, servers: servers.collect() };
+        let done = self.requests.handle(now, input, &mut self.orders);
         debug_assert!(done.is_ok() && self.orders.is_empty(), "a list orders nothing");
         let nodes = entries.into_iter().map(|(n, _)| n).collect();
         self.events.push(Event::Fleet { seq, scope, nodes });
     }
 
-    // ---- Maintenance by hand ----
+    // ---- Manual bans ----
 
     /// Nothing new goes to this server from here on, whatever discovery says, until it is put back.
     ///
     /// # Errors
     /// If no list has ever named it.
-    pub fn take_out(&mut self, now: Time, target: &str) -> Result<bool, NeverListed> {
-        let new = self.bans.enter(now, target)?;
-        self.tell_again(now, &[target.into()]);
+    pub fn ban(&mut self, now: Time, target: &str) -> Result<bool, NeverListed> {
+        let new = self.bans.ban(now, target)?;
+        self.reapply_entries(now, &[target.into()]);
         Ok(new)
     }
 
@@ -437,44 +455,44 @@
     ///
     /// # Errors
     /// If no list has ever named it.
-    pub fn put_back(&mut self, now: Time, target: &str) -> Result<bool, NeverListed> {
-        let was_out = self.bans.exit(now, target)?;
-        self.tell_again(now, &[target.into()]);
+    pub fn unban(&mut self, now: Time, target: &str) -> Result<bool, NeverListed> {
+        let was_out = self.bans.unban(now, target)?;
+        self.reapply_entries(now, &[target.into()]);
         Ok(was_out)
     }
 
     /// What another process of this gateway is to go on with.
-    pub fn leave(&self) -> String {
-        self.module.leave()
+    pub fn export_state(&self) -> String {
+        self.module.export_state()
     }
 
     /// Goes on with what another process of this gateway has left.
     ///
     /// # Errors
     /// What is wrong with it. Nothing has changed then.
-    pub fn take_over(&mut self, now: Time, left: &str) -> Result<(), String> {
+    pub fn import_state(&mut self, now: Time, left: &str) -> Result<(), String> {
         let module = &mut self.module;
         // It comes from outside: a panic on it must not take the gateway along.
-        let done = catch_unwind(AssertUnwindSafe(|| module.take_over(now, left)));
+        let done = catch_unwind(AssertUnwindSafe(|| module.import_state(now, left)));
         done.unwrap_or_else(|_| Err("the module panicked on it".into()))
     }
 
     /// Servers that are out by hand, and since when.
     pub fn bans(&self) -> BTreeMap<Name, Time> {
-        self.bans.out().map(|(name, since)| (name.clone(), since)).collect()
+        self.bans.banned().map(|(name, since)| (name.clone(), since)).collect()
     }
 
     /// Takes over the bans that another process of this gateway holds. How many that changes.
     pub fn adopt_bans(&mut self, now: Time, all: &BTreeMap<Name, Time>) -> usize {
         let changed = self.bans.adopt(now, all);
-        self.tell_again(now, &changed);
+        self.reapply_entries(now, &changed);
         changed.len()
     }
 
-    fn tell_again(&mut self, now: Time, names: &[Name]) {
-        let entries: Vec<Entry> = names.iter().filter_map(|n| self.nodes.get(n).cloned()).collect();
+    fn reapply_entries(&mut self, now: Time, names: &[Name]) {
+        let entries: Vec<ListEntry> = names.iter().filter_map(|n| self.nodes.get(n).cloned()).collect();
         if !entries.is_empty() {
-            self.tell_list(now, Scope::Changes, 0, entries);
+            self.apply_list(now, Scope::Changes, 0, entries);
         }
     }
 
@@ -482,13 +500,13 @@
 
     /// What is due is done, and the module hears what has happened.
     fn wake(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.earliest = now + self.gap;
+        self.next_batch_at = now + self.min_batch_interval;
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             if let Some(Reverse((_, token))) = self.timers.pop() {
                 self.events.push(Event::Timer { token });
             }
         }
-        if self.lives.next_due().is_some_and(|at| at <= now) {
+        if self.requests.next_due().is_some_and(|at| at <= now) {
             self.overdue(now, out);
         }
         if self.events.is_empty() {
@@ -499,7 +517,7 @@
         let mut actions = std::mem::take(&mut self.actions);
         let module = &mut self.module;
         if catch_unwind(AssertUnwindSafe(|| module.handle(now, events, &mut actions))).is_err() {
-            return self.begin_again(now, out);
+            return self.restart_module(now, out);
         }
         for action in actions.drain(..) {
             let input = match action {
@@ -514,37 +532,37 @@
                 // The watch always stands.
                 Action::Subscribe { .. } => continue,
             };
-            self.order(now, input, out);
+            self.feed_or_report(now, input, out);
         }
         self.actions = actions;
     }
 
     /// Hands the lives what can't be wrong but by a fault of ours.
-    fn order(&mut self, now: Time, input: lifecycle::Input, out: &mut Vec<Output>) {
-        if let Err(wrong) = self.feed(now, input, Facts::default(), out) {
+    fn feed_or_report(&mut self, now: Time, input: lifecycle::Input, out: &mut Vec<Output>) {
+        if let Err(wrong) = self.feed(now, input, AttemptFacts::default(), out) {
             out.push(Output::Notice(Notice::Attempt(wrong)));
         }
     }
 
     /// The module kept silent: what is overdue is answered all the same, and nothing more goes out for it.
     fn overdue(&mut self, now: Time, out: &mut Vec<Output>) {
-        let unserved = |calls: &[Calls]| calls.iter().map(|c| c.refused + c.failed).sum::<u64>();
-        let before = unserved(&self.calls);
-        self.order(now, lifecycle::Input::Tick, out);
-        self.counts.overdue += unserved(&self.calls) - before;
+        let unserved = |calls: &[AnswerCounts]| calls.iter().map(|c| c.refused + c.failed).sum::<u64>();
+        let before = unserved(&self.answers);
+        self.feed_or_report(now, lifecycle::Input::Tick, out);
+        self.counts.overdue += unserved(&self.answers) - before;
     }
 
     /// The module panicked, and what it holds can't be trusted: as after a restart, a new one begins with the
     /// list alone, and what was held gets its answer. Connections and attempts that are out live on.
-    fn begin_again(&mut self, now: Time, out: &mut Vec<Output>) {
-        out.push(Output::Notice(Notice::ModulePanicked { ended: self.lives.len() }));
+    fn restart_module(&mut self, now: Time, out: &mut Vec<Output>) {
+        out.push(Output::Notice(Notice::ModulePanicked { ended: self.requests.len() }));
         // These settings were good at the start.
-        let Ok(mut module) = (self.make)(now, now) else { return };
+        let Ok(mut module) = (self.module_factory)(now, now) else { return };
         module.reconfigure(&self.settings);
         self.module = module;
-        self.order(now, lifecycle::Input::Panicked, out);
+        self.feed_or_report(now, lifecycle::Input::Panicked, out);
         self.timers.clear();
         let entries = self.nodes.values().cloned().collect();
-        self.tell_list(now, Scope::Cached, 0, entries);
+        self.apply_list(now, Scope::Cached, 0, entries);
     }
 }
--- a/crates/gateway/engine/tests/engine.rs
+++ b/crates/gateway/engine/tests/engine.rs
@@ -1,6 +1,8 @@
 //! A whole gateway as a value, with the real module and with one that a test plays.
 
-use engine::{Calls, Engine, Facts, Figures, Final, Incoming, Input, Notice, Output, Reply, Step};
+use engine::{
+    AnswerCounts, AttemptFacts, Engine, FinalAnswer, Incoming, Input, Notice, Output, Reply, Step, Timing,
+};
 use granitehub::{Class, Effect, Ending, Gateway, Group, Health, Node, Plan, Scope, Settings, Time};
 use interface::{Action, Event, Module, RequestId};
 use std::cell::RefCell;
@@ -8,7 +10,8 @@
 
 const MS: Time = 1_000_000;
 const START: Time = 1_000_000 * MS;
-const FIGURES: Figures = Figures { way_back: 20 * MS, module_grace: 5 * MS, key_margin: 20 * MS, gap: MS };
+const FIGURES: Timing =
+    Timing { way_back: 20 * MS, module_grace: 5 * MS, key_margin: 20 * MS, min_batch_interval: MS };
 
 fn settings() -> Settings {
     let aim = 1000 * MS;
@@ -101,22 +104,26 @@
 }
 
 fn ended(ending: Ending, reply: Reply) -> Input {
-    Input::Ended { id: 1, attempt: 0, ending, reply, facts: Facts::default() }
+    Input::AttemptEnded { id: 1, attempt: 0, ending, reply, facts: AttemptFacts::default() }
 }
 
 #[test]
 fn a_request_goes_its_whole_way_and_leaves_nothing_behind() {
     let (mut engine, module) = written();
-    let out = engine.give(START + 20 * MS, ended(Ending::Pass, Reply::Good));
+    let out = engine.give(START + 20 * MS, ended(Ending::Success, Reply::Good));
     assert_eq!(
         out,
-        [Output::Answer { id: 1, answer: Final::Served }, Output::Over { id: 1 }, Output::Over { id: 1 }]
+        [
+            Output::Answer { id: 1, answer: FinalAnswer::Served },
+            Output::Over { id: 1 },
+            Output::Over { id: 1 }
+        ]
     );
     engine.give(START + 21 * MS, Input::Wake);
     assert!(engine.is_idle() && engine.next_due().is_none());
     assert!(matches!(module.heard.borrow().last(), Some(Event::AttemptEnd(end)) if end.last));
     let totals = engine.totals();
-    assert_eq!(totals.calls[0], Calls { served: 1, refused: 0, failed: 0 });
+    assert_eq!(totals.answers[0], AnswerCounts { served: 1, refused: 0, failed: 0 });
     assert_eq!((totals.attempts, engine.take_counts().batches), (1, 2));
 }
 
@@ -133,7 +140,7 @@
     assert_eq!(due, START + 280 * MS + FIGURES.module_grace, "the way back takes its time");
     assert_eq!(engine.give(due - 1, Input::Wake), []);
     let out = engine.give(due, Input::Wake);
-    let refused = Final::Refused { tried: false, advice: 0 };
+    let refused = FinalAnswer::Refused { tried: false, advice: 0 };
     assert!(out.contains(&Output::Answer { id: 1, answer: refused }), "nothing was sent for it: {out:?}");
     assert_eq!(engine.take_counts().overdue, 1);
     engine.give(due + MS, Input::Wake);
@@ -148,16 +155,16 @@
     let out = engine.give(START + 5 * MS, Input::Wake);
     assert_eq!(out[0], Output::Notice(Notice::ModulePanicked { ended: 2 }));
     let answered = |id, answer| out.contains(&Output::Answer { id, answer });
-    assert!(answered(1, Final::Failed { late: false }), "it may have run: {out:?}");
-    assert!(answered(2, Final::Refused { tried: false, advice: 0 }), "it was never sent: {out:?}");
+    assert!(answered(1, FinalAnswer::Failed { late: false }), "it may have run: {out:?}");
+    assert!(answered(2, FinalAnswer::Refused { tried: false, advice: 0 }), "it was never sent: {out:?}");
     assert!(out.contains(&Output::Abort { id: 1, attempt: 0 }));
-    assert_eq!(engine.held(), 1, "only the attempt that is out has yet to end");
+    assert_eq!(engine.request_count(), 1, "only the attempt that is out has yet to end");
     module.heard.borrow_mut().clear();
     engine.give(START + 6 * MS, Input::Wake);
     let list = |e: &Event| matches!(e, Event::Fleet { scope: Scope::Cached, nodes, .. } if nodes.len() == 1);
     assert!(module.heard.borrow().iter().any(list), "the new one is told of the servers");
     assert_eq!(engine.next_due(), None, "the old one's timers are gone");
-    engine.give(START + 7 * MS, ended(Ending::Undone, Reply::None));
+    engine.give(START + 7 * MS, ended(Ending::Cancelled, Reply::None));
     engine.give(START + 8 * MS, Input::Wake);
     assert!(engine.is_idle());
 }
@@ -171,7 +178,7 @@
     engine.give(START + 4 * MS, Input::ListFailed);
     let out = engine.give(START + 5 * MS, Input::Wake);
     let answers: Vec<_> = out.iter().filter(|o| matches!(o, Output::Answer { .. })).collect();
-    assert_eq!(answers, [&Output::Answer { id: 1, answer: Final::Failed { late: false } }]);
+    assert_eq!(answers, [&Output::Answer { id: 1, answer: FinalAnswer::Failed { late: false } }]);
 }
 
 #[test]
@@ -192,12 +199,12 @@
 #[test]
 fn a_client_that_leaves_is_told_to_the_module_once() {
     let (mut engine, module) = written();
-    engine.give(START + 4 * MS, Input::Left { id: 1 });
-    engine.give(START + 4 * MS, Input::Left { id: 1 });
+    engine.give(START + 4 * MS, Input::ClientLeft { id: 1 });
+    engine.give(START + 4 * MS, Input::ClientLeft { id: 1 });
     engine.give(START + 5 * MS, Input::Wake);
-    let gone = module.heard.borrow().iter().filter(|e| matches!(e, Event::ClientGone { id: 1 })).count();
-    assert_eq!((gone, engine.totals().calls[0].failed), (1, 1));
-    let out = engine.give(START + 9 * MS, ended(Ending::Pass, Reply::Good));
+    let gone = module.heard.borrow().iter().filter(|e| matches!(e, Event::ClientLeft { id: 1 })).count();
+    assert_eq!((gone, engine.totals().answers[0].failed), (1, 1));
+    let out = engine.give(START + 9 * MS, ended(Ending::Success, Reply::Good));
     assert!(!out.iter().any(|o| matches!(o, Output::Answer { .. })), "nobody waits: {out:?}");
     engine.give(START + 10 * MS, Input::Wake);
     assert!(engine.is_idle());
--- a/crates/gateway/forward/examples/growth.rs
+++ b/crates/gateway/forward/examples/growth.rs
@@ -19,8 +19,8 @@
         let plan = Allowance {
             quota_rate: 60.0,
             quota_depth: 90.0,
-            ceiling_rate: 120.0,
-            ceiling_depth: 150.0,
+            hard_limit_rate: 120.0,
+            hard_limit_depth: 150.0,
             slots: 0.0,
         };
         let terms = Terms::new(seats, vec![plan]);
@@ -39,7 +39,7 @@
             .collect();
         let names: Vec<Name> = (0..CUSTOMERS).map(|n| format!("customer-{n:06}").into()).collect();
         let (mut planning, mut forwarding, mut bytes, mut kept) = (Duration::ZERO, Duration::ZERO, 0usize, 0);
-        let warm = terms.loan_held() / tick + 20;
+        let warm = terms.loan_duration_at_forwarder() / tick + 20;
         for step in 0..warm + SECONDS * 1_000_000_000 / tick {
             let now: Time = step * tick;
             // Which customers are active changes once a second.
@@ -53,7 +53,7 @@
                     if (n + seat) % usize::from(seats) < THROUGH && (n + step as usize).is_multiple_of(4) {
                         let customer = &names[(first + n) % CUSTOMERS];
                         account.spend(now, customer, 0, 1.0, false);
-                        account.done(customer, 0.0);
+                        account.request_ended(customer, 0.0);
                     }
                 }
                 let reports = account.tick(now);
--- a/crates/gateway/handover/src/bans.rs
+++ b/crates/gateway/handover/src/bans.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 /// No text longer than this is read.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_BYTES: usize = 1 << 20;
 const VERSION: u32 = 1;
 
 #[derive(Serialize, Deserialize)]
@@ -18,23 +18,23 @@
 
 /// A text that says nothing for certain: what is known already stands.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Garbled {
+pub enum InvalidBans {
     TooLong,
     Version(u32),
     Unreadable(String),
 }
 
-impl fmt::Display for Garbled {
+impl fmt::Display for InvalidBans {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Garbled::TooLong => write!(f, "longer than {LONGEST} bytes"),
-            Garbled::Version(v) => write!(f, "of version {v}: {VERSION} is wanted"),
-            Garbled::Unreadable(why) => f.write_str(why),
+            InvalidBans::TooLong => write!(f, "longer than {MAX_BYTES} bytes"),
+            InvalidBans::Version(v) => write!(f, "of version {v}: {VERSION} is wanted"),
+            InvalidBans::Unreadable(why) => f.write_str(why),
         }
     }
 }
 
-impl std::error::Error for Garbled {}
+impl std::error::Error for InvalidBans {}
 
 pub fn write(out: &BTreeMap<Name, Time>) -> String {
     let out = out.iter().map(|(name, since)| (name.to_string(), *since)).collect();
@@ -43,13 +43,13 @@
 
 /// # Errors
 /// [`Garbled`].
-pub fn read(text: &[u8]) -> Result<BTreeMap<Name, Time>, Garbled> {
-    if text.len() > LONGEST {
-        return Err(Garbled::TooLong);
+pub fn read(text: &[u8]) -> Result<BTreeMap<Name, Time>, InvalidBans> {
+    if text.len() > MAX_BYTES {
+        return Err(InvalidBans::TooLong);
     }
-    let text: Text = serde_json::from_slice(text).map_err(|e| Garbled::Unreadable(e.to_string()))?;
+    let text: Text = serde_json::from_slice(text).map_err(|e| InvalidBans::Unreadable(e.to_string()))?;
     if text.version != VERSION {
-        return Err(Garbled::Version(text.version));
+        return Err(InvalidBans::Version(text.version));
     }
     Ok(text.out.into_iter().map(|(name, since)| (name.into(), since)).collect())
 }
--- a/crates/gateway/handover/src/lib.rs
+++ b/crates/gateway/handover/src/lib.rs
@@ -1,15 +1,15 @@
-//! An upgrade in service: two processes of one gateway for a few seconds, within the limits of one. No I/O.
+//! An upgrade in service: for a few seconds two processes of one gateway share the limits of one. No I/O.
 //!
 //! | role | accepts clients | part of the descriptors | left by |
 //! | --- | --- | --- | --- |
-//! | `Alone` | yes | all | `Told` (to `Leaving`) |
-//! | `Joining`: the one before still lives | yes | half | `OtherEnded` (to `Alone`), `Told` (to `Leaving`) |
+//! | `Alone` | yes | all | `ShutdownRequested` (to `Leaving`) |
+//! | `Joining`: the one before still lives | yes | half | `OtherEnded` (to `Alone`), `ShutdownRequested` (to `Leaving`) |
 //! | `Leaving`: told to end, another may take over | no | half | its end |
 #![forbid(unsafe_code)]
 
 mod bans;
 
-pub use bans::{read, write, Garbled, LONGEST};
+pub use bans::{read, write, InvalidBans, MAX_BYTES};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
@@ -23,7 +23,7 @@
     /// The process before this one has ended.
     OtherEnded,
     /// This process was told to end.
-    Told,
+    ShutdownRequested,
 }
 
 impl Role {
@@ -39,20 +39,20 @@
     #[must_use]
     pub fn after(self, input: Input) -> Self {
         match (self, input) {
-            (_, Input::Told) | (Role::Leaving, Input::OtherEnded) => Role::Leaving,
+            (_, Input::ShutdownRequested) | (Role::Leaving, Input::OtherEnded) => Role::Leaving,
             (Role::Alone | Role::Joining, Input::OtherEnded) => Role::Alone,
         }
     }
 
-    /// How much of what one gateway may have is this process's.
-    pub fn part(self, whole: usize) -> usize {
+    /// This process's share of what one gateway may have.
+    pub fn share_of(self, whole: usize) -> usize {
         match self {
             Role::Alone => whole,
             Role::Joining | Role::Leaving => whole / 2,
         }
     }
 
-    /// Whether what it knows is the gateway's, to be kept for a next process: of two it is the earlier one's.
+    /// Whether its state is kept for a next process: of two processes the earlier one's is.
     pub fn remembers(self) -> bool {
         self != Role::Joining
     }
--- a/crates/gateway/interface/src/lib.rs
+++ b/crates/gateway/interface/src/lib.rs
@@ -40,20 +40,30 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: String,
-    pub aim: Time,
+    pub latency_target: Time,
     pub deadline: Time,
     pub effect: Effect,
     pub group: Group,
     pub key_ttl: Time,
-    pub late_worth: f64,
+    pub late_value: f64,
     pub points: f64,
     pub stream: bool,
 }
 
 impl Class {
-    pub fn new(name: &str, aim: Time, deadline: Time, effect: Effect, group: Group) -> Self {
+    pub fn new(name: &str, latency_target: Time, deadline: Time, effect: Effect, group: Group) -> Self {
         let name = name.to_string();
-        Class { name, aim, deadline, effect, group, key_ttl: 0, late_worth: 0.0, points: 1.0, stream: false }
+        Class {
+            name,
+            latency_target,
+            deadline,
+            effect,
+            group,
+            key_ttl: 0,
+            late_value: 0.0,
+            points: 1.0,
+            stream: false,
+        }
     }
 }
 
@@ -64,11 +74,11 @@
     pub rate: f64,
     pub depth: f64,
     pub parallel: u32,
-    pub ceiling_rate: f64,
-    pub ceiling_burst: f64,
+    pub hard_limit_rate: f64,
+    pub hard_limit_burst: f64,
     pub value_factor: f64,
-    pub over_worth: f64,
-    pub over_cost: f64,
+    pub over_quota_value: f64,
+    pub over_quota_cost: f64,
 }
 
 impl Plan {
@@ -78,11 +88,11 @@
             rate,
             depth,
             parallel: 0,
-            ceiling_rate: 0.0,
-            ceiling_burst: 0.0,
+            hard_limit_rate: 0.0,
+            hard_limit_burst: 0.0,
             value_factor: 1.0,
-            over_worth: 0.0,
-            over_cost: 0.0,
+            over_quota_value: 0.0,
+            over_quota_cost: 0.0,
         }
     }
 }
@@ -92,7 +102,7 @@
 pub struct Settings {
     /// This gateway's zone and number, and how many gateways there are.
     pub zone: u32,
-    pub me: u32,
+    pub gateway_index: u32,
     pub gateways: u32,
     /// How many pools there are, 1 to 32.
     pub pools: usize,
@@ -100,20 +110,20 @@
     pub plans: Vec<Plan>,
     /// Whether discovery must be asked, and how often at least while no subscription stands.
     pub subscribe: bool,
-    pub ask_within: Time,
-    pub marks_retry: bool,
+    pub max_poll_interval: Time,
+    pub marks_retries: bool,
     pub cancelling: bool,
     pub second_copies: bool,
     pub retry_after: bool,
     pub max_retry_after: Time,
-    pub try_limit: u32,
+    pub max_attempts: u32,
     /// Whether answers settle the guessed units of a request; the most units of one request.
-    pub cost_after: bool,
+    pub settles_cost: bool,
     pub most_units: f64,
     /// The meter's period; 0 for no meter.
     pub meter_period: Time,
-    pub cold: Time,
-    pub cold_from: f64,
+    pub warm_up_time: Time,
+    pub initial_warmth: f64,
     pub fall: Time,
     pub fall_multiple: f64,
     pub answer_slack: Time,
@@ -126,24 +136,24 @@
     fn default() -> Self {
         Settings {
             zone: 0,
-            me: 0,
+            gateway_index: 0,
             gateways: 1,
             pools: 1,
             classes: Vec::new(),
             plans: Vec::new(),
             subscribe: false,
-            ask_within: 10_000_000_000,
-            marks_retry: false,
+            max_poll_interval: 10_000_000_000,
+            marks_retries: false,
             cancelling: false,
             second_copies: false,
             retry_after: false,
             max_retry_after: 0,
-            try_limit: 3,
-            cost_after: false,
+            max_attempts: 3,
+            settles_cost: false,
             most_units: 1.0,
             meter_period: 0,
-            cold: 0,
-            cold_from: 1.0,
+            warm_up_time: 0,
+            initial_warmth: 1.0,
             fall: 1_000_000_000,
             fall_multiple: 3.0,
             answer_slack: 0,
@@ -233,15 +243,15 @@
 /// How an attempt ended. `Full`, `NoRoute` and `Stale` prove that it never ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Ending {
-    Pass,
-    Fault,
-    Full,
-    Late,
-    NoRoute,
-    Cut,
+    Success,
+    Failure,
+    Overloaded,
+    TimedOut,
+    Unreachable,
+    Interrupted,
     /// What came back can't be read. It may have run, and it tells nothing of the server's health.
-    Spoilt,
-    Undone,
+    Unreadable,
+    Cancelled,
     Stale,
 }
 
@@ -278,7 +288,7 @@
         nodes: Vec<Node>,
     },
     Request(Request),
-    ClientGone {
+    ClientLeft {
         id: RequestId,
     },
     AttemptEnd(AttemptEnd),
@@ -310,12 +320,12 @@
     },
     /// This gateway's part of all work, 0 to 1, where a planner tells it: so much of each server's room is its.
     Placement {
-        share: f64,
+        work_share: f64,
     },
     /// A belief: so many gateways live, and this is the `me`th of them; 0 gateways: what the settings say. It may make
     /// work cheaper, by which servers are kept connections to. No ceiling, cap or budget may rest on it.
     Neighbours {
-        me: u32,
+        position: u32,
         gateways: u32,
     },
 }
@@ -340,7 +350,7 @@
     fn reconfigure(&mut self, _settings: &Settings) {}
 
     /// What another process of this gateway is to go on with; empty if there is nothing.
-    fn leave(&self) -> String {
+    fn export_state(&self) -> String {
         String::new()
     }
 
@@ -348,7 +358,7 @@
     ///
     /// # Errors
     /// What is wrong with it. Nothing has changed then.
-    fn take_over(&mut self, _now: Time, _left: &str) -> Result<(), String> {
+    fn import_state(&mut self, _now: Time, _left: &str) -> Result<(), String> {
         Ok(())
     }
 
@@ -367,12 +377,12 @@
         (**self).reconfigure(settings);
     }
 
-    fn leave(&self) -> String {
-        (**self).leave()
+    fn export_state(&self) -> String {
+        (**self).export_state()
     }
 
-    fn take_over(&mut self, now: Time, left: &str) -> Result<(), String> {
-        (**self).take_over(now, left)
+    fn import_state(&mut self, now: Time, left: &str) -> Result<(), String> {
+        (**self).import_state(now, left)
     }
 
     fn avoided(&self) -> Vec<Name> {
--- a/crates/gateway/lifecycle/benches/life.rs
+++ b/crates/gateway/lifecycle/benches/life.rs
@@ -2,33 +2,40 @@
 
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use interface::{Effect, Ending, Group, RequestId};
-use lifecycle::{Arrival, Input, Limits, Listed, Lives, Order, Reply, Step};
+use lifecycle::{Arrival, Command, Input, Limits, ListedServer, Reply, RequestTable, Step};
 
-fn lives(held: RequestId) -> Lives {
-    let mut lives = Lives::new(Limits { attempts: 3, grace: 5, key_margin: 1 });
-    let listed = |n: u16| Listed {
+fn lives(held: RequestId) -> RequestTable {
+    let mut lives = RequestTable::new(Limits { attempts: 3, grace: 5, key_margin: 1 });
+    let listed = |n: u16| ListedServer {
         name: format!("server-{n}").into(),
         zone: 0,
         cell: 0,
-        place: Some(([127, 0, 0, 1], 9000 + n).into()),
-        gone: false,
+        address: Some(([127, 0, 0, 1], 9000 + n).into()),
+        is_removed: false,
     };
     let servers = (0..10).map(listed).collect();
-    lives.handle(0, Input::Fleet { whole: true, servers }, &mut Vec::new()).expect("a list");
+    lives.handle(0, Input::ServerList { is_full: true, servers }, &mut Vec::new()).expect("a list");
     for id in 0..held {
         receive(&mut lives, 1_000_000 + id * 7, &mut Vec::new());
     }
     lives
 }
 
-fn receive(lives: &mut Lives, id: RequestId, out: &mut Vec<Order>) {
+fn receive(lives: &mut RequestTable, id: RequestId, out: &mut Vec<Command>) {
     let deadline = 1_000_000_000 + id;
-    let arrival =
-        Arrival { id, class: 0, effect: Effect::Keyed, group: Group::All, key_ttl: 9, deadline, once: false };
+    let arrival = Arrival {
+        id,
+        class: 0,
+        effect: Effect::Keyed,
+        group: Group::All,
+        key_ttl: 9,
+        deadline,
+        has_single_attempt: false,
+    };
     lives.handle(0, Input::Received(arrival), out).expect("its id is free");
 }
 
-fn life(lives: &mut Lives, id: RequestId, out: &mut Vec<Order>) {
+fn life(lives: &mut RequestTable, id: RequestId, out: &mut Vec<Command>) {
     let attempt = 0;
     receive(lives, id, out);
     for input in [
@@ -36,7 +43,7 @@
         Input::Connected { id, attempt },
         Input::Progress { id, attempt, step: Step::Written },
         Input::Progress { id, attempt, step: Step::Answering },
-        Input::Ended { id, attempt, ending: Ending::Pass, reply: Reply::Good },
+        Input::AttemptEnded { id, attempt, ending: Ending::Success, reply: Reply::Good },
     ] {
         lives.handle(1, input, out).expect("in order");
     }
@@ -56,7 +63,7 @@
     c.bench_function("the deadline of 1000 requests", |b| {
         let full = lives(1000);
         let clone = || (full.clone(), Vec::new());
-        let tick = |(mut lives, mut out): (Lives, Vec<Order>)| {
+        let tick = |(mut lives, mut out): (RequestTable, Vec<Command>)| {
             lives.handle(u64::MAX, Input::Tick, &mut out).expect("time may pass");
             out.len()
         };
--- a/crates/gateway/lifecycle/src/request.rs
+++ b/crates/gateway/lifecycle/src/request.rs
@@ -1,33 +1,33 @@
-//! The life of a request, from its last byte until it is answered and no attempt is out.
+//! A request's state machine, from its last byte until it is answered and no attempt is in flight.
 //!
-//! | phase | the client | an attempt | left by |
+//! | phase | the client | the attempt | left by |
 //! | --- | --- | --- | --- |
-//! | `Held` | waits | none out | `Send` (to `Out`), an answer, its leave (both: over) |
-//! | `Out` | waits | out, at a [`Step`] | its end (to `Held`, or over), an answer (`Answered`), a leave (`Left`) |
-//! | `Streaming` | gets its answer as it comes | out, and of no more concern to the module | its end (over) |
-//! | `Answered` | has its answer | still to end | its end (over) |
-//! | `Left` | is gone | still to end | its end (over) |
-
-use crate::fleet::Fleet;
-use crate::words::{Arrival, Final, Input, Limits, Order, Reply, Step, Told, Wrong};
+//! | `Waiting` | waits | none | `Send` (to `InFlight`), an answer or the client's leaving (both end the request) |
+//! | `InFlight` | waits | in flight, at a [`Step`] | its end (to `Waiting`, or the request's end), an answer (`Answered`), the client's leaving (`Abandoned`) |
+//! | `Streaming` | receives its answer | in flight, no longer the module's concern | the attempt's end |
+//! | `Answered` | has its answer | still to end | the attempt's end |
+//! | `Abandoned` | has left | still to end | the attempt's end |
+
+use crate::events::{Arrival, Command, FinalAnswer, Input, InvalidInput, Limits, ModuleEvent, Reply, Step};
+use crate::server_list::ServerList;
 use interface::{Effect, Ending, Group, Name, RequestId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// An attempt that is out.
+/// An attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
     /// From 0.
     pub number: u32,
     pub server: Name,
     pub step: Step,
-    /// Whether it has been told to stop.
+    /// Whether it has been aborted.
     pub aborted: bool,
-    /// Where it was sent, and who stood there then.
-    place: SocketAddr,
+    /// Where it was sent, and the server's zone and cell then.
+    address: SocketAddr,
     zone: u32,
     cell: u32,
-    /// When it got the leave to write; till then when it began.
+    /// When it was allowed to write; until then when it was started.
     since: Time,
 }
 
@@ -36,14 +36,14 @@
         self.step >= Step::Written
     }
 
-    fn ran(&self) -> Ran {
-        Ran { since: self.since, zone: self.zone, cell: self.cell }
+    fn possible_execution(&self) -> PossibleExecution {
+        PossibleExecution { since: self.since, zone: self.zone, cell: self.cell }
     }
 }
 
-/// The earliest attempt that may have run: no sooner than `since`, on a server of this zone and cell.
+/// The earliest attempt that may have run: not before `since`, on a server of this zone and cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Ran {
+pub struct PossibleExecution {
     pub since: Time,
     pub zone: u32,
     pub cell: u32,
@@ -51,61 +51,66 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
-    Held,
-    Out(Attempt),
+    Waiting,
+    InFlight(Attempt),
     Streaming(Attempt),
     Answered(Attempt),
-    Left(Attempt),
+    Abandoned(Attempt),
 }
 
-/// A request's life so far.
+/// The state of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Life {
+pub struct RequestState {
     pub phase: Phase,
     /// Attempts made.
     pub attempts: u32,
-    pub ran: Option<Ran>,
-    /// Whether the latest attempt ended for want of an answer in time.
-    late: bool,
+    pub possible_execution: Option<PossibleExecution>,
+    /// Whether the latest attempt timed out.
+    has_timed_out: bool,
     arrival: Arrival,
 }
 
-/// All requests in hand, and the server list as far as their attempts need it.
+/// All requests that are not over, and the server list as far as their attempts need it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Lives {
+pub struct RequestTable {
     limits: Limits,
-    live: BTreeMap<RequestId, Life>,
-    /// When those that wait are overdue.
-    due: BTreeSet<(Time, RequestId)>,
-    fleet: Fleet,
+    requests: BTreeMap<RequestId, RequestState>,
+    /// When waiting requests are overdue.
+    deadlines: BTreeSet<(Time, RequestId)>,
+    server_list: ServerList,
 }
 
-type Done = Result<(), Wrong>;
+type HandleResult = Result<(), InvalidInput>;
 
-impl Lives {
+impl RequestTable {
     pub fn new(limits: Limits) -> Self {
-        Lives { limits, live: BTreeMap::new(), due: BTreeSet::new(), fleet: Fleet::default() }
+        RequestTable {
+            limits,
+            requests: BTreeMap::new(),
+            deadlines: BTreeSet::new(),
+            server_list: ServerList::default(),
+        }
     }
 
     pub fn is_empty(&self) -> bool {
-        self.live.is_empty() && self.due.is_empty()
+        self.requests.is_empty() && self.deadlines.is_empty()
     }
 
     pub fn len(&self) -> usize {
-        self.live.len()
+        self.requests.len()
     }
 
     /// When `Tick` is next wanted.
     pub fn next_due(&self) -> Option<Time> {
-        self.due.first().map(|(at, _)| *at)
+        self.deadlines.first().map(|(at, _)| *at)
     }
 
-    pub fn get(&self, id: RequestId) -> Option<&Life> {
-        self.live.get(&id)
+    pub fn get(&self, id: RequestId) -> Option<&RequestState> {
+        self.requests.get(&id)
     }
 
-    pub fn fleet(&self) -> &Fleet {
-        &self.fleet
+    pub fn server_list(&self) -> &ServerList {
+        &self.server_list
     }
 
     /// Takes what happened by `now` and appends what to do about it, in order.
@@ -113,65 +118,77 @@
     /// # Errors
     /// [`Wrong`], if a front or an attempt tells what can't be; nothing has changed then. The module's words
     /// are never an error: what is not to be done is not done, and it hears so.
-    pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Order>) -> Done {
+    pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Command>) -> HandleResult {
         match input {
             Input::Received(arrival) => return self.received(arrival),
-            Input::Whole { id, deadline } => self.whole(id, deadline),
-            Input::Left { id } => self.left(id, out),
+            Input::BodyCompleted { id, deadline } => self.body_completed(id, deadline),
+            Input::ClientLeft { id } => self.client_left(id, out),
             Input::Send { id, server, not_past } => self.send(now, id, server, not_past, out),
             Input::Refuse { id, advice } => self.finish(id, true, advice, false, out),
             Input::Fail { id } => self.finish(id, false, 0, false, out),
             Input::Cancel { id, attempt } => self.cancel(id, attempt, out),
             Input::Connected { id, attempt } => return self.connected(now, id, attempt, out),
             Input::Progress { id, attempt, step } => return self.progress(id, attempt, step),
-            Input::Begun { id, attempt } => return self.begun(id, attempt, out),
-            Input::Ended { id, attempt, ending, reply } => {
-                return self.ended(id, attempt, ending, reply, out);
+            Input::AnswerStarted { id, attempt } => return self.answer_started(id, attempt, out),
+            Input::AttemptEnded { id, attempt, ending, reply } => {
+                return self.attempt_ended(id, attempt, ending, reply, out);
             }
-            Input::Fleet { whole, servers } => self.fleet.update(whole, servers),
+            Input::ServerList { is_full: whole, servers } => self.server_list.update(whole, servers),
             Input::Tick => self.tick(now, out),
             Input::Panicked => self.panicked(out),
         }
         Ok(())
     }
 
-    // ---- The client's side ----
+    // ---- Clients ----
 
-    fn received(&mut self, arrival: Arrival) -> Done {
+    fn received(&mut self, arrival: Arrival) -> HandleResult {
         let id = arrival.id;
-        // Two attempts with one id must not be out at once.
-        if self.live.contains_key(&id) && !planted!(IdReusedWhileHeld) {
-            return Err(Wrong::Held(id));
+        // Two attempts with one id must not be in flight at once.
+        if self.requests.contains_key(&id) && !planted!(IdReusedWhileHeld) {
+            return Err(InvalidInput::IdInUse(id));
         }
-        self.due.insert((arrival.deadline + self.limits.grace, id));
-        self.live.insert(id, Life { phase: Phase::Held, attempts: 0, ran: None, late: false, arrival });
+        self.deadlines.insert((arrival.deadline + self.limits.grace, id));
+        self.requests.insert(
+            id,
+            RequestState {
+                phase: Phase::Waiting,
+                attempts: 0,
+                possible_execution: None,
+                has_timed_out: false,
+                arrival,
+            },
+        );
         Ok(())
     }
 
-    fn whole(&mut self, id: RequestId, deadline: Time) {
-        // It may have been answered before it was whole.
-        let Some(life) = self.live.get_mut(&id) else { return };
+    fn body_completed(&mut self, id: RequestId, deadline: Time) {
+        // It may have been answered before its body was complete.
+        let Some(life) = self.requests.get_mut(&id) else { return };
         let grace = self.limits.grace;
-        if self.due.remove(&(life.arrival.deadline + grace, id)) {
-            self.due.insert((deadline + grace, id));
+        if self.deadlines.remove(&(life.arrival.deadline + grace, id)) {
+            self.deadlines.insert((deadline + grace, id));
         }
         life.arrival.deadline = deadline;
     }
 
-    fn left(&mut self, id: RequestId, out: &mut Vec<Order>) {
-        // It may have crossed the answer.
-        let Some(life) = self.live.get_mut(&id) else { return };
-        match std::mem::replace(&mut life.phase, Phase::Held) {
-            Phase::Held => self.forget(id),
-            Phase::Out(mut attempt) => {
-                // What has not come whole to a server needs not come at all; what has, the module may stop.
+    fn client_left(&mut self, id: RequestId, out: &mut Vec<Command>) {
+        // The client's leaving may have crossed the answer.
+        let Some(life) = self.requests.get_mut(&id) else { return };
+        match std::mem::replace(&mut life.phase, Phase::Waiting) {
+            Phase::Waiting => self.remove(id),
+            Phase::InFlight(mut attempt) => {
+                // What no server can have run is aborted; else the module decides.
                 if !attempt.may_have_run() && !planted!(NoAbortOnLeave) {
                     abort(id, &mut attempt, out);
                 }
-                life.phase =
-                    if planted!(LeftStillServed) { Phase::Out(attempt) } else { Phase::Left(attempt) };
+                life.phase = if planted!(LeftStillServed) {
+                    Phase::InFlight(attempt)
+                } else {
+                    Phase::Abandoned(attempt)
+                };
                 if !planted!(LeftStillServed) {
-                    self.undue(id);
+                    self.clear_deadline(id);
                 }
             }
             Phase::Streaming(mut attempt) => {
@@ -184,18 +201,19 @@
                 return;
             }
         }
-        out.push(Order::Tell(Told::ClientGone { id }));
+        out.push(Command::NotifyModule(ModuleEvent::ClientLeft { id }));
     }
 
-    // ---- The module's side ----
+    // ---- The decision module ----
 
-    fn send(&mut self, now: Time, id: RequestId, server: Name, not_past: Time, out: &mut Vec<Order>) {
-        let never =
-            |attempt, server, ending| Order::Tell(Told::Ended { id, attempt, server, ending, last: false });
+    fn send(&mut self, now: Time, id: RequestId, server: Name, not_past: Time, out: &mut Vec<Command>) {
+        let never = |attempt, server, ending| {
+            Command::NotifyModule(ModuleEvent::Ended { id, attempt, server, ending, last: false })
+        };
         let limits = self.limits;
-        let ready = self.fleet.ready(&server);
-        let Some(life) = self.live.get_mut(&id) else {
-            return out.push(Order::Tell(Told::Ended {
+        let ready = self.server_list.ready_server(&server);
+        let Some(life) = self.requests.get_mut(&id) else {
+            return out.push(Command::NotifyModule(ModuleEvent::Ended {
                 id,
                 attempt: 0,
                 server,
@@ -203,17 +221,17 @@
                 last: true,
             }));
         };
-        let idle = matches!(life.phase, Phase::Held)
-            || planted!(SendWhileOut) && matches!(life.phase, Phase::Out(_));
+        let idle = matches!(life.phase, Phase::Waiting)
+            || planted!(SendWhileOut) && matches!(life.phase, Phase::InFlight(_));
         let more = life.attempts < limits.attempts
             || planted!(OneAttemptTooMany) && life.attempts == limits.attempts;
         if !idle || !more || now >= life.arrival.deadline {
             return out.push(never(life.attempts, server, Ending::Stale));
         }
         let Some((listed, place)) = ready else {
-            // It counts, or a module that insists would be told so at every turn.
+            // It counts as an attempt, or a module that insists would be told so for ever.
             life.attempts += 1;
-            return out.push(never(life.attempts - 1, server, Ending::NoRoute));
+            return out.push(never(life.attempts - 1, server, Ending::Unreachable));
         };
         if !life.may_repeat(now, listed.zone, listed.cell, limits) {
             return out.push(never(life.attempts, server, Ending::Stale));
@@ -222,235 +240,240 @@
         life.attempts += 1;
         let not_past =
             if not_past == 0 { life.arrival.deadline } else { not_past.min(life.arrival.deadline) };
-        life.phase = Phase::Out(Attempt {
+        life.phase = Phase::InFlight(Attempt {
             number: attempt,
             server: server.clone(),
             step: Step::Connecting,
             aborted: false,
-            place,
+            address: place,
             zone: listed.zone,
             cell: listed.cell,
             since: now,
         });
-        out.push(Order::Start { id, attempt, server, place, not_past });
+        out.push(Command::Start { id, attempt, server, address: place, not_past });
     }
 
-    fn cancel(&mut self, id: RequestId, attempt: u32, out: &mut Vec<Order>) {
-        let Some(life) = self.live.get_mut(&id) else { return };
-        // What streams has passed: there is nothing to stop for the module's sake.
-        if let Phase::Out(a) | Phase::Answered(a) | Phase::Left(a) = &mut life.phase {
+    fn cancel(&mut self, id: RequestId, attempt: u32, out: &mut Vec<Command>) {
+        let Some(life) = self.requests.get_mut(&id) else { return };
+        // A streaming answer is final: the module can no longer stop it.
+        if let Phase::InFlight(a) | Phase::Answered(a) | Phase::Abandoned(a) = &mut life.phase {
             if a.number == attempt {
                 abort(id, a, out);
-                if planted!(CancelFreesAtOnce) && matches!(life.phase, Phase::Out(_)) {
-                    life.phase = Phase::Held;
+                if planted!(CancelFreesAtOnce) && matches!(life.phase, Phase::InFlight(_)) {
+                    life.phase = Phase::Waiting;
                 }
             }
         }
     }
 
-    /// The end without service.
-    fn finish(&mut self, id: RequestId, refuse: bool, advice: Time, overdue: bool, out: &mut Vec<Order>) {
-        let Some(life) = self.live.get_mut(&id) else { return };
-        life.late |= overdue;
-        match std::mem::replace(&mut life.phase, Phase::Held) {
-            Phase::Held => {
-                let (answer, class) = (life.give_up(refuse, advice), life.arrival.class);
-                self.forget(id);
-                out.push(Order::Answer { id, class, answer });
+    /// Ends a request that was not served.
+    fn finish(&mut self, id: RequestId, refuse: bool, advice: Time, overdue: bool, out: &mut Vec<Command>) {
+        let Some(life) = self.requests.get_mut(&id) else { return };
+        life.has_timed_out |= overdue;
+        match std::mem::replace(&mut life.phase, Phase::Waiting) {
+            Phase::Waiting => {
+                let (answer, class) = (life.unserved_answer(refuse, advice), life.arrival.class);
+                self.remove(id);
+                out.push(Command::Answer { id, class, answer });
             }
-            Phase::Out(mut attempt) => {
+            Phase::InFlight(mut attempt) => {
                 if attempt.may_have_run() && !planted!(OutNotCounted) {
-                    life.ran.get_or_insert(attempt.ran());
+                    life.possible_execution.get_or_insert(attempt.possible_execution());
                 }
-                let (answer, class) = (life.give_up(refuse, advice), life.arrival.class);
-                out.push(Order::Answer { id, class, answer });
+                let (answer, class) = (life.unserved_answer(refuse, advice), life.arrival.class);
+                out.push(Command::Answer { id, class, answer });
                 if !planted!(NoAbortOnAnswer) {
                     abort(id, &mut attempt, out);
                 }
                 life.phase = Phase::Answered(attempt);
                 if !planted!(DeadlineOutlivesAnswer) {
-                    self.undue(id);
+                    self.clear_deadline(id);
                 }
             }
-            // The module's word and the answer have crossed.
+            // The module's action has crossed the answer.
             over => life.phase = over,
         }
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<Order>) {
-        while let Some(&(at, id)) = self.due.first() {
+    fn tick(&mut self, now: Time, out: &mut Vec<Command>) {
+        while let Some(&(at, id)) = self.deadlines.first() {
             if at > now || planted!(OverdueByOne) && at == now {
                 return;
             }
-            self.due.pop_first();
+            self.deadlines.pop_first();
             if planted!(OverdueSparesAttempts)
-                && self.live.get(&id).is_some_and(|l| matches!(l.phase, Phase::Out(_)))
+                && self.requests.get(&id).is_some_and(|l| matches!(l.phase, Phase::InFlight(_)))
             {
                 continue;
             }
             self.finish(id, true, 0, true, out);
-            out.push(Order::Tell(Told::ClientGone { id }));
+            out.push(Command::NotifyModule(ModuleEvent::ClientLeft { id }));
         }
     }
 
-    fn panicked(&mut self, out: &mut Vec<Order>) {
-        let ids: Vec<RequestId> = self.live.keys().copied().collect();
+    fn panicked(&mut self, out: &mut Vec<Command>) {
+        let ids: Vec<RequestId> = self.requests.keys().copied().collect();
         for id in ids {
             self.finish(id, true, 0, false, out);
         }
         if planted!(PanicForgetsAttempts) {
-            self.live.clear();
-            self.due.clear();
+            self.requests.clear();
+            self.deadlines.clear();
         }
     }
 
-    // ---- The attempts' side ----
+    // ---- Attempts ----
 
-    fn connected(&mut self, now: Time, id: RequestId, attempt: u32, out: &mut Vec<Order>) -> Done {
+    fn connected(&mut self, now: Time, id: RequestId, attempt: u32, out: &mut Vec<Command>) -> HandleResult {
         let limits = self.limits;
-        let a = find(&mut self.live, id, attempt)?;
+        let a = find_attempt(&mut self.requests, id, attempt)?;
         if a.step != Step::Connecting {
-            return Err(Wrong::OutOfOrder { id, attempt, at: a.step });
+            return Err(InvalidInput::OutOfOrder { id, attempt, at: a.step });
         }
-        // Behind an answer or a leave it has been told to stop, if nothing was written yet.
+        // After an answer, or the client's leaving, an attempt that wrote nothing yet has been aborted.
         let go_on = !a.aborted || planted!(WriteAfterAbort);
-        // While it came up the server may have been told to drain, or another may have come at its place.
-        let there = match self.fleet.ready(&a.server) {
-            Some((_, place)) => place == a.place || planted!(WriteToNewOwner),
+        // While it connected the server may have begun to drain, or another may have taken its address.
+        let there = match self.server_list.ready_server(&a.server) {
+            Some((_, place)) => place == a.address || planted!(WriteToNewOwner),
             None => planted!(WriteAfterDrain),
         };
         let (zone, cell) = (a.zone, a.cell);
-        let life = self.live.get_mut(&id).expect("just seen");
-        // A key's time may have run out meanwhile.
+        let life = self.requests.get_mut(&id).expect("just seen");
+        // The key may have expired meanwhile.
         if !go_on || !there || !life.may_repeat(now, zone, cell, limits) {
-            out.push(Order::Withhold { id, attempt });
+            out.push(Command::Withhold { id, attempt });
             return Ok(());
         }
-        if let Phase::Out(a) | Phase::Answered(a) | Phase::Left(a) = &mut life.phase {
+        if let Phase::InFlight(a) | Phase::Answered(a) | Phase::Abandoned(a) = &mut life.phase {
             (a.step, a.since) = (Step::Writing, now);
         }
-        out.push(Order::Write { id, attempt });
+        out.push(Command::Write { id, attempt });
         Ok(())
     }
 
-    fn progress(&mut self, id: RequestId, attempt: u32, step: Step) -> Done {
-        let a = find(&mut self.live, id, attempt)?;
+    fn progress(&mut self, id: RequestId, attempt: u32, step: Step) -> HandleResult {
+        let a = find_attempt(&mut self.requests, id, attempt)?;
         if a.step < Step::Writing || step <= a.step {
-            return Err(Wrong::OutOfOrder { id, attempt, at: a.step });
+            return Err(InvalidInput::OutOfOrder { id, attempt, at: a.step });
         }
         a.step = step;
         Ok(())
     }
 
-    fn begun(&mut self, id: RequestId, attempt: u32, out: &mut Vec<Order>) -> Done {
-        let a = find(&mut self.live, id, attempt)?;
+    fn answer_started(&mut self, id: RequestId, attempt: u32, out: &mut Vec<Command>) -> HandleResult {
+        let a = find_attempt(&mut self.requests, id, attempt)?;
         if a.step < Step::Writing {
-            return Err(Wrong::OutOfOrder { id, attempt, at: a.step });
+            return Err(InvalidInput::OutOfOrder { id, attempt, at: a.step });
         }
-        let life = self.live.get_mut(&id).expect("just seen");
-        match std::mem::replace(&mut life.phase, Phase::Held) {
-            Phase::Out(a) => {
+        let life = self.requests.get_mut(&id).expect("just seen");
+        match std::mem::replace(&mut life.phase, Phase::Waiting) {
+            Phase::InFlight(a) => {
                 let (server, class) = (a.server.clone(), life.arrival.class);
                 life.phase = Phase::Streaming(a);
                 if !planted!(DeadlineOutlivesAnswer) {
-                    self.undue(id);
+                    self.clear_deadline(id);
                 }
-                out.push(Order::Answer { id, class, answer: Final::Served });
-                let ending = Ending::Pass;
-                out.push(Order::Tell(Told::Ended { id, attempt, server, ending, last: true }));
+                out.push(Command::Answer { id, class, answer: FinalAnswer::Served });
+                let ending = Ending::Success;
+                out.push(Command::NotifyModule(ModuleEvent::Ended {
+                    id,
+                    attempt,
+                    server,
+                    ending,
+                    last: true,
+                }));
                 Ok(())
             }
-            // It crossed an answer or a leave, or has begun already: nobody wants it.
+            // It crossed an answer or the client's leaving, or has started already: nobody waits for it.
             other => {
                 life.phase = other;
-                Err(Wrong::NotOut { id, attempt })
+                Err(InvalidInput::NoSuchAttempt { id, attempt })
             }
         }
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         id: RequestId,
         attempt: u32,
         ending: Ending,
         reply: Reply,
-        out: &mut Vec<Order>,
-    ) -> Done {
-        let a = find(&mut self.live, id, attempt)?;
+        out: &mut Vec<Command>,
+    ) -> HandleResult {
+        let a = find_attempt(&mut self.requests, id, attempt)?;
         if reply != Reply::None && a.step < Step::Writing {
-            return Err(Wrong::OutOfOrder { id, attempt, at: a.step });
+            return Err(InvalidInput::OutOfOrder { id, attempt, at: a.step });
         }
-        // Given up before its last byte was out: nothing has run, and nobody is to blame.
-        let unsent = ending == Ending::Undone && reply == Reply::None && !a.may_have_run();
-        let ending = if unsent || planted!(UndoneTakenForProof) && ending == Ending::Undone {
+        // Cancelled before its last byte was written: nothing has run, and the server is not to blame.
+        let unsent = ending == Ending::Cancelled && reply == Reply::None && !a.may_have_run();
+        let ending = if unsent || planted!(UndoneTakenForProof) && ending == Ending::Cancelled {
             Ending::Stale
         } else {
             ending
         };
-        let never = matches!(ending, Ending::Full | Ending::NoRoute | Ending::Stale)
-            || planted!(LateTakenForProof) && ending == Ending::Late;
-        let life = self.live.get_mut(&id).expect("just seen");
-        let (a, awaited) = match std::mem::replace(&mut life.phase, Phase::Held) {
-            Phase::Out(a) => (a, true),
+        let never = matches!(ending, Ending::Overloaded | Ending::Unreachable | Ending::Stale)
+            || planted!(LateTakenForProof) && ending == Ending::TimedOut;
+        let life = self.requests.get_mut(&id).expect("just seen");
+        let (a, awaited) = match std::mem::replace(&mut life.phase, Phase::Waiting) {
+            Phase::InFlight(a) => (a, true),
             Phase::Answered(a) => (a, planted!(LateAnswerAccepted)),
-            Phase::Left(a) => (a, false),
+            Phase::Abandoned(a) => (a, false),
             Phase::Streaming(_) if planted!(StreamNeverForgotten) => return Ok(()),
-            // All that it had to tell has been told.
+            // The module has already been told of its end.
             Phase::Streaming(_) => {
                 let class = life.arrival.class;
-                self.forget(id);
-                out.push(Order::Streamed { id, class, whole: ending == Ending::Pass });
+                self.remove(id);
+                out.push(Command::Streamed { id, class, is_complete: ending == Ending::Success });
                 return Ok(());
             }
-            Phase::Held => return Err(Wrong::NotOut { id, attempt }),
+            Phase::Waiting => return Err(InvalidInput::NoSuchAttempt { id, attempt }),
         };
         if !never {
-            life.ran.get_or_insert(a.ran());
+            life.possible_execution.get_or_insert(a.possible_execution());
         }
-        life.late = ending == Ending::Late;
+        life.has_timed_out = ending == Ending::TimedOut;
         let class = life.arrival.class;
-        let spent = life.arrival.once && a.step >= Step::Writing && !planted!(OnceForgotten);
+        let spent = life.arrival.has_single_attempt && a.step >= Step::Writing && !planted!(OnceForgotten);
         let answer = match reply {
-            // There is nothing left to send: this was its one attempt.
-            Reply::None if spent && awaited => Some(life.give_up(true, 0)),
+            // Its body is gone: this was its only attempt.
+            Reply::None if spent && awaited => Some(life.unserved_answer(true, 0)),
             Reply::None => None,
-            Reply::Good => Some(Final::Served),
-            Reply::Turned => Some(Final::Turned),
+            Reply::Good => Some(FinalAnswer::Served),
+            Reply::Rejected => Some(FinalAnswer::Rejected),
         };
         if let Some(answer) = answer.filter(|_| awaited) {
-            out.push(Order::Answer { id, class, answer });
+            out.push(Command::Answer { id, class, answer });
         }
         let last = !awaited || answer.is_some();
         if last && (awaited || !planted!(AnsweredNeverForgotten)) {
-            self.forget(id);
+            self.remove(id);
         }
-        out.push(Order::Tell(Told::Ended { id, attempt, server: a.server, ending, last }));
+        out.push(Command::NotifyModule(ModuleEvent::Ended { id, attempt, server: a.server, ending, last }));
         Ok(())
     }
 
-    fn undue(&mut self, id: RequestId) {
-        if let Some(life) = self.live.get(&id) {
-            self.due.remove(&(life.arrival.deadline + self.limits.grace, id));
+    fn clear_deadline(&mut self, id: RequestId) {
+        if let Some(life) = self.requests.get(&id) {
+            self.deadlines.remove(&(life.arrival.deadline + self.limits.grace, id));
         }
     }
 
-    fn forget(&mut self, id: RequestId) {
+    fn remove(&mut self, id: RequestId) {
         if !planted!(DeadlineOutlivesLife) {
-            self.undue(id);
+            self.clear_deadline(id);
         }
-        self.live.remove(&id);
+        self.requests.remove(&id);
     }
 }
 
-impl Life {
+impl RequestState {
     pub fn class(&self) -> usize {
         self.arrival.class
     }
 
-    /// Whether another attempt at this server keeps the rule on effects: nothing that must not run twice goes
-    /// out where it may.
+    /// Whether another attempt at this server is safe: what must not run twice is not sent where it might.
     fn may_repeat(&self, now: Time, zone: u32, cell: u32, limits: Limits) -> bool {
-        let Some(ran) = self.ran else { return true };
+        let Some(ran) = self.possible_execution else { return true };
         let arrival = &self.arrival;
         match arrival.effect {
             Effect::Safe => true,
@@ -470,28 +493,34 @@
     }
 
     /// A refusal only if nothing can have run.
-    fn give_up(&self, refuse: bool, advice: Time) -> Final {
-        if refuse && (self.ran.is_none() || planted!(RefusedThoughRun)) {
-            Final::Refused { tried: self.attempts > 0, advice }
+    fn unserved_answer(&self, refuse: bool, advice: Time) -> FinalAnswer {
+        if refuse && (self.possible_execution.is_none() || planted!(RefusedThoughRun)) {
+            FinalAnswer::Refused { tried: self.attempts > 0, advice }
         } else {
-            Final::Failed { late: self.late }
+            FinalAnswer::Failed { late: self.has_timed_out }
         }
     }
 }
 
-/// The attempt with this number, if it is out.
-fn find(live: &mut BTreeMap<RequestId, Life>, id: RequestId, number: u32) -> Result<&mut Attempt, Wrong> {
-    let wrong = Wrong::NotOut { id, attempt: number };
+/// The attempt with this number, if it is in flight.
+fn find_attempt(
+    live: &mut BTreeMap<RequestId, RequestState>,
+    id: RequestId,
+    number: u32,
+) -> Result<&mut Attempt, InvalidInput> {
+    let wrong = InvalidInput::NoSuchAttempt { id, attempt: number };
     match &mut live.get_mut(&id).ok_or(wrong)?.phase {
-        Phase::Out(a) | Phase::Streaming(a) | Phase::Answered(a) | Phase::Left(a) if a.number == number => {
+        Phase::InFlight(a) | Phase::Streaming(a) | Phase::Answered(a) | Phase::Abandoned(a)
+            if a.number == number =>
+        {
             Ok(a)
         }
         _ => Err(wrong),
     }
 }
 
-fn abort(id: RequestId, attempt: &mut Attempt, out: &mut Vec<Order>) {
+fn abort(id: RequestId, attempt: &mut Attempt, out: &mut Vec<Command>) {
     if !std::mem::replace(&mut attempt.aborted, true) {
-        out.push(Order::Abort { id, attempt: attempt.number });
+        out.push(Command::Abort { id, attempt: attempt.number });
     }
 }
--- a/crates/gateway/lifecycle/src/upstream.rs
+++ b/crates/gateway/lifecycle/src/upstream.rs
@@ -1,7 +1,7 @@
-//! A connection to a backend, from the gateway's end: which request may get its next bytes, whose an answer on it is, and
-//! from which byte on a request may have run.
+//! A connection to a backend: which request may be written to it, to which request an answer belongs, and from which
+//! byte on a request may have run.
 //!
-//! | state | a request | the answer, whole | bytes or a close | an end in the middle |
+//! | state | a request | a complete answer | bytes or a close | an interruption |
 //! | --- | --- | --- | --- | --- |
 //! | `Idle` | `Busy`, if it may be carried | - | `Closed` | - |
 //! | `Busy` | never | `Idle`, if nothing stands behind it | the answer's | `Closed` |
@@ -9,19 +9,19 @@
 
 use interface::Time;
 
-/// From how much of a request on a backend may have begun to work on it.
+/// How much of a request a backend needs to begin to execute it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Begins {
+pub enum ExecutionStart {
     /// Backends are known to wait for the last byte.
-    Whole,
-    /// With the head whole it may know enough.
-    Head,
+    FullRequest,
+    /// A complete head may be enough.
+    FullHead,
 }
 
-impl Begins {
-    /// So many bytes written and it may have run: the head's and, if it is known, the body's length.
-    pub fn at(self, head: usize, body: Option<usize>) -> usize {
-        if self == Begins::Whole || planted!(HeadTakenForProof) {
+impl ExecutionStart {
+    /// After how many written bytes it may have run, by the length of the head and, if known, of the body.
+    pub fn byte_count(self, head: usize, body: Option<usize>) -> usize {
+        if self == ExecutionStart::FullRequest || planted!(HeadTakenForProof) {
             body.map_or(usize::MAX, |body| head + body)
         } else {
             head
@@ -29,15 +29,15 @@
     }
 }
 
-/// Whose id an answer bears.
+/// Which request's id an answer bears.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Echo {
-    /// That of the request that waits for it, or answers bear none here.
+    /// That of the waiting request, or answers bear no ids here.
     Same,
     Other,
-    /// None, where answers bear one: only a request that was turned away may be answered without.
+    /// None, where answers bear ids: only a rejection may lack it.
     Missing {
-        turned_away: bool,
+        is_rejection: bool,
     },
 }
 
@@ -52,16 +52,21 @@
 pub struct Upstream {
     number: u64,
     state: State,
-    /// Whether it has carried a request before the one that it carries or waits for now.
-    used: bool,
-    /// Whether the latest answer on it bore no id: a second copy of it would be taken for the next one's.
-    nameless: bool,
+    /// Whether it has carried a request before the present one.
+    is_used: bool,
+    /// Whether the latest answer bore no id: a second copy of it would be taken for the next one's.
+    was_last_answer_without_id: bool,
 }
 
 impl Upstream {
-    /// One that is up. No other has its number.
+    /// An established connection. No other has its number.
     pub fn new(number: u64, now: Time) -> Self {
-        Upstream { number, state: State::Idle { since: now }, used: false, nameless: false }
+        Upstream {
+            number,
+            state: State::Idle { since: now },
+            is_used: false,
+            was_last_answer_without_id: false,
+        }
     }
 
     pub fn number(&self) -> u64 {
@@ -70,7 +75,7 @@
 
     /// Whether it has carried a request before.
     pub fn is_used(&self) -> bool {
-        self.used
+        self.is_used
     }
 
     pub fn is_closed(&self) -> bool {
@@ -78,7 +83,7 @@
     }
 
     /// How long it has been idle; none if it is not.
-    pub fn rested(&self, now: Time) -> Option<Time> {
+    pub fn idle_time(&self, now: Time) -> Option<Time> {
         match self.state {
             State::Idle { since } => Some(now.saturating_sub(since)),
             _ => None,
@@ -86,124 +91,81 @@
     }
 
     /// Whether it has been idle for less than `rest`.
-    pub fn is_fresh(&self, now: Time, rest: Time) -> bool {
-        self.rested(now).is_some_and(|rested| rested < rest)
+    pub fn is_idle_for_less_than(&self, now: Time, rest: Time) -> bool {
+        self.idle_time(now).is_some_and(|rested| rested < rest)
     }
 
-    /// Whether a request may go out on it, fresh as it is, whose earlier attempts went out on those with these numbers: a
-    /// second copy of such an attempt's answer would bear its id. Where the latest answer bore none, only one goes out that
-    /// may run twice: a second copy of that refusal would have it sent again while it runs.
+    /// Whether a request may be written to it whose earlier attempts used the connections with these numbers: a second
+    /// copy of such an attempt's answer would bear the request's id. Where the latest answer bore none, only a request
+    /// that may run twice is written: a second copy of that rejection would have it sent again while it runs.
     pub fn may_carry(&self, at_most_once: bool, earlier: &[u64]) -> bool {
         let again = earlier.contains(&self.number) && !planted!(SameConnectionAgain);
-        let doubtful = at_most_once && self.nameless && !planted!(NamelessKept);
+        let doubtful = at_most_once && self.was_last_answer_without_id && !planted!(NamelessKept);
         matches!(self.state, State::Idle { .. }) && !again && !doubtful
     }
 
-    /// A request goes out on it.
-    pub fn carry(&mut self) {
+    /// A request is written to it.
+    pub fn begin_exchange(&mut self) {
         self.state = State::Busy;
     }
 
-    /// Something came while it was idle: the other side's close, or bytes that belong to no request.
-    pub fn disturbed(&mut self) {
+    /// Something arrived while it was idle: a close, or bytes that belong to no request.
+    pub fn on_unexpected_bytes(&mut self) {
         if !planted!(SurplusKept) {
             self.state = State::Closed;
         }
     }
 
-    /// Whether an answer is that of the request that it carries.
+    /// Whether an answer belongs to the request that it carries.
     pub fn is_answer(&mut self, echo: Echo) -> bool {
         match echo {
             Echo::Same => {
-                self.nameless = false;
+                self.was_last_answer_without_id = false;
                 true
             }
             Echo::Other => planted!(EchoIgnored),
-            Echo::Missing { turned_away } => {
-                self.nameless = true;
+            Echo::Missing { is_rejection: turned_away } => {
+                self.was_last_answer_without_id = true;
                 turned_away
             }
         }
     }
 
-    /// The exchange is over. `clean`: both the request and its answer whole, and nothing behind them.
-    pub fn over(&mut self, now: Time, clean: bool) {
-        self.used = true;
+    /// The exchange is over. `clean`: request and answer were complete, and nothing followed them.
+    pub fn end_exchange(&mut self, now: Time, clean: bool) {
+        self.is_used = true;
         self.state = if clean { State::Idle { since: now } } else { State::Closed };
     }
 }
 
-/// How long a connection may have been idle on which something goes out that can't be sent again: backends may forget idle
-/// ones without a word, and sooner than they say.
+/// How long a connection may have been idle to carry a request that cannot be repeated: backends may drop idle
+/// connections silently, and sooner than they announce.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Freshness {
+pub struct IdleLimit {
     usual: Time,
-    hold: Time,
-    least: Time,
+    narrowed_for: Time,
+    min: Time,
     narrowed: Option<(Time, Time)>,
 }
 
-impl Freshness {
-    /// `usual` while none was lost, and for `hold` after one was half of what it had rested, but no less than `least`.
-    pub fn new(usual: Time, hold: Time, least: Time) -> Self {
-        Freshness { usual, hold, least, narrowed: None }
+impl IdleLimit {
+    /// The limit is `usual`; for `narrowed_for` after a reset it is half of that connection's idle time, at least
+    /// `min`.
+    pub fn new(usual: Time, narrowed_for: Time, min: Time) -> Self {
+        IdleLimit { usual, narrowed_for, min, narrowed: None }
     }
 
-    /// A connection that had been idle for so long took a request and was reset.
-    pub fn lost(&mut self, now: Time, rested: Time) {
-        let limit = self.limit(now).min(rested / 2).max(self.least.min(self.usual));
+    /// A connection that had been idle for this long accepted a request and was reset.
+    pub fn on_reset(&mut self, now: Time, rested: Time) {
+        let limit = self.limit(now).min(rested / 2).max(self.min.min(self.usual));
         self.narrowed = Some((limit, now));
     }
 
     pub fn limit(&self, now: Time) -> Time {
-        let narrowed = self.narrowed.filter(|(_, at)| now < at + self.hold);
+        let narrowed = self.narrowed.filter(|(_, at)| now < at + self.narrowed_for);
         narrowed.map_or(self.usual, |(limit, _)| limit)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_request_may_have_run_from_the_heads_last_byte_on_unless_backends_wait_for_the_whole() {
-        assert_eq!((Begins::Head.at(90, Some(10)), Begins::Whole.at(90, Some(10))), (90, 100));
-        assert_eq!((Begins::Head.at(90, None), Begins::Whole.at(90, None)), (90, usize::MAX));
-    }
-
-    #[test]
-    fn what_was_forgotten_narrows_freshness_for_a_while() {
-        let mut fresh = Freshness::new(5000, 10_000, 50);
-        assert_eq!(fresh.limit(7), 5000);
-        fresh.lost(100, 320);
-        assert_eq!(fresh.limit(10_099), 160);
-        fresh.lost(200, 3000);
-        assert_eq!(fresh.limit(300), 160, "the shortest counts");
-        fresh.lost(300, 2);
-        assert_eq!(fresh.limit(400), 50, "a crash behind a busy one says little");
-        assert_eq!(fresh.limit(10_300), 5000);
-    }
-
-    #[test]
-    fn a_request_goes_out_only_where_its_answer_can_be_told_from_a_second_copy() {
-        let mut line = Upstream::new(1, 0);
-        line.carry();
-        assert!(!line.may_carry(false, &[]), "it is busy");
-        assert!(line.is_answer(Echo::Same) && !line.is_answer(Echo::Other));
-        line.over(10, true);
-        assert!(line.is_fresh(15, 6) && !line.is_fresh(16, 6));
-        assert!(line.may_carry(true, &[2]) && !line.may_carry(false, &[1]));
-
-        line.carry();
-        assert!(!line.is_answer(Echo::Missing { turned_away: false }));
-        assert!(line.is_answer(Echo::Missing { turned_away: true }));
-        line.over(20, true);
-        assert!(!line.may_carry(true, &[]) && line.may_carry(false, &[]));
-        line.carry();
-        assert!(line.is_answer(Echo::Same));
-        line.over(30, true);
-        assert!(line.may_carry(true, &[]));
-        line.disturbed();
-        assert!(line.is_closed() && !line.is_fresh(30, 6) && !line.may_carry(false, &[]));
-    }
-}
+mod tests;
--- a/crates/gateway/membership/src/rumours.rs
+++ b/crates/gateway/membership/src/broadcasts.rs
@@ -1,51 +1,52 @@
 //! What is still to be told: the least told first, each so many times as the fleet's size asks.
 
 use crate::record::{Name, Record};
-use crate::wire::size;
+use crate::wire::encoded_size;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Each is told this many times the logarithm (base 2) of the fleet's size.
-const TIMES: u32 = 3;
+const RETRANSMIT_MULTIPLIER: u32 = 3;
 
-struct Rumour {
+struct Broadcast {
     record: Record,
     bytes: usize,
-    told: u32,
+    transmissions: u32,
 }
 
 /// One for each member at the most: a newer one of the same member takes its place.
 #[derive(Default)]
-pub(crate) struct Rumours {
-    all: BTreeMap<Name, Rumour>,
+pub(crate) struct BroadcastQueue {
+    broadcasts: BTreeMap<Name, Broadcast>,
     /// How often each has been told: the next to tell is the first. Of thousands a datagram takes a few.
     order: BTreeSet<(u32, Name)>,
 }
 
-impl Rumours {
+impl BroadcastQueue {
     pub(crate) fn add(&mut self, record: Record) {
-        let (bytes, name) = (size(&record), record.name.clone());
-        if let Some(old) = self.all.insert(name.clone(), Rumour { record, bytes, told: 0 }) {
-            self.order.remove(&(old.told, name.clone()));
+        let (bytes, name) = (encoded_size(&record), record.name.clone());
+        if let Some(old) = self.broadcasts.insert(name.clone(), Broadcast { record, bytes, transmissions: 0 })
+        {
+            self.order.remove(&(old.transmissions, name.clone()));
         }
         self.order.insert((0, name));
     }
 
     /// What fits into so many bytes, for somebody in a fleet of this size.
     pub(crate) fn take(&mut self, mut room: usize, members: usize) -> Vec<Record> {
-        let most = TIMES * (usize::BITS - members.leading_zeros()).max(1);
+        let most = RETRANSMIT_MULTIPLIER * (usize::BITS - members.leading_zeros()).max(1);
         let mut taken = Vec::new();
         for (told, name) in &self.order {
-            let Some(rumour) = self.all.get(name).filter(|r| r.bytes <= room) else { break };
+            let Some(rumour) = self.broadcasts.get(name).filter(|r| r.bytes <= room) else { break };
             room -= rumour.bytes;
             taken.push((*told, name.clone()));
         }
         let tell = |(told, name): (u32, Name)| {
             self.order.remove(&(told, name.clone()));
             if told + 1 >= most {
-                return Some(self.all.remove(&name)?.record);
+                return Some(self.broadcasts.remove(&name)?.record);
             }
-            let rumour = self.all.get_mut(&name)?;
-            rumour.told = told + 1;
+            let rumour = self.broadcasts.get_mut(&name)?;
+            rumour.transmissions = told + 1;
             self.order.insert((told + 1, name));
             Some(rumour.record.clone())
         };
--- a/crates/gateway/membership/src/strangers.rs
+++ b/crates/gateway/membership/src/join_cookies.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 /// A cookie is good for this one and the next.
-const TURN: Time = 30_000_000_000;
+const COOKIE_LIFETIME: Time = 30_000_000_000;
 
 pub(crate) struct Cookies {
     /// Of this process alone.
@@ -24,7 +24,7 @@
     }
 
     pub(crate) fn make(&self, keys: &Keys, now: Time, name: &str, life: u64, to: SocketAddr) -> [u8; 16] {
-        self.cookie(keys, now / TURN, name, life, to)
+        self.cookie(keys, now / COOKIE_LIFETIME, name, life, to)
     }
 
     pub(crate) fn is_ours(
@@ -34,7 +34,7 @@
         cookie: [u8; 16],
         (name, life, at): (&str, u64, SocketAddr),
     ) -> bool {
-        let turn = now / TURN;
+        let turn = now / COOKIE_LIFETIME;
         [turn, turn.saturating_sub(1)].into_iter().any(|t| self.cookie(keys, t, name, life, at) == cookie)
     }
 }
--- a/crates/gateway/membership/src/lib.rs
+++ b/crates/gateway/membership/src/lib.rs
@@ -18,21 +18,21 @@
     }};
 }
 
-mod alone;
+mod broadcasts;
 #[cfg(feature = "defects")]
 pub mod defects;
+mod isolation;
+mod join_cookies;
 mod record;
-mod rumours;
 mod settled;
-mod strangers;
 mod view;
 mod window;
 pub mod wire;
 
-pub use record::{Name, Record, Role, State, MOST_NAME, MOST_ZONE};
+pub use record::{Name, Record, Role, State, MAX_NAME_BYTES, MAX_ZONE_BYTES};
 pub use settled::Settled;
 pub use view::{Config, Health, Input, Member, Output, View};
-pub use wire::{Fault, Keys, MOST_BYTES};
+pub use wire::{DatagramError, Keys, MAX_DATAGRAM_BYTES};
 
 /// Nanoseconds, on any clock that only runs forwards.
 pub type Time = u64;
--- a/crates/gateway/membership/src/record.rs
+++ b/crates/gateway/membership/src/record.rs
@@ -7,9 +7,9 @@
 /// A member's name: 1 to [`MOST_NAME`] bytes, one for each process of the fleet.
 pub type Name = Arc<str>;
 
-pub const MOST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// The longest zone's name.
-pub const MOST_ZONE: usize = 32;
+pub const MAX_ZONE_BYTES: usize = 32;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
@@ -22,7 +22,7 @@
 }
 
 impl State {
-    pub fn lives(self) -> bool {
+    pub fn is_alive(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
@@ -38,7 +38,7 @@
 pub struct Record {
     pub name: Name,
     /// Unix milliseconds at its start, or more. A restart is a new life.
-    pub life: u64,
+    pub generation: u64,
     /// Raised by itself alone, to refute.
     pub incarnation: u32,
     pub state: State,
@@ -49,21 +49,21 @@
     /// The oldest and the latest version of the wire that it speaks.
     pub versions: (u8, u8),
     /// Of a suspicion: whose it is, by a hash of the name.
-    pub by: u32,
+    pub accuser: u32,
 }
 
 impl Record {
     /// Records of one name are totally ordered; the greater one stands. What it says of address, zone, role is part
     /// of the life and does not change in it.
     pub fn rank(&self) -> (u64, u32, State) {
-        (self.life, self.incarnation, self.state)
+        (self.generation, self.incarnation, self.state)
     }
 
     /// Whether a peer may say this at all.
     pub fn is_sound(&self) -> bool {
-        let name = (1..=MOST_NAME).contains(&self.name.len()) && !self.name.contains(char::is_control);
+        let name = (1..=MAX_NAME_BYTES).contains(&self.name.len()) && !self.name.contains(char::is_control);
         let placed = !self.address.ip().is_unspecified() && self.address.port() != 0;
-        name && placed && self.zone.len() <= MOST_ZONE && self.versions.0 <= self.versions.1
+        name && placed && self.zone.len() <= MAX_ZONE_BYTES && self.versions.0 <= self.versions.1
     }
 }
 
--- a/crates/gateway/membership/src/settled.rs
+++ b/crates/gateway/membership/src/settled.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 /// So long after the last change a version is made.
-const QUIET: Time = 500_000_000;
+const QUIET_PERIOD: Time = 500_000_000;
 /// So long after the first at the latest.
-const MOST: Time = 2_000_000_000;
+const MAX_DELAY: Time = 2_000_000_000;
 
 /// One version.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -35,18 +35,18 @@
 }
 
 /// Gathers changes.
-pub(crate) struct Gathering {
+pub(crate) struct ChangeCollector {
     current: Settled,
     /// When the first and the last change came that no version has yet.
     pending: Option<(Time, Time)>,
 }
 
-impl Gathering {
+impl ChangeCollector {
     pub(crate) fn new(own: Name, life: u64, role: Role, now: Time) -> Self {
         let members = Arc::new(vec![(own, life, role)]);
         let digest = digest(members.iter().map(|(name, life, _)| (name, *life)));
         let current = Settled { version: 0, members, position: Some(0), digest, at: now };
-        Gathering { current, pending: None }
+        ChangeCollector { current, pending: None }
     }
 
     pub(crate) fn current(&self) -> &Settled {
@@ -59,8 +59,8 @@
     }
 
     pub(crate) fn due(&self) -> Option<Time> {
-        let quiet = if planted!(SettledAtOnce) { 0 } else { QUIET };
-        self.pending.map(|(first, last)| (last + quiet).min(first + MOST))
+        let quiet = if planted!(SettledAtOnce) { 0 } else { QUIET_PERIOD };
+        self.pending.map(|(first, last)| (last + quiet).min(first + MAX_DELAY))
     }
 
     /// A new version, if one is due and differs.
--- a/crates/gateway/membership/src/view/belief.rs
+++ b/crates/gateway/membership/src/view/merge.rs
@@ -5,20 +5,20 @@
 impl View {
     /// Somebody's word on a member. The greater record stands; a foreign death of who lives here is a suspicion.
     pub(super) fn merge(&mut self, now: Time, mut record: Record, out: &mut Vec<Output>) {
-        if record.name == self.me.name {
-            return self.own_record(&record, out);
+        if record.name == self.record.name {
+            return self.merge_own_record(&record, out);
         }
-        let min = self.shortest();
+        let min = self.min_suspicion();
         let count = self.peers.len();
         let Some(peer) = self.peers.get_mut(&record.name) else {
             // The dead of others are of no use here.
-            if record.state.lives() && count < self.config.most_members {
+            if record.state.is_alive() && count < self.config.max_members {
                 self.insert(now, record);
             }
             return;
         };
-        if record.life != peer.record.life {
-            if record.life > peer.record.life || planted!(OldLifeBelieved) {
+        if record.generation != peer.record.generation {
+            if record.generation > peer.record.generation || planted!(OldLifeBelieved) {
                 self.insert(now, record);
             }
             return;
@@ -26,16 +26,17 @@
         if record.rank() <= peer.record.rank() {
             let same = (record.state, record.incarnation) == (State::Suspect, peer.record.incarnation);
             if let Some(suspicion) = peer.suspicion.as_mut().filter(|_| same) {
-                let new = !suspicion.accusers.contains(&record.by) && suspicion.accusers.len() < ACCUSERS;
+                let new =
+                    !suspicion.accusers.contains(&record.accuser) && suspicion.accusers.len() < MAX_ACCUSERS;
                 if new {
-                    suspicion.accusers.push(record.by);
-                    peer.record.by = record.by;
-                    self.rumours.add(record);
+                    suspicion.accusers.push(record.accuser);
+                    peer.record.accuser = record.accuser;
+                    self.broadcasts.add(record);
                 }
             }
             return;
         }
-        let lived = peer.record.state.lives();
+        let lived = peer.record.state.is_alive();
         let accused = peer.suspicion.as_ref().filter(|_| peer.record.incarnation == record.incarnation);
         let lasted = accused.map_or(0, |s| now - s.since);
         let at_once = planted!(DeadBelievedAtOnce) || !lived || lasted * 2 >= min;
@@ -45,10 +46,10 @@
                 record.state = State::Suspect;
                 let since = peer.suspicion.as_ref().map_or(now, |s| s.since);
                 let watch = Some((now, 0));
-                peer.suspicion = Some(Suspicion { watch, ..Suspicion::new(since, vec![0; ACCUSERS]) });
+                peer.suspicion = Some(Suspicion { watch, ..Suspicion::new(since, vec![0; MAX_ACCUSERS]) });
             }
             State::Suspect => {
-                peer.suspicion = Some(Suspicion::new(now, vec![record.by]));
+                peer.suspicion = Some(Suspicion::new(now, vec![record.accuser]));
             }
             State::Alive | State::Dead | State::Left => peer.suspicion = None,
         }
@@ -58,100 +59,102 @@
         } else {
             self.suspects.remove(&name);
         }
-        let (state, life, lives) = (record.state, record.life, record.state.lives());
+        let (state, life, lives) = (record.state, record.generation, record.state.is_alive());
         peer.since = now;
         peer.record = record.clone();
-        self.rumours.add(record);
+        self.broadcasts.add(record);
         if lives != lived {
             if lives {
                 self.sums.add(&name, life);
             } else {
                 self.sums.remove(&name, life);
             }
-            self.has_changed(now);
+            self.on_change(now);
         }
         if state == State::Suspect {
-            self.watch(now, &name, out);
+            self.maybe_watch(now, &name, out);
         }
     }
 
     pub(super) fn insert(&mut self, now: Time, record: Record) {
-        let lived = self.peers.get(&record.name).filter(|p| p.record.state.lives()).map(|p| p.record.life);
+        let lived =
+            self.peers.get(&record.name).filter(|p| p.record.state.is_alive()).map(|p| p.record.generation);
         if let Some(life) = lived {
             self.sums.remove(&record.name, life);
         }
-        if record.state.lives() {
-            self.sums.add(&record.name, record.life);
+        if record.state.is_alive() {
+            self.sums.add(&record.name, record.generation);
         }
         let mut peer = Peer::new(record.clone(), now);
         let old = self.peers.get(&record.name);
-        peer.before = old.and_then(|o| o.before.or(Some(o.record.address))).filter(|a| *a != record.address);
+        peer.previous_address =
+            old.and_then(|o| o.previous_address.or(Some(o.record.address))).filter(|a| *a != record.address);
         if record.state == State::Suspect {
-            peer.suspicion = Some(Suspicion::new(now, vec![record.by]));
+            peer.suspicion = Some(Suspicion::new(now, vec![record.accuser]));
             self.suspects.insert(record.name.clone());
         } else {
             self.suspects.remove(&record.name);
         }
         self.peers.insert(record.name.clone(), peer);
         // Somewhere in the rest of the round.
-        if record.state.lives() {
-            let at = self.rng.usize(0..=self.round.len());
-            self.round.insert(at, record.name.clone());
+        if record.state.is_alive() {
+            let at = self.rng.usize(0..=self.probe_round.len());
+            self.probe_round.insert(at, record.name.clone());
         }
-        if lived.is_some() || record.state.lives() {
-            self.has_changed(now);
+        if lived.is_some() || record.state.is_alive() {
+            self.on_change(now);
         }
-        self.rumours.add(record);
+        self.broadcasts.add(record);
     }
 
-    pub(super) fn has_changed(&mut self, now: Time) {
-        self.changed = now;
-        self.gathering.changed(now);
+    pub(super) fn on_change(&mut self, now: Time) {
+        self.changed_at = now;
+        self.changes.changed(now);
     }
 
-    pub(super) fn own_record(&mut self, record: &Record, out: &mut Vec<Output>) {
-        if record.life > self.me.life {
-            return self.another_life(record.life, out);
+    pub(super) fn merge_own_record(&mut self, record: &Record, out: &mut Vec<Output>) {
+        if record.generation > self.record.generation {
+            return self.newer_generation(record.generation, out);
         }
-        let accused = record.state != State::Alive && record.incarnation >= self.me.incarnation;
-        if record.life == self.me.life && accused && !planted!(RefutationLeftOut) {
-            self.me.incarnation = record.incarnation.saturating_add(1);
-            self.worsens();
-            self.rumours.add(self.me.clone());
+        let accused = record.state != State::Alive && record.incarnation >= self.record.incarnation;
+        if record.generation == self.record.generation && accused && !planted!(RefutationLeftOut) {
+            self.record.incarnation = record.incarnation.saturating_add(1);
+            self.degrade_health();
+            self.broadcasts.add(self.record.clone());
         }
     }
 
     /// Somebody has heard of a later life of this name.
-    pub(super) fn another_life(&mut self, life: u64, out: &mut Vec<Output>) {
+    pub(super) fn newer_generation(&mut self, life: u64, out: &mut Vec<Output>) {
         if self.phase == (Phase::Joining { renamed: false }) {
             // The clock was put back since: this is the later one all the same.
-            self.sums.remove(&self.me.name, self.me.life);
-            self.me.life = life.saturating_add(1);
-            self.sums.add(&self.me.name, self.me.life);
+            self.sums.remove(&self.record.name, self.record.generation);
+            self.record.generation = life.saturating_add(1);
+            self.sums.add(&self.record.name, self.record.generation);
             self.phase = Phase::Joining { renamed: true };
-            self.rumours.add(self.me.clone());
-            self.has_changed(self.due);
+            self.broadcasts.add(self.record.clone());
+            self.on_change(self.due);
         } else {
             self.phase = Phase::Superseded;
-            out.push(Output::Superseded { life });
+            out.push(Output::Superseded { generation: life });
         }
     }
 
-    pub(super) fn worsens(&mut self) {
+    pub(super) fn degrade_health(&mut self) {
         if !planted!(PlainSwim) {
-            self.health = (self.health + 1).min(WORST);
+            self.health = (self.health + 1).min(MAX_LOCAL_HEALTH);
         }
     }
 
     /// A few look for themselves, so that accusers come soon, and who is wrongly accused hears of it; not all of a
     /// large fleet.
-    pub(super) fn watch(&mut self, now: Time, name: &Name, out: &mut Vec<Output>) {
-        let few = WATCHERS / (self.peers.len() as f64 + 1.0);
+    pub(super) fn maybe_watch(&mut self, now: Time, name: &Name, out: &mut Vec<Output>) {
+        let few = MEAN_WATCHERS / (self.peers.len() as f64 + 1.0);
         let drawn = self.rng.f64() < few && !planted!(PlainSwim);
         let Some(suspicion) = self.peers.get_mut(name).and_then(|p| p.suspicion.as_mut()) else { return };
         if drawn {
             suspicion.watch = Some((now, 0));
         }
-        self.watching(now, out);
+        self.ping_watched(now, out);
     }
 }
--- a/crates/gateway/membership/src/view/mod.rs
+++ b/crates/gateway/membership/src/view/mod.rs
@@ -1,17 +1,19 @@
 //! The view as a state machine: probes, suspicions, rumours, digests joined.
 
-mod belief;
-mod coming;
-mod sending;
-mod time;
-
-use crate::alone::Alone;
+mod merge;
+mod receive;
+mod send;
+mod timers;
+
+use crate::broadcasts::BroadcastQueue;
+use crate::isolation::IsolationDetector;
+use crate::join_cookies::Cookies;
 use crate::record::{hash, Name, Record, Role, State};
-use crate::rumours::Rumours;
-use crate::settled::{digest_of, Gathering, Settled};
-use crate::strangers::Cookies;
-use crate::window::{Bucket, Window};
-use crate::wire::{size, Datagram, Fault, Keys, Message, Rider, BUCKETS, MOST_BYTES};
+use crate::settled::{digest_of, ChangeCollector, Settled};
+use crate::window::{ReplayWindow, TokenBucket};
+use crate::wire::{
+    encoded_size, Datagram, DatagramError, Keys, Message, Piggyback, BUCKETS, MAX_DATAGRAM_BYTES,
+};
 use crate::Time;
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,40 +21,40 @@
 
 const MS: Time = 1_000_000;
 /// Helpers asked for one probe, and the accusers that shorten a suspicion to its least.
-const HELPERS: usize = 3;
-const ACCUSERS: usize = 3;
+const INDIRECT_PROBES: usize = 3;
+const MAX_ACCUSERS: usize = 3;
 /// So many of its own, half a period apart, must have had no answer before a member accuses or buries.
-const QUESTIONS: u32 = 3;
+const MIN_UNANSWERED_PINGS: u32 = 3;
 /// So many look for themselves when they hear of a suspicion, in the mean.
-const WATCHERS: f64 = 12.0;
+const MEAN_WATCHERS: f64 = 12.0;
 /// The longest suspicion beside the shortest.
-const LONGEST: Time = 6;
+const MAX_SUSPICION_FACTOR: Time = 6;
 /// The worst own health: times are stretched by one more than it.
-const WORST: u8 = 8;
+const MAX_LOCAL_HEALTH: u8 = 8;
 /// A tick that comes so late means that this process was stopped.
-const ASLEEP: Time = 1000 * MS;
+const SLEEP_THRESHOLD: Time = 1000 * MS;
 /// A tick so late says nothing about the one who is being probed.
-const LATE: Time = 50 * MS;
-const DEAD_EVERY: Time = 400 * MS;
-const SEED_EVERY: Time = 2000 * MS;
-const JOIN_EVERY: Time = 500 * MS;
+const LATE_TICK: Time = 50 * MS;
+const DEAD_PROBE_INTERVAL: Time = 400 * MS;
+const SEED_INTERVAL: Time = 2000 * MS;
+const JOIN_INTERVAL: Time = 500 * MS;
 /// So long after a greeting its answer may come from somebody unknown.
-const GREETED: Time = 1000 * MS;
+const JOIN_ECHO_LIFETIME: Time = 1000 * MS;
 /// What rides on a ping at the most; the rest of a datagram's bytes is for names and figures.
-const RIDER: usize = 900;
+const MAX_PIGGYBACK_BYTES: usize = 900;
 /// Of one answer to differing digests.
-const RECORDS: usize = 1000;
-const ANSWERS: usize = 4;
-const MOST_RELAYS: usize = 256;
+const MAX_RECORDS_BYTES: usize = 1000;
+const MAX_RECORD_DATAGRAMS: usize = 4;
+const MAX_RELAYS: usize = 256;
 /// How many of those who live are told of a leave.
-const FAREWELLS: usize = 8;
-const PADDING: usize = 160;
+const LEAVE_RECIPIENTS: usize = 8;
+const HELLO_PADDING: usize = 160;
 
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: Name,
     /// Unix milliseconds at the start.
-    pub life: u64,
+    pub generation: u64,
     /// Where others reach this member.
     pub address: SocketAddr,
     pub zone: String,
@@ -60,25 +62,25 @@
     /// Members that may live; this member's own address among them does no harm.
     pub seeds: Vec<SocketAddr>,
     /// Between two probes.
-    pub period: Time,
+    pub probe_interval: Time,
     /// So long the dead are kept, and tried.
-    pub keep_dead: Time,
+    pub dead_retention: Time,
     /// Members kept at the most, living and dead.
-    pub most_members: usize,
+    pub max_members: usize,
 }
 
 impl Config {
-    pub fn new(name: &str, life: u64, address: SocketAddr) -> Self {
+    pub fn new(name: &str, generation: u64, address: SocketAddr) -> Self {
         Config {
             name: name.into(),
-            life,
+            generation,
             address,
             zone: String::new(),
             role: Role::Gateway,
             seeds: Vec::new(),
-            period: 200 * MS,
-            keep_dead: 600_000 * MS,
-            most_members: 4096,
+            probe_interval: 200 * MS,
+            dead_retention: 600_000 * MS,
+            max_members: 4096,
         }
     }
 }
@@ -101,7 +103,7 @@
     Settled(Settled),
     /// Another process runs under this name, and began later: this one speaks no more.
     Superseded {
-        life: u64,
+        generation: u64,
     },
 }
 
@@ -120,10 +122,10 @@
 pub struct Health {
     /// 0 is best, 8 worst.
     pub health: u8,
-    pub cut_off: Option<Time>,
-    pub superseded: bool,
+    pub isolated_since: Option<Time>,
+    pub is_superseded: bool,
     /// Whether anybody has taken it in, or has been found.
-    pub joined: bool,
+    pub has_joined: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -153,13 +155,13 @@
 /// Sums over those who live, this member among them. Kept up with each change: a wave of changes in a large fleet must
 /// not cost a look at everybody for each.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Sums {
+struct LivingSums {
     members: usize,
     digest: u64,
     buckets: [u32; BUCKETS],
 }
 
-impl Sums {
+impl LivingSums {
     fn add(&mut self, name: &Name, life: u64) {
         let one = digest_of(name, life);
         let bucket = &mut self.buckets[bucket(name)];
@@ -178,25 +180,25 @@
 struct Peer {
     record: Record,
     since: Time,
-    window: Window,
-    bucket: Bucket,
+    window: ReplayWindow,
+    bucket: TokenBucket,
     health: u8,
     suspicion: Option<Suspicion>,
     /// Where the life before this one was reached, if elsewhere: it may still run there.
-    before: Option<SocketAddr>,
+    previous_address: Option<SocketAddr>,
 }
 
 impl Peer {
     fn new(record: Record, now: Time) -> Self {
-        let bucket = Bucket::new(200.0, 100.0, now);
+        let bucket = TokenBucket::new(200.0, 100.0, now);
         Peer {
             record,
             since: now,
-            window: Window::default(),
+            window: ReplayWindow::default(),
             bucket,
             health: 0,
             suspicion: None,
-            before: None,
+            previous_address: None,
         }
     }
 }
@@ -206,19 +208,19 @@
     number: u32,
     target: Name,
     /// When others are asked, and when it is over.
-    help: Time,
-    ends: Time,
+    indirect_at: Time,
+    ends_at: Time,
     helpers: Vec<Name>,
-    answered: bool,
+    is_answered: bool,
     /// Whether anybody at all was heard meanwhile.
-    heard: bool,
+    has_heard_anyone: bool,
 }
 
 /// A ping for somebody else.
 struct Relay {
     number: u32,
-    asker: Name,
-    asked: u32,
+    requester: Name,
+    requested_probe: u32,
     until: Time,
 }
 
@@ -227,92 +229,92 @@
     keys: Keys,
     cookies: Cookies,
     rng: Rng,
-    me: Record,
-    own: u32,
+    record: Record,
+    accuser_id: u32,
     phase: Phase,
     /// Of the last datagram sent.
-    number: u64,
+    last_datagram: u64,
     health: u8,
     peers: BTreeMap<Name, Peer>,
     /// Those with a suspicion.
     suspects: BTreeSet<Name>,
-    sums: Sums,
-    rumours: Rumours,
-    alone: Alone,
-    gathering: Gathering,
+    sums: LivingSums,
+    broadcasts: BroadcastQueue,
+    isolation: IsolationDetector,
+    changes: ChangeCollector,
     /// Who is still to be probed in this round, the next last.
-    round: Vec<Name>,
+    probe_round: Vec<Name>,
     probe: Option<Probe>,
-    probes: u32,
+    last_probe: u32,
     relays: Vec<Relay>,
     next_dead: Time,
     next_seed: Time,
-    greetings: u32,
+    join_attempts: u32,
     next_differs: Time,
     /// What the answer to a `Join` of ours must echo, and until when it may come; 0 is none.
-    echo: (u64, Time),
+    join_echo: (u64, Time),
     /// When the set of the living last changed here.
-    changed: Time,
+    changed_at: Time,
     /// When this was last due, for a tick that comes late.
     due: Time,
-    strangers: Bucket,
+    unknown_sender_limit: TokenBucket,
     /// Pings beside the probes.
-    asides: Bucket,
+    extra_ping_limit: TokenBucket,
     /// Answers to differing digests.
-    answers: Bucket,
-    faults: BTreeMap<Fault, u64>,
+    digest_answer_limit: TokenBucket,
+    faults: BTreeMap<DatagramError, u64>,
 }
 
 impl View {
     /// `seed` settles every choice; `secret` need only be unknown to others.
     pub fn new(config: Config, keys: Keys, seed: u64, secret: [u8; 16], now: Time) -> Self {
-        let me = Record {
+        let record = Record {
             name: config.name.clone(),
-            life: config.life,
+            generation: config.generation,
             incarnation: 0,
             state: State::Alive,
             address: config.address,
             zone: config.zone.as_str().into(),
             role: config.role,
             versions: (crate::wire::VERSION, crate::wire::VERSION),
-            by: 0,
+            accuser: 0,
         };
-        let mut rumours = Rumours::default();
-        rumours.add(me.clone());
-        let mut sums = Sums::default();
-        sums.add(&me.name, me.life);
+        let mut broadcasts = BroadcastQueue::default();
+        broadcasts.add(record.clone());
+        let mut sums = LivingSums::default();
+        sums.add(&record.name, record.generation);
         let mut rng = Rng::with_seed(seed);
         // The first word is spread over a fifth of a second: hundreds may start at once.
         let first = now + rng.u64(0..200 * MS);
         View {
             keys,
             cookies: Cookies::new(secret),
-            own: accuser(&me.name),
+            accuser_id: accuser(&record.name),
             phase: Phase::Joining { renamed: false },
-            number: 0,
+            last_datagram: 0,
             health: 0,
             peers: BTreeMap::new(),
             suspects: BTreeSet::new(),
             sums,
-            rumours,
-            alone: Alone::new(now),
-            gathering: Gathering::new(me.name.clone(), me.life, me.role, now),
-            round: Vec::new(),
+            broadcasts,
+            isolation: IsolationDetector::new(now),
+            changes: ChangeCollector::new(record.name.clone(), record.generation, record.role, now),
+            probe_round: Vec::new(),
             probe: None,
-            probes: 0,
+            last_probe: 0,
             relays: Vec::new(),
-            next_dead: first + DEAD_EVERY,
+            next_dead: first + DEAD_PROBE_INTERVAL,
             next_seed: first,
-            greetings: 0,
+            join_attempts: 0,
             next_differs: first,
-            echo: (0, 0),
-            changed: now,
+            join_echo: (0, 0),
+            changed_at: now,
             due: first,
-            strangers: Bucket::new(200.0, 200.0, now),
-            asides: Bucket::new(40.0, 100.0, now),
-            answers: Bucket::new(10.0, 20.0, now),
+            unknown_sender_limit: TokenBucket::new(200.0, 200.0, now),
+            extra_ping_limit: TokenBucket::new(40.0, 100.0, now),
+            digest_answer_limit: TokenBucket::new(10.0, 20.0, now),
             faults: BTreeMap::new(),
-            me,
+            record,
             rng,
             config,
         }
@@ -320,12 +322,12 @@
 
     /// Who lives, by whole versions.
     pub fn settled(&self) -> &Settled {
-        self.gathering.current()
+        self.changes.current()
     }
 
     /// All that are known, this one first.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
-        let me = Member { record: self.me.clone(), since: 0, health: self.health };
+        let me = Member { record: self.record.clone(), since: 0, health: self.health };
         let others = self.peers.values().map(|p| Member {
             record: p.record.clone(),
             since: p.since,
@@ -341,44 +343,47 @@
 
     /// The same counted anew.
     #[cfg(debug_assertions)]
-    fn summed(&self) -> Sums {
-        let mut sums = Sums::default();
-        self.living().for_each(|r| sums.add(&r.name, r.life));
+    fn recount(&self) -> LivingSums {
+        let mut sums = LivingSums::default();
+        self.living_records().for_each(|r| sums.add(&r.name, r.generation));
         sums
     }
 
     pub fn health(&self) -> Health {
         Health {
             health: self.health,
-            cut_off: self.alone.since(),
-            superseded: self.phase == Phase::Superseded,
-            joined: !matches!(self.phase, Phase::Joining { .. }),
+            isolated_since: self.isolation.isolated_since(),
+            is_superseded: self.phase == Phase::Superseded,
+            has_joined: !matches!(self.phase, Phase::Joining { .. }),
         }
     }
 
     /// What may be worked by: this member's place among the living gateways, and how many they are. None if it is no
     /// gateway, or if the view is lost: cut off, superseded, or nobody was ever found.
-    pub fn seen(&self) -> Option<(usize, usize)> {
+    pub fn position(&self) -> Option<(usize, usize)> {
         let (all, me) = self.settled().gateways();
-        me.filter(|_| self.seen_at_all()).map(|me| (me, all))
+        me.filter(|_| self.is_usable()).map(|me| (me, all))
     }
 
-    fn seen_at_all(&self) -> bool {
+    fn is_usable(&self) -> bool {
         let health = self.health();
-        health.cut_off.is_none() && !health.superseded && health.joined && self.settled().version != 0
+        health.isolated_since.is_none()
+            && !health.is_superseded
+            && health.has_joined
+            && self.settled().version != 0
     }
 
     /// Whether the member of this name lives, by the settled view. None if it is not known, or if the view is lost.
-    pub fn lives(&self, name: &str) -> Option<bool> {
-        self.seen_at_all().then_some(())?;
+    pub fn is_alive(&self, name: &str) -> Option<bool> {
+        self.is_usable().then_some(())?;
         if self.settled().members.iter().any(|(n, ..)| **n == *name) {
             return Some(true);
         }
-        self.peers.get(name).filter(|p| !p.record.state.lives()).map(|_| false)
+        self.peers.get(name).filter(|p| !p.record.state.is_alive()).map(|_| false)
     }
 
     /// Datagrams dropped, by cause.
-    pub fn faults(&self) -> impl Iterator<Item = (Fault, u64)> + '_ {
+    pub fn faults(&self) -> impl Iterator<Item = (DatagramError, u64)> + '_ {
         self.faults.iter().map(|(f, n)| (*f, *n))
     }
 
@@ -387,14 +392,19 @@
         if matches!(self.phase, Phase::Superseded | Phase::Left) {
             return None;
         }
-        let probe =
-            self.probe.as_ref().map(|p| if p.helpers.is_empty() && !p.answered { p.help } else { p.ends });
+        let probe = self.probe.as_ref().map(|p| {
+            if p.helpers.is_empty() && !p.is_answered {
+                p.indirect_at
+            } else {
+                p.ends_at
+            }
+        });
         let suspects = self.suspects.iter().filter_map(|n| self.suspicion_ends(self.peers.get(n)?));
-        let watches = self.suspects.iter().filter_map(|n| self.watched(n));
+        let watches = self.suspects.iter().filter_map(|n| self.next_watch_ping(n));
         let suspects = suspects.chain(watches);
         let relays = self.relays.iter().map(|r| r.until);
         let others = [self.next_dead, self.next_seed];
-        let due = probe.into_iter().chain(suspects).chain(relays).chain(others).chain(self.gathering.due());
+        let due = probe.into_iter().chain(suspects).chain(relays).chain(others).chain(self.changes.due());
         due.min()
     }
 
@@ -404,8 +414,8 @@
             return;
         }
         let late = now.saturating_sub(self.due);
-        if late > ASLEEP && !planted!(SleepNotSeen) {
-            self.slept(now, late);
+        if late > SLEEP_THRESHOLD && !planted!(SleepNotSeen) {
+            self.on_sleep(now, late);
         }
         match input {
             Input::Datagram(bytes) => {
--- a/crates/gateway/membership/src/view/coming.rs
+++ b/crates/gateway/membership/src/view/receive.rs
@@ -10,48 +10,57 @@
 }
 
 impl View {
-    pub(super) fn datagram(&mut self, now: Time, bytes: &[u8], out: &mut Vec<Output>) -> Result<(), Fault> {
+    pub(super) fn datagram(
+        &mut self,
+        now: Time,
+        bytes: &[u8],
+        out: &mut Vec<Output>,
+    ) -> Result<(), DatagramError> {
         let datagram = self.keys.open(bytes)?;
-        let Datagram { from, life, number, message } = datagram;
-        if from == self.me.name {
-            if life > self.me.life {
-                self.another_life(life, out);
+        let Datagram { from, generation: life, number, message } = datagram;
+        if from == self.record.name {
+            if life > self.record.generation {
+                self.newer_generation(life, out);
             }
-            return Err(if life == self.me.life { Fault::Own } else { Fault::OldLife });
+            return Err(if life == self.record.generation {
+                DatagramError::FromSelf
+            } else {
+                DatagramError::OldGeneration
+            });
         }
         match self.peers.get_mut(&from) {
-            Some(peer) if peer.record.life == life => {
+            Some(peer) if peer.record.generation == life => {
                 if !peer.window.take(number) {
-                    return Err(Fault::Replayed);
+                    return Err(DatagramError::Replayed);
                 }
                 if !peer.bucket.take(now) {
-                    return Err(Fault::TooMany);
+                    return Err(DatagramError::RateLimited);
                 }
-                self.alone.heard(&from, now);
+                self.isolation.on_heard(&from, now);
                 if let Some(probe) = &mut self.probe {
-                    probe.heard = true;
+                    probe.has_heard_anyone = true;
                 }
                 self.message(now, &from, message, out);
                 Ok(())
             }
-            Some(peer) if peer.record.life > life => {
-                let (record, before) = (peer.record.clone(), peer.before);
-                if self.strangers.take(now) {
+            Some(peer) if peer.record.generation > life => {
+                let (record, before) = (peer.record.clone(), peer.previous_address);
+                if self.unknown_sender_limit.take(now) {
                     let sender = Sender { name: from, life, length: bytes.len() };
-                    self.earlier_life(now, &sender, message, (record, before), out);
+                    self.earlier_generation(now, &sender, message, (record, before), out);
                 }
-                Err(Fault::OldLife)
+                Err(DatagramError::OldGeneration)
             }
             _ => {
                 let sender = Sender { name: from, life, length: bytes.len() };
-                self.stranger(now, &sender, number, message, out)
+                self.unknown_sender(now, &sender, number, message, out)
             }
         }
     }
 
     /// Word from a life that is over here, of which `record` is a later one: one whose clock was put back, or that does
     /// not know that it was taken over.
-    fn earlier_life(
+    fn earlier_generation(
         &mut self,
         now: Time,
         sender: &Sender,
@@ -60,7 +69,7 @@
         out: &mut Vec<Output>,
     ) {
         let (to, echo) = match message {
-            Message::Hello { record: old, .. } => return self.cookie(now, sender, old.address, out),
+            Message::Hello { record: old, .. } => return self.send_cookie(now, sender, old.address, out),
             Message::Join { record: old, cookie, echo } => {
                 let whose = (&*sender.name, sender.life, old.address);
                 if !self.cookies.is_ours(&self.keys, now, cookie, whose) {
@@ -79,40 +88,40 @@
     }
 
     /// The one answer to whoever is not known, no longer than what it answers.
-    fn cookie(&mut self, now: Time, sender: &Sender, to: SocketAddr, out: &mut Vec<Output>) {
+    fn send_cookie(&mut self, now: Time, sender: &Sender, to: SocketAddr, out: &mut Vec<Output>) {
         let cookie = self.cookies.make(&self.keys, now, &sender.name, sender.life, to);
-        self.send_within(sender.length, to, Message::Cookie { cookie, address: self.me.address }, out);
+        self.send_within(sender.length, to, Message::Cookie { cookie, address: self.record.address }, out);
     }
 
-    fn stranger(
+    fn unknown_sender(
         &mut self,
         now: Time,
         sender: &Sender,
         number: u64,
         message: Message,
         out: &mut Vec<Output>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DatagramError> {
         // Who brings back a cookie has shown that it is where it says, and is heard however many ask.
-        if !matches!(message, Message::Join { .. }) && !self.strangers.take(now) {
-            return Err(Fault::TooMany);
+        if !matches!(message, Message::Join { .. }) && !self.unknown_sender_limit.take(now) {
+            return Err(DatagramError::RateLimited);
         }
         match message {
             Message::Hello { record, .. } if !planted!(StrangerKept) => {
-                self.cookie(now, sender, record.address, out);
+                self.send_cookie(now, sender, record.address, out);
                 Ok(())
             }
             // It takes this for an earlier life, or has been forgotten here.
             Message::Ping { address, .. } => {
-                self.cookie(now, sender, address, out);
+                self.send_cookie(now, sender, address, out);
                 Ok(())
             }
-            Message::Hello { record, .. } => self.take_in(now, record, (number, 0), out),
+            Message::Hello { record, .. } => self.admit_member(now, record, (number, 0), out),
             Message::Join { record, cookie, echo } => {
                 if !self.cookies.is_ours(&self.keys, now, cookie, (&sender.name, sender.life, record.address))
                 {
-                    return Err(Fault::Cookie);
+                    return Err(DatagramError::Cookie);
                 }
-                self.take_in(now, record, (number, echo), out)
+                self.admit_member(now, record, (number, echo), out)
             }
             Message::Cookie { cookie, address } => {
                 self.join(now, cookie, address, out);
@@ -120,32 +129,32 @@
             }
             // The first that a joiner hears of whom it joined: what it says is taken, it itself is not known yet.
             Message::Records { echo, records }
-                if echo != 0 && (echo, true) == (self.echo.0, now < self.echo.1) =>
+                if echo != 0 && (echo, true) == (self.join_echo.0, now < self.join_echo.1) =>
             {
-                self.records(now, records, out);
+                self.merge_records(now, records, out);
                 Ok(())
             }
-            _ => Err(Fault::Stranger),
+            _ => Err(DatagramError::UnknownSender),
         }
     }
 
-    pub(super) fn take_in(
+    pub(super) fn admit_member(
         &mut self,
         now: Time,
         record: Record,
         (number, echo): (u64, u64),
         out: &mut Vec<Output>,
-    ) -> Result<(), Fault> {
+    ) -> Result<(), DatagramError> {
         let (name, to) = (record.name.clone(), record.address);
         self.merge(now, record, out);
-        self.phase_in();
+        self.set_joined();
         if let Some(peer) = self.peers.get_mut(&name) {
             peer.window.take(number);
         }
-        self.send_records(to, echo, |r| r.name != name && r.state.lives(), out);
+        self.send_records(to, echo, |r| r.name != name && r.state.is_alive(), out);
         // The word of it has a start of a round or two.
-        for helper in self.draw_helpers(&name) {
-            if self.asides.take(now) {
+        for helper in self.choose_helpers(&name) {
+            if self.extra_ping_limit.take(now) {
                 self.ping(&helper, 0, out);
             }
         }
@@ -155,40 +164,48 @@
     pub(super) fn message(&mut self, now: Time, from: &Name, message: Message, out: &mut Vec<Output>) {
         let Some(to) = self.peers.get(from).map(|p| p.record.address) else { return };
         match message {
-            Message::Ping { probe, life, rider, .. } => {
-                self.absorb(now, from, rider, out);
-                if life == self.me.life {
-                    let rider = self.rider(from);
-                    self.send(to, Message::Ack { probe, rider }, out);
+            Message::Ping { probe, generation: life, piggyback: rider, .. } => {
+                self.apply_piggyback(now, from, rider, out);
+                if life == self.record.generation {
+                    let rider = self.piggyback_for(from);
+                    self.send(to, Message::Ack { probe, piggyback: rider }, out);
                 } else {
-                    self.send(to, Message::Records { echo: 0, records: vec![self.me.clone()] }, out);
+                    self.send(to, Message::Records { echo: 0, records: vec![self.record.clone()] }, out);
                 }
             }
-            Message::Ack { probe, rider } => {
-                self.absorb(now, from, rider, out);
+            Message::Ack { probe, piggyback: rider } => {
+                self.apply_piggyback(now, from, rider, out);
                 if let Some(relay) = self.relays.iter().position(|r| r.number == probe) {
-                    let Relay { asker, asked, .. } = self.relays.swap_remove(relay);
-                    self.say(&asker, |rider| Message::Ack { probe: asked, rider }, out);
+                    let Relay { requester: asker, requested_probe: asked, .. } =
+                        self.relays.swap_remove(relay);
+                    self.send_to_member(&asker, |rider| Message::Ack { probe: asked, piggyback: rider }, out);
                 }
                 let Some(out) = &mut self.probe else { return };
-                if out.number == probe && (out.target == *from || out.helpers.contains(from)) && !out.answered
+                if out.number == probe
+                    && (out.target == *from || out.helpers.contains(from))
+                    && !out.is_answered
                 {
-                    out.answered = true;
+                    out.is_answered = true;
                     self.health = self.health.saturating_sub(1);
                 }
             }
-            Message::Help { probe, target, rider } => {
-                self.absorb(now, from, rider, out);
-                if self.relays.len() < MOST_RELAYS && self.peers.contains_key(&target) {
+            Message::PingRequest { probe, target, piggyback: rider } => {
+                self.apply_piggyback(now, from, rider, out);
+                if self.relays.len() < MAX_RELAYS && self.peers.contains_key(&target) {
                     let number = self.next_number();
-                    let until = now + self.config.period * 2 / 5;
-                    self.relays.push(Relay { number, asker: from.clone(), asked: probe, until });
+                    let until = now + self.config.probe_interval * 2 / 5;
+                    self.relays.push(Relay {
+                        number,
+                        requester: from.clone(),
+                        requested_probe: probe,
+                        until,
+                    });
                     self.ping(&target, number, out);
                 }
             }
-            Message::Nack { rider, .. } => self.absorb(now, from, rider, out),
-            Message::Differs { buckets } => {
-                if self.answers.take(now) {
+            Message::Nack { piggyback: rider, .. } => self.apply_piggyback(now, from, rider, out),
+            Message::DigestMismatch { buckets } => {
+                if self.digest_answer_limit.take(now) {
                     let own = self.sums.buckets;
                     let differs = |r: &Record| {
                         let n = bucket(&r.name);
@@ -197,48 +214,55 @@
                     self.send_records(to, 0, differs, out);
                 }
             }
-            Message::Records { records, .. } => self.records(now, records, out),
+            Message::Records { records, .. } => self.merge_records(now, records, out),
             Message::Hello { record, .. } => {
-                let sender = Sender { name: from.clone(), life: record.life, length: MOST_BYTES };
-                self.cookie(now, &sender, record.address, out);
+                let sender =
+                    Sender { name: from.clone(), life: record.generation, length: MAX_DATAGRAM_BYTES };
+                self.send_cookie(now, &sender, record.address, out);
             }
             // Our answer to the first was lost.
             Message::Join { echo, .. } => {
-                self.send_records(to, echo, |r| r.state.lives(), out);
+                self.send_records(to, echo, |r| r.state.is_alive(), out);
             }
             Message::Cookie { cookie, address } => self.join(now, cookie, address, out),
         }
     }
 
-    pub(super) fn records(&mut self, now: Time, records: Vec<Record>, out: &mut Vec<Output>) {
+    pub(super) fn merge_records(&mut self, now: Time, records: Vec<Record>, out: &mut Vec<Output>) {
         for record in records {
             self.merge(now, record, out);
         }
         if !self.peers.is_empty() {
-            self.phase_in();
+            self.set_joined();
         }
     }
 
-    pub(super) fn phase_in(&mut self) {
+    pub(super) fn set_joined(&mut self) {
         if matches!(self.phase, Phase::Joining { .. }) {
             self.phase = Phase::In;
         }
     }
 
-    pub(super) fn absorb(&mut self, now: Time, from: &Name, rider: Rider, out: &mut Vec<Output>) {
+    pub(super) fn apply_piggyback(
+        &mut self,
+        now: Time,
+        from: &Name,
+        rider: Piggyback,
+        out: &mut Vec<Output>,
+    ) {
         if let Some(peer) = self.peers.get_mut(from) {
-            peer.health = rider.health.min(WORST);
+            peer.health = rider.health.min(MAX_LOCAL_HEALTH);
         }
-        for record in rider.rumours {
+        for record in rider.updates {
             self.merge(now, record, out);
         }
-        let quiet = self.changed + self.config.period <= now && self.next_differs <= now;
+        let quiet = self.changed_at + self.config.probe_interval <= now && self.next_differs <= now;
         let same = rider.digest == self.digest() || planted!(DigestAlwaysEqual);
         if !same && quiet {
-            self.next_differs = now + self.config.period;
+            self.next_differs = now + self.config.probe_interval;
             if let Some(to) = self.peers.get(from).map(|p| p.record.address) {
                 let buckets = self.sums.buckets;
-                self.send(to, Message::Differs { buckets }, out);
+                self.send(to, Message::DigestMismatch { buckets }, out);
             }
         }
     }
--- a/crates/gateway/membership/src/view/sending.rs
+++ b/crates/gateway/membership/src/view/send.rs
@@ -3,40 +3,49 @@
 use super::*;
 
 impl View {
-    pub(super) fn living(&self) -> impl Iterator<Item = &Record> {
+    pub(super) fn living_records(&self) -> impl Iterator<Item = &Record> {
         // In the order of names, this one in its place.
-        let own = &self.me;
+        let own = &self.record;
         let (before, after) = (self.peers.range(..own.name.clone()), self.peers.range(own.name.clone()..));
-        let lives = |r: &&Record| r.state.lives();
+        let lives = |r: &&Record| r.state.is_alive();
         let before = before.map(|(_, p)| &p.record).filter(lives);
         before.chain(std::iter::once(own)).chain(after.map(|(_, p)| &p.record).filter(lives))
     }
 
     pub(super) fn next_number(&mut self) -> u32 {
-        self.probes = self.probes.wrapping_add(1).max(1);
-        self.probes
+        self.last_probe = self.last_probe.wrapping_add(1).max(1);
+        self.last_probe
     }
 
     /// What rides to this member: first what is said of itself, if it may want to refute that.
-    pub(super) fn rider(&mut self, to: &Name) -> Rider {
+    pub(super) fn piggyback_for(&mut self, to: &Name) -> Piggyback {
         let said = self.peers.get(to).map(|p| &p.record).filter(|_| !planted!(PlainSwim));
         let buddy = said.filter(|r| r.state != State::Alive).cloned();
-        let taken = buddy.as_ref().map_or(0, size);
+        let taken = buddy.as_ref().map_or(0, encoded_size);
         let members = self.peers.len() + 1;
-        let mut rumours = self.rumours.take(RIDER - taken, members);
+        let mut rumours = self.broadcasts.take(MAX_PIGGYBACK_BYTES - taken, members);
         rumours.retain(|r| buddy.as_ref().is_none_or(|b| b.name != r.name));
         rumours.extend(buddy);
-        Rider { digest: self.digest(), health: self.health, rumours }
+        Piggyback { digest: self.digest(), health: self.health, updates: rumours }
     }
 
     pub(super) fn ping(&mut self, target: &Name, probe: u32, out: &mut Vec<Output>) {
-        let Some(life) = self.peers.get(target).map(|p| p.record.life) else { return };
-        let address = self.me.address;
-        self.say(target, |rider| Message::Ping { probe, life, address, rider }, out);
+        let Some(life) = self.peers.get(target).map(|p| p.record.generation) else { return };
+        let address = self.record.address;
+        self.send_to_member(
+            target,
+            |rider| Message::Ping { probe, generation: life, address, piggyback: rider },
+            out,
+        );
     }
 
-    pub(super) fn say(&mut self, to: &Name, message: impl FnOnce(Rider) -> Message, out: &mut Vec<Output>) {
-        let rider = self.rider(to);
+    pub(super) fn send_to_member(
+        &mut self,
+        to: &Name,
+        message: impl FnOnce(Piggyback) -> Message,
+        out: &mut Vec<Output>,
+    ) {
+        let rider = self.piggyback_for(to);
         if let Some(address) = self.peers.get(to).map(|p| p.record.address) {
             self.send(address, message(rider), out);
         }
@@ -51,18 +60,19 @@
         out: &mut Vec<Output>,
     ) {
         let others = self.peers.values().map(|p| &p.record);
-        let mut all: Vec<&Record> = std::iter::once(&self.me).chain(others).filter(|r| wanted(r)).collect();
+        let mut all: Vec<&Record> =
+            std::iter::once(&self.record).chain(others).filter(|r| wanted(r)).collect();
         // Of more than fit each answer sends others.
         self.rng.shuffle(&mut all);
-        if let Some(own) = all.iter().position(|r| r.name == self.me.name) {
+        if let Some(own) = all.iter().position(|r| r.name == self.record.name) {
             all.swap(0, own);
         }
         let mut all = all.into_iter().peekable();
         let mut answers = Vec::new();
-        for _ in 0..ANSWERS {
-            let (mut records, mut room) = (Vec::new(), RECORDS);
-            while let Some(record) = all.next_if(|r| size(r) <= room) {
-                room -= size(record);
+        for _ in 0..MAX_RECORD_DATAGRAMS {
+            let (mut records, mut room) = (Vec::new(), MAX_RECORDS_BYTES);
+            while let Some(record) = all.next_if(|r| encoded_size(r) <= room) {
+                room -= encoded_size(record);
                 records.push(record.clone());
             }
             answers.push(records);
@@ -87,9 +97,9 @@
     }
 
     pub(super) fn send(&mut self, to: SocketAddr, message: Message, out: &mut Vec<Output>) {
-        self.number += 1;
-        let (from, life, number) = (self.me.name.clone(), self.me.life, self.number);
-        if let Some(bytes) = self.keys.seal(&Datagram { from, life, number, message }) {
+        self.last_datagram += 1;
+        let (from, life, number) = (self.record.name.clone(), self.record.generation, self.last_datagram);
+        if let Some(bytes) = self.keys.seal(&Datagram { from, generation: life, number, message }) {
             out.push(Output::Send { to, bytes });
         }
     }
--- a/crates/gateway/membership/src/wire.rs
+++ b/crates/gateway/membership/src/wire.rs
@@ -3,7 +3,7 @@
 //! `GTFV`, version (1 byte), then by `postcard`: the sender's name, life, the datagram's number in that life, the
 //! message; then 16 bytes of HMAC-SHA-256 under the shared key over all before.
 
-use crate::record::{Name, Record, MOST_NAME};
+use crate::record::{Name, Record, MAX_NAME_BYTES};
 use hmac::{Hmac, Mac};
 use serde::{Deserialize, Serialize};
 use sha2::Sha256;
@@ -13,21 +13,21 @@
 /// The version spoken here; one apart is never refused by this number alone, since fields are only added at the end.
 pub const VERSION: u8 = 1;
 /// The longest datagram.
-pub const MOST_BYTES: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The shortest key that will do.
-pub const LEAST_KEY: usize = 16;
+pub const MIN_KEY_BYTES: usize = 16;
 pub const BUCKETS: usize = 16;
 const MAGIC: &[u8; 4] = b"GTFV";
-const TAG: usize = 16;
+const TAG_BYTES: usize = 16;
 
 /// What rides on pings and their answers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Rider {
+pub struct Piggyback {
     /// Of those who live in the sender's eyes.
     pub digest: u64,
     /// The sender's own health: 0 is best.
     pub health: u8,
-    pub rumours: Vec<Record>,
+    pub updates: Vec<Record>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -35,28 +35,28 @@
     /// Answered by `Ack` with the same number, if it is meant for this life.
     Ping {
         probe: u32,
-        life: u64,
+        generation: u64,
         /// Where its sender is reached.
         address: SocketAddr,
-        rider: Rider,
+        piggyback: Piggyback,
     },
     Ack {
         probe: u32,
-        rider: Rider,
+        piggyback: Piggyback,
     },
     /// Please ping this member and say what came of it.
-    Help {
+    PingRequest {
         probe: u32,
         target: Name,
-        rider: Rider,
+        piggyback: Piggyback,
     },
     /// The helper lives and got no answer.
     Nack {
         probe: u32,
-        rider: Rider,
+        piggyback: Piggyback,
     },
     /// Digests by bucket; please send what differs.
-    Differs {
+    DigestMismatch {
         buckets: [u32; BUCKETS],
     },
     Records {
@@ -87,53 +87,53 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
     pub from: Name,
-    pub life: u64,
+    pub generation: u64,
     pub number: u64,
     pub message: Message,
 }
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Fault {
+pub enum DatagramError {
     /// Too long or too short, or it does not begin as ours do.
-    Junk,
+    NotOurs,
     Version,
     /// The tag does not verify: another key, or bytes changed on the way.
-    Tag,
+    Authentication,
     /// It verifies and can't be read, or says what can't be.
     Malformed,
     /// Its number was taken already, or is too old to tell.
     Replayed,
     /// Of a life that is over.
-    OldLife,
+    OldGeneration,
     /// More than its sender may send.
-    TooMany,
+    RateLimited,
     /// A cookie that is not of this process, or too old.
     Cookie,
     /// Our own, come back.
-    Own,
+    FromSelf,
     /// Of somebody who has not been taken in.
-    Stranger,
+    UnknownSender,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for DatagramError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::Junk => "no datagram of ours",
-            Fault::Version => "a version that is not spoken here",
-            Fault::Tag => "a tag that does not verify: is its key another?",
-            Fault::Malformed => "a message that can't be read",
-            Fault::Replayed => "a datagram that came before",
-            Fault::OldLife => "a datagram of a life that is over",
-            Fault::TooMany => "more than its sender may send",
-            Fault::Cookie => "a cookie that is not ours",
-            Fault::Own => "a datagram of our own",
-            Fault::Stranger => "a datagram of somebody who is not known",
+            DatagramError::NotOurs => "no datagram of ours",
+            DatagramError::Version => "a version that is not spoken here",
+            DatagramError::Authentication => "a tag that does not verify: is its key another?",
+            DatagramError::Malformed => "a message that can't be read",
+            DatagramError::Replayed => "a datagram that came before",
+            DatagramError::OldGeneration => "a datagram of a life that is over",
+            DatagramError::RateLimited => "more than its sender may send",
+            DatagramError::Cookie => "a cookie that is not ours",
+            DatagramError::FromSelf => "a datagram of our own",
+            DatagramError::UnknownSender => "a datagram of somebody who is not known",
         })
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for DatagramError {}
 
 /// The shared keys: the first seals, each opens. Two while a key is changed.
 #[derive(Clone)]
@@ -146,8 +146,10 @@
         if !(1..=2).contains(&keys.len()) {
             return Err(format!("{} keys: 1 or 2 are wanted", keys.len()));
         }
-        match keys.iter().find(|k| k.len() < LEAST_KEY) {
-            Some(short) => Err(format!("a key of {} bytes: {LEAST_KEY} at least are wanted", short.len())),
+        match keys.iter().find(|k| k.len() < MIN_KEY_BYTES) {
+            Some(short) => {
+                Err(format!("a key of {} bytes: {MIN_KEY_BYTES} at least are wanted", short.len()))
+            }
             None => Ok(Keys(keys)),
         }
     }
@@ -160,10 +162,10 @@
     }
 
     /// 16 bytes that only who has the first key can make.
-    pub(crate) fn sign(&self, parts: &[&[u8]]) -> [u8; TAG] {
+    pub(crate) fn sign(&self, parts: &[&[u8]]) -> [u8; TAG_BYTES] {
         let tag = Keys::mac(&self.0[0], parts).finalize().into_bytes();
-        let mut short = [0; TAG];
-        short.copy_from_slice(&tag[..TAG]);
+        let mut short = [0; TAG_BYTES];
+        short.copy_from_slice(&tag[..TAG_BYTES]);
         short
     }
 
@@ -176,49 +178,55 @@
         let mut bytes = Vec::with_capacity(256);
         bytes.extend_from_slice(MAGIC);
         bytes.push(VERSION);
-        let body = (&datagram.from, datagram.life, datagram.number, &datagram.message);
+        let body = (&datagram.from, datagram.generation, datagram.number, &datagram.message);
         bytes.extend(postcard::to_stdvec(&body).ok()?);
         let tag = self.sign(&[&bytes]);
         bytes.extend_from_slice(&tag);
-        (bytes.len() <= MOST_BYTES).then_some(bytes)
+        (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
     /// # Errors
     /// [`Fault`]: it is dropped, and nobody is answered.
-    pub fn open(&self, bytes: &[u8]) -> Result<Datagram, Fault> {
-        if bytes.len() > MOST_BYTES || bytes.len() < MAGIC.len() + 1 + TAG || !bytes.starts_with(MAGIC) {
-            return Err(Fault::Junk);
+    pub fn open(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
+        if bytes.len() > MAX_DATAGRAM_BYTES
+            || bytes.len() < MAGIC.len() + 1 + TAG_BYTES
+            || !bytes.starts_with(MAGIC)
+        {
+            return Err(DatagramError::NotOurs);
         }
-        let (sealed, tag) = bytes.split_at(bytes.len() - TAG);
+        let (sealed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
         // Before anything of it is read: whoever has no key gets no further.
         if !self.verifies(sealed, tag) {
-            return Err(Fault::Tag);
+            return Err(DatagramError::Authentication);
         }
         if sealed[4] != VERSION {
-            return Err(Fault::Version);
+            return Err(DatagramError::Version);
         }
         let (from, life, number, message): (Name, u64, u64, Message) =
-            postcard::from_bytes(&sealed[5..]).map_err(|_| Fault::Malformed)?;
+            postcard::from_bytes(&sealed[5..]).map_err(|_| DatagramError::Malformed)?;
         let sound = |r: &Record| r.is_sound();
         let fine = match &message {
-            Message::Ping { rider, .. }
-            | Message::Ack { rider, .. }
-            | Message::Help { rider, .. }
-            | Message::Nack { rider, .. } => rider.rumours.iter().all(sound),
+            Message::Ping { piggyback: rider, .. }
+            | Message::Ack { piggyback: rider, .. }
+            | Message::PingRequest { piggyback: rider, .. }
+            | Message::Nack { piggyback: rider, .. } => rider.updates.iter().all(sound),
             Message::Records { records, .. } => records.iter().all(sound),
             Message::Hello { record, .. } | Message::Join { record, .. } => {
-                record.is_sound() && record.name == from && record.life == life && record.state.lives()
+                record.is_sound()
+                    && record.name == from
+                    && record.generation == life
+                    && record.state.is_alive()
             }
-            Message::Differs { .. } | Message::Cookie { .. } => true,
+            Message::DigestMismatch { .. } | Message::Cookie { .. } => true,
         };
-        if !fine || !(1..=MOST_NAME).contains(&from.len()) {
-            return Err(Fault::Malformed);
+        if !fine || !(1..=MAX_NAME_BYTES).contains(&from.len()) {
+            return Err(DatagramError::Malformed);
         }
-        Ok(Datagram { from, life, number, message })
+        Ok(Datagram { from, generation: life, number, message })
     }
 }
 
 /// How many bytes a record takes.
-pub(crate) fn size(record: &Record) -> usize {
-    postcard::to_stdvec(record).map_or(MOST_BYTES, |b| b.len())
+pub(crate) fn encoded_size(record: &Record) -> usize {
+    postcard::to_stdvec(record).map_or(MAX_DATAGRAM_BYTES, |b| b.len())
 }
--- a/crates/gateway/plan/src/lib.rs
+++ b/crates/gateway/plan/src/lib.rs
@@ -38,8 +38,8 @@
     /// Units a second, and the most units that the store holds.
     pub quota_rate: f64,
     pub quota_depth: f64,
-    pub ceiling_rate: f64,
-    pub ceiling_depth: f64,
+    pub hard_limit_rate: f64,
+    pub hard_limit_depth: f64,
     /// Attempts out at once.
     pub slots: f64,
 }
@@ -49,7 +49,7 @@
     pub fn of(&self, kind: usize) -> (f64, f64) {
         match kind {
             message::QUOTA => (self.quota_rate, self.quota_depth),
-            message::CEILING => (self.ceiling_rate, self.ceiling_depth),
+            message::HARD_LIMIT => (self.hard_limit_rate, self.hard_limit_depth),
             _ => (0.0, self.slots),
         }
     }
@@ -79,7 +79,7 @@
     /// By how much the rates of two monotonic clocks may differ, as a part: 0.01 is 1%.
     pub drift: f64,
     /// The longest that an attempt may be out.
-    pub attempt: Time,
+    pub max_attempt: Time,
     /// The most units of one request.
     pub most_units: f64,
     /// By plan, in the settings' order.
@@ -90,27 +90,27 @@
     /// Sensible figures for plans.
     pub fn new(seats: u16, plans: Vec<Allowance>) -> Self {
         const MS: Time = 1_000_000;
-        let (tick, lease, loan, attempt) = (50 * MS, 500 * MS, 1500 * MS, 3000 * MS);
-        Terms { seats, tick, lease, loan, drift: 0.01, attempt, most_units: 8.0, plans }
+        let (tick, lease, loan, max_attempt) = (50 * MS, 500 * MS, 1500 * MS, 3000 * MS);
+        Terms { seats, tick, lease, loan, drift: 0.01, max_attempt, most_units: 8.0, plans }
     }
 
     /// A lease's life at the forwarder, from when it sent the report: over before the planner's is.
-    pub fn lease_held(&self) -> Time {
+    pub fn lease_duration_at_forwarder(&self) -> Time {
         (self.lease as f64 * (1.0 - 2.0 * self.drift)) as Time
     }
 
     /// A loan's life at the forwarder, from when it took the latest grant: over after the planner's is.
-    pub fn loan_held(&self) -> Time {
+    pub fn loan_duration_at_forwarder(&self) -> Time {
         (self.loan as f64 * (1.0 + 2.0 * self.drift)) as Time
     }
 
     /// After so long, by any clock here, an attempt that was out elsewhere has surely ended.
-    pub fn attempt_over(&self) -> Time {
-        (self.attempt as f64 * (1.0 + 2.0 * self.drift)) as Time
+    pub fn max_attempt_duration(&self) -> Time {
+        (self.max_attempt as f64 * (1.0 + 2.0 * self.drift)) as Time
     }
 
     /// A seat's own share of an allowance: rate and depth. Slots are whole, so that some seats have one more.
-    pub fn own(&self, plan: usize, kind: usize, seat: u16) -> (f64, f64) {
+    pub fn seat_share(&self, plan: usize, kind: usize, seat: u16) -> (f64, f64) {
         let (rate, depth) = self.plans.get(plan).copied().unwrap_or_default().of(kind);
         let n = f64::from(self.seats.max(1));
         if kind == message::SLOTS {
@@ -124,7 +124,7 @@
     /// What a lease holds beyond its customer's demand, so that the next request need not wait: the largest
     /// request, but so little that all seats together hold half the store at the most while nothing is asked.
     pub fn margin(&self, plan: usize, kind: usize) -> f64 {
-        self.most_units.min(self.own(plan, kind, 0).1 / 2.0)
+        self.most_units.min(self.seat_share(plan, kind, 0).1 / 2.0)
     }
 
     /// # Errors
