--- a/crates/gateway/plan/src/message.rs
+++ b/crates/gateway/plan/src/message.rs
@@ -10,7 +10,7 @@
 
 /// What an allowance is of, by its place in an [`Amounts`].
 pub const QUOTA: usize = 0;
-pub const CEILING: usize = 1;
+pub const HARD_LIMIT: usize = 1;
 pub const SLOTS: usize = 2;
 
 /// Units of the quota, units of the hard ceiling, attempts out at once.
@@ -33,18 +33,18 @@
     /// From 1, one more with each report of this life.
     pub number: u64,
     /// The latest epoch of this planner that the forwarder knows of.
-    pub seen: u64,
+    pub known_epoch: u64,
     /// The planner's life that this is meant for, 0 if it is not known; and the latest grant taken from it.
     pub nonce: u64,
-    pub acked: u64,
+    pub acknowledged_grant: u64,
     /// Whether the forwarder's own share is with this planner: it spends from leases alone.
-    pub lent: bool,
+    pub is_lent: bool,
     /// How often it has lent its share so far: a lease belongs to one loan, and nothing of it to the next.
     pub loan: u64,
     /// For how long yet, in nanoseconds, attempts may be out that rest on its share of slots from elsewhere.
-    pub slots_in: u64,
+    pub slots_free_in: u64,
     /// Attempts that it has out now, for placement.
-    pub busy: f64,
+    pub attempts_in_flight: f64,
     pub entries: Vec<Entry>,
 }
 
@@ -76,11 +76,11 @@
     /// The report that it answers. Its leases live from when that was sent.
     pub report: u64,
     /// Whether the seat's share was with this planner already, from its life before: it may lend at once.
-    pub holds: bool,
+    pub is_already_lent: bool,
     /// The loan that the report spoke of.
     pub loan: u64,
     /// Placement: this forwarder's part of all work, 0 to 1; it keeps as much of each server's room.
-    pub share: f64,
+    pub work_share: f64,
     pub leases: Vec<Lease>,
 }
 
@@ -91,7 +91,7 @@
     /// All that was granted since the lease began.
     pub granted: Amounts,
     /// Whether it lives anew from this grant's report on; else it ends when it would have ended anyway.
-    pub renewed: bool,
+    pub is_renewed: bool,
     /// Whether the pool has no more to give: waiting for another grant is in vain.
-    pub dry: bool,
+    pub is_pool_empty: bool,
 }
--- a/crates/gateway/plan/src/planner.rs
+++ b/crates/gateway/plan/src/planner.rs
@@ -1,7 +1,7 @@
 //! The planner itself: seats, loans, and the pools of customers.
 
-use crate::message::{Grant, Instance, Lease, Report, Seat, CEILING, QUOTA, SLOTS};
-use crate::pool::{Pool, Shares, Whose};
+use crate::message::{Grant, Instance, Lease, Report, Seat, HARD_LIMIT, QUOTA, SLOTS};
+use crate::pool::{LeaseHolder, Pool, Shares};
 use crate::Terms;
 use interface::{Name, Time};
 use std::collections::{HashMap, VecDeque};
@@ -9,9 +9,9 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 /// Grants of which the time of sending is remembered, for each seat.
-const REMEMBERED: usize = 64;
+const MAX_REMEMBERED_GRANTS: usize = 64;
 /// How often pools are looked over for those that can be forgotten.
-const SWEEP: Time = 1_000_000_000;
+const SWEEP_INTERVAL: Time = 1_000_000_000;
 
 /// A report that is not answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,17 +19,17 @@
     /// No seat has this number.
     NoSeat(Seat),
     /// It is no later than one that was taken.
-    Old { seat: Seat, number: u64 },
+    OutdatedReport { seat: Seat, number: u64 },
     /// A figure is no figure, or below nothing, or a plan is unknown.
-    Figures(Seat),
+    InvalidFigures(Seat),
 }
 
 impl fmt::Display for Refused {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Refused::NoSeat(seat) => write!(f, "seat {seat}: there is none"),
-            Refused::Old { seat, number } => write!(f, "seat {seat}: report {number} is old"),
-            Refused::Figures(seat) => write!(f, "seat {seat}: figures that can't be"),
+            Refused::OutdatedReport { seat, number } => write!(f, "seat {seat}: report {number} is old"),
+            Refused::InvalidFigures(seat) => write!(f, "seat {seat}: figures that can't be"),
         }
     }
 }
@@ -41,7 +41,7 @@
     incarnation: u64,
     /// The latest report taken, and when.
     report: u64,
-    heard: Time,
+    last_heard_at: Time,
     /// The latest grant, and when the last ones were sent.
     grant: u64,
     sent: VecDeque<(u64, Time)>,
@@ -49,7 +49,7 @@
     loan: Option<(Time, Time)>,
     /// From when on its share of slots is free of what was begun on it elsewhere.
     slots_from: Time,
-    busy: f64,
+    attempts_in_flight: f64,
 }
 
 /// One customer as `GET /planner/state` shows it.
@@ -79,18 +79,18 @@
 
 pub struct Planner {
     terms: Terms,
-    me: Instance,
+    instance: Instance,
     seats: Vec<SeatState>,
     pools: HashMap<Name, Pool>,
     shares: Shares,
     /// Whether a seat's loan has changed in what the shares rest on.
-    stale: bool,
+    are_shares_stale: bool,
     /// The most customers that are kept.
-    most: usize,
+    max_customers: usize,
     next_lease: u64,
-    swept: Time,
+    swept_at: Time,
     /// When a customer was last turned away for want of room: what it has out is not counted anywhere.
-    turned_away: Option<Time>,
+    last_rejection_at: Option<Time>,
     panics: u64,
 }
 
@@ -105,15 +105,15 @@
         let me = Instance { nonce, epoch: 1 };
         Ok(Planner {
             terms,
-            me,
+            instance: me,
             seats,
             pools: HashMap::new(),
             shares: Shares::default(),
-            stale: true,
-            most,
+            are_shares_stale: true,
+            max_customers: most,
             next_lease: 0,
-            swept: 0,
-            turned_away: None,
+            swept_at: 0,
+            last_rejection_at: None,
             panics: 0,
         })
     }
@@ -124,7 +124,7 @@
     }
 
     pub fn instance(&self) -> Instance {
-        self.me
+        self.instance
     }
 
     /// Whether a seat's share is counted by leases granted now.
@@ -136,11 +136,11 @@
     /// loan's life and whenever a seat comes or goes; a report in between looks at its own seat alone.
     fn refresh(&mut self, now: Time) {
         let skipped = planted!("quiet-skipped");
-        if !self.stale && now <= self.shares.stands && !skipped {
+        if !self.are_shares_stale && now <= self.shares.valid_until && !skipped {
             return;
         }
         let mut shares = Shares { slots: vec![0.0; self.terms.plans.len()], ..Shares::default() };
-        shares.stands = Time::MAX;
+        shares.valid_until = Time::MAX;
         for (seat, s) in self.seats.iter().enumerate() {
             if !skipped && !self.counted(s, now) {
                 continue;
@@ -148,17 +148,17 @@
             let (since, until) = s.loan.filter(|_| !skipped).unwrap_or((0, Time::MAX));
             shares.lent.push((seat as Seat, since));
             shares.latest = shares.latest.max(since);
-            shares.busy += s.busy;
-            shares.stands = shares.stands.min(until - self.terms.lease);
+            shares.busy += s.attempts_in_flight;
+            shares.valid_until = shares.valid_until.min(until - self.terms.lease);
             if s.slots_from <= now || skipped {
                 for (plan, slots) in shares.slots.iter_mut().enumerate() {
-                    *slots += self.terms.own(plan, SLOTS, seat as Seat).1;
+                    *slots += self.terms.seat_share(plan, SLOTS, seat as Seat).1;
                 }
             } else {
-                shares.stands = shares.stands.min(s.slots_from - 1);
+                shares.valid_until = shares.valid_until.min(s.slots_from - 1);
             }
         }
-        (self.shares, self.stale) = (shares, false);
+        (self.shares, self.are_shares_stale) = (shares, false);
     }
 
     /// Answers a report.
@@ -173,8 +173,8 @@
             usize::from(e.plan) < self.terms.plans.len()
                 && e.spent.iter().chain(&e.returned).chain([&e.demand, &e.in_use]).all(good)
         };
-        if !good(&report.busy) || !report.entries.iter().all(sound) {
-            return Err(Refused::Figures(seat));
+        if !good(&report.attempts_in_flight) || !report.entries.iter().all(sound) {
+            return Err(Refused::InvalidFigures(seat));
         }
         if s.incarnation != report.incarnation {
             // Another life: it holds no lease. What its earlier one held runs out by itself.
@@ -182,23 +182,28 @@
             s.sent.clear();
         }
         if report.number <= s.report {
-            return Err(Refused::Old { seat, number: report.number });
+            return Err(Refused::OutdatedReport { seat, number: report.number });
         }
-        let (before, busy) = (s.loan, s.busy);
-        (s.report, s.heard, s.busy) = (report.number, now, s.busy + (report.busy - s.busy) / 4.0);
+        let (before, busy) = (s.loan, s.attempts_in_flight);
+        (s.report, s.last_heard_at, s.attempts_in_flight) = (
+            report.number,
+            now,
+            s.attempts_in_flight + (report.attempts_in_flight - s.attempts_in_flight) / 4.0,
+        );
         // A new life does not know what its earlier one's loan rested on: the later counts.
-        let slots_from = now + (report.slots_in as f64 * (1.0 + 2.0 * self.terms.drift)) as Time;
+        let slots_from = now + (report.slots_free_in as f64 * (1.0 + 2.0 * self.terms.drift)) as Time;
         // Of one that has passed already nothing changes for the shares.
-        self.stale |= slots_from > now && slots_from > s.slots_from;
+        self.are_shares_stale |= slots_from > now && slots_from > s.slots_from;
         s.slots_from = s.slots_from.max(slots_from);
-        if report.nonce != self.me.nonce && report.seen >= self.me.epoch {
-            self.me.epoch = report.seen + 1;
+        if report.nonce != self.instance.nonce && report.known_epoch >= self.instance.epoch {
+            self.instance.epoch = report.known_epoch + 1;
         }
         let holds = s.loan.is_some_and(|(_, until)| until >= now);
-        let mine = report.nonce == self.me.nonce && report.lent;
+        let mine = report.nonce == self.instance.nonce && report.is_lent;
         if mine || planted!("share-counted-unacked") {
             // From the sending of a grant that it has: it counts its loan from when that came, no sooner.
-            let sent = s.sent.iter().find(|(number, _)| *number == report.acked).map(|(_, at)| *at);
+            let sent =
+                s.sent.iter().find(|(number, _)| *number == report.acknowledged_grant).map(|(_, at)| *at);
             let sent = if planted!("share-counted-unacked") { Some(now) } else { sent };
             if let Some(sent) = sent {
                 let life =
@@ -212,15 +217,15 @@
             loan.filter(|(_, until)| *until >= now + self.terms.lease).map(|(since, _)| since)
         };
         // A loan that goes on changes nothing but how long it does.
-        self.stale |= counts(before) != counts(s.loan);
+        self.are_shares_stale |= counts(before) != counts(s.loan);
         if counts(before).is_some() {
-            self.shares.busy += s.busy - busy;
+            self.shares.busy += s.attempts_in_flight - busy;
         }
         let lends = mine && s.loan.is_some_and(|(_, until)| until >= now + self.terms.lease);
         s.grant += 1;
         let number = s.grant;
         s.sent.push_back((number, now));
-        if s.sent.len() > REMEMBERED {
+        if s.sent.len() > MAX_REMEMBERED_GRANTS {
             s.sent.pop_front();
         }
         self.refresh(now);
@@ -230,37 +235,37 @@
         let share = self.share(seat, &shares);
         self.shares = shares;
         Ok(Grant {
-            from: self.me,
+            from: self.instance,
             seat,
             incarnation: report.incarnation,
             number,
             report: report.number,
-            holds,
+            is_already_lent: holds,
             loan: report.loan,
-            share,
+            work_share: share,
             leases,
         })
     }
 
     fn leases(&mut self, now: Time, report: &Report, shares: &Shares) -> Vec<Lease> {
         let Report { seat, incarnation, loan, .. } = *report;
-        let whose = Whose { seat, incarnation, loan };
+        let whose = LeaseHolder { seat, incarnation, loan };
         let mut leases = Vec::with_capacity(report.entries.len());
         for entry in &report.entries {
             // Bounded: the rest go without until others have been forgotten.
-            if self.pools.len() >= self.most && !self.pools.contains_key(&entry.customer) {
-                self.turned_away = Some(now);
+            if self.pools.len() >= self.max_customers && !self.pools.contains_key(&entry.customer) {
+                self.last_rejection_at = Some(now);
                 continue;
             }
-            let (terms, turned_away) = (&self.terms, self.turned_away);
+            let (terms, turned_away) = (&self.terms, self.last_rejection_at);
             let pool = self.pools.entry(entry.customer.clone()).or_insert_with(|| {
                 let mut pool = Pool::new(entry.plan);
                 if let Some(at) = turned_away.filter(|_| !planted!("turned-away-uncounted")) {
-                    pool.hold_slots(at, terms);
+                    pool.reserve_all_slots(at, terms);
                 }
                 pool
             });
-            if !pool.open(now) {
+            if !pool.is_open(now) {
                 continue;
             }
             self.next_lease += 1;
@@ -268,7 +273,7 @@
             let made = catch_unwind(AssertUnwindSafe(|| {
                 // In this order: what was spent since made room only then, and none for the time before.
                 pool.advance(now, shares, terms);
-                pool.reported(whose, entry);
+                pool.apply_report(whose, entry);
                 pool.grant(now, whose, entry, fresh, shares, terms)
             }));
             match made {
@@ -288,15 +293,15 @@
         let n = shares.lent.len().max(1) as f64;
         let all = shares.busy.max(0.0);
         let even = all / n * 0.25 + 1e-3;
-        let own = self.seats[usize::from(seat)].busy;
+        let own = self.seats[usize::from(seat)].attempts_in_flight;
         ((own + even) / (all + even * n)).min(1.0)
     }
 
     fn sweep(&mut self, now: Time, shares: &Shares) {
-        if now.saturating_sub(self.swept) < SWEEP {
+        if now.saturating_sub(self.swept_at) < SWEEP_INTERVAL {
             return;
         }
-        self.swept = now;
+        self.swept_at = now;
         // A share that is lent and not counted just now may have been spent; a pool made anew could not know.
         let lent = self.seats.iter().filter(|s| s.loan.is_some_and(|(_, until)| until >= now)).count();
         if lent > shares.lent.len() {
@@ -305,7 +310,7 @@
         let terms = &self.terms;
         self.pools.retain(|_, pool| {
             pool.advance(now, shares, terms);
-            !pool.full(shares, terms)
+            !pool.is_full(shares, terms)
         });
     }
 
@@ -316,7 +321,7 @@
         let (mut customers, terms) = (Vec::new(), &self.terms);
         for (customer, pool) in &mut self.pools {
             pool.advance(now, &shares, terms);
-            let all = |of: &dyn Fn(usize) -> f64| [of(QUOTA), of(CEILING), of(SLOTS)];
+            let all = |of: &dyn Fn(usize) -> f64| [of(QUOTA), of(HARD_LIMIT), of(SLOTS)];
             customers.push(CustomerState {
                 customer: customer.clone(),
                 plan: pool.plan,
@@ -327,10 +332,10 @@
             });
         }
         customers.sort_by(|a, b| a.customer.cmp(&b.customer));
-        let alive = |s: &SeatState| s.report > 0 && now.saturating_sub(s.heard) <= self.terms.loan;
+        let alive = |s: &SeatState| s.report > 0 && now.saturating_sub(s.last_heard_at) <= self.terms.loan;
         let seats = self.seats.iter().enumerate();
         PlannerState {
-            instance: self.me,
+            instance: self.instance,
             seats: self.terms.seats,
             lent: shares.lent.iter().map(|(seat, _)| *seat).collect(),
             alive: seats.filter(|(_, s)| alive(s)).map(|(n, _)| n as Seat).collect(),
--- a/crates/gateway/plan/src/pool.rs
+++ b/crates/gateway/plan/src/pool.rs
@@ -1,6 +1,6 @@
 //! One customer's pool: what is left of the lent shares, and who holds leases of it.
 
-use crate::message::{Amounts, Entry, Lease, Seat, CEILING, QUOTA, SLOTS};
+use crate::message::{Amounts, Entry, Lease, Seat, HARD_LIMIT, QUOTA, SLOTS};
 use crate::Terms;
 use interface::Time;
 
@@ -16,7 +16,7 @@
     /// What they have out now, all together.
     pub busy: f64,
     /// Until when all of this stands, if no seat begins or ends a loan.
-    pub stands: Time,
+    pub valid_until: Time,
 }
 
 impl Shares {
@@ -33,13 +33,13 @@
         if kind == SLOTS {
             return self.slots.get(plan).copied().unwrap_or(0.0);
         }
-        terms.own(plan, kind, 0).1 * self.lent.len() as f64
+        terms.seat_share(plan, kind, 0).1 * self.lent.len() as f64
     }
 }
 
 /// Who holds a lease: a seat, in one life, for one loan. What another loan says of it counts for nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Whose {
+pub(crate) struct LeaseHolder {
     pub seat: Seat,
     pub incarnation: u64,
     pub loan: u64,
@@ -47,8 +47,8 @@
 
 /// A lease that a seat holds.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
-    pub whose: Whose,
+pub(crate) struct HeldLease {
+    pub holder: LeaseHolder,
     pub lease: u64,
     pub granted: Amounts,
     spent: Amounts,
@@ -56,10 +56,10 @@
     pub until: Time,
     demand: f64,
     /// Whether a report has named it. Until then the grant that offers it may be on its way, or lost.
-    named: bool,
+    is_confirmed: bool,
 }
 
-impl Held {
+impl HeldLease {
     /// What may yet be spent of it, or is held of it.
     fn outstanding(&self, kind: usize) -> f64 {
         (self.granted[kind] - self.spent[kind] - self.returned[kind]).max(0.0)
@@ -69,9 +69,9 @@
 /// Slots on which attempts may still be out though no lease covers them: of a lease that has ended, or in use
 /// before one began. They count until the attempts have surely ended, and nothing new begins on them.
 #[derive(Clone, Debug)]
-struct Ended {
+struct EndedLease {
     /// None: nobody knows any more.
-    whose: Option<Whose>,
+    holder: Option<LeaseHolder>,
     /// The lease that has ended, or 0.
     lease: u64,
     granted: f64,
@@ -82,21 +82,28 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
     pub plan: u16,
-    at: Time,
+    updated_at: Time,
     level: Amounts,
-    pub leases: Vec<Held>,
-    ended: Vec<Ended>,
+    pub leases: Vec<HeldLease>,
+    ended_leases: Vec<EndedLease>,
     /// Nothing is granted before then, since what was is not known any more.
-    closed: Time,
+    closed_until: Time,
 }
 
 /// For how many ticks of its demand a seat holds a lease.
-const HORIZON: f64 = 4.0;
+const DEMAND_TICKS: f64 = 4.0;
 
 impl Pool {
     pub fn new(plan: u16) -> Self {
         // As old as time: it has been filling since each share was lent.
-        Pool { plan, at: 0, level: [0.0; 3], leases: Vec::new(), ended: Vec::new(), closed: 0 }
+        Pool {
+            plan,
+            updated_at: 0,
+            level: [0.0; 3],
+            leases: Vec::new(),
+            ended_leases: Vec::new(),
+            closed_until: 0,
+        }
     }
 
     /// A pool of which everything is forgotten but that leases may be out: as if all of it had just been lent.
@@ -106,33 +113,33 @@
         if planted!("forgotten-begins-full") {
             return pool;
         }
-        (pool.closed, pool.at) = (now + terms.lease, now + terms.lease);
-        pool.hold_slots(pool.closed, terms);
+        (pool.closed_until, pool.updated_at) = (now + terms.lease, now + terms.lease);
+        pool.reserve_all_slots(pool.closed_until, terms);
         pool
     }
 
     /// Holds all slots back: attempts that nobody counted may have begun on them until then.
-    pub fn hold_slots(&mut self, begun: Time, terms: &Terms) {
+    pub fn reserve_all_slots(&mut self, begun: Time, terms: &Terms) {
         let slots = terms.plans.get(usize::from(self.plan)).map_or(0.0, |p| p.slots);
         if slots > 0.0 {
-            let until = begun + terms.attempt_over();
-            self.ended.push(Ended { whose: None, lease: 0, granted: slots, slots, until });
+            let until = begun + terms.max_attempt_duration();
+            self.ended_leases.push(EndedLease { holder: None, lease: 0, granted: slots, slots, until });
         }
     }
 
     /// Whether it grants anything yet.
-    pub fn open(&self, now: Time) -> bool {
-        now > self.closed || self.closed == 0
+    pub fn is_open(&self, now: Time) -> bool {
+        now > self.closed_until || self.closed_until == 0
     }
 
-    fn held_back(&self) -> f64 {
-        self.ended.iter().map(|e| e.slots).sum()
+    fn reserved_slots(&self) -> f64 {
+        self.ended_leases.iter().map(|e| e.slots).sum()
     }
 
     /// What a seat may have out: the slots of its leases, and of those that have ended.
-    fn covered(&self, whose: Whose) -> f64 {
-        let held = self.leases.iter().filter(|h| h.whose == whose).map(|h| h.outstanding(SLOTS));
-        held.chain(self.ended.iter().filter(|e| e.whose == Some(whose)).map(|e| e.slots)).sum()
+    fn covered(&self, whose: LeaseHolder) -> f64 {
+        let held = self.leases.iter().filter(|h| h.holder == whose).map(|h| h.outstanding(SLOTS));
+        held.chain(self.ended_leases.iter().filter(|e| e.holder == Some(whose)).map(|e| e.slots)).sum()
     }
 
     pub fn outstanding(&self, kind: usize) -> f64 {
@@ -147,83 +154,90 @@
     fn fill(&mut self, then: Time, shares: &Shares, terms: &Terms) {
         let secs = |from: Time| then.saturating_sub(from) as f64 / 1e9;
         let plan = usize::from(self.plan);
-        let stayed = shares.by(self.at);
+        let stayed = shares.by(self.updated_at);
         let come: Vec<Time> = if stayed < shares.lent.len() {
-            shares.lent.iter().map(|l| l.1).filter(|since| (self.at + 1..=then).contains(since)).collect()
+            shares
+                .lent
+                .iter()
+                .map(|l| l.1)
+                .filter(|since| (self.updated_at + 1..=then).contains(since))
+                .collect()
         } else {
             Vec::new()
         };
-        for kind in [QUOTA, CEILING] {
-            let (rate, depth) = terms.own(plan, kind, 0);
+        for kind in [QUOTA, HARD_LIMIT] {
+            let (rate, depth) = terms.seat_share(plan, kind, 0);
             // Leases that are out count as unspent: whatever they hold and the level fit the shares together.
             let out = self.outstanding(kind);
             let fit = |level: f64, seats: usize| level.min((depth * seats as f64 - out).max(0.0));
             // A seat that has lent anew since was in its owner's hands meanwhile: what the pool held of its
             // share is gone, and it begins to fill again from then on.
-            let level = fit(self.level[kind] + rate * secs(self.at) * stayed as f64, stayed);
+            let level = fit(self.level[kind] + rate * secs(self.updated_at) * stayed as f64, stayed);
             let anew: f64 = come.iter().map(|since| rate * secs(*since)).sum();
             self.level[kind] = fit(level + anew, stayed + come.len());
         }
-        self.at = then;
+        self.updated_at = then;
     }
 
     /// Brings the pool up to now: leases that have ended are gone with what they held, and the shares fill it.
     pub fn advance(&mut self, now: Time, shares: &Shares, terms: &Terms) {
-        if !self.open(now) {
+        if !self.is_open(now) {
             return;
         }
         // In order: until a lease ends, what it holds leaves that much less room to fill.
-        while let Some(n) = self.next_end(now) {
-            self.fill(self.leases[n].until.max(self.at), shares, terms);
+        while let Some(n) = self.next_expired_lease(now) {
+            self.fill(self.leases[n].until.max(self.updated_at), shares, terms);
             let over = self.leases.swap_remove(n);
             // It may have spent everything in silence; attempts that it began may still be out.
             let slots = over.outstanding(SLOTS);
             if slots > 0.0 {
-                let Held { whose, lease, granted, .. } = over;
-                let until = over.until + terms.attempt_over();
+                let HeldLease { holder: whose, lease, granted, .. } = over;
+                let until = over.until + terms.max_attempt_duration();
                 let granted = granted[SLOTS];
-                self.ended.push(Ended { whose: Some(whose), lease, granted, slots, until });
+                self.ended_leases.push(EndedLease { holder: Some(whose), lease, granted, slots, until });
             }
             if planted!("expired-comes-back") {
                 self.level[QUOTA] += over.outstanding(QUOTA);
-                self.level[CEILING] += over.outstanding(CEILING);
+                self.level[HARD_LIMIT] += over.outstanding(HARD_LIMIT);
             }
         }
         self.fill(now, shares, terms);
-        self.ended.retain(|e| e.until >= now && e.slots > 0.0);
-        self.level[SLOTS] = self.room(shares, terms).max(0.0).floor();
+        self.ended_leases.retain(|e| e.until >= now && e.slots > 0.0);
+        self.level[SLOTS] = self.free_slots(shares, terms).max(0.0).floor();
     }
 
     /// Slots that nothing holds; below nothing when shares have been withdrawn on which something still rests.
-    fn room(&self, shares: &Shares, terms: &Terms) -> f64 {
-        shares.depth(terms, usize::from(self.plan), SLOTS) - self.outstanding(SLOTS) - self.held_back()
+    fn free_slots(&self, shares: &Shares, terms: &Terms) -> f64 {
+        shares.depth(terms, usize::from(self.plan), SLOTS) - self.outstanding(SLOTS) - self.reserved_slots()
     }
 
     /// The lease that ended first, if one has.
-    fn next_end(&self, now: Time) -> Option<usize> {
+    fn next_expired_lease(&self, now: Time) -> Option<usize> {
         let over = self.leases.iter().enumerate().filter(|(_, h)| h.until < now);
         over.min_by_key(|(_, h)| h.until).map(|(n, _)| n)
     }
 
     /// Whether it holds all that it can: forgotten and made anew, it would be the same.
-    pub fn full(&self, shares: &Shares, terms: &Terms) -> bool {
+    pub fn is_full(&self, shares: &Shares, terms: &Terms) -> bool {
         let plan = usize::from(self.plan);
         let full = |kind| self.level[kind] >= shares.depth(terms, plan, kind);
-        self.leases.is_empty() && self.ended.is_empty() && full(QUOTA) && full(CEILING)
+        self.leases.is_empty() && self.ended_leases.is_empty() && full(QUOTA) && full(HARD_LIMIT)
     }
 
     /// Takes in what a seat says of its lease. Counters never run back, nor past what was granted.
-    pub fn reported(&mut self, whose: Whose, entry: &Entry) {
+    pub fn apply_report(&mut self, whose: LeaseHolder, entry: &Entry) {
         // Of a lease that has ended its holder gives back what nothing is out on any more.
-        if let Some(e) = self.ended.iter_mut().find(|e| e.whose == Some(whose) && e.lease == entry.lease) {
+        if let Some(e) =
+            self.ended_leases.iter_mut().find(|e| e.holder == Some(whose) && e.lease == entry.lease)
+        {
             e.slots = e.slots.min((e.granted - entry.returned[SLOTS]).max(0.0));
             return;
         }
-        let Some(held) = self.leases.iter_mut().find(|h| h.whose == whose && h.lease == entry.lease) else {
+        let Some(held) = self.leases.iter_mut().find(|h| h.holder == whose && h.lease == entry.lease) else {
             return;
         };
-        held.named = true;
-        for kind in [QUOTA, CEILING, SLOTS] {
+        held.is_confirmed = true;
+        for kind in [QUOTA, HARD_LIMIT, SLOTS] {
             // What was taken in stands, also where sums of fractions round past each other.
             let most = held.granted[kind] - held.returned[kind];
             let spent = if planted!("clamp-panics") {
@@ -247,10 +261,10 @@
 
     /// Whether the leases that are out fit the shares: not when one has just been withdrawn. Leases are not
     /// renewed then, so that none rests on it when its owner spends it again.
-    fn fits(&self, shares: &Shares, terms: &Terms) -> bool {
+    fn fits_shares(&self, shares: &Shares, terms: &Terms) -> bool {
         let plan = usize::from(self.plan);
-        let held = self.held_back();
-        [(QUOTA, 0.0), (CEILING, 0.0), (SLOTS, held)].into_iter().all(|(kind, held)| {
+        let held = self.reserved_slots();
+        [(QUOTA, 0.0), (HARD_LIMIT, 0.0), (SLOTS, held)].into_iter().all(|(kind, held)| {
             let out = self.outstanding(kind) + held;
             out <= 1e-9 || out <= shares.depth(terms, plan, kind) + 1e-9
         })
@@ -260,20 +274,21 @@
     pub fn grant(
         &mut self,
         now: Time,
-        whose: Whose,
+        whose: LeaseHolder,
         entry: &Entry,
         fresh: u64,
         shares: &Shares,
         terms: &Terms,
     ) -> Lease {
         let until = now + terms.lease;
-        let fits = self.fits(shares, terms) || planted!("renewed-beyond-shares");
+        let fits = self.fits_shares(shares, terms) || planted!("renewed-beyond-shares");
         // One that its holder has not heard of yet is offered again; of one that it has forgotten it can't say
         // what it spent, and a new one begins.
-        let offered = |h: &Held| h.lease > entry.lease && (!h.named || planted!("forgotten-offered-again"));
+        let offered =
+            |h: &HeldLease| h.lease > entry.lease && (!h.is_confirmed || planted!("forgotten-offered-again"));
         let known =
-            self.leases.iter().position(|h| h.whose == whose && (h.lease == entry.lease || offered(h)));
-        let n = known.unwrap_or_else(|| self.begin(now, whose, entry, fresh, until, terms));
+            self.leases.iter().position(|h| h.holder == whose && (h.lease == entry.lease || offered(h)));
+        let n = known.unwrap_or_else(|| self.begin_lease(now, whose, entry, fresh, until, terms));
         let renewed = fits || known.is_none();
         if renewed {
             self.leases[n].until = until;
@@ -281,11 +296,11 @@
         self.leases[n].demand = entry.demand;
         let all: f64 = self.leases.iter().map(|h| h.demand).sum();
         let part = if all > 0.0 { entry.demand / all } else { 0.0 };
-        let ticks = terms.tick as f64 / 1e9 * HORIZON;
+        let ticks = terms.tick as f64 / 1e9 * DEMAND_TICKS;
         let plan = usize::from(self.plan);
         let mut dry = false;
-        for kind in [QUOTA, CEILING] {
-            let (rate, depth) = terms.own(plan, kind, 0);
+        for kind in [QUOTA, HARD_LIMIT] {
+            let (rate, depth) = terms.seat_share(plan, kind, 0);
             if rate <= 0.0 || entry.demand <= 0.0 {
                 continue;
             }
@@ -305,7 +320,7 @@
         if terms.plans.get(plan).is_some_and(|p| p.limits(SLOTS)) && entry.demand > 0.0 {
             let wanted = (1.5 * entry.in_use + 2.0).ceil();
             if renewed {
-                self.take_up(n, wanted, shares, terms);
+                self.reclaim_slots(n, wanted, shares, terms);
             }
             let short = wanted - self.leases[n].outstanding(SLOTS);
             let given = short.min(self.level[SLOTS]).max(0.0).floor();
@@ -313,17 +328,17 @@
             self.leases[n].granted[SLOTS] += given;
             dry |= self.leases[n].outstanding(SLOTS) <= entry.in_use;
         }
-        let Held { lease, granted, .. } = self.leases[n];
-        Lease { customer: entry.customer.clone(), lease, granted, renewed, dry }
+        let HeldLease { lease, granted, .. } = self.leases[n];
+        Lease { customer: entry.customer.clone(), lease, granted, is_renewed: renewed, is_pool_empty: dry }
     }
 
     /// A new lease, with nothing to spend but slots for what its holder has out already and is not counted yet:
     /// as many as the pool has free. The others count until those attempts have ended, but nothing new may begin
     /// on them: what they rest on may be another's by then.
-    fn begin(
+    fn begin_lease(
         &mut self,
         now: Time,
-        whose: Whose,
+        whose: LeaseHolder,
         entry: &Entry,
         lease: u64,
         until: Time,
@@ -341,24 +356,40 @@
         self.level[SLOTS] = (self.level[SLOTS] - free).max(0.0);
         let (granted, rest) = ([0.0, 0.0, free], slots - free);
         if rest > 0.0 {
-            let until = now + terms.attempt_over();
-            self.ended.push(Ended { whose: Some(whose), lease: 0, granted: rest, slots: rest, until });
+            let until = now + terms.max_attempt_duration();
+            self.ended_leases.push(EndedLease {
+                holder: Some(whose),
+                lease: 0,
+                granted: rest,
+                slots: rest,
+                until,
+            });
         }
         let (spent, returned) = ([0.0; 3], [0.0; 3]);
-        self.leases.push(Held { whose, lease, granted, spent, returned, until, demand: 0.0, named: false });
+        self.leases.push(HeldLease {
+            holder: whose,
+            lease,
+            granted,
+            spent,
+            returned,
+            until,
+            demand: 0.0,
+            is_confirmed: false,
+        });
         self.leases.len() - 1
     }
 
     /// Takes up into a lease what its holder's earlier ones left held back, as far as all that is counted fits
     /// the shares: the attempts are the same, wherever they are counted.
-    fn take_up(&mut self, n: usize, wanted: f64, shares: &Shares, terms: &Terms) {
-        let over = (-self.room(shares, terms)).max(0.0).ceil();
+    fn reclaim_slots(&mut self, n: usize, wanted: f64, shares: &Shares, terms: &Terms) {
+        let over = (-self.free_slots(shares, terms)).max(0.0).ceil();
         let over = if planted!("withdrawn-taken-up") { 0.0 } else { over };
         let held = &mut self.leases[n];
-        let mine = |e: &&mut Ended| e.whose == Some(held.whose);
-        let all: f64 = self.ended.iter().filter(|e| e.whose == Some(held.whose)).map(|e| e.slots).sum();
+        let mine = |e: &&mut EndedLease| e.holder == Some(held.holder);
+        let all: f64 =
+            self.ended_leases.iter().filter(|e| e.holder == Some(held.holder)).map(|e| e.slots).sum();
         let mut most = (wanted - held.outstanding(SLOTS)).min(all - over).max(0.0).floor();
-        for e in self.ended.iter_mut().filter(mine) {
+        for e in self.ended_leases.iter_mut().filter(mine) {
             let part = e.slots.min(most);
             (e.slots, e.granted, most) = (e.slots - part, e.granted - part, most - part);
             held.granted[SLOTS] += part;
--- a/crates/gateway/plan/src/wire.rs
+++ b/crates/gateway/plan/src/wire.rs
@@ -296,10 +296,13 @@
 fn write_report(r: &Report, version: u8) -> Vec<u8> {
     let mut out = Vec::with_capacity(64 + r.entries.len() * 110);
     out.extend_from_slice(&r.seat.to_be_bytes());
-    put_numbers(&mut out, &[r.incarnation, r.number, r.seen, r.nonce, r.acked, r.loan, r.slots_in]);
-    out.push(u8::from(r.lent));
+    put_numbers(
+        &mut out,
+        &[r.incarnation, r.number, r.known_epoch, r.nonce, r.acknowledged_grant, r.loan, r.slots_free_in],
+    );
+    out.push(u8::from(r.is_lent));
     if version >= 2 {
-        put_figures(&mut out, &[r.busy]);
+        put_figures(&mut out, &[r.attempts_in_flight]);
     }
     let entries = &r.entries[..r.entries.len().min(MOST_ENTRIES)];
     out.extend_from_slice(&(entries.len() as u16).to_be_bytes());
@@ -329,7 +332,19 @@
         entries.push(Entry { customer, plan, lease, spent, returned, demand, in_use });
     }
     r.end()?;
-    Ok(Report { seat, incarnation, number, seen, nonce, acked, lent, loan, slots_in, busy, entries })
+    Ok(Report {
+        seat,
+        incarnation,
+        number,
+        known_epoch: seen,
+        nonce,
+        acknowledged_grant: acked,
+        is_lent: lent,
+        loan,
+        slots_free_in: slots_in,
+        attempts_in_flight: busy,
+        entries,
+    })
 }
 
 fn write_grant(g: &Grant, version: u8) -> Vec<u8> {
@@ -337,9 +352,9 @@
     put_numbers(&mut out, &[g.from.nonce, g.from.epoch]);
     out.extend_from_slice(&g.seat.to_be_bytes());
     put_numbers(&mut out, &[g.incarnation, g.number, g.report, g.loan]);
-    out.push(u8::from(g.holds));
+    out.push(u8::from(g.is_already_lent));
     if version >= 2 {
-        put_figures(&mut out, &[g.share]);
+        put_figures(&mut out, &[g.work_share]);
     }
     let leases = &g.leases[..g.leases.len().min(MOST_ENTRIES)];
     out.extend_from_slice(&(leases.len() as u16).to_be_bytes());
@@ -347,8 +362,8 @@
         put_name(&mut out, &l.customer);
         put_numbers(&mut out, &[l.lease]);
         put_figures(&mut out, &l.granted);
-        out.push(u8::from(l.renewed));
-        out.push(u8::from(l.dry));
+        out.push(u8::from(l.is_renewed));
+        out.push(u8::from(l.is_pool_empty));
     }
     out
 }
@@ -366,8 +381,18 @@
     for _ in 0..count {
         let (customer, lease) = (r.name()?, r.u64()?);
         let (granted, renewed, dry) = (r.amounts()?, r.flag()?, r.flag()?);
-        leases.push(Lease { customer, lease, granted, renewed, dry });
+        leases.push(Lease { customer, lease, granted, is_renewed: renewed, is_pool_empty: dry });
     }
     r.end()?;
-    Ok(Grant { from, seat, incarnation, number, report, holds, loan, share, leases })
+    Ok(Grant {
+        from,
+        seat,
+        incarnation,
+        number,
+        report,
+        is_already_lent: holds,
+        loan,
+        work_share: share,
+        leases,
+    })
 }
--- a/crates/gateway/plan/tests/wire.rs
+++ b/crates/gateway/plan/tests/wire.rs
@@ -21,20 +21,25 @@
         seat,
         incarnation,
         number,
-        seen,
+        known_epoch: seen,
         nonce,
-        acked,
-        lent: true,
+        acknowledged_grant: acked,
+        is_lent: true,
         loan: 3,
-        slots_in: 5,
-        busy: 7.0,
+        slots_free_in: 5,
+        attempts_in_flight: 7.0,
         entries: vec![entry],
     })
 }
 
 fn grant() -> Message {
-    let lease =
-        Lease { customer: "c-1".into(), lease: 4, granted: [9.0, 8.0, 7.0], renewed: true, dry: true };
+    let lease = Lease {
+        customer: "c-1".into(),
+        lease: 4,
+        granted: [9.0, 8.0, 7.0],
+        is_renewed: true,
+        is_pool_empty: true,
+    };
     let from = Instance { nonce: 88, epoch: 2 };
     let (seat, incarnation, number, report) = (2, 77, 6, 9);
     Message::Grant(Grant {
@@ -43,9 +48,9 @@
         incarnation,
         number,
         report,
-        holds: true,
+        is_already_lent: true,
         loan: 3,
-        share: 0.5,
+        work_share: 0.5,
         leases: vec![lease],
     })
 }
@@ -83,10 +88,12 @@
         let (mut f, mut p) = pair(versions, (KEY, KEY)).expect("they agree on the older");
         let bytes = f.seal(&report(1));
         let got = p.receive(&bytes).expect("sound");
-        assert!(matches!(&got[..], [Message::Report(r)] if r.busy == 0.0 && r.entries.len() == 1));
+        assert!(
+            matches!(&got[..], [Message::Report(r)] if r.attempts_in_flight == 0.0 && r.entries.len() == 1)
+        );
         let bytes = p.seal(&grant());
         let got = f.receive(&bytes).expect("sound");
-        assert!(matches!(&got[..], [Message::Grant(g)] if g.share > 1.0 && g.leases.len() == 1));
+        assert!(matches!(&got[..], [Message::Grant(g)] if g.work_share > 1.0 && g.leases.len() == 1));
     }
 }
 
--- a/crates/gateway/proxy/src/backends/answer.rs
+++ b/crates/gateway/proxy/src/backends/answer.rs
@@ -7,7 +7,7 @@
 use hyper::http::response::Parts;
 use hyper::{Response, StatusCode};
 use interface::{Ending, Load, Name};
-use lifecycle::upstream::{Begins, Echo};
+use lifecycle::upstream::{Echo, ExecutionStart};
 use std::time::Duration;
 
 /// How an attempt ended and what came back.
@@ -18,7 +18,7 @@
     /// A backend's own failure: it is passed on if the request ends as failed, but not before.
     pub failure: Option<Served>,
     /// The status by which a backend found fault with the request itself: no other would take it.
-    pub turned: Option<StatusCode>,
+    pub rejected: Option<StatusCode>,
     pub settled: f64,
     pub metered: Option<f64>,
     pub load: Option<Load>,
@@ -26,7 +26,7 @@
 
 /// The bytes of an answer.
 pub enum Content {
-    Whole(Bytes),
+    Complete(Bytes),
     /// Still to come.
     Stream(Stream),
 }
@@ -41,7 +41,15 @@
 
 impl Outcome {
     pub fn without_answer(ending: Ending) -> Self {
-        Outcome { ending, served: None, failure: None, turned: None, settled: 0.0, metered: None, load: None }
+        Outcome {
+            ending,
+            served: None,
+            failure: None,
+            rejected: None,
+            settled: 0.0,
+            metered: None,
+            load: None,
+        }
     }
 }
 
@@ -51,8 +59,8 @@
     fn stamp(&self, headers: &mut HeaderMap, wait: Duration, server: &Name);
 
     /// From how much of a request on a backend may have begun to work on it.
-    fn begins(&self) -> Begins {
-        Begins::Whole
+    fn begins(&self) -> ExecutionStart {
+        ExecutionStart::FullRequest
     }
 
     /// Whether the answer with this head bears this request's id.
--- a/crates/gateway/proxy/src/backends/connection.rs
+++ b/crates/gateway/proxy/src/backends/connection.rs
@@ -1,7 +1,7 @@
 //! A connection to a backend. It is polled by the attempt that uses it and by nothing while it is idle.
 
 use super::upload::Sent;
-use super::{Note, Progress};
+use super::{AttemptStage, Progress};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -23,16 +23,16 @@
 use tokio::net::TcpStream;
 
 /// A connection's place in the descriptor budget.
-pub(super) struct Slot(Rc<Cell<usize>>);
+pub(super) struct ConnectionSlot(Rc<Cell<usize>>);
 
-impl Slot {
+impl ConnectionSlot {
     pub(super) fn new(open: Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
-        Slot(open)
+        ConnectionSlot(open)
     }
 }
 
-impl Drop for Slot {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -42,41 +42,41 @@
 
 pub(super) struct Connection {
     pub(super) sender: Sender,
-    pub(super) io: http1::Connection<Counted, Sent>,
-    pub(super) closed: bool,
-    pub(super) link: Rc<Link>,
+    pub(super) io: http1::Connection<CountingSocket, Sent>,
+    pub(super) is_closed: bool,
+    pub(super) state: Rc<ConnectionState>,
     pub(super) address: SocketAddr,
-    pub(super) line: Upstream,
+    pub(super) upstream: Upstream,
     /// It is used for so long after its last answer.
-    pub(super) rest: Time,
-    pub(super) _slot: Slot,
+    pub(super) max_idle: Time,
+    pub(super) _slot: ConnectionSlot,
 }
 
 impl Connection {
     /// Whether it can take another request. Looks for the other side's close, and for bytes that belong to
     /// no request, first.
-    pub(super) fn reusable(&mut self) -> bool {
-        self.link.idle.set(true);
+    pub(super) fn is_reusable(&mut self) -> bool {
+        self.state.idle.set(true);
         let mut cx = Context::from_waker(Waker::noop());
-        self.closed = self.closed || Pin::new(&mut self.io).poll(&mut cx).is_ready();
-        if self.closed || !self.sender.is_ready() {
-            self.line.disturbed();
+        self.is_closed = self.is_closed || Pin::new(&mut self.io).poll(&mut cx).is_ready();
+        if self.is_closed || !self.sender.is_ready() {
+            self.upstream.on_unexpected_bytes();
         }
-        !self.line.is_closed()
+        !self.upstream.is_closed()
     }
 
-    pub(super) async fn answer(
+    pub(super) async fn send_request(
         &mut self,
         request: Request<Sent>,
     ) -> Option<hyper::Result<Response<Incoming>>> {
         let answer = self.sender.send_request(request);
-        drive(&mut self.io, &mut self.closed, answer).await
+        drive(&mut self.io, &mut self.is_closed, answer).await
     }
 }
 
 /// Whether the other side ended the connection in the middle of an answer; otherwise what it sent can't be
 /// read.
-pub(super) fn broke_off(error: &(dyn Error + 'static)) -> bool {
+pub(super) fn is_interrupted(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(e) = cause {
         if let Some(e) = e.downcast_ref::<io::Error>() {
@@ -92,7 +92,7 @@
 
 /// Polls a connection along with what waits for it. None if the connection ended and left it waiting.
 pub(super) async fn drive<F: Future>(
-    io: &mut http1::Connection<Counted, Sent>,
+    io: &mut http1::Connection<CountingSocket, Sent>,
     closed: &mut bool,
     waiting: F,
 ) -> Option<F::Output> {
@@ -110,32 +110,32 @@
 
 /// What a connection's owner and its socket share.
 #[derive(Default)]
-pub(super) struct Link {
+pub(super) struct ConnectionState {
     /// Of the current attempt.
     pub(super) progress: RefCell<Rc<Progress>>,
     pub(super) idle: Cell<bool>,
 }
 
 /// A socket that counts what passes on the current attempt's account.
-pub(super) struct Counted {
+pub(super) struct CountingSocket {
     pub(super) io: TokioIo<TcpStream>,
-    pub(super) link: Rc<Link>,
+    pub(super) link: Rc<ConnectionState>,
 }
 
-impl Counted {
+impl CountingSocket {
     fn count(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = &written {
             let progress = self.link.progress.borrow();
             progress.written.set(progress.written.get() + n);
             if progress.may_have_run() {
-                progress.note(Note::Written);
+                progress.report_stage(AttemptStage::Written);
             }
         }
         written
     }
 }
 
-impl Read for Counted {
+impl Read for CountingSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -154,15 +154,15 @@
         let read = Pin::new(&mut self.io).poll_read(cx, buf);
         if matches!(read, Poll::Ready(Ok(()))) {
             let progress = self.link.progress.borrow();
-            progress.note(Note::Answering);
-            progress.begun.store(true, Relaxed);
-            progress.news.notify_one();
+            progress.report_stage(AttemptStage::Answering);
+            progress.has_answer_begun.store(true, Relaxed);
+            progress.activity.notify_one();
         }
         read
     }
 }
 
-impl Write for Counted {
+impl Write for CountingSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.io).poll_write(cx, buf);
         self.count(written)
--- a/crates/gateway/proxy/src/backends/mod.rs
+++ b/crates/gateway/proxy/src/backends/mod.rs
@@ -14,18 +14,18 @@
 mod upload;
 
 pub use answer::{Content, Outcome, Served, Wire};
-pub use attempt::Exchanged;
-pub use progress::{Note, Progress};
+pub use attempt::ExchangeResult;
+pub use progress::{AttemptStage, Progress};
 pub use relay::Stream;
 pub use request::Outgoing;
 pub use upload::{Open, Upload};
 
 use crate::list::{State, Target};
-use connection::{Connection, Counted, Link, Slot};
+use connection::{Connection, ConnectionSlot, ConnectionState, CountingSocket};
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use interface::{Name, Scope, Time};
-use lifecycle::upstream::Freshness;
+use lifecycle::upstream::IdleLimit;
 use lifecycle::Upstream;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -37,19 +37,19 @@
 use tokio::time::{interval, timeout, Instant};
 
 /// The longest answer that is awaited whole, so that another attempt can take the place of a broken one.
-pub const WHOLE: usize = 64 << 10;
+pub const MAX_BUFFERED_ANSWER: usize = 64 << 10;
 /// The largest body on either side.
 pub const MAX_BODY: usize = 32 << 20;
-const REAP_EVERY: Duration = Duration::from_secs(1);
+const REAP_INTERVAL: Duration = Duration::from_secs(1);
 /// An answer that has begun and of which nothing more comes for this long never will be whole, or is not worth
 /// the wait; one of no stated length that has been coming for so long is passed on as it comes.
-const ANSWER_TIME: Duration = Duration::from_millis(250);
-/// Backends that were seen to forget an idle connection are believed to for so long, and it tells nothing that one was lost
-/// that had rested for less than the second figure.
-const FORGETS: Duration = Duration::from_secs(10);
-const LEAST_REST: Duration = Duration::from_millis(50);
+const ANSWER_PAUSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Backends that were seen to forget an idle connection are believed to for so long, and it tells nothing that one was
+/// lost that had rested for less than the second figure.
+const NARROWED_IDLE_TIME: Duration = Duration::from_secs(10);
+const MIN_IDLE_LIMIT: Duration = Duration::from_millis(50);
 /// The most that is read of an answer's head. It is also the largest buffer of a connection.
-const HEAD_BYTES: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 struct Backend {
     address: Option<SocketAddr>,
@@ -62,51 +62,55 @@
 pub struct Backends {
     table: RefCell<HashMap<Name, Backend>>,
     /// Connections that are up or coming up, idle ones among them.
-    open: Rc<Cell<usize>>,
-    budget: usize,
+    open_connections: Rc<Cell<usize>>,
+    max_connections: usize,
     wire: Box<dyn Wire>,
     connect_timeout: Duration,
-    unheard: Option<Duration>,
-    overtime: Option<Duration>,
+    unacknowledged_timeout: Option<Duration>,
+    relay_overtime: Option<Duration>,
     idle_time: Time,
     /// How long those may have been idle on which something goes out that can't be sent again.
-    fresh: Cell<Freshness>,
-    begun: Instant,
+    idle_limit: Cell<IdleLimit>,
+    started_at: Instant,
     pub connects: Cell<u64>,
-    opened: Cell<u64>,
+    connections_opened: Cell<u64>,
 }
 
 /// Figures that hold for all backends.
 pub struct Limits {
     /// The most connections, up, coming up or idle.
-    pub sockets: usize,
+    pub max_connections: usize,
     pub connect_timeout: Duration,
     /// How long a backend leaves a connection idle.
     pub keepalive: Duration,
     /// A connection ends on which nothing has been acknowledged for so long; none: when the system says.
-    pub unheard: Option<Duration>,
-    /// An answer that is passed on as it comes is given up once its request's time is over and nothing more of it has come
-    /// for so long; none: when nothing has come for ten seconds, whatever the request's time.
-    pub overtime: Option<Duration>,
+    pub unacknowledged_timeout: Option<Duration>,
+    /// An answer that is passed on as it comes is given up once its request's time is over and nothing more of it has
+    /// come for so long; none: when nothing has come for ten seconds, whatever the request's time.
+    pub relay_overtime: Option<Duration>,
 }
 
 impl Backends {
     pub fn new(limits: &Limits, wire: Box<dyn Wire>) -> Rc<Self> {
         Rc::new(Backends {
             table: RefCell::default(),
-            open: Rc::default(),
-            budget: limits.sockets,
+            open_connections: Rc::default(),
+            max_connections: limits.max_connections,
             wire,
             connect_timeout: limits.connect_timeout,
-            unheard: limits.unheard,
-            overtime: limits.overtime,
+            unacknowledged_timeout: limits.unacknowledged_timeout,
+            relay_overtime: limits.relay_overtime,
             // The backend counts idle time from when it wrote its answer and closes at the settings' time at
             // the latest: half of it keeps clear of requests written to a connection on its way out.
             idle_time: nanos(limits.keepalive / 2),
-            fresh: Cell::new(Freshness::new(nanos(limits.keepalive / 2), nanos(FORGETS), nanos(LEAST_REST))),
-            begun: Instant::now(),
+            idle_limit: Cell::new(IdleLimit::new(
+                nanos(limits.keepalive / 2),
+                nanos(NARROWED_IDLE_TIME),
+                nanos(MIN_IDLE_LIMIT),
+            )),
+            started_at: Instant::now(),
             connects: Cell::new(0),
-            opened: Cell::new(0),
+            connections_opened: Cell::new(0),
         })
     }
 
@@ -146,13 +150,15 @@
     }
 
     /// Closes connections that have been idle for long, or that the other side has closed.
-    pub async fn reap(self: Rc<Self>) {
-        let mut every = interval(REAP_EVERY);
+    pub async fn close_idle(self: Rc<Self>) {
+        let mut every = interval(REAP_INTERVAL);
         loop {
             every.tick().await;
             let now = self.now();
             for b in self.table.borrow_mut().values_mut() {
-                b.idle.retain_mut(|c| c.line.is_fresh(now, self.idle_time.min(c.rest)) && c.reusable());
+                b.idle.retain_mut(|c| {
+                    c.upstream.is_idle_for_less_than(now, self.idle_time.min(c.max_idle)) && c.is_reusable()
+                });
             }
         }
     }
@@ -162,8 +168,10 @@
     pub fn drop_idle(&self) -> bool {
         let (now, mut table) = (self.now(), self.table.borrow_mut());
         // The one used last is at the end, so a backend's oldest is its first.
-        let oldest =
-            table.values_mut().filter(|b| !b.idle.is_empty()).max_by_key(|b| b.idle[0].line.rested(now));
+        let oldest = table
+            .values_mut()
+            .filter(|b| !b.idle.is_empty())
+            .max_by_key(|b| b.idle[0].upstream.idle_time(now));
         oldest.map(|b| b.idle.remove(0)).is_some()
     }
 
@@ -172,21 +180,21 @@
         let mut table = self.table.borrow_mut();
         let backend = table.get_mut(name)?;
         let now = self.now();
-        let rest = if request.at_most_once { self.fresh.get().limit(now) } else { self.idle_time };
-        let earlier = request.earlier.borrow();
+        let rest = if request.at_most_once { self.idle_limit.get().limit(now) } else { self.idle_time };
+        let earlier = request.earlier_connections.borrow();
         let mut n = backend.idle.len();
         while n > 0 {
             n -= 1;
             let connection = &mut backend.idle[n];
-            let most = self.idle_time.min(connection.rest);
-            let here = connection.address == place && connection.line.is_fresh(now, most);
-            if here && !connection.line.is_fresh(now, rest) {
+            let most = self.idle_time.min(connection.max_idle);
+            let here = connection.address == place && connection.upstream.is_idle_for_less_than(now, most);
+            if here && !connection.upstream.is_idle_for_less_than(now, rest) {
                 // Those below it have rested for longer.
                 return None;
             }
-            if !here || !connection.reusable() {
+            if !here || !connection.is_reusable() {
                 backend.idle.remove(n);
-            } else if connection.line.may_carry(request.at_most_once, &earlier) {
+            } else if connection.upstream.may_carry(request.at_most_once, &earlier) {
                 return Some(backend.idle.remove(n));
             }
         }
@@ -194,13 +202,13 @@
     }
 
     /// The request and its answer are whole.
-    fn keep(&self, name: &Name, mut connection: Connection) {
-        connection.line.over(self.now(), true);
-        self.put_by(name, connection);
+    fn keep_after_exchange(&self, name: &Name, mut connection: Connection) {
+        connection.upstream.end_exchange(self.now(), true);
+        self.return_to_pool(name, connection);
     }
 
-    fn put_by(&self, name: &Name, mut connection: Connection) {
-        if !connection.reusable() {
+    fn return_to_pool(&self, name: &Name, mut connection: Connection) {
+        if !connection.is_reusable() {
             return;
         }
         if let Some(backend) = self.table.borrow_mut().get_mut(name) {
@@ -211,27 +219,36 @@
     }
 
     fn now(&self) -> Time {
-        nanos(self.begun.elapsed())
+        nanos(self.started_at.elapsed())
     }
 
     async fn connect(&self, address: SocketAddr) -> Option<Connection> {
-        if self.open.get() >= self.budget && !self.drop_idle() {
+        if self.open_connections.get() >= self.max_connections && !self.drop_idle() {
             return None;
         }
         self.connects.set(self.connects.get() + 1);
-        let slot = Slot::new(self.open.clone());
+        let slot = ConnectionSlot::new(self.open_connections.clone());
         let stream = timeout(self.connect_timeout, TcpStream::connect(address)).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
-        if self.unheard.is_some() {
-            SockRef::from(&stream).set_tcp_user_timeout(self.unheard).ok()?;
+        if self.unacknowledged_timeout.is_some() {
+            SockRef::from(&stream).set_tcp_user_timeout(self.unacknowledged_timeout).ok()?;
         }
-        let link = Rc::new(Link::default());
-        let io = Counted { io: TokioIo::new(stream), link: link.clone() };
-        let (sender, io) = http1::Builder::new().max_buf_size(HEAD_BYTES).handshake(io).await.ok()?;
-        self.opened.set(self.opened.get() + 1);
-        let line = Upstream::new(self.opened.get(), self.now());
+        let link = Rc::new(ConnectionState::default());
+        let io = CountingSocket { io: TokioIo::new(stream), link: link.clone() };
+        let (sender, io) = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(io).await.ok()?;
+        self.connections_opened.set(self.connections_opened.get() + 1);
+        let line = Upstream::new(self.connections_opened.get(), self.now());
         let rest = self.idle_time;
-        Some(Connection { sender, io, closed: false, link, address, line, rest, _slot: slot })
+        Some(Connection {
+            sender,
+            io,
+            is_closed: false,
+            state: link,
+            address,
+            upstream: line,
+            max_idle: rest,
+            _slot: slot,
+        })
     }
 }
 
--- a/crates/gateway/proxy/src/backends/progress.rs
+++ b/crates/gateway/proxy/src/backends/progress.rs
@@ -12,7 +12,7 @@
 
 /// What an attempt tells on its way.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Note {
+pub enum AttemptStage {
     /// Its connection is up. It writes only if the word that comes back is yes.
     Connected,
     /// So much of it is out that it may have run.
@@ -23,13 +23,13 @@
 
 /// How far an attempt has come, counted where its bytes pass.
 pub struct Progress {
-    pub(super) tell: Box<dyn Fn(Note) -> bool>,
-    pub(super) told: Cell<Option<Note>>,
+    pub(super) report: Box<dyn Fn(AttemptStage) -> bool>,
+    pub(super) reported: Cell<Option<AttemptStage>>,
     pub(super) written: Cell<usize>,
-    pub(super) whole: Cell<usize>,
+    pub(super) execution_start: Cell<usize>,
     /// Whether a part of the answer has come that is not an interim answer (1xx).
-    pub(super) begun: Arc<AtomicBool>,
-    pub(super) news: Notify,
+    pub(super) has_answer_begun: Arc<AtomicBool>,
+    pub(super) activity: Notify,
 }
 
 impl Default for Progress {
@@ -39,44 +39,44 @@
 }
 
 impl Progress {
-    pub fn new(tell: impl Fn(Note) -> bool + 'static) -> Self {
+    pub fn new(tell: impl Fn(AttemptStage) -> bool + 'static) -> Self {
         Progress {
-            tell: Box::new(tell),
-            told: Cell::new(None),
+            report: Box::new(tell),
+            reported: Cell::new(None),
             written: Cell::default(),
-            whole: Cell::default(),
-            begun: Arc::default(),
-            news: Notify::new(),
+            execution_start: Cell::default(),
+            has_answer_begun: Arc::default(),
+            activity: Notify::new(),
         }
     }
 
     /// Each once, and nothing behind the answer's beginning.
-    pub(super) fn note(&self, note: Note) {
-        let told = self.told.get();
-        if told != Some(note) && told != Some(Note::Answering) {
-            self.told.set(Some(note));
-            (self.tell)(note);
+    pub(super) fn report_stage(&self, note: AttemptStage) {
+        let told = self.reported.get();
+        if told != Some(note) && told != Some(AttemptStage::Answering) {
+            self.reported.set(Some(note));
+            (self.report)(note);
         }
     }
 
-    /// Whether so much may be out that a backend may have begun. `whole` counts what we ask hyper to write and hyper adds
-    /// at most, so a request is never taken for unwritten when it is not.
+    /// Whether so much may be out that a backend may have begun. `whole` counts what we ask hyper to write and hyper
+    /// adds at most, so a request is never taken for unwritten when it is not.
     pub(super) fn may_have_run(&self) -> bool {
-        let whole = self.whole.get();
+        let whole = self.execution_start.get();
         whole > 0 && self.written.get() >= whole
     }
 
     pub(super) fn broken(&self) -> Ending {
         if self.may_have_run() {
-            Ending::Cut
+            Ending::Interrupted
         } else {
-            Ending::NoRoute
+            Ending::Unreachable
         }
     }
 
     /// Whether a part of the answer itself is in.
     pub(super) fn has_begun(&self) -> bool {
-        self.begun.load(Relaxed)
+        self.has_answer_begun.load(Relaxed)
     }
 
     /// Waits for the answer, and no longer than a pause for the rest of its head once it has begun.
@@ -86,7 +86,7 @@
             tokio::select! {
                 biased;
                 output = &mut waiting => return Some(output),
-                () = self.news.notified() => {}
+                () = self.activity.notified() => {}
             }
             match timeout(pause, &mut waiting).await {
                 Ok(output) => return Some(output),
--- a/crates/gateway/proxy/src/backends/relay.rs
+++ b/crates/gateway/proxy/src/backends/relay.rs
@@ -1,6 +1,6 @@
 //! An answer that is passed on as it comes, since it is too long to wait for.
 
-use super::connection::{broke_off, drive, Connection};
+use super::connection::{drive, is_interrupted, Connection};
 use super::{Backends, Progress};
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -15,15 +15,15 @@
 use tokio::time::{timeout, Instant};
 
 /// How long a server may give nothing of an answer that has begun, and a client may read nothing of it.
-const GIVES: Duration = Duration::from_secs(10);
-const READS: Duration = Duration::from_secs(30);
+const BACKEND_PAUSE_TIMEOUT: Duration = Duration::from_secs(10);
+const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The client's end: an answer's body that is still to come. Dropping it lets the server's end stop.
 pub struct Stream {
     frames: mpsc::Receiver<Bytes>,
     /// What is left of the stated length, if one is stated.
-    left: Option<u64>,
-    whole: bool,
+    remaining: Option<u64>,
+    is_complete: bool,
 }
 
 /// The server's end.
@@ -35,7 +35,7 @@
     pub(super) first: Vec<Bytes>,
     pub(super) progress: Rc<Progress>,
     frames: mpsc::Sender<Bytes>,
-    left: Option<u64>,
+    remaining: Option<u64>,
 }
 
 impl Relay {
@@ -49,8 +49,8 @@
     ) -> (Relay, Stream) {
         let (send, frames) = mpsc::channel(1);
         let (name, progress) = (name.clone(), progress.clone());
-        let stream = Stream { frames, left: length, whole: false };
-        (Relay { name, connection, body, first, progress, frames: send, left: length }, stream)
+        let stream = Stream { frames, remaining: length, is_complete: false };
+        (Relay { name, connection, body, first, progress, frames: send, remaining: length }, stream)
     }
 
     /// Passes on what comes until it ends, one way or the other.
@@ -61,15 +61,15 @@
             }
         }
         loop {
-            let Connection { io, closed, .. } = &mut self.connection;
+            let Connection { io, is_closed: closed, .. } = &mut self.connection;
             let left = not_past.saturating_duration_since(Instant::now());
-            let gives = backends.overtime.map_or(GIVES, |overtime| left.max(overtime));
+            let gives = backends.relay_overtime.map_or(BACKEND_PAUSE_TIMEOUT, |overtime| left.max(overtime));
             let frame = match timeout(gives, drive(io, closed, self.body.frame())).await {
-                Err(_) => return Ending::Late,
+                Err(_) => return Ending::TimedOut,
                 Ok(Some(Some(Ok(frame)))) => frame,
                 // A clean end. Without a stated length the connection's end may be it.
-                Ok(Some(None)) if self.left.unwrap_or(0) == 0 => break,
-                Ok(Some(Some(Err(error)))) if !broke_off(&error) => return Ending::Spoilt,
+                Ok(Some(None)) if self.remaining.unwrap_or(0) == 0 => break,
+                Ok(Some(Some(Err(error)))) if !is_interrupted(&error) => return Ending::Unreadable,
                 Ok(_) => return self.progress.broken(),
             };
             let Ok(data) = frame.into_data() else { continue };
@@ -78,19 +78,23 @@
             }
         }
         // Where no length says so, an empty frame is the word that it is whole.
-        if self.left.is_none() {
+        if self.remaining.is_none() {
             if let Err(end) = self.pass(Bytes::new()).await {
                 return end;
             }
         }
-        backends.keep(&self.name, self.connection);
-        Ending::Pass
+        backends.keep_after_exchange(&self.name, self.connection);
+        Ending::Success
     }
 
     async fn pass(&mut self, data: Bytes) -> Result<(), Ending> {
-        self.left = self.left.map(|left| left.saturating_sub(data.len() as u64));
+        self.remaining = self.remaining.map(|left| left.saturating_sub(data.len() as u64));
         // The client has gone, or does not read.
-        timeout(READS, self.frames.send(data)).await.ok().and_then(Result::ok).ok_or(Ending::Undone)
+        timeout(CLIENT_READ_TIMEOUT, self.frames.send(data))
+            .await
+            .ok()
+            .and_then(Result::ok)
+            .ok_or(Ending::Cancelled)
     }
 }
 
@@ -104,11 +108,11 @@
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         match std::task::ready!(self.frames.poll_recv(cx)) {
             Some(data) if data.is_empty() => {
-                self.whole = true;
+                self.is_complete = true;
                 Poll::Ready(None)
             }
             Some(data) => {
-                self.left = self.left.map(|left| left.saturating_sub(data.len() as u64));
+                self.remaining = self.remaining.map(|left| left.saturating_sub(data.len() as u64));
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             None if self.is_end_stream() => Poll::Ready(None),
@@ -118,10 +122,10 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.whole || self.left == Some(0)
+        self.is_complete || self.remaining == Some(0)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.remaining.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
--- a/crates/gateway/proxy/src/backends/request.rs
+++ b/crates/gateway/proxy/src/backends/request.rs
@@ -20,13 +20,13 @@
     pub headers: HeaderMap,
     pub body: RefCell<Upload>,
     /// How long the client waits from its last byte on, where that has yet to come; and when it came.
-    pub wait: Option<Duration>,
-    pub whole_at: Cell<Option<Instant>>,
-    /// Whether it must not run twice, so that what is lost of it is lost for good: it goes out on fresh connections, and its
-    /// answer is awaited for as long as its client waits.
+    pub timeout: Option<Duration>,
+    pub completed_at: Cell<Option<Instant>>,
+    /// Whether it must not run twice, so that what is lost of it is lost for good: it goes out on fresh connections,
+    /// and its answer is awaited for as long as its client waits.
     pub at_most_once: bool,
     /// The connections that earlier attempts went out on: no more than there are attempts.
-    pub earlier: RefCell<Vec<u64>>,
+    pub earlier_connections: RefCell<Vec<u64>>,
 }
 
 impl Outgoing {
@@ -45,7 +45,7 @@
         let body = self.body.borrow_mut().take(progress);
         let length = body.length();
         let mut request = Request::new(body);
-        let wait = self.wait.unwrap_or(wait);
+        let wait = self.timeout.unwrap_or(wait);
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
@@ -57,7 +57,7 @@
         let size = head_size(&request);
         let begins = wire.begins();
         request.body_mut().behind(size, begins);
-        progress.whole.set(begins.at(size, length.map(|l| l as usize)));
+        progress.execution_start.set(begins.byte_count(size, length.map(|l| l as usize)));
         request
     }
 }
--- a/crates/gateway/proxy/src/backends/tests.rs
+++ b/crates/gateway/proxy/src/backends/tests.rs
@@ -17,7 +17,7 @@
     }
 
     fn read(&self, _: &Outgoing, _: &Name, answer: Response<Content>) -> Outcome {
-        Outcome::without_answer(if answer.status() == 200 { Ending::Pass } else { Ending::Fault })
+        Outcome::without_answer(if answer.status() == 200 { Ending::Success } else { Ending::Failure })
     }
 }
 
@@ -29,7 +29,7 @@
             .into_iter()
             .map(|(n, v)| (HeaderName::from_static(n), HeaderValue::from_static(v)))
             .collect(),
-        body: RefCell::new(Upload::Whole(Bytes::from(vec![b'x'; body]), Budget::new(0).part())),
+        body: RefCell::new(Upload::Whole(Bytes::from(vec![b'x'; body]), Budget::new(0).reserve())),
         ..Outgoing::default()
     }
 }
@@ -43,7 +43,13 @@
 fn backends(address: SocketAddr) -> Rc<Backends> {
     let second = Duration::from_secs(1);
     let (connect_timeout, keepalive) = (5 * second, 10 * second);
-    let limits = Limits { sockets: 10, connect_timeout, keepalive, unheard: None, overtime: None };
+    let limits = Limits {
+        max_connections: 10,
+        connect_timeout,
+        keepalive,
+        unacknowledged_timeout: None,
+        relay_overtime: None,
+    };
     let backends = Backends::new(&limits, Box::new(Plain));
     let backend = Backend { address: Some(address), boot_ms: 0, ready: true, idle: Vec::new() };
     backends.table.borrow_mut().insert("s-1".into(), backend);
@@ -73,8 +79,8 @@
     let limit = Instant::now() + Duration::from_secs(20);
     let place = b.address(&"s-1".into()).unwrap();
     match b.attempt(&"s-1".into(), place, request, limit, &progress).await {
-        Exchanged::Over(outcome) => (outcome.ending, progress),
-        Exchanged::Begun(..) => panic!("no answer here is long"),
+        ExchangeResult::Complete(outcome) => (outcome.ending, progress),
+        ExchangeResult::Streaming(..) => panic!("no answer here is long"),
     }
 }
 
@@ -82,7 +88,7 @@
 /// that has run.
 #[tokio::test]
 async fn the_size_of_a_request_is_what_is_written() {
-    for body in [0, 5, WHOLE, 3 << 20] {
+    for body in [0, 5, MAX_BUFFERED_ANSWER, 3 << 20] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let (b, request) = (backends(listener.local_addr().unwrap()), outgoing(body));
         let backend = async {
@@ -100,7 +106,10 @@
             got.len()
         };
         let ((ending, progress), got) = tokio::join!(attempt(&b, &request), backend);
-        assert_eq!((ending, progress.whole.get(), progress.written.get()), (Ending::Pass, got, got));
+        assert_eq!(
+            (ending, progress.execution_start.get(), progress.written.get()),
+            (Ending::Success, got, got)
+        );
     }
 }
 
@@ -119,6 +128,6 @@
         stream.read_exact(&mut [0; 100]).await.unwrap();
     };
     let ((ending, progress), ()) = tokio::join!(attempt(&b, &request), backend);
-    assert_eq!(ending, Ending::NoRoute);
+    assert_eq!(ending, Ending::Unreachable);
     assert!(progress.written.get() > 0 && !progress.may_have_run());
 }
--- a/crates/gateway/proxy/src/backends/upload.rs
+++ b/crates/gateway/proxy/src/backends/upload.rs
@@ -1,10 +1,10 @@
 //! A body on its way to a backend: whole in memory, or passed on as it comes from the client.
 
 use super::Progress;
-use crate::fronts::Part;
+use crate::fronts::Reservation;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
-use lifecycle::upstream::Begins;
+use lifecycle::upstream::ExecutionStart;
 use std::io;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
     #[default]
     None,
     /// All of it, in its part of the budget: it can be sent again.
-    Whole(Bytes, Part),
+    Whole(Bytes, Reservation),
     /// The rest is still to come. It can be sent once.
     Open(Open),
     /// It has been handed to an attempt.
@@ -27,7 +27,7 @@
 pub struct Open {
     pub first: Bytes,
     /// What `first` takes of the budget.
-    pub part: Option<Part>,
+    pub part: Option<Reservation>,
     /// The frames behind it; the sender's end without an empty one means that the client stopped.
     pub rest: mpsc::Receiver<Bytes>,
     /// Of the whole, if it is stated.
@@ -37,7 +37,7 @@
 /// The same as hyper writes it.
 pub(super) enum Sent {
     Whole(Option<Bytes>),
-    Open { open: Open, progress: Rc<Progress>, head: usize, begins: Begins, sent: usize, done: bool },
+    Open { open: Open, progress: Rc<Progress>, head: usize, begins: ExecutionStart, sent: usize, done: bool },
 }
 
 impl Upload {
@@ -49,7 +49,7 @@
                 Sent::Whole(Some(bytes))
             }
             Upload::Open(open) => {
-                let (progress, begins) = (progress.clone(), Begins::Whole);
+                let (progress, begins) = (progress.clone(), ExecutionStart::FullRequest);
                 Sent::Open { open, progress, head: 0, begins, sent: 0, done: false }
             }
             none => {
@@ -69,7 +69,7 @@
     }
 
     /// How long the head is that goes before it, and from when on the request may run.
-    pub(super) fn behind(&mut self, size: usize, from: Begins) {
+    pub(super) fn behind(&mut self, size: usize, from: ExecutionStart) {
         if let Sent::Open { head, begins, .. } = self {
             (*head, *begins) = (size, from);
         }
@@ -104,7 +104,7 @@
             Some(data) if data.is_empty() => {
                 *done = true;
                 // From here on the last byte may be out.
-                progress.whole.set(begins.at(*head, Some(*sent)));
+                progress.execution_start.set(begins.byte_count(*head, Some(*sent)));
                 Poll::Ready(None)
             }
             Some(data) => {
--- a/crates/gateway/proxy/src/driver.rs
+++ b/crates/gateway/proxy/src/driver.rs
@@ -6,12 +6,13 @@
 
 pub use attempt::Ticket;
 
-use crate::backends::{Backends, Note, Outcome, Outgoing, Served};
-use crate::list::{Held, List, State, Target};
+use crate::backends::{AttemptStage, Backends, Outcome, Outgoing, Served};
+use crate::list::{List, ListSnapshot, State, Target};
 use attempt::Attempt;
 use clock::Clock;
 use engine::{
-    Calls, Engine, Entry, Error, Facts, Figures, Final, Input, Make, Notice, Output, Reply, Step, Totals,
+    AnswerCounts, AttemptFacts, Engine, Error, FinalAnswer, Input, ListEntry, ModuleFactory, Notice, Output,
+    Reply, Step, Timing, Totals,
 };
 use forward::{Account, Mode};
 use hyper::StatusCode;
@@ -28,7 +29,7 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{info, warn};
 
-const STATUS_EVERY: Duration = Duration::from_secs(10);
+const STATUS_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The final answer to a request.
 pub enum Answer {
@@ -39,7 +40,7 @@
         retry_after: Duration,
     },
     /// A backend found fault with the request itself.
-    Turned(StatusCode),
+    Rejected(StatusCode),
     Failed {
         late: bool,
     },
@@ -53,47 +54,47 @@
 }
 
 /// A request's ends in the world of sockets, for as long as its life lasts.
-struct Ends {
+struct RequestHandles {
     /// None once answered, or when the client is gone.
     client: Option<oneshot::Sender<Answer>>,
     outgoing: Rc<Outgoing>,
-    out: Option<AbortHandle>,
+    attempt: Option<AbortHandle>,
     /// A backend's own failure, of 64 KiB at most: its client hears it in place of ours if the request ends as failed.
     failure: Option<Served>,
 }
 
-struct Inner {
+struct DriverState {
     engine: Engine<Box<dyn Module>>,
-    ends: HashMap<RequestId, Ends>,
+    handles: HashMap<RequestId, RequestHandles>,
     /// Empty but while they are carried out: kept for its room.
     outputs: Vec<Output>,
 }
 
 pub struct Driver {
-    state: RefCell<Inner>,
+    state: RefCell<DriverState>,
     wake: Notify,
     backends: Rc<Backends>,
     /// The list for a next process, if one is to have it; and word of its changes.
-    held: RefCell<Option<Held>>,
-    relisted: Notify,
+    exported_list: RefCell<Option<ListSnapshot>>,
+    list_changed: Notify,
     clock: Clock,
     /// Final answers up to the last status line.
-    said: Cell<Calls>,
+    reported_answers: Cell<AnswerCounts>,
     /// The longest that the loop came late to a timer, since the last status line.
-    latest: Cell<Duration>,
+    max_timer_delay: Cell<Duration>,
     zones: Vec<String>,
     /// The pools of a backend, a bit each.
     pools: Box<dyn Fn(&Target) -> u32>,
     /// The longest that any request may wait for its answer, by the settings.
-    longest: Cell<Time>,
+    max_deadline: Cell<Time>,
 }
 
 /// What a driver is made of.
-pub struct Setup {
+pub struct Config {
     pub settings: Settings,
     pub seed: u64,
-    pub figures: Figures,
-    pub module: Make<Box<dyn Module>>,
+    pub timing: Timing,
+    pub module: ModuleFactory<Box<dyn Module>>,
     pub backends: Rc<Backends>,
     /// Zone names; a zone's number is its place.
     pub zones: Vec<String>,
@@ -106,24 +107,24 @@
     ///
     /// # Errors
     /// What the module says of the settings.
-    pub fn new(setup: Setup) -> Result<Rc<Self>, String> {
-        let Setup { settings, seed, figures, module, backends, zones, pools } = setup;
+    pub fn new(setup: Config) -> Result<Rc<Self>, String> {
+        let Config { settings, seed, timing: figures, module, backends, zones, pools } = setup;
         let clock = Clock::new();
         let now = clock.time(Instant::now());
-        let longest = Cell::new(longest(&settings));
+        let longest = Cell::new(max_deadline(&settings));
         let engine = Engine::new(settings, seed, figures, now, module);
         let engine = engine.map_err(|e| format!("settings: {e}"))?;
         Ok(Rc::new(Driver {
             wake: Notify::new(),
-            held: RefCell::default(),
-            relisted: Notify::new(),
+            exported_list: RefCell::default(),
+            list_changed: Notify::new(),
             backends,
-            latest: Cell::default(),
-            said: Cell::default(),
+            max_timer_delay: Cell::default(),
+            reported_answers: Cell::default(),
             zones,
             pools,
-            longest,
-            state: RefCell::new(Inner { engine, ends: HashMap::new(), outputs: Vec::new() }),
+            max_deadline: longest,
+            state: RefCell::new(DriverState { engine, handles: HashMap::new(), outputs: Vec::new() }),
             clock,
         }))
     }
@@ -131,7 +132,7 @@
     /// Goes on by these settings, which name at least the classes, plans and pools that the old ones did, in their
     /// places.
     pub fn reconfigure(&self, settings: Settings) {
-        self.longest.set(longest(&settings));
+        self.max_deadline.set(max_deadline(&settings));
         self.state.borrow_mut().engine.reconfigure(settings);
     }
 
@@ -146,8 +147,8 @@
     }
 
     /// The longest that any request may wait for its answer, by the settings.
-    pub fn longest(&self) -> Time {
-        self.longest.get()
+    pub fn max_deadline(&self) -> Time {
+        self.max_deadline.get()
     }
 
     pub fn can_serve(&self) -> bool {
@@ -157,49 +158,49 @@
     // ---- Discovery ----
 
     /// The list that the configuration gave; it may be old.
-    pub fn cached(self: &Rc<Self>, known: List) {
-        self.list(Scope::Cached, known);
+    pub fn apply_cached_list(self: &Rc<Self>, known: List) {
+        self.apply_list(Scope::Cached, known);
     }
 
     /// Who is believed to live: this gateway's place among how many; none: what the settings say.
     pub fn neighbours(self: &Rc<Self>, seen: Option<(u32, u32)>) {
         let (me, gateways) = seen.unwrap_or_default();
         let input = Input::Neighbours { me, gateways };
-        self.take(&mut self.state.borrow_mut(), Instant::now(), input, Brought::default());
+        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
     /// What the fleet's view says of each planner.
     pub fn planners(self: &Rc<Self>, lives: Vec<Option<bool>>) {
         let input = Input::Planners(lives);
-        self.take(&mut self.state.borrow_mut(), Instant::now(), input, Brought::default());
+        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
     /// Discovery failed, and why. The old list stands.
     pub fn list_failed(self: &Rc<Self>, what: String) {
-        let brought = Brought { why: Some(what), ..Brought::default() };
-        self.take(&mut self.state.borrow_mut(), Instant::now(), Input::ListFailed, brought);
+        let brought = InputContext { discovery_failure: Some(what), ..InputContext::default() };
+        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), Input::ListFailed, brought);
     }
 
     /// From now on the list is held for a next process.
-    pub fn hold_list(&self) {
-        *self.held.borrow_mut() = Some(Held::default());
+    pub fn export_list(&self) {
+        *self.exported_list.borrow_mut() = Some(ListSnapshot::default());
     }
 
     /// The list that is held, as text, if there is one.
-    pub fn held_list(&self) -> Option<String> {
-        self.held.borrow().as_ref()?.text()
+    pub fn exported_list(&self) -> Option<String> {
+        self.exported_list.borrow().as_ref()?.to_json()
     }
 
     /// Until the list that is held has changed.
     pub async fn list_changed(&self) {
-        self.relisted.notified().await;
+        self.list_changed.notified().await;
     }
 
     /// Discovery: the list, or what changed in it.
-    pub fn list(self: &Rc<Self>, scope: Scope, list: List) {
-        if let Some(held) = &mut *self.held.borrow_mut() {
+    pub fn apply_list(self: &Rc<Self>, scope: Scope, list: List) {
+        if let Some(held) = &mut *self.exported_list.borrow_mut() {
             held.apply(scope, &list);
-            self.relisted.notify_one();
+            self.list_changed.notify_one();
         }
         let replaced = self.backends.update(scope, &list.targets);
         let placed = |t: Target| {
@@ -207,10 +208,10 @@
             let pools = (self.pools)(&t);
             (t.node(&self.zones, pools), place)
         };
-        let mut entries: Vec<Entry> = list.targets.into_iter().map(placed).collect();
+        let mut entries: Vec<ListEntry> = list.targets.into_iter().map(placed).collect();
         entries.extend(replaced.iter().map(|name| (Node::new(name, Health::Removed), None)));
         let input = Input::List { scope, rev: list.rev, entries };
-        self.take(&mut self.state.borrow_mut(), Instant::now(), input, Brought::default());
+        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
     // ---- Maintenance by hand, figures ----
@@ -225,12 +226,12 @@
         done
     }
 
-    pub fn take_out(&self, target: &str) -> Result<bool, NeverListed> {
-        self.with_engine(|engine, now| engine.take_out(now, target))
+    pub fn ban(&self, target: &str) -> Result<bool, NeverListed> {
+        self.with_engine(|engine, now| engine.ban(now, target))
     }
 
-    pub fn put_back(&self, target: &str) -> Result<bool, NeverListed> {
-        self.with_engine(|engine, now| engine.put_back(now, target))
+    pub fn unban(&self, target: &str) -> Result<bool, NeverListed> {
+        self.with_engine(|engine, now| engine.unban(now, target))
     }
 
     pub fn bans(&self) -> BTreeMap<Name, Time> {
@@ -245,12 +246,12 @@
     }
 
     /// What the process after this one is to go on with.
-    pub fn leave(&self) -> String {
-        self.state.borrow().engine.leave()
+    pub fn export_state(&self) -> String {
+        self.state.borrow().engine.export_state()
     }
 
-    pub fn take_over(&self, left: &str) -> Result<(), String> {
-        self.with_engine(|engine, now| engine.take_over(now, left))
+    pub fn import_state(&self, left: &str) -> Result<(), String> {
+        self.with_engine(|engine, now| engine.import_state(now, left))
     }
 
     pub fn totals(&self) -> Totals {
@@ -263,65 +264,80 @@
     pub fn submit(self: &Rc<Self>, r: Incoming) -> Option<Ticket> {
         let mut state = self.state.borrow_mut();
         let id = r.request.id;
-        self.handle(&mut state, r.arrived, Input::Received(r.request), &mut Brought::default()).ok()?;
+        self.handle(&mut state, r.arrived, Input::Received(r.request), &mut InputContext::default()).ok()?;
         let (client, answer) = oneshot::channel();
-        state.ends.insert(
+        state.handles.insert(
             id,
-            Ends { client: Some(client), outgoing: Rc::new(r.outgoing), out: None, failure: None },
+            RequestHandles {
+                client: Some(client),
+                outgoing: Rc::new(r.outgoing),
+                attempt: None,
+                failure: None,
+            },
         );
         Some(Ticket { id, answer, driver: self.clone(), answered: false })
     }
 
     /// The last byte of an open request has come: its time counts from here.
-    pub fn whole(self: &Rc<Self>, id: RequestId, timeout: Time) {
+    pub fn body_completed(self: &Rc<Self>, id: RequestId, timeout: Time) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        if let Some(ends) = state.ends.get(&id) {
-            ends.outgoing.whole_at.set(Some(now));
+        if let Some(ends) = state.handles.get(&id) {
+            ends.outgoing.completed_at.set(Some(now));
         }
-        self.take(&mut state, now, Input::Whole { id, timeout }, Brought::default());
+        self.handle_or_warn(&mut state, now, Input::BodyCompleted { id, timeout }, InputContext::default());
         // What is due has changed.
         self.wake.notify_one();
     }
 
     /// Nobody waits for the answer any more.
-    fn gone(self: &Rc<Self>, id: RequestId) {
-        self.take(&mut self.state.borrow_mut(), Instant::now(), Input::Left { id }, Brought::default());
+    fn client_left(self: &Rc<Self>, id: RequestId) {
+        self.handle_or_warn(
+            &mut self.state.borrow_mut(),
+            Instant::now(),
+            Input::ClientLeft { id },
+            InputContext::default(),
+        );
     }
 
     // ---- Allowances ----
 
     /// What is known by now of the allowance of a request that awaited it. Whether it is still in hand.
-    pub fn allowed(self: &Rc<Self>, id: RequestId, allowance: Allowance) -> bool {
+    pub fn set_allowance(self: &Rc<Self>, id: RequestId, allowance: Allowance) -> bool {
         let mut state = self.state.borrow_mut();
-        let held = state.engine.holds(id);
+        let held = state.engine.has_request(id);
         if held {
-            self.take(&mut state, Instant::now(), Input::Allowed { id, allowance }, Brought::default());
+            self.handle_or_warn(
+                &mut state,
+                Instant::now(),
+                Input::Allowed { id, allowance },
+                InputContext::default(),
+            );
         }
         held
     }
 
     /// From now on this account says what may be spent.
-    pub fn lease(&self, account: Account) {
+    pub fn set_account(&self, account: Account) {
         self.state.borrow_mut().engine.set_account(account);
     }
 
     /// Once a tick: the reports to send. What waited too long for a grant is told so.
     pub fn reports(self: &Rc<Self>) -> Vec<(usize, Report)> {
-        let mut brought = Brought::default();
+        let mut brought = InputContext::default();
         // Nothing in it can be wrong.
         let _ = self.handle(&mut self.state.borrow_mut(), Instant::now(), Input::PlanningTick, &mut brought);
         brought.reports
     }
 
     /// A planner's grant.
-    pub fn granted(self: &Rc<Self>, planner: usize, grant: Grant) {
+    pub fn apply_grant(self: &Rc<Self>, planner: usize, grant: Grant) {
         let input = Input::Grant { planner, grant };
-        self.take(&mut self.state.borrow_mut(), Instant::now(), input, Brought::default());
+        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
     /// Whether the share is with this planner.
-    pub fn with_planner(&self, n: usize) -> bool {
+    pub fn is_lent_to(&self, n: usize) -> bool {
         matches!(self.state.borrow().engine.mode(), Some(Mode::Lent { planner, .. }) if planner == n)
     }
 
@@ -330,32 +346,32 @@
     /// Hands the engine an input and carries out what it orders. Whether a leave to write was among it.
     fn handle(
         self: &Rc<Self>,
-        state: &mut Inner,
+        state: &mut DriverState,
         now: Instant,
         input: Input,
-        brought: &mut Brought,
+        brought: &mut InputContext,
     ) -> Result<bool, Error> {
         let mut outputs = std::mem::take(&mut state.outputs);
         let done = state.engine.handle(self.clock.time(now), input, &mut outputs);
         let mut leave = false;
         for output in outputs.drain(..) {
             match output {
-                Output::Start { id, attempt, server, place, not_past } => {
+                Output::Start { id, attempt, server, address: place, not_past } => {
                     let not_past = self.clock.instant(not_past);
-                    if let Some(ends) = state.ends.get_mut(&id) {
+                    if let Some(ends) = state.handles.get_mut(&id) {
                         let driver = self.clone();
                         let request = ends.outgoing.clone();
                         let run = Attempt { driver, id, number: attempt, sent: now, request, done: false };
-                        ends.out = Some(run.start(server, place, not_past));
+                        ends.attempt = Some(run.start(server, place, not_past));
                     }
                 }
                 Output::Write { .. } => leave = true,
                 Output::Withhold { .. } => {}
                 Output::Abort { id, .. } => {
-                    state.ends.get(&id).and_then(|e| e.out.as_ref()).inspect(|out| out.abort());
+                    state.handles.get(&id).and_then(|e| e.attempt.as_ref()).inspect(|out| out.abort());
                 }
                 Output::Answer { id, answer } => {
-                    let ends = state.ends.get_mut(&id);
+                    let ends = state.handles.get_mut(&id);
                     let (client, failure) =
                         ends.map(|e| (e.client.take(), e.failure.take())).unwrap_or_default();
                     if let (Some(client), Some(answer)) = (client, brought.answer(answer, failure)) {
@@ -363,10 +379,10 @@
                         let _ = client.send(answer);
                     }
                 }
-                Output::Over { id } => drop(state.ends.remove(&id)),
+                Output::Over { id } => drop(state.handles.remove(&id)),
                 Output::Report { planner, report } => brought.reports.push((planner, report)),
                 Output::Notice(Notice::ListLost) => {
-                    let why = brought.why.as_deref().unwrap_or("lost");
+                    let why = brought.discovery_failure.as_deref().unwrap_or("lost");
                     warn!(cause = why, "discovery: {why}; the old list stands");
                 }
                 Output::Notice(notice) => warn!("{notice}"),
@@ -380,7 +396,13 @@
     }
 
     /// The same where nothing can be wrong but our own telling.
-    fn take(self: &Rc<Self>, state: &mut Inner, now: Instant, input: Input, mut brought: Brought) -> bool {
+    fn handle_or_warn(
+        self: &Rc<Self>,
+        state: &mut DriverState,
+        now: Instant,
+        input: Input,
+        mut brought: InputContext,
+    ) -> bool {
         self.handle(state, now, input, &mut brought).unwrap_or_else(|wrong| {
             warn!(cause = %wrong, "lifecycle: {wrong}");
             false
@@ -390,18 +412,18 @@
     // ---- Attempts ----
 
     /// An attempt tells how far it has come. Whether it may go on.
-    fn note(self: &Rc<Self>, id: RequestId, attempt: u32, note: Note) -> bool {
+    fn attempt_reached(self: &Rc<Self>, id: RequestId, attempt: u32, note: AttemptStage) -> bool {
         let mut state = self.state.borrow_mut();
         let step = match note {
-            Note::Connected => {
+            AttemptStage::Connected => {
                 let input = Input::Connected { id, attempt };
-                return self.take(&mut state, Instant::now(), input, Brought::default());
+                return self.handle_or_warn(&mut state, Instant::now(), input, InputContext::default());
             }
-            Note::Written => Step::Written,
-            Note::Answering => Step::Answering,
+            AttemptStage::Written => Step::Written,
+            AttemptStage::Answering => Step::Answering,
         };
         // Nothing is ordered on such news, and it needs no time.
-        let Inner { engine, outputs, .. } = &mut *state;
+        let DriverState { engine, outputs, .. } = &mut *state;
         if let Err(wrong) = engine.handle(0, Input::Progress { id, attempt, step }, outputs) {
             warn!(request = format!("{id:016x}"), attempt, cause = %wrong, "lifecycle: {wrong}");
         }
@@ -409,43 +431,43 @@
     }
 
     /// A good answer has begun that is passed on as it comes. Whether anybody waits for it.
-    fn begun(self: &Rc<Self>, run: &Attempt, outcome: Outcome) -> bool {
+    fn answer_started(self: &Rc<Self>, run: &Attempt, outcome: Outcome) -> bool {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
         let Outcome { served, settled, metered, load, .. } = outcome;
         let elapsed = run.elapsed(now);
-        let facts = Facts { elapsed, settled, metered, load };
-        let input = Input::Begun { id: run.id, attempt: run.number, facts };
-        let mut brought = Brought { served, ..Brought::default() };
+        let facts = AttemptFacts { elapsed, settled, metered, load };
+        let input = Input::AnswerStarted { id: run.id, attempt: run.number, facts };
+        let mut brought = InputContext { served, ..InputContext::default() };
         let done = self.handle(&mut state, now, input, &mut brought);
         // What was brought has gone to the client, or nobody wants it.
         done.is_ok() && brought.served.is_none()
     }
 
     /// An attempt is over, however it came to that.
-    fn ended(self: &Rc<Self>, run: &Attempt, outcome: Outcome) {
+    fn attempt_ended(self: &Rc<Self>, run: &Attempt, outcome: Outcome) {
         let (id, attempt) = (run.id, run.number);
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
-        let reply = match (&outcome.served, outcome.turned) {
+        let reply = match (&outcome.served, outcome.rejected) {
             (Some(_), _) => Reply::Good,
-            (None, Some(_)) => Reply::Turned,
+            (None, Some(_)) => Reply::Rejected,
             (None, None) => Reply::None,
         };
-        let Outcome { ending, served, failure, turned, settled, metered, load } = outcome;
-        if let Some(ends) = state.ends.get_mut(&id).filter(|_| failure.is_some()) {
+        let Outcome { ending, served, failure, rejected: turned, settled, metered, load } = outcome;
+        if let Some(ends) = state.handles.get_mut(&id).filter(|_| failure.is_some()) {
             ends.failure = failure;
         }
         let elapsed = run.elapsed(now);
-        let facts = Facts { elapsed, settled, metered, load };
-        let input = Input::Ended { id, attempt, ending, reply, facts };
-        let mut brought = Brought { served, turned, ..Brought::default() };
+        let facts = AttemptFacts { elapsed, settled, metered, load };
+        let input = Input::AttemptEnded { id, attempt, ending, reply, facts };
+        let mut brought = InputContext { served, rejected: turned, ..InputContext::default() };
         if let Err(wrong) = self.handle(&mut state, now, input, &mut brought) {
             warn!(request = format!("{id:016x}"), attempt, cause = %wrong, "lifecycle: {wrong}");
             // It must not stay out for ever.
-            let (ending, reply, facts) = (Ending::Undone, Reply::None, Facts::default());
-            let undone = Input::Ended { id, attempt, ending, reply, facts };
-            let _ = self.handle(&mut state, now, undone, &mut Brought::default());
+            let (ending, reply, facts) = (Ending::Cancelled, Reply::None, AttemptFacts::default());
+            let undone = Input::AttemptEnded { id, attempt, ending, reply, facts };
+            let _ = self.handle(&mut state, now, undone, &mut InputContext::default());
         }
     }
 
@@ -453,7 +475,7 @@
 
     /// Hands the module what has happened: at once, or the stated gap apart.
     pub async fn run(self: &Rc<Self>) -> Infallible {
-        let mut status = Instant::now() + STATUS_EVERY;
+        let mut status = Instant::now() + STATUS_INTERVAL;
         loop {
             let due = self.state.borrow().engine.next_due().map_or(status, |at| self.clock.instant(at));
             let due = due.min(status);
@@ -461,80 +483,80 @@
                 () = self.wake.notified() => {}
                 () = sleep_until(due) => {
                     let late = due.elapsed();
-                    self.latest.set(self.latest.get().max(late));
+                    self.max_timer_delay.set(self.max_timer_delay.get().max(late));
                 }
             }
             // Only a wait that something ends costs a wake-up: after a quiet spell there is none.
-            let earliest = self.clock.instant(self.state.borrow().engine.earliest());
+            let earliest = self.clock.instant(self.state.borrow().engine.next_batch_at());
             if earliest > Instant::now() {
                 sleep_until(earliest).await;
             }
             let now = Instant::now();
-            self.take(&mut self.state.borrow_mut(), now, Input::Wake, Brought::default());
+            self.handle_or_warn(&mut self.state.borrow_mut(), now, Input::Wake, InputContext::default());
             if now >= status {
-                self.status();
-                status = now + STATUS_EVERY;
+                self.log_status();
+                status = now + STATUS_INTERVAL;
             }
         }
     }
 
     /// A line for whoever carries the pager, if anything went on.
-    fn status(&self) {
+    fn log_status(&self) {
         let mut state = self.state.borrow_mut();
         let c = state.engine.take_counts();
-        let mut sum = Calls::default();
-        for of in state.engine.totals().calls {
+        let mut sum = AnswerCounts::default();
+        for of in state.engine.totals().answers {
             sum.served += of.served;
             sum.refused += of.refused;
             sum.failed += of.failed;
         }
-        let said = self.said.replace(sum);
+        let said = self.reported_answers.replace(sum);
         let (served, refused, failed) =
             (sum.served - said.served, sum.refused - said.refused, sum.failed - said.failed);
-        let (connects, latest) = (self.backends.connects.take(), self.latest.take().as_millis());
+        let (connects, latest) = (self.backends.connects.take(), self.max_timer_delay.take().as_millis());
         if served + refused + failed > 0 {
             info!(
                 served,
                 refused,
                 failed,
                 overdue = c.overdue,
-                held = state.engine.held(),
+                held = state.engine.request_count(),
                 connects,
                 batches = c.batches,
                 late_ms = latest as u64,
                 "served {served}, refused {refused}, failed {failed} ({} overdue), held {}; \
                  new connections {connects}, batches {}, loop late by {latest} ms at most",
                 c.overdue,
-                state.engine.held(),
+                state.engine.request_count(),
                 c.batches
             );
         }
     }
 }
 
-fn longest(settings: &Settings) -> Time {
+fn max_deadline(settings: &Settings) -> Time {
     settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
 }
 
 /// What an input brings along that the engine has no use for, and what its outputs leave behind.
 #[derive(Default)]
-struct Brought {
+struct InputContext {
     served: Option<Served>,
-    turned: Option<StatusCode>,
+    rejected: Option<StatusCode>,
     /// Why discovery failed.
-    why: Option<String>,
+    discovery_failure: Option<String>,
     reports: Vec<(usize, Report)>,
 }
 
-impl Brought {
-    fn answer(&mut self, answer: Final, failure: Option<Served>) -> Option<Answer> {
+impl InputContext {
+    fn answer(&mut self, answer: FinalAnswer, failure: Option<Served>) -> Option<Answer> {
         match answer {
-            Final::Served => self.served.take().map(Answer::Served),
-            Final::Turned => self.turned.map(Answer::Turned),
-            Final::Refused { tried, advice } => {
+            FinalAnswer::Served => self.served.take().map(Answer::Served),
+            FinalAnswer::Rejected => self.rejected.map(Answer::Rejected),
+            FinalAnswer::Refused { tried, advice } => {
                 Some(Answer::Refused { tried, retry_after: Duration::from_nanos(advice) })
             }
-            Final::Failed { late } => Some(failure.map_or(Answer::Failed { late }, Answer::Served)),
+            FinalAnswer::Failed { late } => Some(failure.map_or(Answer::Failed { late }, Answer::Served)),
         }
     }
 }
--- a/crates/gateway/proxy/src/driver/attempt.rs
+++ b/crates/gateway/proxy/src/driver/attempt.rs
@@ -1,7 +1,7 @@
 //! An attempt in flight, and the wait for a final answer.
 
 use super::{Answer, Driver};
-use crate::backends::{Exchanged, Outcome, Outgoing, Progress};
+use crate::backends::{ExchangeResult, Outcome, Outgoing, Progress};
 use interface::{Ending, Name, RequestId, Time};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -25,17 +25,20 @@
 impl Attempt {
     pub(super) fn start(self, server: Name, place: SocketAddr, not_past: Instant) -> AbortHandle {
         let (driver, id, number) = (self.driver.clone(), self.id, self.number);
-        let progress = Rc::new(Progress::new(move |note| driver.note(id, number, note)));
+        let progress = Rc::new(Progress::new(move |note| driver.attempt_reached(id, number, note)));
         let task = spawn_local(async move {
             let backends = self.driver.backends.clone();
             match backends.attempt(&server, place, &self.request, not_past, &progress).await {
-                Exchanged::Over(outcome) => self.done(outcome),
-                Exchanged::Begun(outcome, relay) => {
+                ExchangeResult::Complete(outcome) => self.done(outcome),
+                ExchangeResult::Streaming(outcome, relay) => {
                     self.request.release();
-                    let wanted = self.driver.begun(&self, outcome);
+                    let wanted = self.driver.answer_started(&self, outcome);
                     // In a box: the many that are short don't pay for its size.
-                    let ending =
-                        if wanted { Box::pin(relay.run(&backends, not_past)).await } else { Ending::Undone };
+                    let ending = if wanted {
+                        Box::pin(relay.run(&backends, not_past)).await
+                    } else {
+                        Ending::Cancelled
+                    };
                     self.done(Outcome::without_answer(ending));
                 }
             }
@@ -45,20 +48,20 @@
 
     /// How long it has been out, but for what its body took to come.
     pub(super) fn elapsed(&self, now: Instant) -> Time {
-        let since = self.request.whole_at.get().map_or(self.sent, |at| at.max(self.sent));
+        let since = self.request.completed_at.get().map_or(self.sent, |at| at.max(self.sent));
         now.saturating_duration_since(since).as_nanos() as Time
     }
 
     fn done(mut self, outcome: Outcome) {
         self.done = true;
-        self.driver.ended(&self, outcome);
+        self.driver.attempt_ended(&self, outcome);
     }
 }
 
 impl Drop for Attempt {
     fn drop(&mut self) {
         if !self.done {
-            self.driver.ended(self, Outcome::without_answer(Ending::Undone));
+            self.driver.attempt_ended(self, Outcome::without_answer(Ending::Cancelled));
         }
     }
 }
@@ -86,7 +89,7 @@
 impl Drop for Ticket {
     fn drop(&mut self) {
         if !self.answered {
-            self.driver.gone(self.id);
+            self.driver.client_left(self.id);
         }
     }
 }
--- a/crates/gateway/proxy/src/fronts/http1/client.rs
+++ b/crates/gateway/proxy/src/fronts/http1/client.rs
@@ -8,7 +8,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::rt::{Read, ReadBuf, ReadBufCursor, Write};
 use hyper_util::rt::TokioIo;
-use lifecycle::connection::{Input, Order, Patience, State};
+use lifecycle::connection::{Command, Input, State, Timeouts};
 use lifecycle::{Close, Connection};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
@@ -24,92 +24,92 @@
 
 /// Whether something has come that the runtime does not know of yet.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-pub(super) enum Look {
+pub(super) enum PendingBytes {
     #[default]
-    Nothing,
+    None,
     /// To be looked for with the next read.
-    Wanted,
-    Bytes,
+    Unknown,
+    Some,
 }
 
 /// A client's connection, and how to have it close.
 pub(super) struct Client {
-    pub(super) life: Cell<Connection>,
+    pub(super) connection: Cell<Connection>,
     pub(super) driver: Rc<Driver>,
     /// Why it is to close, and the news of it.
-    pub(super) wanted: Cell<Option<Close>>,
+    pub(super) close_reason: Cell<Option<Close>>,
     pub(super) close: Notify,
     /// The head that is coming, as it is written, if all of it came while the connection was idle before.
     pub(super) head: RefCell<Vec<u8>>,
-    pub(super) look: Cell<Look>,
+    pub(super) pending_bytes: Cell<PendingBytes>,
     /// Whether the answer's last byte has gone to hyper, so that a flush means that all of it is written.
-    pub(super) handed: Cell<bool>,
+    pub(super) is_answer_handed_over: Cell<bool>,
 }
 
 impl Client {
-    pub(super) fn new(driver: Rc<Driver>, patience: Patience) -> Rc<Self> {
+    pub(super) fn new(driver: Rc<Driver>, patience: Timeouts) -> Rc<Self> {
         let life = Cell::new(Connection::new(driver.time(Instant::now()), patience));
         Rc::new(Client {
-            life,
+            connection: life,
             driver,
-            wanted: Cell::new(None),
+            close_reason: Cell::new(None),
             close: Notify::new(),
             head: RefCell::default(),
-            look: Cell::default(),
-            handed: Cell::new(false),
+            pending_bytes: Cell::default(),
+            is_answer_handed_over: Cell::new(false),
         })
     }
 
-    pub(super) fn handle(&self, input: Input) -> Order {
-        let mut life = self.life.get();
+    pub(super) fn handle(&self, input: Input) -> Command {
+        let mut life = self.connection.get();
         let timed = matches!(input, Input::Bytes | Input::Reply | Input::Close(_));
         let now = if timed { self.driver.time(Instant::now()) } else { 0 };
         let order = life.handle(now, input);
-        self.life.set(life);
+        self.connection.set(life);
         order.unwrap_or_else(|wrong| {
             tracing::warn!(cause = %wrong, "lifecycle: {wrong}");
-            Order::None
+            Command::None
         })
     }
 
     /// Has it close for this reason. How is settled when its turn comes: it may have sent a request by then.
     pub(super) fn close(&self, why: Close) {
-        self.wanted.set(Some(why));
+        self.close_reason.set(Some(why));
         self.close.notify_one();
     }
 }
 
 /// What is written of an answer.
 pub enum Payload {
-    Whole(Full<Bytes>),
+    Full(Full<Bytes>),
     Stream(Stream),
 }
 
 impl Payload {
     pub(super) fn is_end(&self) -> bool {
         match self {
-            Payload::Whole(body) => body.is_end_stream(),
+            Payload::Full(body) => body.is_end_stream(),
             Payload::Stream(body) => body.is_end_stream(),
         }
     }
 }
 
 /// An answer's body that tells when all of it has gone to hyper.
-pub(super) struct Told {
+pub(super) struct TrackedBody {
     pub(super) body: Payload,
     pub(super) client: Rc<Client>,
 }
 
-impl Body for Told {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let frame = match &mut self.body {
-            Payload::Whole(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            Payload::Full(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
             Payload::Stream(body) => Pin::new(body).poll_frame(cx),
         };
-        self.client.handed.set(self.body.is_end());
+        self.client.is_answer_handed_over.set(self.body.is_end());
         frame
     }
 
@@ -119,32 +119,32 @@
 
     fn size_hint(&self) -> SizeHint {
         match &self.body {
-            Payload::Whole(body) => body.size_hint(),
+            Payload::Full(body) => body.size_hint(),
             Payload::Stream(body) => body.size_hint(),
         }
     }
 }
 
 /// A client's socket that tells when something has come and when all has been written.
-pub(super) struct Watched {
+pub(super) struct WatchedSocket {
     pub(super) io: TokioIo<TcpStream>,
     pub(super) client: Rc<Client>,
     /// Until when what still comes is thrown away behind the last answer, and how much of it has come.
     pub(super) linger: Option<(Pin<Box<Sleep>>, usize)>,
 }
 
-impl Read for Watched {
+impl Read for WatchedSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.client.look.get() == Look::Wanted {
+        if self.client.pending_bytes.get() == PendingBytes::Unknown {
             let mut one = [MaybeUninit::uninit()];
             let there = SockRef::from(self.io.inner()).peek(&mut one).is_ok_and(|n| n > 0);
-            self.client.look.set(if there { Look::Bytes } else { Look::Nothing });
+            self.client.pending_bytes.set(if there { PendingBytes::Some } else { PendingBytes::None });
         }
-        let state = self.client.life.get().state();
+        let state = self.client.connection.get().state();
         if !matches!(state, State::Idle | State::Head) {
             return Pin::new(&mut self.io).poll_read(cx, buf);
         }
@@ -166,7 +166,7 @@
     }
 }
 
-impl Write for Watched {
+impl Write for WatchedSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.io).poll_write(cx, buf)
     }
@@ -187,7 +187,10 @@
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.io).poll_flush(cx);
         let client = &self.client;
-        if flushed.is_ready() && client.life.get().unwritten() && client.handed.replace(false) {
+        if flushed.is_ready()
+            && client.connection.get().has_unwritten()
+            && client.is_answer_handed_over.replace(false)
+        {
             client.handle(Input::Flushed);
         }
         flushed
@@ -200,7 +203,9 @@
             std::task::ready!(Pin::new(&mut self.io).poll_shutdown(cx))?;
             self.linger = Some((Box::pin(sleep(LINGER)), 0));
         }
-        let Watched { io, linger: Some((end, thrown)), .. } = &mut *self else { return Poll::Ready(Ok(())) };
+        let WatchedSocket { io, linger: Some((end, thrown)), .. } = &mut *self else {
+            return Poll::Ready(Ok(()));
+        };
         loop {
             let mut bytes = [MaybeUninit::uninit(); 4096];
             let mut buffer = ReadBuf::uninit(&mut bytes);
--- a/crates/gateway/proxy/src/fronts/http1/mod.rs
+++ b/crates/gateway/proxy/src/fronts/http1/mod.rs
@@ -9,7 +9,7 @@
 use crate::handover::Link;
 use bytes::Bytes;
 pub use client::Payload;
-use client::{Client, Look, Told, Watched};
+use client::{Client, PendingBytes, TrackedBody, WatchedSocket};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming as IncomingBody};
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, HOST, TRANSFER_ENCODING};
@@ -19,7 +19,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use interface::Time;
-use lifecycle::connection::{self, Input, Order, Patience, State};
+use lifecycle::connection::{self, Command, Input, State, Timeouts};
 use lifecycle::{drain, Close, Connection, Drain};
 use request::{discard, states_length, Coming, Pace};
 use std::cell::{Cell, RefCell};
@@ -38,26 +38,26 @@
 use tracing::info;
 
 /// By so long after connecting the first request is whole, body and all; a later one, after its head.
-const BODY_TIME: Duration = Duration::from_millis(2600);
+const BODY_TIMEOUT: Duration = Duration::from_millis(2600);
 /// Slower than this a body is not awaited: half of what clients may be held to.
-const LEAST_RATE: usize = 32 << 10;
+const MIN_BODY_RATE: usize = 32 << 10;
 /// So long a server may read nothing of a body that is passed on to it.
-const READS: Duration = Duration::from_secs(10);
+const UPLOAD_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// Of a body that is too large so much is read, so that the client gets to read the answer.
 const MAX_DISCARD: usize = 1 << 20;
 /// So long a client is left to read its last answer and to close.
 const LINGER: Duration = Duration::from_millis(500);
 const HEAD_BYTES: usize = 16 << 10;
 /// So often a connection that is to close is looked at for what may still have come.
-const LOOKS: usize = 8;
-const LIST_PAUSE: Duration = Duration::from_millis(5);
+const MAX_PENDING_CHECKS: usize = 8;
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(5);
 const BACKLOG: u32 = 1024;
 const EMFILE_PAUSE: Duration = Duration::from_millis(5);
 
-type Reply = Response<Told>;
+type Reply = Response<TrackedBody>;
 
 /// The answer to a request that goes no further.
-pub type Unsound = Box<Response<Payload>>;
+pub type ErrorReply = Box<Response<Payload>>;
 
 /// What a front's requests mean: which it answers itself, what the others ask for, and how answers are worded.
 pub trait Door: 'static {
@@ -68,31 +68,32 @@
     ///
     /// # Errors
     /// The answer to one that is not sound, or that nothing takes.
-    fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, Unsound>;
+    fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, ErrorReply>;
 
     /// The last word on a request that is whole, before it is in hand.
     ///
     /// # Errors
     /// The answer to one that is refused.
-    fn admit(&self, _incoming: &mut Incoming) -> impl Future<Output = Result<(), Unsound>> {
+    fn admit(&self, _incoming: &mut Incoming) -> impl Future<Output = Result<(), ErrorReply>> {
         std::future::ready(Ok(()))
     }
 
     fn reply(&self, answer: Answer) -> Response<Payload>;
 
-    /// What a client is told that stops in the middle of a body of which a part has gone to a backend; this is the usual.
-    fn cut_short(&self, status: StatusCode) -> StatusCode {
+    /// What a client is told that stops in the middle of a body of which a part has gone to a backend; this is the
+    /// usual.
+    fn aborted_body_status(&self, status: StatusCode) -> StatusCode {
         status
     }
 
     /// How long clients may say nothing.
-    fn patience(&self) -> Patience {
-        Patience::default()
+    fn client_timeouts(&self) -> Timeouts {
+        Timeouts::default()
     }
 
     /// How long clients may still come after the process was told to end, and how long it may then last in all.
-    fn leaving(&self) -> (Duration, Duration) {
-        (Duration::from_nanos(drain::WINDOW), Duration::MAX)
+    fn shutdown_times(&self) -> (Duration, Duration) {
+        (Duration::from_nanos(drain::ACCEPT_WINDOW), Duration::MAX)
     }
 }
 
@@ -103,12 +104,12 @@
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
     link: Rc<Link>,
     /// Memory for bodies.
-    bodies: Rc<Budget>,
+    body_budget: Rc<Budget>,
     /// The most clients of one gateway; this process may have its role's part.
-    budget: usize,
+    max_clients: usize,
     /// Once it was told to end.
     drain: Cell<Option<Drain>>,
-    left: Notify,
+    client_removed: Notify,
 }
 
 pub fn listen(address: SocketAddr) -> Result<TcpListener, String> {
@@ -128,11 +129,11 @@
         driver: Rc<Driver>,
         backends: Rc<Backends>,
         link: Rc<Link>,
-        bodies: Rc<Budget>,
-        budget: usize,
+        body_budget: Rc<Budget>,
+        max_clients: usize,
     ) -> Self {
-        let (clients, drain, left) = Default::default();
-        Server { door, driver, backends, clients, link, bodies, budget, drain, left }
+        let (clients, drain, client_removed) = Default::default();
+        Server { door, driver, backends, clients, link, body_budget, max_clients, drain, client_removed }
     }
 
     /// Whether new clients are served.
@@ -143,8 +144,8 @@
     /// Requests that were taken and whose answer is not written yet.
     pub fn in_flight(&self) -> usize {
         let open = |c: &&Rc<Client>| {
-            let life = c.life.get();
-            life.state() == State::InHand || life.state() == State::Answering && life.unwritten()
+            let life = c.connection.get();
+            life.state() == State::Processing || life.state() == State::Answering && life.has_unwritten()
         };
         self.clients.borrow().values().filter(open).count()
     }
@@ -166,7 +167,7 @@
         while self.link.is_shared() && !self.driver.can_serve() {
             tokio::select! {
                 () = &mut stop => return,
-                () = sleep(LIST_PAUSE) => {}
+                () = sleep(LIST_POLL_INTERVAL) => {}
             }
         }
         loop {
@@ -177,14 +178,14 @@
             }
         }
         let started = Instant::now();
-        let (window, most) = self.door.leaving();
+        let (window, most) = self.door.shutdown_times();
         let nanos = |d: Duration| Time::try_from(d.as_nanos()).unwrap_or(Time::MAX);
         let told = self.driver.time(started);
-        let drain = Drain::within(told, nanos(window), self.driver.longest(), nanos(most));
+        let drain = Drain::with_limits(told, nanos(window), self.driver.max_deadline(), nanos(most));
         self.drain.set(Some(drain));
         info!("draining");
         let door = started + window;
-        self.link.told(&self.driver);
+        self.link.on_shutdown(&self.driver);
         if self.link.is_shared() {
             self.hand_over(door).await;
         } else {
@@ -194,7 +195,7 @@
         let mut last = pin!(sleep_until(self.driver.instant(drain.end())));
         while !self.clients.borrow().is_empty() {
             tokio::select! {
-                () = self.left.notified() => {}
+                () = self.client_removed.notified() => {}
                 () = &mut last => break,
             }
         }
@@ -205,10 +206,10 @@
     /// Another process accepts from the same socket: new connections are its. Who has one here and has yet to
     /// ask, or is in the middle of it, gets the time to.
     async fn hand_over(&self, door: Instant) {
-        let most = self.link.role().part(self.budget);
+        let most = self.link.role().share_of(self.max_clients);
         self.close_all(Close::Handover);
         while self.clients.borrow().len() > most && self.close_spare() == Some(Duration::ZERO) {
-            self.left.notified().await;
+            self.client_removed.notified().await;
         }
         sleep_until(door).await;
     }
@@ -231,16 +232,16 @@
 
     /// Accepts one client within the descriptor budget.
     async fn admit(self: &Rc<Self>, listener: &TcpListener, next: &mut u64) {
-        while self.clients.borrow().len() >= self.link.role().part(self.budget) {
+        while self.clients.borrow().len() >= self.link.role().share_of(self.max_clients) {
             match self.close_spare() {
                 // What it has sent may not have been looked at yet.
-                Some(wait) if !wait.is_zero() => drop(timeout(wait, self.left.notified()).await),
-                _ => self.left.notified().await,
+                Some(wait) if !wait.is_zero() => drop(timeout(wait, self.client_removed.notified()).await),
+                _ => self.client_removed.notified().await,
             }
         }
         match listener.accept().await {
             Ok((stream, _)) => {
-                let client = Client::new(self.driver.clone(), self.door.patience());
+                let client = Client::new(self.driver.clone(), self.door.client_timeouts());
                 *next += 1;
                 self.clients.borrow_mut().insert(*next, client.clone());
                 let place = Place { server: self.clone(), number: *next };
@@ -265,11 +266,12 @@
     /// wait before that one may go.
     fn close_spare(&self) -> Option<Duration> {
         let clients = self.clients.borrow();
-        let lives: Vec<(&Rc<Client>, Connection)> = clients.values().map(|c| (c, c.life.get())).collect();
+        let lives: Vec<(&Rc<Client>, Connection)> =
+            clients.values().map(|c| (c, c.connection.get())).collect();
         let now = self.driver.time(Instant::now());
-        let (client, wait) = connection::spare(lives.iter().map(|(c, life)| (*c, life)), now)?;
+        let (client, wait) = connection::eviction_candidate(lives.iter().map(|(c, life)| (*c, life)), now)?;
         if wait == 0 {
-            client.close(Close::Room);
+            client.close(Close::Evict);
         }
         Some(Duration::from_nanos(wait))
     }
@@ -281,20 +283,20 @@
         let accepted = Instant::now();
         let service = service_fn(|request| {
             // Bytes of it that came behind another request stand in no head of its own.
-            let seen = client.life.get().state() == State::Head;
+            let seen = client.connection.get().state() == State::Head;
             client.handle(Input::Head);
-            let start = if client.life.get().asked() { Instant::now() } else { accepted };
-            let pace = Pace { start, grace: BODY_TIME };
+            let start = if client.connection.get().has_requested() { Instant::now() } else { accepted };
+            let pace = Pace { start, grace: BODY_TIMEOUT };
             let client = client.clone();
             async move { Ok::<_, Infallible>(self.reply(request, &client, pace, seen).await) }
         });
         let http = http1::Builder::new().header_read_timeout(None).max_buf_size(HEAD_BYTES).serve_connection(
-            Watched { io: TokioIo::new(stream), client: client.clone(), linger: None },
+            WatchedSocket { io: TokioIo::new(stream), client: client.clone(), linger: None },
             service,
         );
         let mut http = pin!(http);
         // Looked at again when it would be due, not moved with every request.
-        let silent = self.door.patience().silent;
+        let silent = self.door.client_timeouts().idle;
         let mut patience = pin!(sleep(Duration::from_nanos(silent)));
         let mut looks = 0;
         loop {
@@ -306,7 +308,7 @@
                 () = client.close.notified() => {}
                 () = &mut patience => {
                     let now = self.driver.time(Instant::now());
-                    let left = client.life.get().patience().map_or(silent, |at| at.saturating_sub(now));
+                    let left = client.connection.get().read_deadline().map_or(silent, |at| at.saturating_sub(now));
                     if left == 0 {
                         return;
                     }
@@ -315,22 +317,24 @@
                 }
             }
             // What has come is read before a close: its client has written it to an open connection.
-            if looks < LOOKS && matches!(client.life.get().state(), State::Idle | State::Head) {
+            if looks < MAX_PENDING_CHECKS
+                && matches!(client.connection.get().state(), State::Idle | State::Head)
+            {
                 looks += 1;
-                client.look.set(Look::Wanted);
+                client.pending_bytes.set(PendingBytes::Unknown);
                 if std::future::poll_fn(|cx| Poll::Ready(http.as_mut().poll(cx).is_ready())).await {
                     return;
                 }
-                if client.look.take() == Look::Bytes {
+                if client.pending_bytes.take() == PendingBytes::Some {
                     yield_now().await;
                     client.close.notify_one();
                     continue;
                 }
             }
-            let why = client.wanted.get().unwrap_or(Close::Drain);
+            let why = client.close_reason.get().unwrap_or(Close::Drain);
             match client.handle(Input::Close(why)) {
-                Order::Finish => http.as_mut().graceful_shutdown(),
-                Order::None if client.life.get().state() != State::Closed => {}
+                Command::Finish => http.as_mut().graceful_shutdown(),
+                Command::None if client.connection.get().state() != State::Closed => {}
                 _ => return,
             }
         }
@@ -362,12 +366,12 @@
         // Behind these nothing is read: where the request ends is in doubt, or far off.
         let doubt = coded && (!seen || reply.status() == StatusCode::BAD_REQUEST);
         let cut = doubt || matches!(reply.status().as_u16(), 408 | 411 | 413);
-        let close = client.handle(Input::Reply) == Order::Answer { close: true };
+        let close = client.handle(Input::Reply) == Command::Answer { close: true };
         if self.is_draining() || close || cut {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        client.handed.set(reply.body().is_end());
-        reply.map(|body| Told { body, client: client.clone() })
+        client.is_answer_handed_over.set(reply.body().is_end());
+        reply.map(|body| TrackedBody { body, client: client.clone() })
     }
 
     async fn pass(
@@ -375,7 +379,7 @@
         request: Request<IncomingBody>,
         client: &Client,
         pace: Pace,
-    ) -> Result<Response<Payload>, Unsound> {
+    ) -> Result<Response<Payload>, ErrorReply> {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
         if body.size_hint().lower() > MAX_BODY as u64 {
@@ -398,8 +402,8 @@
         mut incoming: Incoming,
         mut body: Coming,
         client: &Client,
-    ) -> Result<Response<Payload>, Unsound> {
-        let (first, part, open) = body.read(self.bodies.part()).await.map_err(unsound)?;
+    ) -> Result<Response<Payload>, ErrorReply> {
+        let (first, part, open) = body.read(self.body_budget.reserve()).await.map_err(unsound)?;
         if incoming.outgoing.method == Method::GET && !first.is_empty() {
             return Err(unsound(StatusCode::BAD_REQUEST));
         }
@@ -416,7 +420,7 @@
         let (send, rest) = mpsc::channel(1);
         let length = body.length();
         incoming.request.open = true;
-        incoming.outgoing.wait = Some(Duration::from_nanos(timeout));
+        incoming.outgoing.timeout = Some(Duration::from_nanos(timeout));
         incoming.outgoing.body = RefCell::new(Upload::Open(Open { first, part: Some(part), rest, length }));
         let mut ticket = self.driver.submit(incoming).ok_or_else(|| unsound(StatusCode::BAD_REQUEST))?;
         tokio::select! {
@@ -428,18 +432,22 @@
                 return Ok(reply);
             }
             // Whoever stops in the middle is owed nothing: dropping the ticket ends the attempt.
-            passed = body.pass(&send) => passed.map_err(|status| unsound(self.door.cut_short(status)))?,
+            passed = body.pass(&send) => passed.map_err(|status| unsound(self.door.aborted_body_status(status)))?,
         }
-        client.handle(Input::Taken);
-        self.driver.whole(id, self.wait(timeout));
+        client.handle(Input::Accepted);
+        self.driver.body_completed(id, self.wait(timeout));
         Ok(self.door.reply(ticket.await))
     }
 
     /// A whole request, from here on owed an answer.
-    async fn in_hand(&self, mut incoming: Incoming, client: &Client) -> Result<Response<Payload>, Unsound> {
+    async fn in_hand(
+        &self,
+        mut incoming: Incoming,
+        client: &Client,
+    ) -> Result<Response<Payload>, ErrorReply> {
         self.door.admit(&mut incoming).await?;
         let ticket = self.driver.submit(incoming).ok_or_else(|| unsound(StatusCode::BAD_REQUEST))?;
-        client.handle(Input::Taken);
+        client.handle(Input::Accepted);
         Ok(self.door.reply(ticket.await))
     }
 }
@@ -453,7 +461,7 @@
 impl<D: Door> Drop for Place<D> {
     fn drop(&mut self) {
         self.server.clients.borrow_mut().remove(&self.number);
-        self.server.left.notify_one();
+        self.server.client_removed.notify_one();
     }
 }
 
@@ -464,13 +472,13 @@
 }
 
 /// The same to a request that goes no further.
-pub fn unsound(status: StatusCode) -> Unsound {
+pub fn unsound(status: StatusCode) -> ErrorReply {
     Box::new(plain(status, ""))
 }
 
 /// An answer of our own.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Payload> {
-    let mut reply = Response::new(Payload::Whole(Full::new(Bytes::from_static(text.as_bytes()))));
+    let mut reply = Response::new(Payload::Full(Full::new(Bytes::from_static(text.as_bytes()))));
     *reply.status_mut() = status;
     reply
 }
--- a/crates/gateway/proxy/src/fronts/http1/request.rs
+++ b/crates/gateway/proxy/src/fronts/http1/request.rs
@@ -1,8 +1,8 @@
 //! A client's request: its head as it came, its body.
 
-use super::{LEAST_RATE, MAX_DISCARD, READS};
-use crate::backends::{MAX_BODY, WHOLE};
-use crate::fronts::Part;
+use super::{MAX_DISCARD, MIN_BODY_RATE, UPLOAD_READ_TIMEOUT};
+use crate::backends::{MAX_BODY, MAX_BUFFERED_ANSWER};
+use crate::fronts::Reservation;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming as IncomingBody};
@@ -31,7 +31,7 @@
 impl Pace {
     /// When more of it must have come, now that so much has.
     fn until(self, came: usize) -> Instant {
-        let earned = Duration::from_millis((came / (LEAST_RATE / 1000)) as u64);
+        let earned = Duration::from_millis((came / (MIN_BODY_RATE / 1000)) as u64);
         (Instant::now() + self.grace).min(self.start + self.grace + earned)
     }
 }
@@ -65,14 +65,17 @@
     }
 
     /// The whole of it in a part of the budget; or as much as there is room for, if it is open.
-    pub(super) async fn read(&mut self, mut part: Part) -> Result<(Bytes, Part, bool), StatusCode> {
+    pub(super) async fn read(
+        &mut self,
+        mut part: Reservation,
+    ) -> Result<(Bytes, Reservation, bool), StatusCode> {
         let told = self.body.size_hint().lower() as usize;
-        let mut came = BytesMut::with_capacity(told.min(WHOLE));
+        let mut came = BytesMut::with_capacity(told.min(MAX_BUFFERED_ANSWER));
         while let Some(data) = self.next().await? {
             came.extend_from_slice(&data);
             // Up to the usual size there is always room: it is bounded by the descriptors.
-            let room = part.grow(data.len()) && came.len() <= part.most();
-            if !room && came.len() > WHOLE {
+            let room = part.grow(data.len()) && came.len() <= part.max();
+            if !room && came.len() > MAX_BUFFERED_ANSWER {
                 return Ok((came.freeze(), part, true));
             }
         }
@@ -91,7 +94,7 @@
             let data = self.next().await?;
             let whole = data.is_none();
             let waits = Instant::now();
-            match timeout(READS, to.send(data.unwrap_or_default())).await {
+            match timeout(UPLOAD_READ_TIMEOUT, to.send(data.unwrap_or_default())).await {
                 Err(_) => return Err(StatusCode::GATEWAY_TIMEOUT),
                 Ok(Ok(())) => {}
                 // The attempt is over, and the answer on its way.
@@ -118,22 +121,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::states_length;
-
-    #[test]
-    fn a_length_is_seen_however_it_is_written_and_nowhere_but_in_the_head() {
-        for raw in
-            ["POST / HTTP/1.1\r\nContent-Length: 5\r\n\r\n", "POST / HTTP/1.1\nX: y\ncONTENT-lENGTH:5\n\n"]
-        {
-            assert!(states_length(raw.as_bytes()), "{raw:?}");
-        }
-        for raw in [
-            "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nContent-Length: 5\r\n",
-            "POST / HTTP/1.1\r\nX-Content-Length: 5\r\nY: content-length: 5\r\n\r\n",
-            "",
-        ] {
-            assert!(!states_length(raw.as_bytes()), "{raw:?}");
-        }
-    }
-}
+mod tests;
--- a/crates/gateway/proxy/src/fronts/mod.rs
+++ b/crates/gateway/proxy/src/fronts/mod.rs
@@ -3,4 +3,4 @@
 mod budget;
 pub mod http1;
 
-pub use budget::{Budget, Part};
+pub use budget::{Budget, Reservation};
--- a/crates/gateway/proxy/src/handover.rs
+++ b/crates/gateway/proxy/src/handover.rs
@@ -15,10 +15,10 @@
 use tracing::{info, warn};
 
 /// How often the other process is looked for, and its bans; and what it leaves, while it is about to.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-const AWAIT_EVERY: Duration = Duration::from_millis(20);
-const BANS: &str = "granitethread.bans";
-const LEFT: &str = "granitethread.left";
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+const STATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const BANS_FILE: &str = "granitethread.bans";
+const STATE_FILE: &str = "granitethread.left";
 
 pub struct Link {
     /// None: no folder is given, or the socket is our own, and nobody takes over.
@@ -39,7 +39,7 @@
         let other = alive.as_ref().is_some_and(|f| matches!(f.try_lock(), Err(TryLockError::WouldBlock)));
         // Whatever lies there is not from the one that still lives.
         if let Some(folder) = &folder {
-            let _ = fs::remove_file(folder.join(LEFT));
+            let _ = fs::remove_file(folder.join(STATE_FILE));
         }
         Rc::new(Link { folder, role: Cell::new(Role::first(other)), alive })
     }
@@ -49,10 +49,10 @@
     }
 
     /// This process is to end: what it has learnt is left for the next.
-    pub fn told(&self, driver: &Driver) {
-        self.role.set(self.role.get().after(Input::Told));
+    pub fn on_shutdown(&self, driver: &Driver) {
+        self.role.set(self.role.get().after(Input::ShutdownRequested));
         if let Some(folder) = &self.folder {
-            if let Err(e) = replace(folder, LEFT, &driver.leave()) {
+            if let Err(e) = replace(folder, STATE_FILE, &driver.export_state()) {
                 warn!(cause = %e, "handover: nothing left for the next process: {e}");
             }
         }
@@ -91,16 +91,16 @@
                 self.role.set(self.role().after(Input::OtherEnded));
                 info!("handover: the process before this one has ended");
             }
-            sleep(if awaits { AWAIT_EVERY } else { LOOK_EVERY }).await;
+            sleep(if awaits { STATE_POLL_INTERVAL } else { POLL_INTERVAL }).await;
         }
     }
 
     /// Whether the one before has left what there is to go on with.
     fn take_over(&self, folder: &Path, driver: &Driver) -> bool {
-        let Ok(Some(text)) = read_file(folder, LEFT) else { return false };
-        let _ = fs::remove_file(folder.join(LEFT));
+        let Ok(Some(text)) = read_file(folder, STATE_FILE) else { return false };
+        let _ = fs::remove_file(folder.join(STATE_FILE));
         let text = String::from_utf8_lossy(&text);
-        match driver.take_over(&text) {
+        match driver.import_state(&text) {
             Ok(()) => {
                 info!(bytes = text.len(), "handover: took over {} bytes of what was learnt", text.len())
             }
@@ -125,7 +125,7 @@
 }
 
 fn store(folder: &Path, bans: &BTreeMap<Name, Time>) -> io::Result<()> {
-    replace(folder, BANS, &handover::write(bans))
+    replace(folder, BANS_FILE, &handover::write(bans))
 }
 
 /// Whole, then in place of the old one: nobody reads half of it.
@@ -136,7 +136,7 @@
 }
 
 fn read(folder: &Path) -> Result<Option<BTreeMap<Name, Time>>, String> {
-    let text = read_file(folder, BANS).map_err(|e| e.to_string())?;
+    let text = read_file(folder, BANS_FILE).map_err(|e| e.to_string())?;
     text.map(|t| handover::read(&t).map_err(|e| e.to_string())).transpose()
 }
 
@@ -147,6 +147,6 @@
         file => file?,
     };
     let mut text = Vec::new();
-    file.take(handover::LONGEST as u64 + 1).read_to_end(&mut text)?;
+    file.take(handover::MAX_BYTES as u64 + 1).read_to_end(&mut text)?;
     Ok(Some(text))
 }
--- a/crates/gateway/proxy/src/list.rs
+++ b/crates/gateway/proxy/src/list.rs
@@ -65,13 +65,13 @@
 
 /// The list as it stands after all that was told, for a next process.
 #[derive(Default)]
-pub struct Held {
+pub struct ListSnapshot {
     /// None before any list.
     rev: Option<u64>,
     targets: BTreeMap<String, Target>,
 }
 
-impl Held {
+impl ListSnapshot {
     pub fn apply(&mut self, scope: Scope, list: &List) {
         if scope != Scope::Changes {
             self.targets.clear();
@@ -86,7 +86,7 @@
         self.rev = Some(list.rev);
     }
 
-    pub fn text(&self) -> Option<String> {
+    pub fn to_json(&self) -> Option<String> {
         let whole = List { rev: self.rev?, all: true, targets: self.targets.values().cloned().collect() };
         serde_json::to_string(&whole).ok()
     }
--- a/crates/gateway/proxy/tests/answers.rs
+++ b/crates/gateway/proxy/tests/answers.rs
@@ -1,7 +1,8 @@
-//! Whose an answer is and what is sent twice, over real sockets: a gateway's driver and connections before backends that
-//! keep to a script. The module that speaks here sends everything again, whatever it does; what holds is not its doing.
+//! Whose an answer is and what is sent twice, over real sockets: a gateway's driver and connections before backends
+//! that keep to a script. The module that speaks here sends everything again, whatever it does; what holds is not its
+//! doing.
 
-use engine::Figures;
+use engine::Timing;
 use hyper::header::HeaderMap;
 use hyper::http::response::Parts;
 use hyper::{Method, Response, Uri};
@@ -9,9 +10,9 @@
     Action, Allowance, Class, Effect, Ending, Event, Group, Module, Name, Plan, RequestId, Scope, Settings,
     Time,
 };
-use lifecycle::upstream::{Begins, Echo};
+use lifecycle::upstream::{Echo, ExecutionStart};
 use proxy::backends::{Backends, Content, Limits, Outcome, Outgoing, Served, Upload, Wire};
-use proxy::driver::{Answer, Driver, Incoming, Setup};
+use proxy::driver::{Answer, Config, Driver, Incoming};
 use proxy::fronts::Budget;
 use proxy::list::{List, State, Target};
 use std::cell::{Cell, RefCell};
@@ -58,29 +59,29 @@
 impl Wire for Echoed {
     fn stamp(&self, _: &mut HeaderMap, _: Duration, _: &Name) {}
 
-    fn begins(&self) -> Begins {
-        Begins::Head
+    fn begins(&self) -> ExecutionStart {
+        ExecutionStart::FullHead
     }
 
     fn echo(&self, request: &Outgoing, head: &Parts) -> Echo {
         match (head.headers.get("attempt-id"), request.headers.get("attempt-id")) {
             (Some(id), Some(own)) if id == own => Echo::Same,
             (Some(_), _) => Echo::Other,
-            (None, _) => Echo::Missing { turned_away: head.headers.contains_key("not-executed") },
+            (None, _) => Echo::Missing { is_rejection: head.headers.contains_key("not-executed") },
         }
     }
 
     fn read(&self, _: &Outgoing, _: &Name, answer: Response<Content>) -> Outcome {
         let (head, content) = answer.into_parts();
         let mut outcome = Outcome::without_answer(match head.status {
-            s if s.is_success() => Ending::Pass,
-            _ if head.headers.contains_key("not-executed") => Ending::Full,
-            _ => Ending::Fault,
+            s if s.is_success() => Ending::Success,
+            _ if head.headers.contains_key("not-executed") => Ending::Overloaded,
+            _ => Ending::Failure,
         });
         let served = Some(Served { status: head.status, headers: head.headers, content });
         match outcome.ending {
-            Ending::Pass => outcome.served = served,
-            Ending::Fault => outcome.failure = served,
+            Ending::Success => outcome.served = served,
+            Ending::Failure => outcome.failure = served,
             _ => {}
         }
         outcome
@@ -96,23 +97,23 @@
     fn before(listener: &TcpListener) -> Self {
         let second = Duration::from_secs(1);
         let limits = Limits {
-            sockets: 9,
+            max_connections: 9,
             connect_timeout: second,
             keepalive: 60 * second,
-            unheard: None,
-            overtime: Some(Duration::ZERO),
+            unacknowledged_timeout: None,
+            relay_overtime: Some(Duration::ZERO),
         };
         let class = |name, effect| Class::new(name, 1000 * MS, 9000 * MS, effect, Group::All);
         let settings = Settings {
             classes: vec![class("unsafe", Effect::Unsafe), class("safe", Effect::Safe)],
             plans: vec![Plan::new("p", 0.0, 0.0)],
-            try_limit: 3,
+            max_attempts: 3,
             ..Settings::default()
         };
-        let driver = Driver::new(Setup {
+        let driver = Driver::new(Config {
             settings,
             seed: 1,
-            figures: Figures { way_back: 0, module_grace: MS, key_margin: 0, gap: 0 },
+            timing: Timing { way_back: 0, module_grace: MS, key_margin: 0, min_batch_interval: 0 },
             module: Box::new(|_, _| Ok(Box::new(Eager::default()) as Box<dyn Module>)),
             backends: Backends::new(&limits, Box::new(Echoed)),
             zones: Vec::new(),
@@ -129,7 +130,7 @@
             capacity_hint: 1.0,
             boot_ms: 0,
         };
-        driver.list(Scope::Full, List { rev: 1, all: true, targets: vec![target] });
+        driver.apply_list(Scope::Full, List { rev: 1, all: true, targets: vec![target] });
         let running = driver.clone();
         spawn_local(async move { running.run().await });
         Gateway { driver, next: Cell::new(1) }
@@ -157,7 +158,7 @@
             method: Method::POST,
             uri: Uri::from_static("/"),
             headers,
-            body: RefCell::new(Upload::Whole(vec![b'x'; body].into(), Budget::new(0).part())),
+            body: RefCell::new(Upload::Whole(vec![b'x'; body].into(), Budget::new(0).reserve())),
             at_most_once: class == UNSAFE,
             ..Outgoing::default()
         };
@@ -165,13 +166,13 @@
         match self.driver.submit(incoming).expect("its id is free").await {
             Answer::Served(served) => {
                 let body = match served.content {
-                    Content::Whole(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
+                    Content::Complete(bytes) => String::from_utf8_lossy(&bytes).into_owned(),
                     Content::Stream(_) => "a stream".into(),
                 };
                 format!("{} {body}", served.status.as_u16())
             }
             Answer::Refused { .. } => "refused".into(),
-            Answer::Turned(status) => status.to_string(),
+            Answer::Rejected(status) => status.to_string(),
             Answer::Failed { late: true } => "late".into(),
             Answer::Failed { late: false } => "failed".into(),
         }
--- a/crates/gateway/route/benches/route.rs
+++ b/crates/gateway/route/benches/route.rs
@@ -2,7 +2,7 @@
 
 use criterion::{criterion_group, criterion_main, Criterion};
 use interface::Name;
-use route::{Ask, Route, Split, Subset, Table};
+use route::{Route, RouteQuery, Split, Subset, Table};
 use std::hint::black_box;
 
 fn table(n: usize) -> Table {
@@ -21,12 +21,12 @@
         let table = table(n);
         let path = format!("/api/v{}/kind-{}/list", (n - 1) % 7, n - 1);
         let host = format!("h{}.example", (n - 1) % 50);
-        let ask = Ask { host: &host, path: &path, method: "GET", class: 0 };
+        let ask = RouteQuery { host: &host, path: &path, method: "GET", class: 0 };
         c.bench_function(&format!("match among {n} routes"), |b| {
             b.iter(|| table.find(black_box(&ask), |_| None))
         });
     }
-    let split = Split { to: vec![(0, 90), (1, 9), (2, 1)] };
+    let split = Split { weights: vec![(0, 90), (1, 9), (2, 1)] };
     c.bench_function("split of three pools", |b| b.iter(|| split.pool(black_box("00000000b4d65521"))));
     let servers: Vec<Name> = (0..1000).map(|i| Name::from(format!("s-{i}"))).collect();
     c.bench_function("subset of 1000 servers", |b| b.iter(|| Subset::new(black_box(&servers), 3, 64, 32)));
--- a/crates/gateway/route/src/lib.rs
+++ b/crates/gateway/route/src/lib.rs
@@ -23,4 +23,4 @@
 pub use pool::{Labels, Selector};
 pub use split::{Shadow, Split};
 pub use subset::Subset;
-pub use table::{Ask, Error, Match, Route, Table};
+pub use table::{Error, Match, Route, RouteQuery, Table};
--- a/crates/gateway/route/src/subset.rs
+++ b/crates/gateway/route/src/subset.rs
@@ -52,11 +52,11 @@
     }
 
     /// How many there are in all.
-    pub fn all(&self) -> usize {
+    pub fn ring_size(&self) -> usize {
         self.ring.len()
     }
 
-    pub fn is_whole(&self) -> bool {
+    pub fn holds_all(&self) -> bool {
         self.size == self.ring.len()
     }
 
--- a/crates/gateway/route/src/table.rs
+++ b/crates/gateway/route/src/table.rs
@@ -20,11 +20,11 @@
 use std::fmt;
 
 /// The most routes of one host and one prefix.
-pub const MOST_LEVEL: usize = 64;
+pub const MAX_ROUTES_PER_PREFIX: usize = 64;
 /// The most routes of a table.
-pub const MOST_ROUTES: usize = 100_000;
+pub const MAX_ROUTES: usize = 100_000;
 /// The most bytes of a prefix, and segments that are looked at of a path.
-pub const MOST_PREFIX: usize = 1024;
+pub const MAX_PREFIX_BYTES: usize = 1024;
 
 /// A route as it is written.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -77,7 +77,7 @@
 
 /// What a table looks at of a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct RouteQuery<'a> {
     /// Without a port.
     pub host: &'a str,
     /// Without a query; as it came, undecoded: `%2F` is no separator (RFC 3986, 2.2).
@@ -137,8 +137,8 @@
     /// # Errors
     /// [`Error`], the first found.
     pub fn new(routes: Vec<Route>, pools: usize) -> Result<Self, Error> {
-        if let Some(route) = routes.get(MOST_ROUTES) {
-            return Err(Error::Many { line: route.line, most: MOST_ROUTES });
+        if let Some(route) = routes.get(MAX_ROUTES) {
+            return Err(Error::Many { line: route.line, most: MAX_ROUTES });
         }
         let mut hosts = Hosts::default();
         for (number, route) in routes.iter().enumerate() {
@@ -154,8 +154,8 @@
             for segment in segments(&route.prefix) {
                 node = node.below.entry(segment.into()).or_default();
             }
-            if node.here.len() >= MOST_LEVEL {
-                return Err(Error::Many { line: route.line, most: MOST_LEVEL });
+            if node.here.len() >= MAX_ROUTES_PER_PREFIX {
+                return Err(Error::Many { line: route.line, most: MAX_ROUTES_PER_PREFIX });
             }
             for other in &node.here {
                 let other = &routes[*other];
@@ -180,7 +180,7 @@
     /// The route of a request, if there is one. `header` tells a header's value by its name in lower case.
     pub fn find<'a, 'h>(
         &'a self,
-        ask: &Ask<'_>,
+        ask: &RouteQuery<'_>,
         header: impl Fn(&str) -> Option<&'h str>,
     ) -> Option<Match<'a>> {
         let lower;
@@ -190,7 +190,7 @@
         } else {
             ask.host
         };
-        let found = |node: &'a Node| self.deepest(node, ask, &header);
+        let found = |node: &'a Node| self.longest_match(node, ask, &header);
         if let Some(found) = self.hosts.exact.get(host).and_then(found) {
             return Some(found);
         }
@@ -205,26 +205,26 @@
         found(&self.hosts.any)
     }
 
-    fn deepest<'a, 'h>(
+    fn longest_match<'a, 'h>(
         &'a self,
         root: &'a Node,
-        ask: &Ask<'_>,
+        ask: &RouteQuery<'_>,
         header: &impl Fn(&str) -> Option<&'h str>,
     ) -> Option<Match<'a>> {
-        let mut best = self.at(root, ask, header);
+        let mut best = self.match_at(root, ask, header);
         let mut node = root;
         for segment in segments(ask.path) {
             let Some(below) = node.below.get(segment) else { break };
             node = below;
-            best = self.at(node, ask, header).or(best);
+            best = self.match_at(node, ask, header).or(best);
         }
         best
     }
 
-    fn at<'a, 'h>(
+    fn match_at<'a, 'h>(
         &'a self,
         node: &Node,
-        ask: &Ask<'_>,
+        ask: &RouteQuery<'_>,
         header: &impl Fn(&str) -> Option<&'h str>,
     ) -> Option<Match<'a>> {
         let matches = |route: &Route| {
@@ -275,8 +275,9 @@
             return wrong(format!("host is {host:?}: a name, or *. and a name, is wanted"));
         }
     }
-    let path =
-        |p: &str| p.starts_with('/') && p.len() <= MOST_PREFIX && p.bytes().all(|b| b.is_ascii_graphic());
+    let path = |p: &str| {
+        p.starts_with('/') && p.len() <= MAX_PREFIX_BYTES && p.bytes().all(|b| b.is_ascii_graphic())
+    };
     let plain = |p: &str| !p.contains(['?', '#']) && !segments(p).any(|s| s == "." || s == "..");
     for (key, value) in [("prefix", Some(&route.prefix)), ("rewrite", route.rewrite.as_ref())] {
         if let Some(value) = value.filter(|v| !path(v) || !plain(v)) {
--- a/crates/gateway/route/tests/placing.rs
+++ b/crates/gateway/route/tests/placing.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use route::eject::{Ejector, Limits};
 use route::subset::{size, Subset};
-use route::zone::{parts, Spill, Zone};
+use route::zone::{zone_shares, Spill, Zone};
 use route::{Selector, Shadow, Split};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_split_gives_each_pool_its_weight() {
-    let got = shares(&Split { to: vec![(0, 70), (1, 25), (2, 5), (3, 0)] }, 100_000);
+    let got = shares(&Split { weights: vec![(0, 70), (1, 25), (2, 5), (3, 0)] }, 100_000);
     for (pool, wanted) in [(0, 0.70), (1, 0.25), (2, 0.05)] {
         assert!((got[&pool] - wanted).abs() < 0.005, "pool {pool}: {}", got[&pool]);
     }
@@ -34,7 +34,8 @@
 /// 1% more for one pool moves about 1% of the customers, all of them to it.
 #[test]
 fn a_changed_weight_moves_no_more_than_it_must() {
-    let (before, after) = (Split { to: vec![(0, 990), (1, 10)] }, Split { to: vec![(0, 980), (1, 20)] });
+    let (before, after) =
+        (Split { weights: vec![(0, 990), (1, 10)] }, Split { weights: vec![(0, 980), (1, 20)] });
     let (mut moved, mut wrong) = (0, 0);
     for c in 0..100_000 {
         let name = format!("c-{c}");
@@ -48,19 +49,19 @@
 
 #[test]
 fn a_pool_that_is_the_only_one_with_a_weight_takes_all() {
-    let split = Split { to: vec![(0, 0), (1, 100)] };
+    let split = Split { weights: vec![(0, 0), (1, 100)] };
     assert!((0..1000).all(|c| split.pool(&format!("{c}")) == Some(1)));
-    assert_eq!(Split { to: vec![(0, 0)] }.pool("c"), None);
+    assert_eq!(Split { weights: vec![(0, 0)] }.pool("c"), None);
 }
 
 #[test]
 fn only_safe_requests_are_shadowed_and_about_the_stated_share() {
-    let shadow = Shadow { pool: 0, share: 0.03 };
+    let shadow = Shadow { pool: 0, fraction: 0.03 };
     let taken = (0..100_000).filter(|id| shadow.takes(*id, true)).count();
     assert!((2700..=3300).contains(&taken), "{taken}");
     assert!((0..100_000).all(|id| !shadow.takes(id, false)));
-    assert!((0..1000).all(|id| Shadow { pool: 0, share: 1.0 }.takes(id, true)));
-    assert!((0..1000).all(|id| !Shadow { pool: 0, share: 0.0 }.takes(id, true)));
+    assert!((0..1000).all(|id| Shadow { pool: 0, fraction: 1.0 }.takes(id, true)));
+    assert!((0..1000).all(|id| !Shadow { pool: 0, fraction: 0.0 }.takes(id, true)));
 }
 
 #[test]
@@ -128,19 +129,19 @@
         zones in prop::collection::vec((0.0f64..200.0, 0.0f64..100.0), 1..5),
         own in 0usize..5,
     ) {
-        let zones: Vec<Zone> = zones.into_iter().map(|(used, room)| Zone { used, room }).collect();
+        let zones: Vec<Zone> = zones.into_iter().map(|(used, room)| Zone { used, capacity: room }).collect();
         let own = own % zones.len();
         let spill = Spill::default();
-        let all = parts(&zones, own, spill);
+        let all = zone_shares(&zones, own, spill);
         let sum: f64 = all.iter().sum();
-        let room: f64 = zones.iter().map(|z| z.room).sum();
+        let room: f64 = zones.iter().map(|z| z.capacity).sum();
         prop_assert!((sum - 1.0).abs() < 1e-9 || (room <= 0.0 && sum == 0.0), "{}", sum);
-        if zones[own].room > 0.0 {
+        if zones[own].capacity > 0.0 {
             for (n, zone) in zones.iter().enumerate().filter(|(n, _)| *n != own) {
                 let after = zone.used + all[n] * zones[own].used;
-                prop_assert!(all[n] == 0.0 || after <= spill.aim * zone.room + 1e-6, "{:?} {}", zone, all[n]);
+                prop_assert!(all[n] == 0.0 || after <= spill.max_target_utilisation * zone.capacity + 1e-6, "{:?} {}", zone, all[n]);
             }
-            if zones[own].used <= spill.above * zones[own].room {
+            if zones[own].used <= spill.threshold * zones[own].capacity {
                 prop_assert!((all[own] - 1.0).abs() < 1e-9, "nothing leaves without need");
             }
         }
@@ -156,7 +157,7 @@
         steps += 1;
         assert!(subset.kept().starts_with(&first), "it widens, it does not move");
     }
-    assert!(subset.is_whole() && steps <= 7, "{steps} steps");
+    assert!(subset.holds_all() && steps <= 7, "{steps} steps");
     while subset.narrow(8) {}
     assert_eq!(subset.kept(), first);
     assert!(!Subset::new(&[], 0, 1, 5).widen());
@@ -168,14 +169,17 @@
 /// All servers of the own zone are gone: the rest have the work by their room.
 #[test]
 fn a_zone_without_room_spills_everything() {
-    let zones =
-        [Zone { used: 5.0, room: 0.0 }, Zone { used: 0.0, room: 30.0 }, Zone { used: 0.0, room: 10.0 }];
-    assert_eq!(parts(&zones, 0, Spill::default()), [0.0, 0.75, 0.25]);
+    let zones = [
+        Zone { used: 5.0, capacity: 0.0 },
+        Zone { used: 0.0, capacity: 30.0 },
+        Zone { used: 0.0, capacity: 10.0 },
+    ];
+    assert_eq!(zone_shares(&zones, 0, Spill::default()), [0.0, 0.75, 0.25]);
 }
 
 fn ejector(servers: &[Name]) -> Ejector {
     let mut e = Ejector::new(Limits::default());
-    e.list(servers);
+    e.set_servers(servers);
     e
 }
 
@@ -188,13 +192,13 @@
     for round in 0..40 {
         for (n, s) in servers.iter().enumerate() {
             now += SEC / 1000;
-            e.ended(now, s, n == 3 && round % 10 < 8);
+            e.attempt_ended(now, s, n == 3 && round % 10 < 8);
         }
     }
-    assert!(e.left_alone(now, &servers[3], 10));
-    assert!((0..10).filter(|n| *n != 3).all(|n| !e.left_alone(now, &servers[n], 10)));
+    assert!(e.is_ejected(now, &servers[3], 10));
+    assert!((0..10).filter(|n| *n != 3).all(|n| !e.is_ejected(now, &servers[n], 10)));
     now += 30 * SEC;
-    assert!(!e.left_alone(now, &servers[3], 10));
+    assert!(!e.is_ejected(now, &servers[3], 10));
 }
 
 /// Its cap: half of the pool failing leaves alone three in ten at most.
@@ -206,10 +210,10 @@
     for _ in 0..60 {
         for (n, s) in servers.iter().enumerate() {
             now += SEC / 1000;
-            e.ended(now, s, n % 5 < 2);
+            e.attempt_ended(now, s, n % 5 < 2);
         }
     }
-    let alone = servers.iter().filter(|s| e.left_alone(now, s, 10)).count();
+    let alone = servers.iter().filter(|s| e.is_ejected(now, s, 10)).count();
     assert!((1..=3).contains(&alone), "{alone}");
 }
 
@@ -222,11 +226,11 @@
     for _ in 0..40 {
         for (n, s) in servers.iter().enumerate() {
             now += SEC / 1000;
-            e.ended(now, s, n == 3);
+            e.attempt_ended(now, s, n == 3);
         }
     }
-    assert!(e.left_alone(now, &servers[3], 10));
-    assert!(!e.left_alone(now, &servers[3], 5), "half of them can take no work");
+    assert!(e.is_ejected(now, &servers[3], 10));
+    assert!(!e.is_ejected(now, &servers[3], 5), "half of them can take no work");
 }
 
 #[test]
@@ -234,17 +238,17 @@
     let servers = names(1);
     let mut e = ejector(&servers);
     for n in 0..50 {
-        e.ended(n * SEC / 100, &servers[0], true);
+        e.attempt_ended(n * SEC / 100, &servers[0], true);
     }
-    assert!(!e.left_alone(SEC, &servers[0], 1));
+    assert!(!e.is_ejected(SEC, &servers[0], 1));
     let two = names(2);
     let mut e = ejector(&two);
     for n in 0..50 {
-        e.ended(SEC + n * SEC / 100, &two[1], true);
-        e.ended(SEC + n * SEC / 100, &two[0], false);
+        e.attempt_ended(SEC + n * SEC / 100, &two[1], true);
+        e.attempt_ended(SEC + n * SEC / 100, &two[0], false);
     }
-    assert!(e.left_alone(2 * SEC, &two[1], 2));
-    e.list(&two[..1]);
-    e.list(&two);
-    assert!(!e.left_alone(2 * SEC, &two[1], 2), "one that came back is another process");
+    assert!(e.is_ejected(2 * SEC, &two[1], 2));
+    e.set_servers(&two[..1]);
+    e.set_servers(&two);
+    assert!(!e.is_ejected(2 * SEC, &two[1], 2), "one that came back is another process");
 }
--- a/crates/gateway/route/tests/table.rs
+++ b/crates/gateway/route/tests/table.rs
@@ -1,7 +1,7 @@
 //! The table against a naive matcher, its precedence line by line, and what is refused at load.
 
 use proptest::prelude::*;
-use route::{Ask, Error, Route, Split, Table};
+use route::{Error, Route, RouteQuery, Split, Table};
 
 fn route(line: usize, host: Option<&str>, prefix: &str) -> Route {
     Route {
@@ -21,7 +21,7 @@
     class: usize,
     headers: &[(&str, &str)],
 ) -> Option<usize> {
-    let ask = Ask { host, path, method, class };
+    let ask = RouteQuery { host, path, method, class };
     let header = |name: &str| headers.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
     table.find(&ask, header).map(|m| m.route.line)
 }
@@ -115,9 +115,9 @@
         Route { methods: vec!["G ET".into()], ..route(7, None, "/") },
         Route { headers: vec![("Upper".into(), "v".into())], ..route(7, None, "/") },
         Route { headers: vec![("k".into(), "v".into()), ("k".into(), "w".into())], ..route(7, None, "/") },
-        Route { split: Split { to: vec![(0, 0)] }, ..route(7, None, "/") },
-        Route { split: Split { to: vec![(1, 1)] }, ..route(7, None, "/") },
-        Route { split: Split { to: vec![(0, 1), (0, 2)] }, ..route(7, None, "/") },
+        Route { split: Split { weights: vec![(0, 0)] }, ..route(7, None, "/") },
+        Route { split: Split { weights: vec![(1, 1)] }, ..route(7, None, "/") },
+        Route { split: Split { weights: vec![(0, 1), (0, 2)] }, ..route(7, None, "/") },
         Route { rewrite: Some("here".into()), ..route(7, None, "/") },
     ];
     for case in cases {
@@ -134,7 +134,7 @@
     let path = |prefix: &str, to: &str, path: &str| {
         let r = Route { rewrite: Some(to.into()), ..route(1, None, prefix) };
         let table = Table::new(vec![r], 1).unwrap();
-        let ask = Ask { host: "h", path, method: "GET", class: 0 };
+        let ask = RouteQuery { host: "h", path, method: "GET", class: 0 };
         table.find(&ask, |_| None).expect("it matches").path(path).into_owned()
     };
     assert_eq!(path("/v2/api", "/api", "/v2/api/x//y/"), "/api/x//y/");
--- a/crates/testing/compatibility/tests/service.rs
+++ b/crates/testing/compatibility/tests/service.rs
@@ -2,7 +2,7 @@
 //! forwarders, a gateway's snapshot, the operators' file.
 
 use compatibility::Golden;
-use membership::wire::{Datagram, Message, Rider, BUCKETS};
+use membership::wire::{Datagram, Message, Piggyback, BUCKETS};
 use membership::{Keys, Record, Role, State};
 use plan::message::{Entry, Grant, Instance, Lease, Report};
 use plan::wire::{Link, Message as PlanMessage, Side, LATEST, OLDEST};
@@ -13,14 +13,14 @@
 fn record(state: State, role: Role) -> Record {
     Record {
         name: "g1".into(),
-        life: 1_798_758_000_000,
+        generation: 1_798_758_000_000,
         incarnation: 2,
         state,
         address: "127.0.0.1:7101".parse().expect("an address"),
         zone: "a".into(),
         role,
         versions: (1, 1),
-        by: 77,
+        accuser: 77,
     }
 }
 
@@ -31,22 +31,26 @@
     let address = "127.0.0.1:7102".parse().expect("an address");
     let states = [State::Alive, State::Suspect, State::Dead, State::Left];
     let rumours: Vec<Record> = states.into_iter().map(|s| record(s, Role::Planner)).collect();
-    let rider = Rider { digest: 5, health: 1, rumours: rumours[..2].to_vec() };
+    let rider = Piggyback { digest: 5, health: 1, updates: rumours[..2].to_vec() };
     let own = record(State::Alive, Role::Gateway);
     let messages = [
-        ("ping", Message::Ping { probe: 1, life: 2, address, rider: rider.clone() }),
-        ("ack", Message::Ack { probe: 1, rider: rider.clone() }),
-        ("help", Message::Help { probe: 1, target: "g2".into(), rider: rider.clone() }),
-        ("nack", Message::Nack { probe: 1, rider }),
-        ("differs", Message::Differs { buckets: [9; BUCKETS] }),
+        ("ping", Message::Ping { probe: 1, generation: 2, address, piggyback: rider.clone() }),
+        ("ack", Message::Ack { probe: 1, piggyback: rider.clone() }),
+        ("help", Message::PingRequest { probe: 1, target: "g2".into(), piggyback: rider.clone() }),
+        ("nack", Message::Nack { probe: 1, piggyback: rider }),
+        ("differs", Message::DigestMismatch { buckets: [9; BUCKETS] }),
         ("records", Message::Records { echo: 4, records: rumours }),
         ("hello", Message::Hello { record: own.clone(), padding: vec![0; 8] }),
         ("cookie", Message::Cookie { cookie: [6; 16], address }),
         ("join", Message::Join { record: own, cookie: [6; 16], echo: 4 }),
     ];
     for (name, message) in &messages {
-        let datagram =
-            Datagram { from: "g1".into(), life: 1_798_758_000_000, number: 3, message: message.clone() };
+        let datagram = Datagram {
+            from: "g1".into(),
+            generation: 1_798_758_000_000,
+            number: 3,
+            message: message.clone(),
+        };
         let recorded = golden.assert_bytes(name, &keys.seal(&datagram).expect("it fits"));
         assert_eq!(keys.open(&recorded), Ok(datagram), "{name}");
     }
@@ -69,25 +73,31 @@
         seat: 1,
         incarnation: 2,
         number: 3,
-        seen: 4,
+        known_epoch: 4,
         nonce: 5,
-        acked: 6,
-        lent: true,
+        acknowledged_grant: 6,
+        is_lent: true,
         loan: 7,
-        slots_in: 8,
-        busy: 0.0,
+        slots_free_in: 8,
+        attempts_in_flight: 0.0,
         entries: vec![entry],
     };
-    let lease = Lease { customer: "c".into(), lease: 2, granted: [1.0, 2.0, 3.0], renewed: true, dry: false };
+    let lease = Lease {
+        customer: "c".into(),
+        lease: 2,
+        granted: [1.0, 2.0, 3.0],
+        is_renewed: true,
+        is_pool_empty: false,
+    };
     let grant = Grant {
         from: Instance { nonce: 5, epoch: 4 },
         seat: 1,
         incarnation: 2,
         number: 3,
         report: 3,
-        holds: true,
+        is_already_lent: true,
         loan: 7,
-        share: 2.0,
+        work_share: 2.0,
         leases: vec![lease],
     };
     for version in OLDEST..=LATEST {
--- a/crates/testing/control-sim/src/growth.rs
+++ b/crates/testing/control-sim/src/growth.rs
@@ -201,13 +201,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// What a gateway is told of rights does not grow with the fleet.
-    #[test]
-    fn rights_cost_a_gateway_the_same_in_any_fleet() {
-        let (few, many) = (rights(&gateways(12), 40).0, rights(&gateways(120), 40).0);
-        assert!(few > 1000.0 && many < 1.2 * few, "{few} and {many} B/s");
-    }
-}
+mod tests;
--- a/crates/testing/fleet-sim/src/days.rs
+++ b/crates/testing/fleet-sim/src/days.rs
@@ -129,7 +129,7 @@
     let plan = |p: &interface::Plan| {
         json!({
             "name": p.name, "quota_rate": p.rate, "depth": p.depth, "value_factor": p.value_factor,
-            "never_over_rate": p.ceiling_rate, "ceiling_burst": p.ceiling_burst,
+            "never_over_rate": p.hard_limit_rate, "ceiling_burst": p.hard_limit_burst,
         })
     };
     let s = &mut config["settings"];
@@ -401,7 +401,7 @@
             lock(&self.books.asked).remove(&id);
             let again = match answer {
                 Some(Some((200, _))) => {
-                    let timely = asked_at.elapsed().as_nanos() as u64 <= class.aim;
+                    let timely = asked_at.elapsed().as_nanos() as u64 <= class.latency_target;
                     let mut counts = lock(&self.counts);
                     counts.served += 1;
                     counts.in_aim += u64::from(timely);
--- a/crates/testing/fleet-sim/src/defects.rs
+++ b/crates/testing/fleet-sim/src/defects.rs
@@ -45,13 +45,13 @@
 /// The settings as the module hears them.
 pub fn spoil(mut settings: Settings) -> Settings {
     match SPOILT.load(Ordering::Relaxed) {
-        1 => settings.cold = 0,
-        2 => settings.plans.iter_mut().for_each(|p| p.ceiling_rate = 0.0),
+        1 => settings.warm_up_time = 0,
+        2 => settings.plans.iter_mut().for_each(|p| p.hard_limit_rate = 0.0),
         // A part of what all share rests on the view, and that says that nobody else lives.
         3 => {
             let all = f64::from(settings.gateways);
             settings.plans.iter_mut().for_each(|p| {
-                (p.ceiling_rate, p.ceiling_burst) = (p.ceiling_rate * all, p.ceiling_burst * all);
+                (p.hard_limit_rate, p.hard_limit_burst) = (p.hard_limit_rate * all, p.hard_limit_burst * all);
             });
         }
         _ => {}
--- a/crates/testing/fleet-sim/src/members.rs
+++ b/crates/testing/fleet-sim/src/members.rs
@@ -245,7 +245,7 @@
                 of.iter().filter_map(|n| Some(self.nodes[*n].view.as_ref()?.digest())).collect();
             let seen = of.first().and_then(|n| self.nodes[*n].view.as_ref());
             digests.len() == 1
-                && seen.is_some_and(|v| v.members().filter(|m| m.record.state.lives()).count() == of.len())
+                && seen.is_some_and(|v| v.members().filter(|m| m.record.state.is_alive()).count() == of.len())
         })
     }
 
@@ -277,9 +277,9 @@
             for n in 0..self.nodes.len() {
                 let node = &self.nodes[n];
                 let seen = seen.get(&node.name);
-                let lives = seen.is_some_and(|r| r.state.lives() && r.life == node.life);
+                let lives = seen.is_some_and(|r| r.state.is_alive() && r.generation == node.life);
                 if lives != running.contains(&n) {
-                    let seen = seen.map(|r| (r.state, r.life == node.life, r.incarnation));
+                    let seen = seen.map(|r| (r.state, r.generation == node.life, r.incarnation));
                     all.push((*at, format!("{at} sees {n} as {seen:?}, health {:?}", view.health())));
                 }
             }
@@ -296,7 +296,7 @@
                 let state = m.record.state == State::Dead;
                 state
                     && running.iter().any(|r| {
-                        *self.nodes[*r].name == *m.record.name && self.nodes[*r].life == m.record.life
+                        *self.nodes[*r].name == *m.record.name && self.nodes[*r].life == m.record.generation
                     })
             };
             view.map_or(0, |v| v.members().filter(|m| of(m.clone())).count())
@@ -425,7 +425,7 @@
         }
         let told = |n: &usize| {
             let view = net.nodes[*n].view.as_ref();
-            view.is_some_and(|v| v.health().cut_off.is_some() || net.sees_who_runs(*n))
+            view.is_some_and(|v| v.health().isolated_since.is_some() || net.sees_who_runs(*n))
         };
         played.too_few = few && running.iter().all(told);
     }
--- a/crates/testing/fleet-sim/src/mind.rs
+++ b/crates/testing/fleet-sim/src/mind.rs
@@ -132,12 +132,12 @@
 }
 
 impl Module for Mind {
-    fn leave(&self) -> String {
-        self.gateway.leave()
+    fn export_state(&self) -> String {
+        self.gateway.export_state()
     }
 
-    fn take_over(&mut self, now: Time, left: &str) -> Result<(), String> {
-        self.gateway.take_over(now, left)
+    fn import_state(&mut self, now: Time, left: &str) -> Result<(), String> {
+        self.gateway.import_state(now, left)
     }
 
     fn handle(&mut self, now: Time, events: Vec<Event>, out: &mut Vec<Action>) {
--- a/crates/testing/fleet-sim/src/observer.rs
+++ b/crates/testing/fleet-sim/src/observer.rs
@@ -1,7 +1,7 @@
 //! Sees everything and shares no code with the engine: what was taken, sent, run, answered. A rule that is broken
 //! stops the run. Each rule stands beside its words.
 
-use engine::Final;
+use engine::FinalAnswer;
 use interface::{Effect, Time};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -206,7 +206,7 @@
     }
 
     /// "Exactly one final answer"; "a refusal only when nothing can have run".
-    pub fn answered(&mut self, now: Time, id: u64, answer: Final) {
+    pub fn answered(&mut self, now: Time, id: u64, answer: FinalAnswer) {
         self.answers += 1;
         let Some(seen) = self.seen.get_mut(&id) else {
             return self.break_rule(now, "one final answer", format!("{id:x} is over and is answered"));
@@ -217,7 +217,7 @@
             self.break_rule(now, "one final answer", format!("{id:x} is answered again: {answer:?}"));
         } else if gone {
             self.break_rule(now, "none after the client has left", format!("{id:x}: {answer:?}"));
-        } else if matches!(answer, Final::Refused { .. }) && may_have_run {
+        } else if matches!(answer, FinalAnswer::Refused { .. }) && may_have_run {
             self.break_rule(now, "a refusal only when nothing can have run", format!("{id:x}"));
         }
         self.settle(id);
--- a/crates/testing/fleet-sim/src/spec.rs
+++ b/crates/testing/fleet-sim/src/spec.rs
@@ -262,13 +262,13 @@
         let allowance = |p: &Plan| Allowance {
             quota_rate: p.rate,
             quota_depth: p.depth,
-            ceiling_rate: p.ceiling_rate,
-            ceiling_depth: p.ceiling_burst,
+            hard_limit_rate: p.hard_limit_rate,
+            hard_limit_depth: p.hard_limit_burst,
             slots: f64::from(p.parallel),
         };
         let plans = settings.plans.iter().map(allowance).collect();
         let (lease, loan, tick) = (self.lease, self.loan, self.tick);
-        Terms { lease, loan, tick, attempt: 2500 * MS, ..Terms::new(self.gateways as u16, plans) }
+        Terms { lease, loan, tick, max_attempt: 2500 * MS, ..Terms::new(self.gateways as u16, plans) }
     }
 
     /// What every gateway of it is told at its start.
@@ -283,24 +283,24 @@
             Class { points: 3.0, ..class("book-slot", 750, 2500, Effect::Unsafe) },
         ];
         let partner = Plan {
-            ceiling_rate: 60.0,
-            ceiling_burst: 80.0,
+            hard_limit_rate: 60.0,
+            hard_limit_burst: 80.0,
             value_factor: 1.8,
             ..Plan::new("partner", self.partner.0, self.partner.1)
         };
         Settings {
-            me: me as u32,
+            gateway_index: me as u32,
             gateways: self.gateways as u32,
             classes,
             plans: vec![Plan::new("starter", 4.0, 16.0), partner],
             retry_after: true,
             max_retry_after: 2000 * MS,
-            try_limit: 3,
-            cost_after: true,
+            max_attempts: 3,
+            settles_cost: true,
             most_units: 8.0,
             meter_period: 500 * MS,
-            cold: crate::servers::COLD,
-            cold_from: crate::servers::COLD_FROM,
+            warm_up_time: crate::servers::COLD,
+            initial_warmth: crate::servers::COLD_FROM,
             fall: crate::servers::FALL,
             fall_multiple: crate::servers::FALL_MULTIPLE,
             answer_slack: 8 * MS,
--- a/crates/testing/fleet-sim/src/world.rs
+++ b/crates/testing/fleet-sim/src/world.rs
@@ -17,7 +17,9 @@
 use crate::shrink::Cuts;
 use crate::spec::{plan_of, Spec, MS};
 use crate::trace::Trace;
-use engine::{Engine, Entry, Facts, Figures, Final, Incoming, Input, Notice, Output, Reply, Step};
+use engine::{
+    AttemptFacts, Engine, FinalAnswer, Incoming, Input, ListEntry, Notice, Output, Reply, Step, Timing,
+};
 use fastrand::Rng;
 use forward::Account;
 use granitehub::Gateway;
@@ -27,8 +29,8 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 
-const FIGURES: Figures =
-    Figures { way_back: 20 * MS, module_grace: 5 * MS, key_margin: 20 * MS, gap: 2 * MS };
+const FIGURES: Timing =
+    Timing { way_back: 20 * MS, module_grace: 5 * MS, key_margin: 20 * MS, min_batch_interval: 2 * MS };
 /// Where clocks stand at the start, at the least.
 const EPOCH: Time = 1_000_000_000 * MS;
 /// After the last request all is over within so long: the longest deadline, and the way of what is still out.
@@ -113,7 +115,7 @@
         id: u64,
         attempt: u32,
         ending: Ending,
-        facts: Facts,
+        facts: AttemptFacts,
     },
     /// An attempt was told to stop.
     Stopped {
@@ -345,9 +347,9 @@
         let partner = &spec.settings(0).plans[1];
         for customer in (0..spec.customers).filter(|c| plan_of(*c) == 1) {
             // Leases keep it but for the drift of clocks; who guesses has the rule's slack.
-            let slack = if spec.planners > 0 { 1.0 } else { (0.1 * partner.ceiling_burst).max(8.0) };
+            let slack = if spec.planners > 0 { 1.0 } else { (0.1 * partner.hard_limit_burst).max(8.0) };
             let slack = if spec.mischief { f64::INFINITY } else { slack };
-            observer.ceiling(customer, partner.ceiling_rate, partner.ceiling_burst, slack);
+            observer.ceiling(customer, partner.hard_limit_rate, partner.hard_limit_burst, slack);
         }
         let mut world = World {
             links: vec![vec![(true, true); spec.planners]; spec.gateways],
@@ -446,7 +448,7 @@
         for n in 0..self.processes.len() {
             let p = &self.processes[n];
             if p.up && p.paused_until < self.now && !p.engine.is_idle() {
-                self.observer.not_idle(self.now, n, p.engine.held());
+                self.observer.not_idle(self.now, n, p.engine.request_count());
             }
         }
     }
@@ -510,7 +512,7 @@
 }
 
 /// The list as an engine takes it.
-fn list(p: &Process) -> Vec<Entry> {
+fn list(p: &Process) -> Vec<ListEntry> {
     let entry = |(n, listed, born): &(usize, Listed, Time)| {
         let health = match listed {
             Listed::Up => Health::Up,
--- a/crates/testing/fleet-sim/src/world/backends.rs
+++ b/crates/testing/fleet-sim/src/world/backends.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl World {
-    pub(super) fn back(&mut self, job: &Job, ending: Ending, after: Time, facts: Facts) {
+    pub(super) fn back(&mut self, job: &Job, ending: Ending, after: Time, facts: AttemptFacts) {
         let Job { gateway, life, id, attempt, .. } = *job;
         let at = self.now + after + self.net.u64(100_000..500_000);
         self.at(at, Event::To { gateway, life, what: Inward::Back { id, attempt, ending, facts } });
@@ -12,14 +12,14 @@
     pub(super) fn at_server(&mut self, server: usize, job: Job) {
         let s = &mut self.servers[server];
         if !s.up {
-            return self.back(&job, Ending::Cut, 0, Facts::default());
+            return self.back(&job, Ending::Interrupted, 0, AttemptFacts::default());
         }
         self.queued += s.load() as f64 / s.cores() as f64;
         self.counts.reached += 1;
         match s.mood {
             Mood::Silent => return,
             Mood::FailsFast(part) if self.work.f64() < part => {
-                return self.back(&job, Ending::Fault, 2 * MS, Facts::default());
+                return self.back(&job, Ending::Failure, 2 * MS, AttemptFacts::default());
             }
             _ => {}
         }
@@ -31,7 +31,7 @@
             Taken::Waits => {}
             Taken::Full => {
                 self.counts.turned_away += 1;
-                self.back(&waits, Ending::Full, 0, Facts::default());
+                self.back(&waits, Ending::Overloaded, 0, AttemptFacts::default());
             }
             Taken::FallsOver => {
                 self.counts.fallen += 1;
@@ -80,7 +80,12 @@
         let used = period.and_then(|p| self.meter.get(&(customer, p)).copied()).unwrap_or(0.0);
         let rate = self.spec.settings(0).plans[plan_of(customer)].rate;
         let metered = Some(used / (PERIOD as f64 / 1e9) / rate);
-        self.back(job, Ending::Pass, 0, Facts { settled: units, metered, ..Facts::default() });
+        self.back(
+            job,
+            Ending::Success,
+            0,
+            AttemptFacts { settled: units, metered, ..AttemptFacts::default() },
+        );
         if let Some((job, time)) = next {
             self.runs(server, job, time);
         }
@@ -94,7 +99,7 @@
             broken.extend(here.map(|(id, o)| (gateway, p.life, *id, o.attempt)));
         }
         for (gateway, life, id, attempt) in broken {
-            let (ending, facts) = (Ending::Cut, Facts::default());
+            let (ending, facts) = (Ending::Interrupted, AttemptFacts::default());
             let at = self.now + self.net.u64(100_000..800_000);
             self.at(at, Event::To { gateway, life, what: Inward::Back { id, attempt, ending, facts } });
         }
--- a/crates/testing/fleet-sim/src/world/clients.rs
+++ b/crates/testing/fleet-sim/src/world/clients.rs
@@ -125,13 +125,13 @@
     }
 
     /// A client has its answer.
-    pub(super) fn answered(&mut self, id: u64, answer: Final) {
+    pub(super) fn answered(&mut self, id: u64, answer: FinalAnswer) {
         self.observer.answered(self.now, id, answer);
         self.trace.tell(self.now, || format!("  {id:x} is answered: {answer:?}"));
         let Some(Waiting { ask, .. }) = self.waiting.remove(&id) else { return };
         let aim = [600, 750, 750][ask.class] * MS;
         let again = match answer {
-            Final::Served => {
+            FinalAnswer::Served => {
                 self.counts.served += 1;
                 let (took, timely) = (self.now - ask.begun, self.now - ask.begun <= aim);
                 self.counts.in_aim += u64::from(timely);
@@ -139,8 +139,8 @@
                 self.record.served(self.now, took, timely);
                 return;
             }
-            Final::Turned => return,
-            Final::Refused { advice, tried } => {
+            FinalAnswer::Rejected => return,
+            FinalAnswer::Refused { advice, tried } => {
                 self.counts.refused += 1;
                 self.record.second(self.now).refused += 1;
                 let plan = self.plan(ask.customer);
@@ -154,7 +154,7 @@
                     _ => 300 * MS,
                 }
             }
-            Final::Failed { .. } => {
+            FinalAnswer::Failed { .. } => {
                 self.counts.failed += 1;
                 self.record.second(self.now).failed += 1;
                 // Nobody knows whether it ran.
--- a/crates/testing/fleet-sim/src/world/gateways.rs
+++ b/crates/testing/fleet-sim/src/world/gateways.rs
@@ -21,26 +21,26 @@
             }
             Inward::Back { id, attempt, ending, facts } => {
                 let Some(out) = p.out.get(&id).filter(|o| o.attempt == attempt) else { return };
-                let facts = Facts { elapsed: self.now - out.since, ..facts };
+                let facts = AttemptFacts { elapsed: self.now - out.since, ..facts };
                 p.out.remove(&id);
                 self.over(gateway, id, attempt, ending, facts);
             }
             Inward::Stopped { id, attempt, written } => {
                 let never = !written;
                 self.observer.ended(id, attempt, never);
-                self.tell_ended(gateway, id, attempt, Ending::Undone, Facts::default());
+                self.tell_ended(gateway, id, attempt, Ending::Cancelled, AttemptFacts::default());
             }
             Inward::Limit { id, attempt } => {
                 let Some(out) = p.out.get(&id).filter(|o| o.attempt == attempt) else { return };
-                let ending = if out.written { Ending::Late } else { Ending::NoRoute };
-                let facts = Facts { elapsed: self.now - out.since, ..Facts::default() };
+                let ending = if out.written { Ending::TimedOut } else { Ending::Unreachable };
+                let facts = AttemptFacts { elapsed: self.now - out.since, ..AttemptFacts::default() };
                 p.out.remove(&id);
                 self.over(gateway, id, attempt, ending, facts);
             }
             Inward::Left { id } => {
                 self.observer.left(id);
                 self.waiting.remove(&id);
-                self.give(gateway, Input::Left { id });
+                self.give(gateway, Input::ClientLeft { id });
             }
             Inward::Told { rev, entries } => self.told(gateway, rev, entries),
             Inward::Grant { planner, grant } => self.give(gateway, Input::Grant { planner, grant }),
@@ -59,16 +59,30 @@
     }
 
     /// An attempt has come to its end at its gateway.
-    pub(super) fn over(&mut self, gateway: usize, id: u64, attempt: u32, ending: Ending, facts: Facts) {
-        let never = matches!(ending, Ending::Full | Ending::NoRoute | Ending::Stale);
+    pub(super) fn over(
+        &mut self,
+        gateway: usize,
+        id: u64,
+        attempt: u32,
+        ending: Ending,
+        facts: AttemptFacts,
+    ) {
+        let never = matches!(ending, Ending::Overloaded | Ending::Unreachable | Ending::Stale);
         self.observer.ended(id, attempt, never);
         self.trace.tell(self.now, || format!("  {id:x}: attempt {attempt} ends: {ending:?}"));
         self.tell_ended(gateway, id, attempt, ending, facts);
     }
 
-    pub(super) fn tell_ended(&mut self, gateway: usize, id: u64, attempt: u32, ending: Ending, facts: Facts) {
-        let reply = if ending == Ending::Pass { Reply::Good } else { Reply::None };
-        self.give(gateway, Input::Ended { id, attempt, ending, reply, facts });
+    pub(super) fn tell_ended(
+        &mut self,
+        gateway: usize,
+        id: u64,
+        attempt: u32,
+        ending: Ending,
+        facts: AttemptFacts,
+    ) {
+        let reply = if ending == Ending::Success { Reply::Good } else { Reply::None };
+        self.give(gateway, Input::AttemptEnded { id, attempt, ending, reply, facts });
     }
 
     /// Hands a gateway an input and carries out what it orders.
@@ -112,7 +126,7 @@
                 let what = if self.servers[server].up {
                     Inward::Connected { id, attempt }
                 } else {
-                    Inward::Back { id, attempt, ending: Ending::NoRoute, facts: Facts::default() }
+                    Inward::Back { id, attempt, ending: Ending::Unreachable, facts: AttemptFacts::default() }
                 };
                 self.at(at, Event::To { gateway, life, what });
             }
@@ -148,7 +162,7 @@
                 }
             }
             Output::Answer { id, answer } => {
-                self.trace.note(&[2, id, u64::from(answer == Final::Served)]);
+                self.trace.note(&[2, id, u64::from(answer == FinalAnswer::Served)]);
                 self.answered(id, answer);
             }
             Output::Over { .. } => {}
@@ -166,7 +180,7 @@
     pub(super) fn schedule(&mut self, gateway: usize) {
         let p = &mut self.processes[gateway];
         let Some(due) = p.engine.next_due() else { return };
-        let at = p.world(due.max(p.engine.earliest())).max(self.now);
+        let at = p.world(due.max(p.engine.next_batch_at())).max(self.now);
         if p.wake_at.is_some_and(|set| set <= at) {
             return;
         }
--- a/crates/testing/fleet-sim/src/world/memory.rs
+++ b/crates/testing/fleet-sim/src/world/memory.rs
@@ -19,7 +19,7 @@
         if !p.up || p.paused_until > now {
             return;
         }
-        let Some((stores, servers)) = split(&p.engine.leave()) else { return };
+        let Some((stores, servers)) = split(&p.engine.export_state()) else { return };
         let author = Author { name: name(gateway), life: p.life, at: p.clock(now) };
         let section = |kind, bytes| Section { kind, bytes };
         p.kept.push_back(encode(&author, &[section(Kind::Stores, stores), section(Kind::Servers, servers)]));
@@ -53,7 +53,7 @@
             let stores = section(Kind::Stores).ok_or("the stores are damaged")?;
             join(stores, section(Kind::Servers), &plans, times).ok_or_else(|| "no memory".to_string())
         });
-        let done = text.and_then(|text| p.engine.take_over(now, &text));
+        let done = text.and_then(|text| p.engine.import_state(now, &text));
         self.trace.tell(self.now, || format!("gateway {g} goes on with its snapshot: {done:?}"));
     }
 }
--- a/crates/testing/fleet-sim/src/world/planning.rs
+++ b/crates/testing/fleet-sim/src/world/planning.rs
@@ -75,7 +75,7 @@
         }
         let Ok(mut grant) = answer else { return };
         if !self.spec.placement {
-            grant.share = 1.0 / self.spec.gateways as f64;
+            grant.work_share = 1.0 / self.spec.gateways as f64;
         }
         let gateway = usize::from(report.seat);
         let life = self.processes[gateway].life;
--- a/crates/testing/fleet-sim/tests/members.rs
+++ b/crates/testing/fleet-sim/tests/members.rs
@@ -103,12 +103,12 @@
 fn a_restart_quicker_than_its_own_suspicion(seed: u64) -> Result<(), String> {
     let mut net = fleet(12, seed)?;
     net.play(5 * S);
-    let old = net.nodes[5].view.as_ref().map(|v| v.members().next().map(|m| m.record.life));
+    let old = net.nodes[5].view.as_ref().map(|v| v.members().next().map(|m| m.record.generation));
     net.kill(5);
     net.play(net.now + 300 * MS);
     net.start(5);
     within(&mut net, 2500, "a new life")?;
-    let new = net.nodes[5].view.as_ref().map(|v| v.members().next().map(|m| m.record.life));
+    let new = net.nodes[5].view.as_ref().map(|v| v.members().next().map(|m| m.record.generation));
     ensure(old < new, "its life is a later one")?;
     // And stays: nobody goes back to the older.
     for _ in 0..50 {
@@ -167,14 +167,20 @@
     net.group[4] = 1;
     net.play(20 * S);
     let view = net.nodes[4].view.as_ref().ok_or("it runs")?;
-    ensure(view.health().cut_off.is_some(), "it says that it is cut off")?;
+    ensure(view.health().isolated_since.is_some(), "it says that it is cut off")?;
     let dead = view.members().filter(|m| m.record.state == State::Dead).count();
     ensure(dead <= 1, format!("it holds {dead} for dead"))?;
-    ensure(net.nodes[5].view.as_ref().is_some_and(|v| v.health().cut_off.is_none()), "the others don't")?;
+    ensure(
+        net.nodes[5].view.as_ref().is_some_and(|v| v.health().isolated_since.is_none()),
+        "the others don't",
+    )?;
     net.group.fill(0);
     within(&mut net, 4000, "it is back")?;
     net.play(net.now + S);
-    ensure(net.nodes[4].view.as_ref().is_some_and(|v| v.health().cut_off.is_none()), "and says so no more")
+    ensure(
+        net.nodes[4].view.as_ref().is_some_and(|v| v.health().isolated_since.is_none()),
+        "and says so no more",
+    )
 }
 
 fn one_that_was_stopped_blames_nobody(seed: u64) -> Result<(), String> {
--- a/crates/testing/model-check/src/clients.rs
+++ b/crates/testing/model-check/src/clients.rs
@@ -2,7 +2,9 @@
 //! read, or leave; SIGTERM in every state; and the budget that wants its place.
 //! `lifecycle::Connection` itself is what is explored.
 
-use lifecycle::connection::{spare, Close, Connection, Input, Order, Patience, SETTLE, STUCK};
+use lifecycle::connection::{
+    eviction_candidate, Close, Command, Connection, Input, Timeouts, EVICTION_GRACE, UNREAD_ANSWER_TIMEOUT,
+};
 use stateright::{Model, Property};
 
 #[derive(Clone)]
@@ -122,7 +124,7 @@
         "Room is not made by who is writing its first head and has just sent a byte of it.",
         |_, s| {
             let may = !s.half || s.behind || s.taken > 0 || s.read > s.answered;
-            s.ended != Some(End::ForRoom) || may || s.now >= s.head_at + SETTLE
+            s.ended != Some(End::ForRoom) || may || s.now >= s.head_at + EVICTION_GRACE
         },
     ),
     (
@@ -138,32 +140,34 @@
 ];
 
 impl State {
-    fn handle(&mut self, input: Input) -> Order {
+    fn handle(&mut self, input: Input) -> Command {
         let order = self.life.handle(self.now, input);
         self.wrong |= order.is_err();
-        order.unwrap_or(Order::None)
+        order.unwrap_or(Command::None)
     }
 
     fn close(&mut self, why: Close) {
         match self.handle(Input::Close(why)) {
-            Order::Shut => {
+            Command::Shut => {
                 self.end(match why {
                     Close::Drain => End::Drained,
                     Close::Handover => End::HandedOver,
-                    Close::Room => End::ForRoom,
+                    Close::Evict => End::ForRoom,
                 });
             }
-            Order::Finish => self.finishing = true,
-            Order::None | Order::Answer { .. } => {}
+            Command::Finish => self.finishing = true,
+            Command::None | Command::Answer { .. } => {}
         }
     }
 
     fn end(&mut self, end: End) {
         // Who has had the answer to read for so long is owed no more.
-        let stuck = end == End::ForRoom && self.read == self.answered && self.now >= self.answered_at + STUCK;
+        let stuck = end == End::ForRoom
+            && self.read == self.answered
+            && self.now >= self.answered_at + UNREAD_ANSWER_TIMEOUT;
         let cut = matches!(end, End::Drained | End::HandedOver | End::ForRoom) && self.owed && !stuck;
         self.ended = Some(if cut { End::Cut } else { end });
-        self.handle(Input::Gone);
+        self.handle(Input::Disconnected);
     }
 }
 
@@ -173,7 +177,7 @@
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            life: Connection::new(0, Patience::default()),
+            life: Connection::new(0, Timeouts::default()),
             now: 0,
             heads: 0,
             half: false,
@@ -231,14 +235,14 @@
             actions.push(Sigterm);
             actions.push(Handover);
         }
-        if spare([((), &s.life)].into_iter(), s.now).is_some_and(|(_, wait)| wait == 0) {
+        if eviction_candidate([((), &s.life)].into_iter(), s.now).is_some_and(|(_, wait)| wait == 0) {
             actions.push(Room);
         }
-        if s.life.patience().is_some_and(|at| at <= s.now) {
+        if s.life.read_deadline().is_some_and(|at| at <= s.now) {
             actions.push(HeadTimeOut);
         }
         actions.push(Leave);
-        if s.now < 2 * STUCK {
+        if s.now < 2 * UNREAD_ANSWER_TIMEOUT {
             actions.push(Wait);
         }
     }
@@ -271,7 +275,7 @@
             Happens::Take => {
                 s.taken += 1;
                 s.owed = true;
-                s.handle(Input::Taken);
+                s.handle(Input::Accepted);
             }
             Happens::Unsound | Happens::Answer => {
                 // An unsound one is answered too, but nothing was taken.
@@ -279,14 +283,14 @@
                 s.answered += 1;
                 s.answered_at = s.now;
                 s.answer_after_drain = s.draining || s.handing_over;
-                if let Order::Answer { close } = s.handle(Input::Reply) {
+                if let Command::Answer { close } = s.handle(Input::Reply) {
                     s.said_close |= close;
                 }
             }
             Happens::Written => {
                 s.written = s.answered;
                 s.owed = false;
-                if s.handle(Input::Flushed) == Order::Shut {
+                if s.handle(Input::Flushed) == Command::Shut {
                     s.end(End::Finished);
                 }
             }
@@ -301,12 +305,14 @@
                 s.close(Close::Handover);
             }
             Happens::Room => {
-                s.close(Close::Room);
+                s.close(Close::Evict);
                 s.no_room = s.ended.is_none();
             }
             Happens::HeadTimeOut => s.end(End::TimedOut),
             Happens::Leave => s.end(End::ByClient),
-            Happens::Wait => s.now += if s.now < SETTLE { SETTLE } else { STUCK },
+            Happens::Wait => {
+                s.now += if s.now < EVICTION_GRACE { EVICTION_GRACE } else { UNREAD_ANSWER_TIMEOUT }
+            }
         }
         Some(s)
     }
--- a/crates/testing/model-check/src/drains.rs
+++ b/crates/testing/model-check/src/drains.rs
@@ -3,14 +3,14 @@
 //! is explored. Left out: several requests (they don't know of each other here) and the listener's queue, which is
 //! the system's.
 
-use lifecycle::drain::{Drain, ROOM, WINDOW};
+use lifecycle::drain::{Drain, ACCEPT_WINDOW, FINAL_MARGIN};
 use stateright::{Model, Property};
 
 const MS: u64 = 1_000_000;
 /// Longest times that settings allow.
 const LONGEST: [u64; 3] = [400 * MS, 2500 * MS, 4655 * MS];
 /// When a request may become whole, after the drain was told.
-const WHOLE: [u64; 6] = [0, 171 * MS, WINDOW, 900 * MS, 2 * WINDOW, 3000 * MS];
+const WHOLE: [u64; 6] = [0, 171 * MS, ACCEPT_WINDOW, 900 * MS, 2 * ACCEPT_WINDOW, 3000 * MS];
 
 #[derive(Clone)]
 pub struct Drains;
@@ -51,7 +51,7 @@
         "the window has its whole time",
         "A request that is whole before the drain, or in its window, is not cut short in its time.",
         |_, s| match (s.whole, s.told) {
-            (Some((at, due)), Some(told)) if at <= told + WINDOW => due == at + s.longest,
+            (Some((at, due)), Some(told)) if at <= told + ACCEPT_WINDOW => due == at + s.longest,
             (Some((at, due)), None) => due == at + s.longest,
             _ => true,
         },
@@ -60,7 +60,9 @@
         "a gateway ends",
         "A drain ends by the longest time that any request may wait, and the window.",
         |_, s| match (s.drain, s.told) {
-            (Some(drain), Some(told)) if s.ended => drain.end() <= told + WINDOW + s.longest + ROOM,
+            (Some(drain), Some(told)) if s.ended => {
+                drain.end() <= told + ACCEPT_WINDOW + s.longest + FINAL_MARGIN
+            }
             _ => true,
         },
     ),
--- a/crates/testing/model-check/src/mind.rs
+++ b/crates/testing/model-check/src/mind.rs
@@ -4,7 +4,7 @@
 use crate::world::World;
 use granitehub::Gateway;
 use interface::{Action, AttemptEnd, Class, Event, Health, Node, Plan, Scope, Settings, Time};
-use lifecycle::{Input, Listed, Told};
+use lifecycle::{Input, ListedServer, ModuleEvent};
 use std::hash::{Hash, Hasher};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -52,7 +52,7 @@
         cancelling: true,
         retry_after: true,
         max_retry_after: 2_000_000_000,
-        try_limit: world.most_attempts,
+        max_attempts: world.most_attempts,
         ..Settings::default()
     };
     Gateway::new(settings, 7, now).expect("settings in range")
@@ -77,10 +77,10 @@
         }
     }
 
-    pub fn tell(&mut self, told: Told) {
+    pub fn tell(&mut self, told: ModuleEvent) {
         self.event(match told {
-            Told::ClientGone { id } => Event::ClientGone { id },
-            Told::Ended { id, attempt, server, ending, last } => Event::AttemptEnd(AttemptEnd {
+            ModuleEvent::ClientLeft { id } => Event::ClientLeft { id },
+            ModuleEvent::Ended { id, attempt, server, ending, last } => Event::AttemptEnd(AttemptEnd {
                 id,
                 attempt,
                 server,
@@ -94,12 +94,12 @@
         });
     }
 
-    pub fn list(&mut self, scope: Scope, servers: &[Listed]) {
+    pub fn list(&mut self, scope: Scope, servers: &[ListedServer]) {
         let Mind::Real(real) = self else { return };
-        let node = |s: &Listed| {
-            let health = match s.place {
+        let node = |s: &ListedServer| {
+            let health = match s.address {
                 Some(_) => Health::Up,
-                None if s.gone => Health::Removed,
+                None if s.is_removed => Health::Removed,
                 None => Health::Draining,
             };
             Node { cell: s.cell, ..Node::new(&s.name, health) }
--- a/crates/testing/model-check/src/rules.rs
+++ b/crates/testing/model-check/src/rules.rs
@@ -168,10 +168,10 @@
             [
                 Input::Connected { id, attempt: number },
                 Input::Connected { id: 99, attempt: number },
-                Input::Ended {
+                Input::AttemptEnded {
                     id,
                     attempt: number,
-                    ending: interface::Ending::Pass,
+                    ending: interface::Ending::Success,
                     reply: lifecycle::Reply::Good,
                 },
             ]
