--- a/crates/testing/model-check/src/upstreams.rs
+++ b/crates/testing/model-check/src/upstreams.rs
@@ -6,8 +6,10 @@
 
 use interface::{Effect, Ending, Group, RequestId};
 use lifecycle::defects::Defect;
-use lifecycle::upstream::{Begins, Echo};
-use lifecycle::{Arrival, Final, Input, Limits, Listed, Lives, Order, Reply, Step, Upstream};
+use lifecycle::upstream::{Echo, ExecutionStart};
+use lifecycle::{
+    Arrival, Command, FinalAnswer, Input, Limits, ListedServer, Reply, RequestTable, Step, Upstream,
+};
 use stateright::{Model, Property};
 
 /// A request's head and body are so long.
@@ -86,7 +88,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    lives: Lives,
+    lives: RequestTable,
     asked: Vec<Asked>,
     lines: Vec<Line>,
     resets: u8,
@@ -147,39 +149,41 @@
         self.broken.unmeaning |= self.lives.handle(0, input, &mut orders).is_err();
         for order in orders {
             match order {
-                Order::Start { id, attempt, .. } => self.handle(Input::Connected { id, attempt }),
-                Order::Write { id, attempt } => self.put(id, attempt),
-                Order::Withhold { id, attempt } => self.ended(id, attempt, Ending::NoRoute, Reply::None),
-                Order::Abort { id, attempt } => {
+                Command::Start { id, attempt, .. } => self.handle(Input::Connected { id, attempt }),
+                Command::Write { id, attempt } => self.put(id, attempt),
+                Command::Withhold { id, attempt } => {
+                    self.ended(id, attempt, Ending::Unreachable, Reply::None)
+                }
+                Command::Abort { id, attempt } => {
                     let out = Some((place(id), attempt));
                     if let Some(line) = self.lines.iter_mut().find(|l| l.out == out) {
                         line.out = None;
-                        line.up.over(0, false);
+                        line.up.end_exchange(0, false);
                     }
-                    self.ended(id, attempt, Ending::Undone, Reply::None);
+                    self.ended(id, attempt, Ending::Cancelled, Reply::None);
                 }
-                Order::Answer { id, answer, .. } => {
+                Command::Answer { id, answer, .. } => {
                     let asked = &mut self.asked[place(id)];
-                    let refused = matches!(answer, Final::Refused { .. });
+                    let refused = matches!(answer, FinalAnswer::Refused { .. });
                     asked.end = if refused { End::Refused } else { End::Over };
                     self.broken.refused_though_run |= refused && asked.once && asked.runs > 0;
                 }
-                Order::Streamed { .. } | Order::Tell(_) => {}
+                Command::Streamed { .. } | Command::NotifyModule(_) => {}
             }
         }
     }
 
     fn ended(&mut self, id: RequestId, attempt: u32, ending: Ending, reply: Reply) {
-        self.handle(Input::Ended { id, attempt, ending, reply });
+        self.handle(Input::AttemptEnded { id, attempt, ending, reply });
     }
 
     /// An attempt with the leave to write goes out on a connection, as `granite-stage` picks it.
     fn put(&mut self, id: RequestId, attempt: u32) {
         let once = self.asked[place(id)].once;
         let earlier = self.asked[place(id)].earlier.clone();
-        for line in self.lines.iter_mut().filter(|l| l.up.rested(0).is_some()) {
+        for line in self.lines.iter_mut().filter(|l| l.up.idle_time(0).is_some()) {
             if line.reset || !line.flight.is_empty() {
-                line.up.disturbed();
+                line.up.on_unexpected_bytes();
             }
         }
         let kept = self.lines.iter().rposition(|l| l.up.may_carry(once, &earlier));
@@ -200,7 +204,7 @@
         });
         let line = &mut self.lines[n];
         self.broken.behind_surplus |= !line.flight.is_empty();
-        line.up.carry();
+        line.up.begin_exchange();
         (line.out, line.sent, line.has, line.begun) = (Some((place(id), attempt)), 0, None, false);
         self.asked[place(id)].earlier.push(line.up.number());
     }
@@ -216,10 +220,10 @@
     /// The exchange on a connection ends without an answer of its own.
     fn lost(&mut self, n: usize, ending: Ending) {
         let line = &mut self.lines[n];
-        let Some((asked, attempt)) = line.out.take() else { return line.up.disturbed() };
-        let may_have_run = line.sent >= Begins::Head.at(HEAD, Some(BODY));
-        line.up.over(0, false);
-        let ending = if may_have_run { ending } else { Ending::NoRoute };
+        let Some((asked, attempt)) = line.out.take() else { return line.up.on_unexpected_bytes() };
+        let may_have_run = line.sent >= ExecutionStart::FullHead.byte_count(HEAD, Some(BODY));
+        line.up.end_exchange(0, false);
+        let ending = if may_have_run { ending } else { Ending::Unreachable };
         self.ended(id(asked), attempt, ending, Reply::None);
     }
 
@@ -227,24 +231,24 @@
         let line = &mut self.lines[n];
         let (Some(out), answer) = (line.out, line.flight.remove(0)) else { return };
         let echo = match answer {
-            Answer::TurnedAway { named: false, .. } => Echo::Missing { turned_away: true },
+            Answer::TurnedAway { named: false, .. } => Echo::Missing { is_rejection: true },
             answer if answer.whose().0 == out.0 => Echo::Same,
             _ => Echo::Other,
         };
         if !line.up.is_answer(echo) {
-            return self.lost(n, Ending::Spoilt);
+            return self.lost(n, Ending::Unreadable);
         }
         // A refusal without an id may be another's where it does no harm.
         let harmless = echo != Echo::Same && !self.asked[out.0].once;
         self.broken.wrong_caller |= answer.whose() != out && !harmless;
         line.out = None;
-        line.up.over(0, line.sent == HEAD + BODY);
-        if line.up.rested(0).is_some() && !line.flight.is_empty() {
-            line.up.disturbed();
+        line.up.end_exchange(0, line.sent == HEAD + BODY);
+        if line.up.idle_time(0).is_some() && !line.flight.is_empty() {
+            line.up.on_unexpected_bytes();
         }
         let (ending, reply) = match answer {
-            Answer::OfRun(_) => (Ending::Pass, Reply::Good),
-            Answer::TurnedAway { .. } => (Ending::Full, Reply::None),
+            Answer::OfRun(_) => (Ending::Success, Reply::Good),
+            Answer::TurnedAway { .. } => (Ending::Overloaded, Reply::None),
         };
         self.ended(id(out.0), out.1, ending, reply);
     }
@@ -287,11 +291,12 @@
     type Action = Happens;
 
     fn init_states(&self) -> Vec<State> {
-        let mut lives = Lives::new(Limits { attempts: ATTEMPTS, grace: 1, key_margin: 0 });
+        let mut lives = RequestTable::new(Limits { attempts: ATTEMPTS, grace: 1, key_margin: 0 });
         let place = Some(([127, 0, 0, 1], 9000).into());
-        let servers = vec![Listed { name: "s-1".into(), zone: 0, cell: 0, place, gone: false }];
+        let servers =
+            vec![ListedServer { name: "s-1".into(), zone: 0, cell: 0, address: place, is_removed: false }];
         lives
-            .handle(0, Input::Fleet { whole: true, servers }, &mut Vec::new())
+            .handle(0, Input::ServerList { is_full: true, servers }, &mut Vec::new())
             .expect("a list has a meaning");
         let (resets, doubles) = (self.resets, self.doubles);
         let (asked, lines, broken) = Default::default();
@@ -356,7 +361,15 @@
                     earlier: Vec::new(),
                 });
                 let (id, group) = (id(s.asked.len() - 1), Group::All);
-                let arrival = Arrival { id, class: 0, effect, group, key_ttl: 0, deadline: 9, once: false };
+                let arrival = Arrival {
+                    id,
+                    class: 0,
+                    effect,
+                    group,
+                    key_ttl: 0,
+                    deadline: 9,
+                    has_single_attempt: false,
+                };
                 s.handle(Input::Received(arrival));
             }
             Happens::Send(id) => s.handle(Input::Send { id, server: "s-1".into(), not_past: 0 }),
@@ -367,7 +380,7 @@
                 if line.sent == HEAD {
                     line.has = line.out;
                 }
-                if line.sent == Begins::Head.at(HEAD, Some(BODY)) {
+                if line.sent == ExecutionStart::FullHead.byte_count(HEAD, Some(BODY)) {
                     let (asked, attempt) = line.out?;
                     s.handle(Input::Progress { id: id(asked), attempt, step: Step::Written });
                 }
@@ -402,10 +415,10 @@
                 s.lines[n].flight.clear();
                 // Of one that is idle the gateway hears when it looks.
                 if s.lines[n].out.is_some() {
-                    s.lost(n, Ending::Cut);
+                    s.lost(n, Ending::Interrupted);
                 }
             }
-            Happens::Silence(n) => s.lost(n, Ending::Late),
+            Happens::Silence(n) => s.lost(n, Ending::TimedOut),
             Happens::Read(n) => s.read(n),
         }
         s.forget_what_is_over();
--- a/crates/testing/model-check/src/world.rs
+++ b/crates/testing/model-check/src/world.rs
@@ -4,7 +4,10 @@
 use crate::mind::Mind;
 use crate::rules::{self, Broken};
 use interface::{Effect, Ending, Event, Group, Name, Request, RequestId, Scope, Time};
-use lifecycle::{Arrival, Final, Input, Limits, Listed, Lives, Order, Reply, Step, Told, Wrong};
+use lifecycle::{
+    Arrival, Command, FinalAnswer, Input, InvalidInput, Limits, ListedServer, ModuleEvent, Reply,
+    RequestTable, Step,
+};
 use stateright::{Model, Property};
 use std::net::SocketAddr;
 
@@ -90,7 +93,7 @@
     pub now: Time,
     /// Whether what is due now has been looked at.
     pub ticked: bool,
-    pub lives: Lives,
+    pub lives: RequestTable,
     pub asked: Vec<Arrived>,
     pub attempts: Vec<Going>,
     pub servers: [Standing; 2],
@@ -154,24 +157,24 @@
         units * self.unit
     }
 
-    fn listed(&self, n: u8, standing: Standing) -> Listed {
+    fn listed(&self, n: u8, standing: Standing) -> ListedServer {
         let moved = standing == Standing::Moved;
-        Listed {
+        ListedServer {
             name: server(n),
             zone: 0,
             cell: u32::from(n),
-            place: matches!(standing, Standing::Ready | Standing::Moved).then(|| place(n, moved)),
-            gone: standing == Standing::Gone,
+            address: matches!(standing, Standing::Ready | Standing::Moved).then(|| place(n, moved)),
+            is_removed: standing == Standing::Gone,
         }
     }
 
     /// Hands the machine an input and watches what it orders.
-    fn handle(&self, s: &mut State, input: Input) -> Result<(), Wrong> {
+    fn handle(&self, s: &mut State, input: Input) -> Result<(), InvalidInput> {
         let mut orders = Vec::new();
         let ticking = input == Input::Tick;
         // Whose attempt brings an answer, and whether that is a good one for who still waits.
         let bringer = match &input {
-            Input::Ended { id, attempt, reply, .. } => s
+            Input::AttemptEnded { id, attempt, reply, .. } => s
                 .attempts
                 .iter()
                 .position(|a| a.id == *id && a.number == *attempt)
@@ -182,7 +185,7 @@
             .as_ref()
             .is_some_and(|(a, reply)| *reply == Reply::Good && s.asked[a.arrival].end == Asked::Waits);
         let beginner = match &input {
-            Input::Begun { id, attempt } => {
+            Input::AnswerStarted { id, attempt } => {
                 s.attempts.iter_mut().find(|a| a.id == *id && a.number == *attempt).map(|a| {
                     a.streams = true;
                     a.arrival
@@ -195,7 +198,7 @@
         let done = s.lives.handle(s.now, input, &mut orders);
         for order in orders {
             match order {
-                Order::Start { id, attempt, server, place, .. } => {
+                Command::Start { id, attempt, server, address: place, .. } => {
                     let Some(arrival) = s.latest(id) else { continue };
                     s.note(Broken::OutAfterAnswer, s.asked[arrival].end != Asked::Waits);
                     s.asked[arrival].attempts += 1;
@@ -216,43 +219,43 @@
                         streams: false,
                     });
                 }
-                Order::Write { id, attempt } => self.written(s, id, attempt),
-                Order::Withhold { id, attempt } => {
+                Command::Write { id, attempt } => self.written(s, id, attempt),
+                Command::Withhold { id, attempt } => {
                     if let Some(a) = s.attempts.iter_mut().find(|a| a.id == id && a.number == attempt) {
                         a.withheld = true;
                     }
                 }
-                Order::Abort { id, attempt } => {
+                Command::Abort { id, attempt } => {
                     if let Some(a) = s.attempts.iter_mut().find(|a| a.id == id && a.number == attempt) {
                         a.stopped = true;
                     }
                 }
-                Order::Answer { id, answer, .. } => {
+                Command::Answer { id, answer, .. } => {
                     let Some(n) = s.latest(id) else { continue };
                     s.note(Broken::SecondAnswer, s.asked[n].end == Asked::Answered);
                     s.note(Broken::AnswerAfterLeave, s.asked[n].end == Asked::Left);
                     let due = s.asked[n].deadline + self.time(GRACE);
                     s.note(Broken::GuardEarly, ticking && s.now < due);
-                    if matches!(answer, Final::Refused { .. }) {
+                    if matches!(answer, FinalAnswer::Refused { .. }) {
                         let whole = s.attempts.iter().any(|a| a.arrival == n && a.step >= Step::Written);
                         s.note(Broken::RefusedThoughRun, whole || s.asked[n].ran.is_some());
                     }
-                    if matches!(answer, Final::Served | Final::Turned) {
+                    if matches!(answer, FinalAnswer::Served | FinalAnswer::Rejected) {
                         let own =
                             bringer.as_ref().is_some_and(|(a, _)| a.arrival == n) || beginner == Some(n);
                         s.note(Broken::ForeignAnswer, !own);
                     }
                     s.asked[n].end = Asked::Answered;
                 }
-                Order::Streamed { id, .. } => {
+                Command::Streamed { id, .. } => {
                     let own = bringer.as_ref().is_some_and(|(a, _)| a.id == id && a.streams);
                     s.note(Broken::ForeignAnswer, !own);
                     streamed += 1;
                 }
-                Order::Tell(t) => {
+                Command::NotifyModule(t) => {
                     match &t {
-                        Told::Ended { .. } => told += 1,
-                        Told::ClientGone { id } => {
+                        ModuleEvent::Ended { .. } => told += 1,
+                        ModuleEvent::ClientLeft { id } => {
                             let before = s.latest(*id).is_some_and(|n| answered[n]);
                             s.note(Broken::GoneTwice, before);
                         }
@@ -279,7 +282,7 @@
         s.asked[a.arrival].begun = true;
         s.note(Broken::OutAfterAnswer, asked.end != Asked::Waits);
         s.note(Broken::OutAfterStop, a.stopped);
-        let there = self.listed(a.server, s.servers[usize::from(a.server)]).place;
+        let there = self.listed(a.server, s.servers[usize::from(a.server)]).address;
         s.note(Broken::WrittenAfterDrain, there != Some(a.place));
         if let Some((first, cell)) = asked.ran {
             s.note(Broken::UnsafeRepeat, self.effect == Effect::Unsafe);
@@ -296,28 +299,30 @@
     fn endings(&self, a: &Going) -> Vec<(Ending, Reply)> {
         use Ending::*;
         if a.withheld {
-            return vec![(NoRoute, Reply::None)];
+            return vec![(Unreachable, Reply::None)];
         }
         if a.streams {
-            let ends = [Pass, Cut, Late, Spoilt, Undone];
+            let ends = [Success, Interrupted, TimedOut, Unreadable, Cancelled];
             return ends.map(|ending| (ending, Reply::None)).to_vec();
         }
         let mut all = match a.step {
-            Step::Connecting => vec![(NoRoute, Reply::None)],
+            Step::Connecting => vec![(Unreachable, Reply::None)],
             // Cut before the last byte; or the server answers before it has read the whole.
-            Step::Writing => vec![(NoRoute, Reply::None), (Full, Reply::None), (Fault, Reply::None)],
+            Step::Writing => {
+                vec![(Unreachable, Reply::None), (Overloaded, Reply::None), (Failure, Reply::None)]
+            }
             Step::Written | Step::Answering => vec![
-                (Pass, Reply::Good),
-                (Fault, Reply::None),
-                (Full, Reply::None),
-                (Late, Reply::None),
-                (Cut, Reply::None),
-                (Spoilt, Reply::None),
-                (Undone, Reply::Turned),
+                (Success, Reply::Good),
+                (Failure, Reply::None),
+                (Overloaded, Reply::None),
+                (TimedOut, Reply::None),
+                (Interrupted, Reply::None),
+                (Unreadable, Reply::None),
+                (Cancelled, Reply::Rejected),
             ],
         };
         if a.stopped {
-            all.push((Undone, Reply::None));
+            all.push((Cancelled, Reply::None));
         }
         all
     }
@@ -336,7 +341,7 @@
         let mut s = State {
             now: 0,
             ticked: true,
-            lives: Lives::new(limits),
+            lives: RequestTable::new(limits),
             asked: Vec::new(),
             attempts: Vec::new(),
             servers: [Standing::Ready; 2],
@@ -350,7 +355,7 @@
         };
         let servers = vec![self.listed(0, Standing::Ready), self.listed(1, Standing::Ready)];
         s.mind.list(Scope::Full, &servers);
-        let done = self.handle(&mut s, Input::Fleet { whole: true, servers });
+        let done = self.handle(&mut s, Input::ServerList { is_full: true, servers });
         s.note(Broken::Unmeaning, done.is_err());
         vec![s]
     }
@@ -422,7 +427,7 @@
                 let deadline = s.now + self.time(DEADLINE);
                 let arrival = Arrival {
                     class: 0,
-                    once: self.once,
+                    has_single_attempt: self.once,
                     id,
                     effect: self.effect,
                     group: self.group,
@@ -444,7 +449,7 @@
                         s.mind.event(Event::Request(Request::new(id, 0, 0, "c-1", deadline, 1.0)));
                     }
                     // The front answers it 400 by itself.
-                    Err(Wrong::Held(_)) if held => {}
+                    Err(InvalidInput::IdInUse(_)) if held => {}
                     Err(_) => s.note(Broken::Unmeaning, true),
                 }
             }
@@ -455,7 +460,7 @@
                 for a in s.attempts.iter_mut().filter(|a| a.arrival == arrival) {
                     a.whole_at_leave = a.step >= Step::Written;
                 }
-                done = self.handle(&mut s, Input::Left { id });
+                done = self.handle(&mut s, Input::ClientLeft { id });
             }
             Happens::Send { id, server: n } => {
                 done = self.handle(&mut s, Input::Send { id, server: server(n), not_past: 0 });
@@ -480,26 +485,27 @@
                 let (id, attempt, arrival) = (s.attempts[n].id, s.attempts[n].number, s.attempts[n].arrival);
                 let waits = s.asked[arrival].end == Asked::Waits;
                 s.asked[arrival].ran.get_or_insert((s.attempts[n].began, u32::from(s.attempts[n].server)));
-                match self.handle(&mut s, Input::Begun { id, attempt }) {
+                match self.handle(&mut s, Input::AnswerStarted { id, attempt }) {
                     // It crossed an answer or a leave: the attempt brings nothing.
-                    Err(Wrong::NotOut { .. }) if !waits => s.attempts[n].streams = false,
+                    Err(InvalidInput::NoSuchAttempt { .. }) if !waits => s.attempts[n].streams = false,
                     wrong => done = wrong,
                 }
                 s.note(Broken::GoodLost, waits && s.asked[arrival].end != Asked::Answered);
             }
             Happens::End(n, ending, reply) => {
                 let a = s.attempts[n].clone();
-                if a.step >= Step::Written && ending != Ending::Full {
+                if a.step >= Step::Written && ending != Ending::Overloaded {
                     s.asked[a.arrival].ran.get_or_insert((a.began, u32::from(a.server)));
                 }
-                done = self.handle(&mut s, Input::Ended { id: a.id, attempt: a.number, ending, reply });
+                done =
+                    self.handle(&mut s, Input::AttemptEnded { id: a.id, attempt: a.number, ending, reply });
             }
             Happens::List(n, standing) => {
                 s.list_changes -= 1;
                 s.servers[usize::from(n)] = standing;
                 let servers = vec![self.listed(n, standing)];
                 s.mind.list(Scope::Changes, &servers);
-                done = self.handle(&mut s, Input::Fleet { whole: false, servers });
+                done = self.handle(&mut s, Input::ServerList { is_full: false, servers });
             }
             Happens::Panic => {
                 s.panics -= 1;
@@ -543,14 +549,14 @@
             Happens::Begun(a) => format!("its answer is good and long: it is passed on as it comes ({a})"),
             Happens::End(a, ending, reply) => {
                 let what = match (ending, reply) {
-                    (Ending::Pass, _) => "with a whole good answer",
-                    (_, Reply::Turned) => "with 404: the request itself is at fault",
-                    (Ending::Fault, _) => "with 500",
-                    (Ending::Full, _) => "with 503, not started",
-                    (Ending::Late, _) => "by its time-out",
-                    (Ending::NoRoute, _) => "before its last byte was written",
-                    (Ending::Cut, _) => "by a reset behind its last byte",
-                    (Ending::Spoilt, _) => "with an answer that can't be read",
+                    (Ending::Success, _) => "with a whole good answer",
+                    (_, Reply::Rejected) => "with 404: the request itself is at fault",
+                    (Ending::Failure, _) => "with 500",
+                    (Ending::Overloaded, _) => "with 503, not started",
+                    (Ending::TimedOut, _) => "by its time-out",
+                    (Ending::Unreachable, _) => "before its last byte was written",
+                    (Ending::Interrupted, _) => "by a reset behind its last byte",
+                    (Ending::Unreadable, _) => "with an answer that can't be read",
                     _ => "because it was told to stop",
                 };
                 format!("the attempt ends {what} ({a})")
--- a/crates/testing/model-check/tests/leases.rs
+++ b/crates/testing/model-check/tests/leases.rs
@@ -59,7 +59,7 @@
         let accounts: Vec<_> = (0..terms.seats).map(account).collect();
         let with = vec![None; accounts.len()];
         let mut room = Room { now: 0, tick: terms.tick, planners, accounts, with, out: Vec::new() };
-        room.pass(terms.loan_held() + 2 * terms.tick);
+        room.pass(terms.loan_duration_at_forwarder() + 2 * terms.tick);
         room
     }
 
@@ -80,7 +80,7 @@
         self.out.retain(|(seat, customer, until)| {
             let over = *until <= now;
             if over {
-                accounts[*seat].done(&name(*customer), 0.0);
+                accounts[*seat].request_ended(&name(*customer), 0.0);
             }
             !over
         });
@@ -123,7 +123,7 @@
 /// share again when nothing may rest on it any more. The most that were out.
 fn withdrawn() -> usize {
     let mut terms = Terms::new(2, vec![slots(40.0)]);
-    terms.attempt = 1000 * MS;
+    terms.max_attempt = 1000 * MS;
     let mut room = Room::new(&terms, 10);
     room.with = vec![Some((0, true)); 2];
     room.pass(3000 * MS);
@@ -163,10 +163,10 @@
 fn what_is_out_on_a_share_when_it_is_lent_counts_there() {
     let _one = alone();
     let mut terms = Terms::new(2, vec![slots(4.0)]);
-    terms.attempt = 10_000 * MS;
+    terms.max_attempt = 10_000 * MS;
     let story = || {
         let mut room = Room::new(&terms, 10);
-        room.pass(terms.lease + terms.attempt_over());
+        room.pass(terms.lease + terms.max_attempt_duration());
         while room.spend(0, 0, 1.0, 9000 * MS) {}
         assert_eq!(room.out_of(0), 2, "its own share");
         // It asks for nothing more, and lends.
@@ -186,11 +186,11 @@
 fn a_share_of_slots_with_more_customers_than_a_report_holds_is_lent_late() {
     let _one = alone();
     let mut terms = Terms::new(2, vec![slots(2.0)]);
-    terms.attempt = 10_000 * MS;
-    let customers = 2 * forward::MOST_ENTRIES;
+    terms.max_attempt = 10_000 * MS;
+    let customers = 2 * forward::MAX_REPORT_ENTRIES;
     let story = || {
         let mut room = Room::new(&terms, 100_000);
-        room.pass(terms.lease + terms.attempt_over());
+        room.pass(terms.lease + terms.max_attempt_duration());
         room.with[1] = Some((0, true));
         for customer in 0..customers {
             assert!(room.spend(0, customer, 1.0, 9000 * MS), "one is its own");
@@ -215,10 +215,10 @@
 fn a_customer_that_found_no_room_at_its_planner_begins_with_its_slots_held_back() {
     let _one = alone();
     let mut terms = Terms::new(2, vec![slots(2.0)]);
-    terms.attempt = 10_000 * MS;
+    terms.max_attempt = 10_000 * MS;
     let story = || {
         let mut room = Room::new(&terms, 1);
-        room.pass(terms.lease + terms.attempt_over());
+        room.pass(terms.lease + terms.max_attempt_duration());
         room.with[1] = Some((0, true));
         // Seat 1 takes the only place, for another customer that it soon forgets.
         room.spend(1, 7, 1.0, 0);
@@ -354,13 +354,13 @@
             seat: 0 as Seat,
             incarnation: 1,
             number: self.number,
-            seen: 0,
+            known_epoch: 0,
             nonce: 1,
-            acked: self.acked,
-            lent: self.acked > 0,
+            acknowledged_grant: self.acked,
+            is_lent: self.acked > 0,
             loan: 1,
-            slots_in: 0,
-            busy: 0.0,
+            slots_free_in: 0,
+            attempts_in_flight: 0.0,
             entries,
         };
         let grant = self.planner.handle(self.now, &report).expect("a report in order");
@@ -456,7 +456,7 @@
 fn asked(believed: &[Option<bool>], ticks: usize) -> Vec<usize> {
     let terms = Terms::new(2, vec![slots(40.0)]);
     let mut account = Account::new(terms.clone(), 0, 7, believed.len(), 0).unwrap();
-    account.believe(believed);
+    account.planners_observed(believed);
     let at = |n: usize| n as Time * terms.tick;
     (0..ticks).flat_map(|n| account.tick(at(n))).map(|(planner, _)| planner).collect()
 }
--- a/crates/testing/model-check/tests/storms.rs
+++ b/crates/testing/model-check/tests/storms.rs
@@ -5,7 +5,7 @@
 //! planners are killed, paused and restarted empty; forwarders too. Clocks differ in rate by the stated bound.
 
 use fastrand::Rng;
-use forward::{Account, Mode, Verdict, Wrong};
+use forward::{Account, InvalidGrant, Mode, Verdict};
 use interface::{Name, Time};
 use plan::message::{Grant, Instance, Lease, Report, Seat};
 use plan::{defects, Allowance, Planner, Terms};
@@ -23,10 +23,10 @@
 fn terms(seats: u16) -> Terms {
     // One plan bounds each kind, so that none hides behind another.
     let quota = Allowance { quota_rate: 200.0, quota_depth: 300.0, slots: 400.0, ..Allowance::default() };
-    let ceiling = Allowance { ceiling_rate: 200.0, ceiling_depth: 300.0, ..Allowance::default() };
+    let ceiling = Allowance { hard_limit_rate: 200.0, hard_limit_depth: 300.0, ..Allowance::default() };
     let slots = Allowance { slots: 30.0, ..Allowance::default() };
     let mut terms = Terms::new(seats, vec![quota, ceiling, slots]);
-    terms.attempt = 1000 * MS;
+    terms.max_attempt = 1000 * MS;
     terms
 }
 
@@ -43,7 +43,7 @@
 
 impl Truth {
     fn new(plan: &Allowance) -> Self {
-        let level = [plan.quota_depth, plan.ceiling_depth];
+        let level = [plan.quota_depth, plan.hard_limit_depth];
         Truth { level, least: level, at: 0, out: 0, most_out: 0 }
     }
 
@@ -334,7 +334,7 @@
             self.ends.pop();
             if life == self.lives[f] {
                 self.truth[customer].out -= 1;
-                self.forwarders[f].what.done(&name(customer), 0.0);
+                self.forwarders[f].what.request_ended(&name(customer), 0.0);
             }
         }
         while let Some(Reverse((at, letter))) = self.mail.peek().copied() {
@@ -353,7 +353,7 @@
                 if let Some(lies) = &mut self.lies {
                     let mut one = || [None, Some(false), Some(true)][lies.usize(0..3)];
                     let believed = [one(), one()];
-                    self.forwarders[n].what.believe(&believed);
+                    self.forwarders[n].what.planners_observed(&believed);
                 }
                 let f = &mut self.forwarders[n];
                 for (planner, report) in f.what.tick(f.clock.at(self.now)) {
@@ -495,13 +495,13 @@
 
 fn grant(number: u64, from: Instance, report: u64, loan: u64, leases: Vec<Lease>) -> Grant {
     let (seat, incarnation, holds, share) = (0, 9, false, 0.5);
-    Grant { from, seat, incarnation, number, report, holds, loan, share, leases }
+    Grant { from, seat, incarnation, number, report, is_already_lent: holds, loan, work_share: share, leases }
 }
 
 /// An account that has just lent its share to life 7 of the planner, and a report that it sent then.
 fn lent() -> (Account, Time, u64) {
     let terms = terms(6);
-    let now = terms.loan_held();
+    let now = terms.loan_duration_at_forwarder();
     let mut account = Account::new(terms, 0, 9, 1, 0).unwrap();
     let report = account.tick(now)[0].1.number;
     account
@@ -519,9 +519,13 @@
         account.grant(now, 0, &grant(5, Instance { nonce, epoch }, report, 1, Vec::new()))
     };
     defects::plant(None);
-    assert_eq!(offer(8, 1), Err(Wrong::Fenced { epoch: 1, seen: 2 }), "an earlier life");
-    assert_eq!(offer(8, 2), Err(Wrong::Fenced { epoch: 2, seen: 2 }), "another that counts the same");
-    assert_eq!(offer(8, 3), Err(Wrong::NotLent), "a later one, as long as the loan to this one stands");
+    assert_eq!(offer(8, 1), Err(InvalidGrant::Fenced { epoch: 1, known: 2 }), "an earlier life");
+    assert_eq!(offer(8, 2), Err(InvalidGrant::Fenced { epoch: 2, known: 2 }), "another that counts the same");
+    assert_eq!(
+        offer(8, 3),
+        Err(InvalidGrant::OtherPlanner),
+        "a later one, as long as the loan to this one stands"
+    );
     assert_eq!(offer(7, 3), Ok(()), "the same life may count on");
     defects::plant(Some("fencing-off"));
     assert_eq!(offer(8, 1), Ok(()), "the defect shows");
@@ -537,12 +541,13 @@
         assert_eq!(account.spend(now, &customer, 0, 1.0, false), Verdict::Wait);
         let report = account.tick(now)[0].1.number;
         let granted = [100.0, 100.0, 10.0];
-        let lease = Lease { customer: customer.clone(), lease: 3, granted, renewed: true, dry: false };
+        let lease =
+            Lease { customer: customer.clone(), lease: 3, granted, is_renewed: true, is_pool_empty: false };
         let grant = grant(2, Instance { nonce: 7, epoch: 2 }, report, 1, vec![lease]);
         account.grant(now + late, 0, &grant).expect("in order");
         account.spend(now + late, &customer, 0, 1.0, true)
     };
-    let life = terms(6).lease_held();
+    let life = terms(6).lease_duration_at_forwarder();
     defects::plant(None);
     assert_eq!(spend(life - 1), Verdict::Granted);
     assert_eq!(spend(life), Verdict::Wait);
@@ -559,7 +564,8 @@
         let customer = name(0);
         assert_eq!(account.spend(now, &customer, 0, 1.0, false), Verdict::Wait);
         let granted = [100.0, 100.0, 10.0];
-        let lease = Lease { customer: customer.clone(), lease: 3, granted, renewed: true, dry: false };
+        let lease =
+            Lease { customer: customer.clone(), lease: 3, granted, is_renewed: true, is_pool_empty: false };
         // The report spoke of no loan yet: what answers it belongs to an earlier one.
         account
             .grant(now, 0, &grant(2, Instance { nonce: 7, epoch: 2 }, report, 0, vec![lease]))
--- /dev/null
+++ b/crates/testing/test-harness/src/gate/tests.rs
@@ -0,0 +1,52 @@
+use super::*;
+use std::time::Instant;
+
+/// Sends back what it is sent.
+fn echo() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = listener.local_addr().expect("an address");
+    thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            let Ok(mut back) = stream.try_clone() else { continue };
+            thread::spawn(move || std::io::copy(&mut &stream, &mut back));
+        }
+    });
+    address
+}
+
+fn call(stream: &mut TcpStream, limit: Duration) -> Option<u8> {
+    let mut byte = [0];
+    stream.set_read_timeout(Some(limit)).ok()?;
+    stream.write_all(b"x").ok()?;
+    stream.read_exact(&mut byte).ok().map(|()| byte[0])
+}
+
+#[test]
+fn a_link_between_two_is_no_link_of_the_others() {
+    let gates = Gates::new(2, &[echo(), echo()]).expect("ports");
+    let connect = |a, b| TcpStream::connect(gates.address(a, b)).expect("it is reached");
+    let mut streams = [connect(0, 0), connect(0, 1), connect(1, 0), connect(1, 1)];
+    let long = Duration::from_secs(5);
+    assert!(streams.iter_mut().all(|s| call(s, long) == Some(b'x')));
+    let slow = Duration::from_millis(60);
+    gates.set(|a, b| match (a, b) {
+        (0, 0) => [Link { silent: true, ..Link::default() }, Link::default()],
+        (1, 1) => [Link::default(), Link { delay: slow, ..Link::default() }],
+        _ => [Link::default(); 2],
+    });
+    let began = Instant::now();
+    assert_eq!(call(&mut streams[3], long), Some(b'x'));
+    assert!(began.elapsed() >= slow);
+    assert_eq!(call(&mut streams[0], Duration::from_millis(200)), None, "nothing gets through");
+    assert_eq!(call(&mut streams[1], long), Some(b'x'));
+    // What was held back comes when the link is healed, and nothing was lost of it.
+    gates.set(|_, _| [Link::default(); 2]);
+    let mut byte = [0];
+    streams[0].set_read_timeout(Some(long)).expect("a limit");
+    assert!(streams[0].read_exact(&mut byte).is_ok());
+    gates.end(|a, b| (a, b) == (1, 0));
+    let mut rest = Vec::new();
+    streams[2].set_read_timeout(Some(long)).expect("a limit");
+    assert!(streams[2].read_to_end(&mut rest).is_ok_and(|n| n == 0), "it has ended");
+    assert_eq!(call(&mut streams[1], long), Some(b'x'));
+}
--- a/src/bin/granitehub-adapter/wire.rs
+++ b/src/bin/granitehub-adapter/wire.rs
@@ -71,13 +71,13 @@
 
     fn ending(&self, at: usize) -> Result<Ending, String> {
         let got = match self.text(at, "ending")? {
-            "pass" => Some(Ending::Pass),
-            "fault" => Some(Ending::Fault),
-            "no_room" => Some(Ending::Full),
-            "too_slow" => Some(Ending::Late),
-            "no_route" => Some(Ending::NoRoute),
-            "cut" => Some(Ending::Cut),
-            "undone" => Some(Ending::Undone),
+            "pass" => Some(Ending::Success),
+            "fault" => Some(Ending::Failure),
+            "no_room" => Some(Ending::Overloaded),
+            "too_slow" => Some(Ending::TimedOut),
+            "no_route" => Some(Ending::Unreachable),
+            "cut" => Some(Ending::Interrupted),
+            "undone" => Some(Ending::Cancelled),
             "stale_send" => Some(Ending::Stale),
             _ => None,
         };
@@ -126,7 +126,7 @@
             pool: 0,
             allowance: Allowance::Unknown,
         }),
-        "CancelledByClient" => Event::ClientGone { id: m.id(2)? },
+        "CancelledByClient" => Event::ClientLeft { id: m.id(2)? },
         "AttemptEnd" => Event::AttemptEnd(AttemptEnd {
             id: m.id(2)?,
             settled: m.number_or(3, "settled", 0.0)?,
--- a/src/bin/granitethread/admin/mod.rs
+++ b/src/bin/granitethread/admin/mod.rs
@@ -131,9 +131,9 @@
         };
         let change = || {
             if enter {
-                self.driver.take_out(&target)
+                self.driver.ban(&target)
             } else {
-                self.driver.put_back(&target)
+                self.driver.unban(&target)
             }
         };
         let (done, kept) = self.link.change(&self.driver, change);
@@ -152,7 +152,7 @@
 
     fn figures(&self) -> String {
         let totals = self.driver.totals();
-        let calls = self.classes.iter().zip(&totals.calls).map(|(name, c)| {
+        let calls = self.classes.iter().zip(&totals.answers).map(|(name, c)| {
             (name.clone(), json!({"success": c.served, "busy": c.refused, "failure": c.failed}))
         });
         let calls: serde_json::Map<_, _> = calls.collect();
--- a/src/bin/granitethread/allowance/forwarder.rs
+++ b/src/bin/granitethread/allowance/forwarder.rs
@@ -51,7 +51,7 @@
 /// Talks to the planners for as long as the process lives.
 pub async fn run(setup: Setup, driver: Rc<Driver>) {
     let Setup { account, key, planners, tick, version } = setup;
-    driver.lease(account);
+    driver.set_account(account);
     let key = Rc::new(key);
     let mut to: Vec<Sender<Report>> = Vec::new();
     for (n, address) in planners.into_iter().enumerate() {
@@ -95,7 +95,7 @@
                     while let Some(got) = receive(&mut read, &link).await {
                         for message in got.map_err(|fault| fault.to_string())? {
                             if let Message::Grant(grant) = message {
-                                driver.granted(n, grant);
+                                driver.apply_grant(n, grant);
                             }
                         }
                     }
@@ -129,7 +129,7 @@
             tracing::warn!(%address, "planner {address}: it can't be reached");
         }
         sleep(PAUSE).await;
-        if driver.with_planner(n) {
+        if driver.is_lent_to(n) {
             quiet = false;
         }
     }
--- a/src/bin/granitethread/allowance/mod.rs
+++ b/src/bin/granitethread/allowance/mod.rs
@@ -21,8 +21,8 @@
     let plan = |p: &granitehub::Plan| Allowance {
         quota_rate: p.rate,
         quota_depth: p.depth,
-        ceiling_rate: p.ceiling_rate,
-        ceiling_depth: p.ceiling_burst,
+        hard_limit_rate: p.hard_limit_rate,
+        hard_limit_depth: p.hard_limit_burst,
         slots: f64::from(p.parallel),
     };
     let mut terms = Terms::new(allowances.seats, s.plans.iter().map(plan).collect());
@@ -30,7 +30,7 @@
     terms.lease = allowances.lease.as_nanos() as u64;
     terms.loan = allowances.loan.as_nanos() as u64;
     terms.drift = f64::from(allowances.drift_permille) / 1000.0;
-    terms.attempt = s.classes.iter().map(|c| c.deadline).max().unwrap_or(terms.attempt);
+    terms.max_attempt = s.classes.iter().map(|c| c.deadline).max().unwrap_or(terms.max_attempt);
     terms.most_units = s.most_units.max(1.0);
     terms.check()?;
     Ok(terms)
--- a/src/bin/granitethread/api.rs
+++ b/src/bin/granitethread/api.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use proxy::backends::{Content, Outgoing};
 use proxy::driver::{Answer, Driver, Incoming};
-use proxy::fronts::http1::{plain, unsound, Door, Payload, Unsound};
+use proxy::fronts::http1::{plain, unsound, Door, ErrorReply, Payload};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -108,7 +108,7 @@
     }
 
     /// 400 if a header is missing or malformed or a figure out of its range, 404 if no route takes it.
-    fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, Unsound> {
+    fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, ErrorReply> {
         let mut request = self.figures(&head).ok_or_else(|| unsound(StatusCode::BAD_REQUEST))?;
         let place = self.routes.place(&head, request.class, &request.customer);
         let place = place.ok_or_else(|| unsound(StatusCode::NOT_FOUND))?;
@@ -121,7 +121,7 @@
         match answer {
             Answer::Served(served) => {
                 let mut reply = Response::new(match served.content {
-                    Content::Whole(bytes) => Payload::Whole(Full::new(bytes)),
+                    Content::Complete(bytes) => Payload::Full(Full::new(bytes)),
                     Content::Stream(stream) => Payload::Stream(stream),
                 });
                 *reply.headers_mut() = served.headers;
@@ -136,7 +136,7 @@
                 }
                 reply
             }
-            Answer::Turned(status) => plain(status, ""),
+            Answer::Rejected(status) => plain(status, ""),
             Answer::Failed { late: true } => plain(StatusCode::GATEWAY_TIMEOUT, ""),
             Answer::Failed { late: false } => plain(StatusCode::BAD_GATEWAY, ""),
         }
--- a/src/bin/granitethread/fleet.rs
+++ b/src/bin/granitethread/fleet.rs
@@ -1,7 +1,7 @@
 //! The view of the fleet on a socket: datagrams and the time go in, what it says goes out. Nothing is decided here.
 
 use crate::allowance;
-use membership::{Config, Input, Keys, Output, Role, Settled, State, Time, View, MOST_BYTES};
+use membership::{Config, Input, Keys, Output, Role, Settled, State, Time, View, MAX_DATAGRAM_BYTES};
 use operator::{Fleet as Table, Operator};
 use proxy::driver::Driver;
 use serde_json::{json, Value};
@@ -62,9 +62,9 @@
         config.zone.clone_from(&table.zone);
         config.role = role;
         config.seeds.clone_from(&table.seeds);
-        config.period = table.period.as_nanos() as Time;
-        config.keep_dead = table.keep_dead.as_nanos() as Time;
-        config.most_members = table.most_members;
+        config.probe_interval = table.period.as_nanos() as Time;
+        config.dead_retention = table.keep_dead.as_nanos() as Time;
+        config.max_members = table.most_members;
         let secret = allowance::random()?;
         let view = View::new(config, Keys::new(keys)?, allowance::nonce()?, secret, START);
         let (view, began) = (RefCell::new(view), Instant::now());
@@ -98,8 +98,8 @@
     fn tell(&self) {
         let Some(used) = &mut *self.used.borrow_mut() else { return };
         let view = self.view.borrow();
-        let seen = view.seen().map(|(me, all)| (me as u32, all as u32));
-        let planners: Vec<_> = used.planners.iter().map(|name| view.lives(name)).collect();
+        let seen = view.position().map(|(me, all)| (me as u32, all as u32));
+        let planners: Vec<_> = used.planners.iter().map(|name| view.is_alive(name)).collect();
         if used.told.0 != seen {
             used.told.0 = seen;
             if used.subsets {
@@ -124,7 +124,7 @@
         if let Ok(address) = self.socket.local_addr() {
             info!(%address, "fleet: on {address}");
         }
-        let mut buffer = [0; MOST_BYTES + 1];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let due = self.view.borrow().next_due();
             let far = Instant::now() + Duration::from_secs(3600);
@@ -184,7 +184,7 @@
                         living, position, "fleet: version {version}, {living} live, digest {digest:016x}"
                     );
                 }
-                Output::Superseded { life } => {
+                Output::Superseded { generation: life } => {
                     warn!(
                         life,
                         "fleet: another process began later under this name; this one speaks no more"
@@ -204,7 +204,7 @@
         let member = |m: membership::Member| {
             let r = m.record;
             json!({
-                "name": &*r.name, "life": r.life, "state": word(r.state), "for_ms": ms(m.since),
+                "name": &*r.name, "life": r.generation, "state": word(r.state), "for_ms": ms(m.since),
                 "address": r.address, "zone": &*r.zone, "role": if r.role == Role::Planner { "planner" } else { "gateway" },
                 "health": m.health, "versions": [r.versions.0, r.versions.1],
             })
@@ -215,8 +215,8 @@
         let told = self.used.borrow().as_ref().map(|u| json!({"place": u.told.0, "planners": u.told.1}));
         json!({
             "told": told,
-            "joined": health.joined, "superseded": health.superseded, "health": health.health,
-            "cut_off_ms": health.cut_off.map(ms),
+            "joined": health.has_joined, "superseded": health.is_superseded, "health": health.health,
+            "cut_off_ms": health.isolated_since.map(ms),
             "digest": format!("{:016x}", view.digest()),
             "settled": {
                 "version": settled.version, "members": settled.members.len(), "position": settled.position,
--- a/src/bin/granitethread/main.rs
+++ b/src/bin/granitethread/main.rs
@@ -18,13 +18,13 @@
 use background::{Pace, Service};
 use clap::{Parser, Subcommand};
 use discovery::News;
-use engine::Figures;
+use engine::Timing;
 use fleet::Fleet;
 use granitehub::{Gateway, Module, Time};
 use membership::Role;
 use operator::{LogFormat, Operator};
 use proxy::backends::{self, Backends};
-use proxy::driver::{Driver, Setup};
+use proxy::driver::{Config, Driver};
 use proxy::fronts::{http1, Budget};
 use proxy::handover::Link;
 use snapshot::Snapshots;
@@ -172,27 +172,27 @@
     let routes = routes::Routes::new(&operator, &config.settings).map_err(|e| format!("routes: {e}"))?;
     let settings = granitehub::Settings { pools: routes.pools(), ..config.settings };
     let limits = backends::Limits {
-        sockets: config.backend_sockets,
+        max_connections: config.backend_sockets,
         connect_timeout: config.connect_timeout,
         keepalive: config.keepalive,
-        unheard: None,
-        overtime: None,
+        unacknowledged_timeout: None,
+        relay_overtime: None,
     };
     let wire = wire::Backward { most_units: settings.most_units.max(1.0) };
     let backends = Backends::new(&limits, Box::new(wire));
     let (routes, own, table) = (Rc::new(routes), settings.clone(), &operator.lifecycle);
     let nanos = |d: Duration| d.as_nanos() as Time;
-    let figures = Figures {
+    let figures = Timing {
         way_back: nanos(table.way_back),
         module_grace: nanos(table.module_grace),
         key_margin: nanos(table.key_margin),
-        gap: nanos(table.gap),
+        min_batch_interval: nanos(table.gap),
     };
     let pools = routes.clone();
-    let driver = Driver::new(Setup {
+    let driver = Driver::new(Config {
         settings: settings.clone(),
         seed: config.seed,
-        figures,
+        timing: figures,
         module: Box::new(move |seed, now| {
             Gateway::new(own.clone(), seed, now).map(|g| Box::new(g) as Box<dyn Module>)
         }),
@@ -206,16 +206,19 @@
         spawn_local(allowance::forwarder::run(setup, driver.clone()));
     }
     let service = if settings.subscribe {
-        Service::Shared { gateways: settings.gateways, within: Duration::from_nanos(settings.ask_within) }
+        Service::Shared {
+            gateways: settings.gateways,
+            within: Duration::from_nanos(settings.max_poll_interval),
+        }
     } else {
         Service::Local
     };
     let mut held = config.known.as_ref().map(|known| known.rev);
     if operator.snapshot.is_some() {
-        driver.hold_list();
+        driver.export_list();
     }
     if let Some(known) = config.known {
-        driver.cached(known);
+        driver.apply_cached_list(known);
     }
     let inherited = std::env::var("LB_INHERITED_FD").ok();
     let listener = match &inherited {
@@ -257,7 +260,7 @@
     // A shared service is asked for no more than what changed since: the whole list costs it work for each line.
     let held = held.filter(|_| settings.subscribe);
     spawn_local(follow(config.discovery, held, pace, callers, hup, driver.clone()));
-    spawn_local(backends.reap());
+    spawn_local(backends.close_idle());
     let driver = spawn_local(async move { driver.run().await });
     tokio::select! {
         lost = driver => Err(format!("the driver ended: {lost:?}")),
@@ -286,7 +289,7 @@
         let driver = driver.clone();
         let callers = callers.clone();
         spawn_local(discovery::watch(address, held, pace.fork(), callers, move |news| match news {
-            News::List(scope, list) => driver.list(scope, list),
+            News::List(scope, list) => driver.apply_list(scope, list),
             News::Failed(what) => driver.list_failed(what),
         }))
     };
--- a/src/bin/granitethread/snapshot.rs
+++ b/src/bin/granitethread/snapshot.rs
@@ -107,8 +107,8 @@
 
 fn hand_over(to: &SyncSender<Memory>, driver: &Driver) -> Handed {
     let at = driver.time(Instant::now());
-    let (module, bans) = (driver.leave(), handover::write(&driver.bans()));
-    let memory = Memory { at, module, bans, list: driver.held_list() };
+    let (module, bans) = (driver.export_state(), handover::write(&driver.bans()));
+    let memory = Memory { at, module, bans, list: driver.exported_list() };
     match to.try_send(memory) {
         Ok(()) => Handed::Taken,
         Err(TrySendError::Full(_)) => Handed::Busy,
@@ -162,7 +162,7 @@
     match section(Kind::List).map(serde_json::from_slice::<List>) {
         Some(Ok(list)) if list_counts(times, list.rev, *rev) => {
             *rev = Some(list.rev);
-            driver.cached(list);
+            driver.apply_cached_list(list);
         }
         Some(Err(e)) => warn!(cause = %e, "snapshot: list: {e}; begun without"),
         Some(Ok(_)) | None => {}
@@ -176,7 +176,7 @@
     let plans: Vec<Quota> = settings.plans.iter().map(|p| Quota { rate: p.rate, depth: p.depth }).collect();
     let text = section(Kind::Stores).and_then(|stores| join(stores, section(Kind::Servers), &plans, times));
     let age = now.saturating_sub(read.author.at) / 1_000_000;
-    match text.map(|text| driver.take_over(&text)) {
+    match text.map(|text| driver.import_state(&text)) {
         Some(Ok(())) => info!(age, bytes = bytes.len(), "snapshot: goes on with one that is {age} ms old"),
         Some(Err(what)) => warn!(cause = what, "snapshot: stores and servers: {what}; begun without"),
         None => {}
--- a/src/bin/granitethread/wire.rs
+++ b/src/bin/granitethread/wire.rs
@@ -29,10 +29,10 @@
         let status = answer.status;
         let not_started = headers.get("not-started").is_some_and(|v| v == "1");
         let (ending, turned) = match status.as_u16() {
-            200 => (Ending::Pass, None),
-            503 | 504 if not_started => (Ending::Full, None),
-            400 | 404 => (Ending::Undone, Some(status)),
-            _ => (Ending::Fault, None),
+            200 => (Ending::Success, None),
+            503 | 504 if not_started => (Ending::Overloaded, None),
+            400 | 404 => (Ending::Cancelled, Some(status)),
+            _ => (Ending::Failure, None),
         };
         // What can't be right is left out, and the answer counts all the same.
         let number = |name: &str, most: f64| {
@@ -42,7 +42,7 @@
         let settled = number("billed-units", self.most_units);
         let metered = number("usage-percent", 100.0 * MAX_USE);
         let load = headers.get("server-load").and_then(load);
-        let served = (ending == Ending::Pass).then(|| {
+        let served = (ending == Ending::Success).then(|| {
             let kept = [CONTENT_TYPE, CONTENT_ENCODING].into_iter();
             let kept = kept.filter_map(|name| Some((name.clone(), headers.get(name)?.clone())));
             Served { status, headers: kept.collect(), content }
@@ -54,7 +54,7 @@
             load,
             served,
             failure: None,
-            turned,
+            rejected: turned,
         }
     }
 }
@@ -72,33 +72,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use bytes::Bytes;
-    use hyper::{Method, Uri};
-    use proxy::backends::Upload;
-    use std::cell::RefCell;
-
-    /// The header is the simulator's figure less 1, in percent; units are the true ones.
-    #[test]
-    fn the_meter_and_the_bill_reach_the_module_in_its_units() {
-        let request = Outgoing {
-            method: Method::GET,
-            uri: Uri::from_static("/api"),
-            headers: HeaderMap::new(),
-            body: RefCell::new(Upload::None),
-            ..Outgoing::default()
-        };
-        let answer = |status: u16| {
-            let answer = Response::builder().status(status).header("usage-percent", "85");
-            let answer =
-                answer.header("billed-units", "3").body(Content::Whole(Bytes::from_static(b"x"))).unwrap();
-            Backward { most_units: 8.0 }.read(&request, &"s".into(), answer)
-        };
-        let good = answer(200);
-        assert_eq!((good.metered, good.settled, good.ending), (Some(0.85), 3.0, Ending::Pass));
-        let bad = answer(500);
-        assert_eq!((bad.metered, bad.settled, bad.ending), (Some(0.85), 0.0, Ending::Fault));
-        assert!(bad.served.is_none());
-    }
-}
+mod tests;
--- /dev/null
+++ b/src/bin/granitethread/wire/tests.rs
@@ -0,0 +1,28 @@
+use super::*;
+use bytes::Bytes;
+use hyper::{Method, Uri};
+use proxy::backends::Upload;
+use std::cell::RefCell;
+
+/// The header is the simulator's figure less 1, in percent; units are the true ones.
+#[test]
+fn the_meter_and_the_bill_reach_the_module_in_its_units() {
+    let request = Outgoing {
+        method: Method::GET,
+        uri: Uri::from_static("/api"),
+        headers: HeaderMap::new(),
+        body: RefCell::new(Upload::None),
+        ..Outgoing::default()
+    };
+    let answer = |status: u16| {
+        let answer = Response::builder().status(status).header("usage-percent", "85");
+        let answer =
+            answer.header("billed-units", "3").body(Content::Complete(Bytes::from_static(b"x"))).unwrap();
+        Backward { most_units: 8.0 }.read(&request, &"s".into(), answer)
+    };
+    let good = answer(200);
+    assert_eq!((good.metered, good.settled, good.ending), (Some(0.85), 3.0, Ending::Success));
+    let bad = answer(500);
+    assert_eq!((bad.metered, bad.settled, bad.ending), (Some(0.85), 0.0, Ending::Failure));
+    assert!(bad.served.is_none());
+}
--- a/src/decide/queues.rs
+++ b/src/decide/queues.rs
@@ -1,25 +1,23 @@
-//! The queues and the schedulers over them.
+//! Admission, the queues, and the schedulers over them: weighted deficit round robin over all resources.
 
 use super::*;
 
 impl Gateway {
     pub(super) fn admit(&mut self, r: Request, out: &mut Vec<Action>) {
-        if r.class >= self.s.classes.len()
-            || r.plan >= self.s.plans.len()
-            || r.pool >= self.s.pools.max(1)
-            || self.held.contains_key(&r.id)
-        {
+        let Settings { classes, plans, pools, .. } = &self.settings;
+        let is_known = r.class < classes.len() && r.plan < plans.len() && r.pool < (*pools).max(1);
+        if !is_known || self.pending.contains_key(&r.id) {
             return;
         }
         // Beyond the paper: nobody waits for a pool that has no server.
-        if self.s.pools > 1 {
+        if self.settings.pools > 1 {
             self.survey();
-            if self.fleet.pools[r.pool].up.is_empty() {
-                out.push(Action::Reject { id: r.id, advice: self.s.max_retry_after });
+            if self.fleet.pools[r.pool].kept.is_empty() {
+                out.push(Action::Reject { id: r.id, advice: self.settings.max_retry_after });
                 return;
             }
         }
-        // A lease's word goes before the own guess.
+        // A lease counts before this gateway's own estimate.
         let refused = match r.allowance {
             Allowance::Unknown => (!self.within_quota(&r)).then_some(0),
             Allowance::Refused { advice } => Some(advice),
@@ -30,108 +28,107 @@
             return;
         }
         self.mean_units += (r.units - self.mean_units) * GAIN / 4.0;
-        // Every held request has a timer.
-        let (hope, decided) = match r.allowance {
+        let (send_by, give_up_at) = match r.allowance {
             Allowance::Awaited { until } => (r.deadline, until),
-            _ => self.hope(r.class, r.deadline),
+            _ => self.send_deadlines(r.class, r.deadline),
         };
-        self.timer(r.id, decided, out);
-        let held = Held {
+        self.set_timer(r.id, give_up_at, out);
+        let request = PendingRequest {
             class: r.class,
             pool: r.pool,
             plan: r.plan,
             customer: r.customer,
             deadline: r.deadline,
-            hope,
+            send_by,
             units: r.units,
             leased: r.allowance != Allowance::Unknown,
             awaited: matches!(r.allowance, Allowance::Awaited { .. }),
             sends: 0,
-            draw: self.rng.f64(),
-            out: None,
+            cold_draw: self.rng.f64(),
+            attempt: None,
             streaming: false,
-            gone: false,
-            ran: None,
+            client_left: false,
+            executed: None,
             tried: Vec::new(),
         };
-        self.held.insert(r.id, held);
-        let res = self.dominant(r.pool, r.units);
-        self.subs[res].queues[r.plan].push_back(r.id);
+        self.pending.insert(r.id, request);
+        let res = self.dominant_resource(r.pool, r.units);
+        self.schedulers[res].queues[r.plan].push_back(r.id);
     }
 
-    /// The last moment from which an answer could be within the aim, and when what has not gone out is over:
-    /// a client that waits for more than half of its time and is then refused has lost that time for good.
-    fn hope(&self, class: usize, deadline: Time) -> (Time, Time) {
-        let (now, aim) = (self.now, self.s.classes[class].aim);
-        let last = now + aim.saturating_sub(nanos(2.0 * self.usual[class])).max(aim / 4);
-        let hope = last.min(deadline.saturating_sub(2 * self.s.tick)).max(now);
-        (hope, hope.min(now + deadline.saturating_sub(now) / 20 * 9))
+    /// Until when an attempt could meet the latency target, and when a request that was never sent is given
+    /// up: a client that is refused after more than half of its time has lost that time.
+    fn send_deadlines(&self, class: usize, deadline: Time) -> (Time, Time) {
+        let (now, target) = (self.now, self.settings.classes[class].latency_target);
+        let last = now + target.saturating_sub(nanos(2.0 * self.latency[class])).max(target / 4);
+        let send_by = last.min(deadline.saturating_sub(2 * self.settings.tick)).max(now);
+        (send_by, send_by.min(now + deadline.saturating_sub(now) / 20 * 9))
     }
 
-    /// The word on a request that awaited one. Granted: its time begins like a new one's.
+    /// The allowance of a request that awaited one is known. If granted, its time begins like a new one's.
     pub(super) fn allowed(&mut self, id: RequestId, allowance: Allowance, out: &mut Vec<Action>) {
-        let Some(h) = self.held.get(&id).filter(|h| h.awaited) else { return };
+        let Some(h) = self.pending.get(&id).filter(|h| h.awaited) else { return };
         if let Allowance::Refused { advice } = allowance {
-            self.held.remove(&id);
+            self.pending.remove(&id);
             out.push(Action::Reject { id, advice });
         } else if allowance == Allowance::Granted {
-            let (hope, decided) = self.hope(h.class, h.deadline);
-            let h = self.held.get_mut(&id).expect("just seen");
-            (h.awaited, h.hope) = (false, hope);
+            let (send_by, give_up_at) = self.send_deadlines(h.class, h.deadline);
+            let h = self.pending.get_mut(&id).expect("just seen");
+            (h.awaited, h.send_by) = (false, send_by);
             self.timers.retain(|_, of| *of != id);
-            self.timer(id, decided, out);
+            self.set_timer(id, give_up_at, out);
         }
     }
 
-    pub(super) fn timer(&mut self, id: RequestId, at: Time, out: &mut Vec<Action>) {
+    pub(super) fn set_timer(&mut self, id: RequestId, at: Time, out: &mut Vec<Action>) {
         self.next_timer += 1;
         self.timers.insert(self.next_timer, id);
         out.push(Action::Timer { token: self.next_timer, at });
     }
 
-    pub(super) fn dominant(&self, pool: usize, units: f64) -> usize {
+    pub(super) fn dominant_resource(&self, pool: usize, units: f64) -> usize {
         RESOURCES * pool + usize::from(units > self.mean_units)
     }
 
-    pub(super) fn room(&self, pool: usize, kind: usize) -> f64 {
-        self.open * self.fleet.pools[pool].room * if kind == 0 { 1.0 } else { self.mean_units.max(1.0) }
+    pub(super) fn capacity(&self, pool: usize, kind: usize) -> f64 {
+        self.open * self.fleet.pools[pool].capacity * if kind == 0 { 1.0 } else { self.mean_units.max(1.0) }
     }
 
     /// The main scheduler: wakes the sub-scheduler of the most available resource, else the next.
     pub(super) fn pump(&mut self, out: &mut Vec<Action>) {
-        if !self.waits() {
+        if !self.has_waiting() {
             return;
         }
         self.survey();
-        (0..self.s.pools.max(1)).for_each(|pool| self.pump_pool(pool, out));
-        if self.waits() && !self.pumping {
-            // What holds the queue may ease with time alone: budgets, ceilings, ejections.
-            self.pumping = true;
-            let at = self.now + (self.s.fall / 50).max(self.s.tick);
+        (0..self.settings.pools.max(1)).for_each(|pool| self.pump_pool(pool, out));
+        if self.has_waiting() && !self.pump_timer {
+            // What blocks the queue may pass with time alone: budgets, limits, ejections.
+            self.pump_timer = true;
+            let at = self.now + (self.settings.fall / 50).max(self.settings.tick);
             out.push(Action::Timer { token: TIMER_PUMP, at });
         }
     }
 
-    pub(super) fn waits(&self) -> bool {
-        self.subs.iter().any(|s| s.queues.iter().any(|q| !q.is_empty()))
+    pub(super) fn has_waiting(&self) -> bool {
+        self.schedulers.iter().any(|s| s.queues.iter().any(|q| !q.is_empty()))
     }
 
-    pub(super) fn pump_pool(&mut self, pool: usize, out: &mut Vec<Action>) {
+    fn pump_pool(&mut self, pool: usize, out: &mut Vec<Action>) {
         let base = RESOURCES * pool;
-        if self.subs[base..base + RESOURCES].iter().all(|s| s.queues.iter().all(|q| q.is_empty())) {
+        if self.schedulers[base..base + RESOURCES].iter().all(|s| s.queues.iter().all(|q| q.is_empty())) {
             return;
         }
-        // A quantum covers any request, so three rounds without a send mean that room lacks, not deficit.
+        // A quantum covers any request: three rounds without a send mean a lack of capacity, not of deficit.
         let (mut short, mut idle) = (false, 0);
-        let rooms = [self.room(pool, 0), self.room(pool, 1)];
+        let free = [self.capacity(pool, 0), self.capacity(pool, 1)];
         while idle < 3 {
-            let share = |kind: usize| 1.0 - self.subs[base + kind].in_flight / rooms[kind].max(1e-9);
+            let share = |kind: usize| 1.0 - self.schedulers[base + kind].in_flight / free[kind].max(1e-9);
             let (a, u) = (share(0), share(1));
             let first = if a == u { self.rng.usize(..RESOURCES) } else { usize::from(u > a) };
             idle += 1;
             for kind in [first, 1 - first] {
-                if let Some((id, server)) = self.pick(base + kind, rooms, &mut short) {
-                    self.send(id, server, out);
+                if let Some((id, server)) = self.pick(base + kind, free, &mut short) {
+                    self.send_attempt(id, server, out);
                     (short, idle) = (false, 0);
                     break;
                 }
@@ -142,28 +139,29 @@
         }
     }
 
-    /// One sub-scheduler's turn: the head under its pointer goes if every availability counter and every
+    /// One sub-scheduler's turn: the head under its pointer is sent if every availability counter and every
     /// deficit counter of its plan covers it; else the pointer moves on. `short`: only deficits lacked.
-    pub(super) fn pick(&mut self, res: usize, rooms: Rooms, short: &mut bool) -> Option<(RequestId, Name)> {
-        let plans = self.s.plans.len();
+    fn pick(&mut self, res: usize, free: Capacities, short: &mut bool) -> Option<(RequestId, Name)> {
+        let plans = self.settings.plans.len();
         for _ in 0..=plans {
-            let plan = self.subs[res].pointer;
-            if let Some((id, server, place)) = self.head(res, plan, rooms) {
-                let cost = [1.0, self.held[&id].units.min(self.quantum(1, plan))];
-                let both = self.subs.chunks_exact_mut(RESOURCES).nth(res / RESOURCES).expect("a pool's");
+            let plan = self.schedulers[res].pointer;
+            if let Some((id, server, index)) = self.head(res, plan, free) {
+                let cost = [1.0, self.pending[&id].units.min(self.quantum(1, plan))];
+                let mut pools = self.schedulers.chunks_exact_mut(RESOURCES);
+                let both = pools.nth(res / RESOURCES).expect("each pool has its schedulers");
                 if both.iter().zip(cost).all(|(s, cost)| s.deficit[plan] >= cost) {
                     both.iter_mut().zip(cost).for_each(|(s, cost)| s.deficit[plan] -= cost);
-                    self.subs[res].queues[plan].remove(place);
+                    self.schedulers[res].queues[plan].remove(index);
                     return Some((id, server));
                 }
                 *short = true;
             }
-            self.subs[res].pointer = (plan + 1) % plans;
-            // A wrap that found no plan short leaves the counters: else they would fill while room lacks.
-            if self.subs[res].pointer == 0 && *short {
+            self.schedulers[res].pointer = (plan + 1) % plans;
+            // A wrap that found no plan short leaves the counters: they must not fill while capacity lacks.
+            if self.schedulers[res].pointer == 0 && *short {
                 for p in 0..plans {
                     let quantum = self.quantum(res % RESOURCES, p);
-                    let d = &mut self.subs[res].deficit[p];
+                    let d = &mut self.schedulers[res].deficit[p];
                     *d = (*d + quantum).min(2.0 * quantum);
                 }
             }
@@ -171,44 +169,46 @@
         None
     }
 
-    pub(super) fn quantum(&self, res: usize, plan: usize) -> f64 {
-        let least = self.s.plans.iter().map(|p| p.value_factor).fold(f64::INFINITY, f64::min).max(1e-9);
-        let weight = (self.s.plans[plan].value_factor / least).max(1.0);
-        weight * if res == 0 { 1.0 } else { self.s.most_units.max(self.mean_units) }
+    /// The deficit that a plan gains in a round: by its value, and enough for any request.
+    fn quantum(&self, res: usize, plan: usize) -> f64 {
+        let plans = &self.settings.plans;
+        let least = plans.iter().map(|p| p.value_factor).fold(f64::INFINITY, f64::min).max(1e-9);
+        let weight = (plans[plan].value_factor / least).max(1.0);
+        weight * if res == 0 { 1.0 } else { self.settings.most_units.max(self.mean_units) }
     }
 
-    /// The first request of a queue that every availability counter covers and that may be sent now, where,
-    /// and its place. The cheap checks come first, and a class that finds no server is asked for once.
-    pub(super) fn head(&mut self, res: usize, plan: usize, rooms: Rooms) -> Option<(RequestId, Name, usize)> {
+    /// The first request of a queue that every availability counter covers and that may be sent now, its
+    /// server and its index. The cheap checks come first; a class that finds no server is tried once.
+    fn head(&mut self, res: usize, plan: usize, free: Capacities) -> Option<(RequestId, Name, usize)> {
         let pool = res / RESOURCES;
         let fits = |g: &Self, kind: usize, cost: f64| {
-            let used = g.subs[RESOURCES * pool + kind].in_flight;
-            used == 0.0 || used + cost <= rooms[kind]
+            let used = g.schedulers[RESOURCES * pool + kind].in_flight;
+            used == 0.0 || used + cost <= free[kind]
         };
         if !fits(self, 0, 1.0) {
             return None;
         }
-        let held = &self.held;
-        self.subs[res].queues[plan].retain(|id| held.contains_key(id));
-        let mut none = vec![false; self.s.classes.len()];
+        let pending = &self.pending;
+        self.schedulers[res].queues[plan].retain(|id| pending.contains_key(id));
+        let mut none = vec![false; self.settings.classes.len()];
         let cold = !self.fleet.pools[pool].cold.is_empty();
-        let mut looked = vec![false; self.s.classes.len()];
-        let all = self.fleet.pools[pool].all.len();
-        let more = all > FEW || all > self.fleet.pools[pool].up.len();
-        for place in 0..self.subs[res].queues[plan].len() {
-            let id = self.subs[res].queues[plan][place];
-            let (class, units) = (self.held[&id].class, self.held[&id].units);
-            if none[class] || !fits(self, 1, units.min(self.quantum(1, plan))) || !self.may_go(id) {
+        let mut looked = vec![false; self.settings.classes.len()];
+        let all = self.fleet.pools[pool].ready.len();
+        let more = all > SMALL_FLEET || all > self.fleet.pools[pool].kept.len();
+        for index in 0..self.schedulers[res].queues[plan].len() {
+            let id = self.schedulers[res].queues[plan][index];
+            let (class, units) = (self.pending[&id].class, self.pending[&id].units);
+            if none[class] || !fits(self, 1, units.min(self.quantum(1, plan))) || !self.is_within_caps(id) {
                 continue;
             }
             let found = match self.choose(id, false) {
-                // What few that were drawn had no room for, the rest may have; they are asked for once.
+                // Where the sample has no capacity the rest may have; all are looked at once.
                 None if more && !std::mem::replace(&mut looked[class], true) => self.choose(id, true),
                 found => found,
             };
             match found {
-                Some(server) => return Some((id, server, place)),
-                None => none[class] = !cold && self.held[&id].ran.is_none(),
+                Some(server) => return Some((id, server, index)),
+                None => none[class] = !cold && self.pending[&id].executed.is_none(),
             }
         }
         None
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -38,12 +38,12 @@
         Gateway::reconfigure(self, settings);
     }
 
-    fn leave(&self) -> String {
-        Gateway::leave(self)
+    fn export_state(&self) -> String {
+        Gateway::export_state(self)
     }
 
-    fn take_over(&mut self, now: Time, left: &str) -> Result<(), String> {
-        Gateway::take_over(self, now, left)
+    fn import_state(&mut self, now: Time, left: &str) -> Result<(), String> {
+        Gateway::import_state(self, now, left)
     }
 
     fn avoided(&self) -> Vec<Name> {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -111,11 +111,11 @@
         rate: p.quota_rate,
         depth: p.depth,
         parallel: p.parallel,
-        ceiling_rate: p.never_over_rate,
-        ceiling_burst: p.ceiling_burst,
+        hard_limit_rate: p.never_over_rate,
+        hard_limit_burst: p.ceiling_burst,
         value_factor: p.value_factor,
-        over_worth: p.over_worth,
-        over_cost: p.excess_cost,
+        over_quota_value: p.over_worth,
+        over_quota_cost: p.excess_cost,
     });
     let subscribe = match env.discovery.as_str() {
         "automatic" => false,
@@ -124,24 +124,24 @@
     };
     Ok(Settings {
         zone: env.az,
-        me: env.me,
+        gateway_index: env.me,
         gateways: env.siblings,
         pools: 1,
         classes,
         plans: plans.collect(),
         subscribe,
-        ask_within: env.obligations.ask_within,
-        marks_retry: env.clients.marks_retry,
+        max_poll_interval: env.obligations.ask_within,
+        marks_retries: env.clients.marks_retry,
         cancelling: env.limits.cancelling,
         second_copies: env.limits.second_copies,
         retry_after: env.limits.retry_after,
         max_retry_after: env.limits.max_retry_after,
-        try_limit: env.limits.try_limit,
-        cost_after: env.extra.cost_after,
+        max_attempts: env.limits.try_limit,
+        settles_cost: env.extra.cost_after,
         most_units: env.extra.most_units,
         meter_period: env.extra.meter_period,
-        cold: env.obligations.cold,
-        cold_from: env.obligations.cold_from,
+        warm_up_time: env.obligations.cold,
+        initial_warmth: env.obligations.cold_from,
         fall: env.obligations.fall,
         fall_multiple: env.obligations.fall_multiple,
         answer_slack: env.obligations.answer_slack,
@@ -165,12 +165,12 @@
     };
     Ok(Class {
         name: s.name,
-        aim: s.on_time,
+        latency_target: s.on_time,
         deadline: s.deadline,
         effect,
         group,
         key_ttl: s.key_ttl,
-        late_worth: s.late_worth,
+        late_value: s.late_worth,
         points: s.points,
         stream: s.stream,
     })
@@ -181,16 +181,16 @@
     let mut figures = Vec::new();
     let mut add =
         |of: &str, all: &[(&str, f64)]| figures.extend(all.iter().map(|(n, v)| (format!("{of}{n}"), *v)));
-    add("", &[("cold_from", s.cold_from), ("fall_multiple", s.fall_multiple)]);
+    add("", &[("cold_from", s.initial_warmth), ("fall_multiple", s.fall_multiple)]);
     add("", &[("most_units", s.most_units), ("cross_zone_price", s.cross_zone_price)]);
     for p in &s.plans {
         let of = format!("plan {}: ", p.name);
-        add(&of, &[("rate", p.rate), ("depth", p.depth), ("ceiling_rate", p.ceiling_rate)]);
-        add(&of, &[("ceiling_burst", p.ceiling_burst), ("value_factor", p.value_factor)]);
-        add(&of, &[("over_worth", p.over_worth), ("over_cost", p.over_cost)]);
+        add(&of, &[("rate", p.rate), ("depth", p.depth), ("ceiling_rate", p.hard_limit_rate)]);
+        add(&of, &[("ceiling_burst", p.hard_limit_burst), ("value_factor", p.value_factor)]);
+        add(&of, &[("over_worth", p.over_quota_value), ("over_cost", p.over_quota_cost)]);
     }
     for c in &s.classes {
-        add(&format!("class {}: ", c.name), &[("points", c.points), ("late_worth", c.late_worth)]);
+        add(&format!("class {}: ", c.name), &[("points", c.points), ("late_worth", c.late_value)]);
     }
     match figures.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
         Some((name, v)) => Err(format!("{name} is {v}: not a number of zero or more")),
--- a/tests/legacy.rs
+++ b/tests/legacy.rs
@@ -6,7 +6,7 @@
 const START: Time = 100 * SEC;
 
 fn settings() -> Settings {
-    let plan = Plan { ceiling_rate: 2.0, ceiling_burst: 40.0, ..Plan::new("partner", 1.0, 20.0) };
+    let plan = Plan { hard_limit_rate: 2.0, hard_limit_burst: 40.0, ..Plan::new("partner", 1.0, 20.0) };
     Settings {
         gateways: 2,
         classes: vec![Class::new("quote", SEC, 4 * SEC, Effect::Safe, Group::All)],
@@ -34,7 +34,7 @@
         for action in out {
             let Action::Send { id, server, .. } = action else { continue };
             sent += 1;
-            let (ending, last, elapsed) = (Ending::Pass, true, SEC / 20);
+            let (ending, last, elapsed) = (Ending::Success, true, SEC / 20);
             let (attempt, settled, metered, load) = (0, 0.0, None, None);
             let end = AttemptEnd { id, attempt, server, ending, last, elapsed, settled, metered, load };
             gateway.handle(now, vec![Event::AttemptEnd(end)], &mut Vec::new());
@@ -50,7 +50,7 @@
     let first = passed(&mut old, now, 0..60);
     assert!(first >= 20, "{first}: its store, at the least");
     let mut alone = gateway(now);
-    alone.take_over(now, &old.leave()).expect("of this version");
+    alone.import_state(now, &old.export_state()).expect("of this version");
     let again = passed(&mut alone, now, 100..160);
     let old_again = passed(&mut old, now, 200..260);
     assert!(
@@ -66,7 +66,7 @@
     let now = START + 60 * SEC;
     assert_eq!(passed(&mut gateway(now), now, 0..10), 0, "it may have been passed a moment ago");
     let mut new = gateway(now);
-    new.take_over(now, &old.leave()).expect("of this version");
+    new.import_state(now, &old.export_state()).expect("of this version");
     assert_eq!(passed(&mut new, now, 0..10), 10);
 }
 
@@ -78,7 +78,7 @@
     passed(&mut old, now, 0..10);
     let early = passed(&mut new, now, 100..110);
     assert_eq!(early, 10);
-    new.take_over(now, &old.leave()).expect("of this version");
+    new.import_state(now, &old.export_state()).expect("of this version");
     let rest = passed(&mut new, now, 200..260);
     let mut fresh = gateway(START);
     let whole = passed(&mut fresh, now, 300..380);
@@ -89,10 +89,10 @@
 fn what_is_garbled_is_refused_whole() {
     let mut old = gateway(START);
     passed(&mut old, START + SEC, 0..30);
-    let text = old.leave();
+    let text = old.export_state();
     let mut new = gateway(START + SEC);
     for cut in (0..text.len()).step_by(37) {
-        assert!(new.take_over(START + SEC, &text[..cut]).is_err(), "cut at {cut}");
+        assert!(new.import_state(START + SEC, &text[..cut]).is_err(), "cut at {cut}");
     }
     for (from, to) in [
         (r#""version":1"#, r#""version":2"#),
@@ -102,9 +102,9 @@
         (r#""usual":["#, r#""usual":[1.0,"#),
     ] {
         assert!(text.contains(from), "{from} in {text}");
-        assert!(new.take_over(START + SEC, &text.replace(from, to)).is_err(), "{from} -> {to}");
+        assert!(new.import_state(START + SEC, &text.replace(from, to)).is_err(), "{from} -> {to}");
     }
-    assert_eq!(new.leave(), gateway(START + SEC).leave(), "nothing has changed");
+    assert_eq!(new.export_state(), gateway(START + SEC).export_state(), "nothing has changed");
 }
 
 /// Its clock may be a little ahead of ours.
@@ -113,7 +113,7 @@
     let mut old = gateway(START);
     passed(&mut old, START + 9 * SEC, 0..30);
     let mut new = gateway(START);
-    new.take_over(START, &old.leave()).expect("of this version");
+    new.import_state(START, &old.export_state()).expect("of this version");
     passed(&mut new, START, 100..110);
     passed(&mut new, START + 20 * SEC, 200..210);
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -2,12 +2,12 @@
 
 const FILES: [&str; 7] = [
     include_str!("../src/decide/mod.rs"),
-    include_str!("../src/decide/fleet.rs"),
+    include_str!("../src/decide/server_list.rs"),
     include_str!("../src/decide/quota.rs"),
     include_str!("../src/decide/queues.rs"),
     include_str!("../src/decide/choice.rs"),
     include_str!("../src/decide/answers.rs"),
-    include_str!("../src/decide/legacy.rs"),
+    include_str!("../src/decide/exported_state.rs"),
 ];
 
 #[test]
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -20,10 +20,10 @@
         ],
         meter_period: SEC,
         most_units: 8.0,
-        cold: 10 * SEC,
-        cold_from: 0.2,
+        warm_up_time: 10 * SEC,
+        initial_warmth: 0.2,
         fall: 2 * SEC,
-        try_limit: 3,
+        max_attempts: 3,
         tick: MS,
         ..Settings::default()
     }
@@ -77,7 +77,7 @@
         elapsed: Time,
         metered: Option<f64>,
     ) -> Vec<Action> {
-        let last = ending == Ending::Pass;
+        let last = ending == Ending::Success;
         let server = server.into();
         let (settled, load) = (0.0, None);
         self.tell(Event::AttemptEnd(AttemptEnd {
@@ -128,8 +128,8 @@
     let mut rig = Rig::new(settings(), 2);
     let (id, out) = rig.request(0, 0, "a", 1.0);
     let server = sent_to(&out).remove(0);
-    assert!(rig.end(id, 0, &server, Ending::Pass).is_empty());
-    assert!(rig.end(id, 0, &server, Ending::Fault).is_empty(), "a second end of it is ignored");
+    assert!(rig.end(id, 0, &server, Ending::Success).is_empty());
+    assert!(rig.end(id, 0, &server, Ending::Failure).is_empty(), "a second end of it is ignored");
 }
 
 #[test]
@@ -146,7 +146,7 @@
     let mut served = 0;
     while served < 15 {
         let id = out_now.remove(0);
-        let out = rig.end_with(id, 0, "s0", Ending::Pass, 400 * MS, None);
+        let out = rig.end_with(id, 0, "s0", Ending::Success, 400 * MS, None);
         for next in sends(&out) {
             served += 1;
             gold += usize::from(next % 2 == 0);
@@ -185,13 +185,13 @@
 fn what_earns_more_beyond_a_quota_than_it_costs_passes_until_the_back_end_is_pressed() {
     let refused = |over_worth: f64, over_cost: f64, elapsed: Time| {
         let mut s = settings();
-        s.plans[0] = Plan { over_worth, over_cost, ..s.plans[0].clone() };
+        s.plans[0] = Plan { over_quota_value: over_worth, over_quota_cost: over_cost, ..s.plans[0].clone() };
         let mut rig = Rig::new(s, 40);
         for i in 0..60 {
             rig.now += 20 * MS;
             let (id, out) = rig.request(0, 1, &format!("c{i}"), 1.0);
             let server = sent_to(&out).remove(0);
-            rig.end_with(id, 0, &server, Ending::Pass, elapsed, None);
+            rig.end_with(id, 0, &server, Ending::Success, elapsed, None);
         }
         let refused = |rig: &mut Rig| {
             let (id, out) = rig.request(0, 0, "a", 1.0);
@@ -208,7 +208,7 @@
 fn the_less_a_plan_loses_beyond_its_quota_the_milder_the_chance() {
     let passed = |over_cost: f64| {
         let mut s = settings();
-        s.plans[0].over_cost = over_cost;
+        s.plans[0].over_quota_cost = over_cost;
         let mut rig = Rig::new(s, 40);
         (0..400)
             .filter(|_| {
@@ -249,7 +249,7 @@
         if let Some(server) = sent_to(&out).first() {
             passed.push(rig.now);
             let used = passed.iter().filter(|t| **t + SEC > rig.now).count();
-            rig.end_with(id, 0, server, Ending::Pass, 10 * MS, Some(used as f64 / 10.0));
+            rig.end_with(id, 0, server, Ending::Success, 10 * MS, Some(used as f64 / 10.0));
         }
     }
     let late = passed.iter().filter(|t| **t > 110 * SEC).count();
@@ -263,7 +263,7 @@
         rig.now += 150 * MS;
         let (id, out) = rig.request(0, 0, "a", 1.0);
         let server = sent_to(&out).remove(0);
-        rig.end_with(id, 0, &server, Ending::Pass, 10 * MS, Some(0.67));
+        rig.end_with(id, 0, &server, Ending::Success, 10 * MS, Some(0.67));
     }
 }
 
@@ -280,7 +280,7 @@
             if let Some(server) = sent_to(&out).first() {
                 passed.push(rig.now);
                 let used = passed.iter().filter(|t| **t + SEC > rig.now).count() as f64 * factor;
-                rig.end_with(id, 0, server, Ending::Pass, 10 * MS, Some(used / 10.0));
+                rig.end_with(id, 0, server, Ending::Success, 10 * MS, Some(used / 10.0));
             }
         }
         passed.iter().filter(|t| **t > 110 * SEC).count()
@@ -303,7 +303,7 @@
                 (id, server) = (i, s.clone());
             }
         }
-        rig.end_with(id, 0, &server, Ending::Pass, 10 * MS, Some(metered));
+        rig.end_with(id, 0, &server, Ending::Success, 10 * MS, Some(metered));
         rig.now += 2 * SEC;
         let passes = |rig: &mut Rig| {
             rig.now += 100 * MS;
@@ -319,7 +319,7 @@
 #[test]
 fn proof_that_it_never_ran_lets_every_class_be_sent_again() {
     for class in 0..3 {
-        for ending in [Ending::Full, Ending::NoRoute] {
+        for ending in [Ending::Overloaded, Ending::Unreachable] {
             let mut rig = Rig::new(settings(), 2);
             let (id, out) = rig.request(class, 0, "a", 1.0);
             let first = sent_to(&out).remove(0);
@@ -332,7 +332,9 @@
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed_not_refused() {
-    for ending in [Ending::Fault, Ending::Late, Ending::Cut, Ending::Spoilt, Ending::Undone] {
+    for ending in
+        [Ending::Failure, Ending::TimedOut, Ending::Interrupted, Ending::Unreadable, Ending::Cancelled]
+    {
         let mut rig = Rig::new(settings(), 2);
         let (id, out) = rig.request(2, 0, "a", 1.0);
         let out = rig.end(id, 0, &sent_to(&out)[0], ending);
@@ -345,9 +347,9 @@
     let mut rig = Rig::new(settings(), 1);
     let (id, out) = rig.request(1, 0, "a", 1.0);
     assert_eq!(sent_to(&out), ["s0"]);
-    assert_eq!(sent_to(&rig.end(id, 0, "s0", Ending::Fault)), ["s0"]);
-    assert_eq!(sent_to(&rig.end(id, 1, "s0", Ending::Full)), ["s0"]);
-    let out = rig.end(id, 2, "s0", Ending::Full);
+    assert_eq!(sent_to(&rig.end(id, 0, "s0", Ending::Failure)), ["s0"]);
+    assert_eq!(sent_to(&rig.end(id, 1, "s0", Ending::Overloaded)), ["s0"]);
+    let out = rig.end(id, 2, "s0", Ending::Overloaded);
     assert!(failed(&out, id), "{out:?}");
 }
 
@@ -357,14 +359,14 @@
     let (id, out) = rig.request(1, 0, "a", 1.0);
     let first = sent_to(&out).remove(0);
     assert_eq!(
-        sent_to(&rig.end(id, 0, &first, Ending::Fault)),
+        sent_to(&rig.end(id, 0, &first, Ending::Failure)),
         [first.as_str()],
         "the other is in another cell"
     );
     let mut rig = Rig::new(settings(), 2);
     let (id, out) = rig.request(1, 0, "a", 1.0);
     rig.now += 2 * SEC;
-    let out = rig.end(id, 0, &sent_to(&out)[0], Ending::Fault);
+    let out = rig.end(id, 0, &sent_to(&out)[0], Ending::Failure);
     assert!(failed(&out, id), "past the time for which its key is remembered");
 }
 
@@ -384,7 +386,7 @@
     let mut rig = Rig::new(settings(), 1);
     let (id, out) = rig.request(2, 0, "a", 1.0);
     rig.now += 4 * SEC;
-    assert!(failed(&rig.end_with(id, 0, &sent_to(&out)[0], Ending::Late, 4 * SEC, None), id));
+    assert!(failed(&rig.end_with(id, 0, &sent_to(&out)[0], Ending::TimedOut, 4 * SEC, None), id));
 }
 
 #[test]
@@ -418,7 +420,7 @@
         let (id, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
         for server in sent_to(&out) {
             cold += usize::from(server == "s0");
-            rig.end_with(id, 0, &server, Ending::Pass, 10 * MS, None);
+            rig.end_with(id, 0, &server, Ending::Success, 10 * MS, None);
         }
     }
     assert!(
@@ -430,7 +432,8 @@
 #[test]
 fn a_ceiling_starts_empty_and_is_kept_alone() {
     let mut s = settings();
-    s.plans[0] = Plan { ceiling_rate: 20.0, ceiling_burst: 40.0, ..Plan::new("capped", 1000.0, 1000.0) };
+    s.plans[0] =
+        Plan { hard_limit_rate: 20.0, hard_limit_burst: 40.0, ..Plan::new("capped", 1000.0, 1000.0) };
     let mut rig = Rig::new(s, 40);
     rig.spread = 2;
     assert!(sends(&rig.request(0, 0, "a", 1.0).1).is_empty(), "a restart must not refill it");
@@ -455,7 +458,7 @@
     let ids: Vec<_> = (0..4).map(|_| rig.request(0, 0, "a", 1.0)).collect();
     let out: Vec<_> = ids.iter().filter(|(_, out)| !sends(out).is_empty()).collect();
     assert_eq!(out.len(), 2);
-    let next = rig.end(out[0].0, 0, &sent_to(&out[0].1)[0], Ending::Pass);
+    let next = rig.end(out[0].0, 0, &sent_to(&out[0].1)[0], Ending::Success);
     assert_eq!(sends(&next), [ids[2].0], "the next goes when one comes back");
 }
 
@@ -472,7 +475,7 @@
             while let Some(server) = to.pop() {
                 let fails = bad && server == "s0";
                 hits += usize::from(server == "s0");
-                let ending = if fails { Ending::Fault } else { Ending::Pass };
+                let ending = if fails { Ending::Failure } else { Ending::Success };
                 to = sent_to(&rig.end_with(id, attempt, &server, ending, 250 * MS, None));
                 attempt += 1;
             }
@@ -496,7 +499,7 @@
             rig.now += 20 * MS;
             let (id, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
             let server = sent_to(&out).remove(0);
-            rig.end_with(id, 0, &server, Ending::Pass, elapsed, None);
+            rig.end_with(id, 0, &server, Ending::Success, elapsed, None);
         }
         (0..60).filter(|i| !sends(&rig.request(0, 0, &format!("d{i}"), 1.0).1).is_empty()).count()
     };
@@ -514,7 +517,7 @@
         let (id, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
         let server = sent_to(&out).remove(0);
         assert_ne!(server, hung, "request {i}");
-        rig.end(id, 0, &server, Ending::Pass);
+        rig.end(id, 0, &server, Ending::Success);
     }
 }
 
@@ -523,8 +526,8 @@
     let mut rig = Rig::new(Settings { cancelling: true, ..settings() }, 1);
     let (id, out) = rig.request(0, 0, "a", 1.0);
     let server = sent_to(&out).remove(0);
-    assert_eq!(rig.tell(Event::ClientGone { id }), [Action::Cancel { id, attempt: 0 }]);
-    assert!(rig.end(id, 0, &server, Ending::Undone).is_empty());
+    assert_eq!(rig.tell(Event::ClientLeft { id }), [Action::Cancel { id, attempt: 0 }]);
+    assert!(rig.end(id, 0, &server, Ending::Cancelled).is_empty());
 }
 
 #[test]
@@ -534,7 +537,7 @@
     let mut rig = Rig::new(s, 2);
     let (id, out) = rig.request(0, 0, "a", 1.0);
     rig.tell(Event::Streaming { id, attempt: 0 });
-    assert!(rig.end(id, 0, &sent_to(&out)[0], Ending::Cut).is_empty());
+    assert!(rig.end(id, 0, &sent_to(&out)[0], Ending::Interrupted).is_empty());
 }
 
 #[test]
@@ -569,8 +572,8 @@
 #[test]
 fn unknown_ids_are_ignored() {
     let mut rig = Rig::new(settings(), 1);
-    assert!(rig.end(99, 0, "nobody", Ending::Pass).is_empty());
-    assert!(rig.tell(Event::ClientGone { id: 99 }).is_empty());
+    assert!(rig.end(99, 0, "nobody", Ending::Success).is_empty());
+    assert!(rig.tell(Event::ClientLeft { id: 99 }).is_empty());
     assert!(rig.tell(Event::Timer { token: 99 }).is_empty());
     assert!(rig.request(9, 0, "a", 1.0).1.is_empty());
 }
@@ -594,7 +597,7 @@
             rig.now += 5 * MS;
             let (id, out) = rig.request(i % 3, i % 2, &format!("c{}", i % 7), 1.0 + (i % 8) as f64);
             if let (0, Some(server)) = (i % 2, sent_to(&out).first()) {
-                all.extend(rig.end(id, 0, server, Ending::Pass));
+                all.extend(rig.end(id, 0, server, Ending::Success));
             }
             all.extend(out);
         }
@@ -625,7 +628,7 @@
 fn many_gateways_do_not_pick_the_same_server() {
     let mut hits = std::collections::BTreeMap::new();
     for seed in 0..200 {
-        let s = Settings { me: seed as u32, gateways: 200, ..settings() };
+        let s = Settings { gateway_index: seed as u32, gateways: 200, ..settings() };
         let mut g = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
         let mut out = Vec::new();
         let nodes = (0..20).map(|i| Rig::node(i, Health::Up)).collect();
@@ -652,7 +655,7 @@
         if i >= 1000 {
             hits[class / 2][usize::from(sick(&server))] += 1;
         }
-        let ending = if class == 2 && sick(&server) { Ending::Late } else { Ending::Pass };
+        let ending = if class == 2 && sick(&server) { Ending::TimedOut } else { Ending::Success };
         rig.end(id, 0, &server, ending);
     }
     let ([_, quotes], [_, orders]) = (hits[0], hits[1]);
@@ -673,7 +676,7 @@
         while let Some(server) = to.pop() {
             let full = plan == 0 && strict(&server);
             hits[plan] += usize::from(i >= 1050 && strict(&server));
-            let ending = if full { Ending::Full } else { Ending::Pass };
+            let ending = if full { Ending::Overloaded } else { Ending::Success };
             to = sent_to(&rig.end(id, attempt, &server, ending));
             attempt += 1;
         }
@@ -693,7 +696,9 @@
             .filter(|_| {
                 rig.now += SEC;
                 let (id, out) = rig.request(0, 0, "a", 1.0);
-                sent_to(&out).first().map(|s| rig.end_with(id, 0, s, Ending::Pass, 50 * MS, Some(metered)));
+                sent_to(&out)
+                    .first()
+                    .map(|s| rig.end_with(id, 0, s, Ending::Success, 50 * MS, Some(metered)));
                 !rejected(&out, id)
             })
             .count()
@@ -760,7 +765,7 @@
         rig.now += MS / 4;
         if out_now.len() >= 600 {
             let (id, server): (u64, String) = out_now.pop_front().expect("some are out");
-            rig.end_with(id, 0, &server, Ending::Pass, 150 * MS, None);
+            rig.end_with(id, 0, &server, Ending::Success, 150 * MS, None);
         }
         let (id, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
         let server = sent_to(&out).remove(0);
@@ -791,7 +796,7 @@
         rig.now += MS / 4;
         let (id, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
         if let Some(server) = sent_to(&out).first() {
-            rig.end(id, 0, server, Ending::Pass);
+            rig.end(id, 0, server, Ending::Success);
             *count.entry(server.clone()).or_default() += 1;
         }
     }
@@ -848,7 +853,7 @@
             let (id, out) = ask_pool(&mut rig, pool, &format!("c{i}-{pool}"));
             let server = sent_to(&out).remove(0);
             assert!(wanted.contains(&server.as_str()), "pool {pool}: {server}");
-            rig.end(id, 0, &server, Ending::Pass);
+            rig.end(id, 0, &server, Ending::Success);
         }
     }
     assert!(ask_pool(&mut rig, 2, "c").1.is_empty(), "a pool that is not there is ignored");
@@ -908,26 +913,26 @@
             rig.now += 20 * MS;
             let (id, out) = rig.request(0, 0, &format!("{tag}{i}"), 1.0);
             if let Some(server) = sent_to(&out).first() {
-                rig.end(id, 0, server, Ending::Pass);
+                rig.end(id, 0, server, Ending::Success);
                 names.insert(server.clone());
             }
         }
         names
     };
-    let mut rig = Rig::new(Settings { gateways: 100, me: 7, ..settings() }, 60);
+    let mut rig = Rig::new(Settings { gateways: 100, gateway_index: 7, ..settings() }, 60);
     let few = used(&mut rig, "a");
     assert!(few.len() <= 8, "{few:?}");
-    rig.tell(Event::Neighbours { me: 50, gateways: 100 });
+    rig.tell(Event::Neighbours { position: 50, gateways: 100 });
     let others = used(&mut rig, "b");
     assert!(others.len() <= 8 && others != few, "another place, other servers: {others:?}");
-    rig.tell(Event::Neighbours { me: 0, gateways: 3 });
+    rig.tell(Event::Neighbours { position: 0, gateways: 3 });
     assert!(used(&mut rig, "c").len() > 20, "three serve all sixty");
-    rig.tell(Event::Neighbours { me: 0, gateways: 0 });
+    rig.tell(Event::Neighbours { position: 0, gateways: 0 });
     assert_eq!(used(&mut rig, "d"), few, "as the settings say");
     // So many fit at one server at once, whatever is believed.
     let room = |gateways| {
-        let mut rig = Rig::new(Settings { gateways: 100, me: 7, ..settings() }, 60);
-        rig.tell(Event::Neighbours { me: 7, gateways });
+        let mut rig = Rig::new(Settings { gateways: 100, gateway_index: 7, ..settings() }, 60);
+        rig.tell(Event::Neighbours { position: 7, gateways });
         let mut count = std::collections::BTreeMap::<String, usize>::new();
         for i in 0..1000 {
             let (_, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
--- a/tests/vast.rs
+++ b/tests/vast.rs
@@ -10,12 +10,12 @@
 
 fn settings(me: u32) -> Settings {
     Settings {
-        me,
+        gateway_index: me,
         gateways: GATEWAYS,
         classes: vec![Class::new("quote", SEC, 4 * SEC, Effect::Safe, Group::All)],
         plans: vec![Plan::new("basic", 100.0, 200.0)],
-        cold: 10 * SEC,
-        cold_from: 0.2,
+        warm_up_time: 10 * SEC,
+        initial_warmth: 0.2,
         tick: MS,
         ..Settings::default()
     }
@@ -65,7 +65,7 @@
                 attempt,
                 server,
                 ending,
-                last: ending == Ending::Pass,
+                last: ending == Ending::Success,
                 elapsed: 50 * MS,
                 settled: 0.0,
                 metered: None,
@@ -87,7 +87,7 @@
     let mut keepers: BTreeMap<String, u32> = BTreeMap::new();
     for me in 0..GATEWAYS {
         let mut rig = Rig::new(me, servers(60));
-        let used: BTreeSet<String> = (0..100).flat_map(|_| rig.request(&mut |_| Ending::Pass)).collect();
+        let used: BTreeSet<String> = (0..100).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
         assert!((4..=9).contains(&used.len()), "gateway {me} used {} servers", used.len());
         used.into_iter().for_each(|name| *keepers.entry(name).or_default() += 1);
     }
@@ -100,8 +100,8 @@
 #[test]
 fn servers_that_fail_are_replaced_in_the_subset() {
     let mut rig = Rig::new(3, servers(60));
-    let first: BTreeSet<String> = (0..60).flat_map(|_| rig.request(&mut |_| Ending::Pass)).collect();
-    let mut down = |name: &str| if first.contains(name) { Ending::NoRoute } else { Ending::Pass };
+    let first: BTreeSet<String> = (0..60).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
+    let mut down = |name: &str| if first.contains(name) { Ending::Unreachable } else { Ending::Success };
     (0..20).for_each(|_| drop(rig.request(&mut down)));
     let later: Vec<String> = (0..40).flat_map(|_| rig.request(&mut down)).collect();
     let failed = later.iter().filter(|name| first.contains(*name)).count();
@@ -114,10 +114,10 @@
 fn with_all_servers_bad_requests_end_and_the_fleet_is_found_again() {
     let mut rig = Rig::new(3, servers(60));
     for _ in 0..100 {
-        let went = rig.request(&mut |_| Ending::NoRoute);
+        let went = rig.request(&mut |_| Ending::Unreachable);
         assert!((1..=3).contains(&went.len()), "{} attempts", went.len());
     }
-    let served = (0..20).filter(|_| rig.request(&mut |_| Ending::Pass).len() == 1).count();
+    let served = (0..20).filter(|_| rig.request(&mut |_| Ending::Success).len() == 1).count();
     assert_eq!(served, 20, "served at the first attempt once the servers are up again");
 }
 
@@ -126,7 +126,7 @@
 fn among_cold_servers_a_gateway_keeps_to_more_of_them() {
     let cold = |i: usize| Node { since: 99 * SEC, ..Node::new(&format!("s{i}"), Health::Up) };
     let mut rig = Rig::new(3, (0..60).map(cold).collect());
-    let used: BTreeSet<String> = (0..60).flat_map(|_| rig.request(&mut |_| Ending::Pass)).collect();
+    let used: BTreeSet<String> = (0..60).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
     assert!(used.len() > 12, "kept to {} cold servers", used.len());
 }
 
@@ -142,7 +142,7 @@
     let (mut cold, mut warm) = (0.0, 0.0);
     for me in 0..GATEWAYS {
         let mut rig = Rig::new(me, (0..60).map(node).collect());
-        for server in (0..6).flat_map(|_| rig.request(&mut |_| Ending::Pass)) {
+        for server in (0..6).flat_map(|_| rig.request(&mut |_| Ending::Success)) {
             let n: usize = server[1..].parse().expect("a number");
             *(if n.is_multiple_of(3) { &mut warm } else { &mut cold }) += 1.0;
         }
@@ -158,6 +158,6 @@
     let mut rig = Rig::new(0, Vec::new());
     rig.g = Gateway::new(Settings { gateways: 4, ..settings(0) }, 5, 100 * SEC).expect("settings in range");
     rig.tell(Event::Fleet { seq: 1, scope: Scope::Cached, nodes: servers(17) });
-    let used: BTreeSet<String> = (0..200).flat_map(|_| rig.request(&mut |_| Ending::Pass)).collect();
+    let used: BTreeSet<String> = (0..200).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
     assert_eq!(used.len(), 17);
 }
