--- a/crates/data/data-plane/src/client_requests.rs
+++ b/crates/data/data-plane/src/client_requests.rs
@@ -13,7 +13,7 @@
 use lifecycle::connection::Timeouts;
 use proxy::backends::{Content, Outgoing};
 use proxy::driver::{Answer, Incoming};
-use proxy::fronts::http1::{plain, unsound, Door, ErrorReply, Payload};
+use proxy::fronts::http1::{error_reply, plain, Door, ErrorReply, Payload};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -49,7 +49,7 @@
     /// What the newest configuration does not know is refused for good; an old one is no ground for that.
     fn reject_unknown(&self, status: StatusCode) -> ErrorReply {
         if self.gateway.is_fresh() {
-            unsound(status)
+            error_reply(status)
         } else {
             unavailable()
         }
@@ -58,7 +58,7 @@
 
 /// A refusal that promises that nothing has run, with when to come back.
 fn retry_later(status: StatusCode, after: Duration) -> ErrorReply {
-    let mut response = unsound(status);
+    let mut response = error_reply(status);
     if let Ok(after) = HeaderValue::try_from(format!("{:.3}", after.as_secs_f64())) {
         response.headers_mut().insert(RETRY_AFTER, after);
     }
@@ -105,7 +105,7 @@
         let Some(routes) = self.gateway.routes() else { return Err(unavailable()) };
         // Backends are asked for a path, also if this client thinks that it talks to a proxy.
         let uri = head.uri.path_and_query().cloned().map(Uri::from);
-        let uri = uri.ok_or_else(|| unsound(StatusCode::BAD_REQUEST))?;
+        let uri = uri.ok_or_else(|| error_reply(StatusCode::BAD_REQUEST))?;
         let host = head.uri.host().or_else(|| text(&head.headers, &HOST)).unwrap_or_default();
         let route = routes.route(host, uri.path());
         let route = route.ok_or_else(|| self.reject_unknown(StatusCode::NOT_FOUND))?;
@@ -114,7 +114,7 @@
             return Err(self.reject_unknown(StatusCode::UNAUTHORIZED));
         }
         if !head.headers.contains_key(ATTEMPT) {
-            return Err(unsound(StatusCode::BAD_REQUEST));
+            return Err(error_reply(StatusCode::BAD_REQUEST));
         }
         let service = route.target(fastrand::f64()).ok_or_else(unavailable)?;
         let timeout = remaining_time(&head.headers, route);
--- a/crates/gateway/forward/src/lib.rs
+++ b/crates/gateway/forward/src/lib.rs
@@ -426,7 +426,7 @@
     /// Takes a grant in. Lost, doubled, late and reordered ones do no harm.
     ///
     /// # Errors
-    /// [`Wrong`]; nothing has changed then.
+    /// [`InvalidGrant`]; nothing has changed then.
     pub fn grant(&mut self, now: Time, planner: usize, grant: &Grant) -> Result<(), InvalidGrant> {
         self.update_mode(now);
         let known = self.planners.get_mut(planner).ok_or(InvalidGrant::WrongAddressee)?;
--- a/crates/gateway/handover/src/bans.rs
+++ b/crates/gateway/handover/src/bans.rs
@@ -42,7 +42,7 @@
 }
 
 /// # Errors
-/// [`Garbled`].
+/// [`InvalidBans`].
 pub fn read(text: &[u8]) -> Result<BTreeMap<Name, Time>, InvalidBans> {
     if text.len() > MAX_BYTES {
         return Err(InvalidBans::TooLong);
--- a/crates/gateway/lifecycle/src/connection.rs
+++ b/crates/gateway/lifecycle/src/connection.rs
@@ -182,7 +182,7 @@
     /// Handles an input. The time matters for `Bytes`, `Reply` and `Close` alone.
     ///
     /// # Errors
-    /// [`Wrong`], if that can't be in the present state.
+    /// [`InvalidInput`], if that can't be in the present state.
     pub fn handle(&mut self, now: Time, input: Input) -> Result<Command, InvalidInput> {
         use State::*;
         let order = match (self.state, input) {
--- a/crates/gateway/lifecycle/src/events.rs
+++ b/crates/gateway/lifecycle/src/events.rs
@@ -40,7 +40,7 @@
     Connecting,
     /// It may write; too little has been written for a backend to begin.
     Writing,
-    /// So much of it may be out that it may have run from here on ([`crate::upstream::Begins`]).
+    /// So much of it may be out that it may have run from here on ([`crate::upstream::ExecutionStart`]).
     Written,
     /// A part of the answer has arrived.
     Answering,
--- a/crates/gateway/lifecycle/src/request.rs
+++ b/crates/gateway/lifecycle/src/request.rs
@@ -116,7 +116,7 @@
     /// Takes what happened by `now` and appends what to do about it, in order.
     ///
     /// # Errors
-    /// [`Wrong`], if a front or an attempt tells what can't be; nothing has changed then. The module's words
+    /// [`InvalidInput`], if a front or an attempt tells what can't be; nothing has changed then. The module's words
     /// are never an error: what is not to be done is not done, and it hears so.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Command>) -> HandleResult {
         match input {
--- a/crates/gateway/membership/src/broadcasts.rs
+++ b/crates/gateway/membership/src/broadcasts.rs
@@ -1,10 +1,10 @@
-//! What is still to be told: the least told first, each so many times as the fleet's size asks.
+//! Updates still to be disseminated: the least transmitted first, each as often as the fleet's size requires.
 
 use crate::record::{Name, Record};
 use crate::wire::encoded_size;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Each is told this many times the logarithm (base 2) of the fleet's size.
+/// Each is transmitted this many times the logarithm (base 2) of the fleet's size.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
 
 struct Broadcast {
@@ -13,11 +13,11 @@
     transmissions: u32,
 }
 
-/// One for each member at the most: a newer one of the same member takes its place.
+/// At most one update for each member: a newer one replaces it.
 #[derive(Default)]
 pub(crate) struct BroadcastQueue {
     broadcasts: BTreeMap<Name, Broadcast>,
-    /// How often each has been told: the next to tell is the first. Of thousands a datagram takes a few.
+    /// By number of transmissions: the first is the next to send. Of thousands a datagram holds a few.
     order: BTreeSet<(u32, Name)>,
 }
 
@@ -31,7 +31,7 @@
         self.order.insert((0, name));
     }
 
-    /// What fits into so many bytes, for somebody in a fleet of this size.
+    /// The updates that fit into `room` bytes, in a fleet of this size.
     pub(crate) fn take(&mut self, mut room: usize, members: usize) -> Vec<Record> {
         let most = RETRANSMIT_MULTIPLIER * (usize::BITS - members.leading_zeros()).max(1);
         let mut taken = Vec::new();
--- a/crates/gateway/membership/src/isolation.rs
+++ b/crates/gateway/membership/src/isolation.rs
@@ -1,19 +1,19 @@
-//! Whether a member hears so few that it can't tell its own silence from theirs.
+//! Detects that this member hears so few others that it is probably isolated itself.
 
 use crate::record::Name;
 use crate::Time;
 use std::collections::BTreeMap;
 
-/// Who was heard in so many periods counts.
+/// Members heard within this many probe intervals count.
 const SPAN_PERIODS: Time = 10;
-/// Cut off below this part of those whom a healthy member hears.
+/// Isolated below this fraction of the members that a healthy one hears.
 const ISOLATED_BELOW: f64 = 0.125;
 
 #[derive(Default)]
 pub(crate) struct IsolationDetector {
     last_heard: BTreeMap<Name, Time>,
     isolated_since: Option<Time>,
-    /// Not before it has lived for a span.
+    /// It is not judged before it has run for a whole span.
     started_at: Time,
 }
 
@@ -26,24 +26,23 @@
         self.last_heard.insert(name.clone(), now);
     }
 
-    /// What was before does not count: this process was stopped.
+    /// Starts again: this process was suspended, and what was heard before does not count.
     pub(crate) fn restart(&mut self, now: Time) {
         self.started_at = now;
     }
 
-    /// Looks again, with so many others believed to live and a period of this length. `others` dead ones that were
-    /// never heard don't count.
+    /// Judges again, with this many other members believed alive and this probe interval.
     pub(crate) fn update(&mut self, now: Time, others: usize, period: Time) {
         let span = SPAN_PERIODS * period;
         self.last_heard.retain(|_, at| *at + span > now);
         if others == 0 || now < self.started_at + span {
-            // Nobody is missed.
+            // There is nobody to hear.
             if others == 0 {
                 self.isolated_since = None;
             }
             return;
         }
-        // A period brings one that was pinged and, in the mean, one that pinged.
+        // Each interval brings one member that was pinged and, on average, one that pinged.
         let draws = 2.0 * SPAN_PERIODS as f64;
         let others = others as f64;
         let expected = others * (1.0 - (1.0 - 1.0 / others).powf(draws));
@@ -55,7 +54,7 @@
         }
     }
 
-    /// Since when it has been cut off, if it is.
+    /// Since when it has been isolated, if it is.
     pub(crate) fn isolated_since(&self) -> Option<Time> {
         self.isolated_since
     }
--- a/crates/gateway/membership/src/join_cookies.rs
+++ b/crates/gateway/membership/src/join_cookies.rs
@@ -1,14 +1,14 @@
-//! Strangers: answered by a cookie, of which nothing is kept here; who returns it is heard.
+//! Unknown senders get a cookie, for which no state is kept; whoever returns it may join.
 
 use crate::wire::Keys;
 use crate::Time;
 use std::net::SocketAddr;
 
-/// A cookie is good for this one and the next.
+/// A cookie is valid in this period and the next.
 const COOKIE_LIFETIME: Time = 30_000_000_000;
 
 pub(crate) struct Cookies {
-    /// Of this process alone.
+    /// Known to this process alone.
     secret: [u8; 16],
 }
 
--- a/crates/gateway/membership/src/lib.rs
+++ b/crates/gateway/membership/src/lib.rs
@@ -1,13 +1,13 @@
-//! A view of the fleet that its members keep themselves: who lives, as each sees it.
+//! Membership: which members of a fleet are alive, as each of them sees it.
 //!
-//! Membership by SWIM (Das, Gupta, Motivala 2002) with Lifeguard's corrections (Dadgar, Phillips, Currey 2018), and
-//! digests that heal what rumours missed. No I/O and no clock: [`View::handle`] takes a datagram or the time, and says
-//! what to send; [`View::next_due`] says when it wants to be woken. Every choice comes from the seed.
+//! SWIM (Das, Gupta, Motivala 2002) with Lifeguard's corrections (Dadgar, Phillips, Currey 2018), and digests that
+//! repair what dissemination missed. No I/O and no clock: [`View::handle`] takes a datagram or the time and returns
+//! what to send; [`View::next_due`] is when it wants to be woken. Every random choice comes from the seed.
 //!
-//! The view is a belief. It may make work sooner or cheaper; no rule may rest on it (`docs/design/fleet.md`).
+//! The view is a belief. It may make work faster or cheaper; no rule may depend on it (`docs/design/fleet.md`).
 #![forbid(unsafe_code)]
 
-/// Whether a named defect is planted. Constantly false, and gone, in what is shipped.
+/// Whether the named defect is planted; always false, and compiled out, in release builds.
 macro_rules! planted {
     ($name:ident) => {{
         #[cfg(feature = "defects")]
--- a/crates/gateway/membership/src/settled.rs
+++ b/crates/gateway/membership/src/settled.rs
@@ -1,31 +1,31 @@
-//! Whole versions of the view for those who use it: a wave of forty deaths is two versions, not forty.
+//! Stable versions of the view for its users: a wave of forty failures makes two versions, not forty.
 
 use crate::record::{hash, Name, Role};
 use crate::Time;
 use std::sync::Arc;
 
-/// So long after the last change a version is made.
+/// A version is made this long after the last change.
 const QUIET_PERIOD: Time = 500_000_000;
-/// So long after the first at the latest.
+/// A version is made this long after the first change at the latest.
 const MAX_DELAY: Time = 2_000_000_000;
 
-/// One version.
+/// One stable version of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settled {
-    /// From 0, which holds the member itself alone.
+    /// From 0, which holds this member alone.
     pub version: u64,
-    /// Who lives: names in order, with life and role.
+    /// The living members: names in order, with generation and role.
     pub members: Arc<Vec<(Name, u64, Role)>>,
-    /// The member's own place among them.
+    /// This member's position among them.
     pub position: Option<usize>,
-    /// The same at all who see the same.
+    /// Equal at all members with the same view.
     pub digest: u64,
     /// When it was made.
     pub at: Time,
 }
 
 impl Settled {
-    /// How many gateways live, and the own place among them if it is one.
+    /// How many gateways are alive, and this member's position among them if it is one.
     pub fn gateways(&self) -> (usize, Option<usize>) {
         let is = |m: &&(Name, u64, Role)| m.2 == Role::Gateway;
         let all = self.members.iter().filter(is).count();
@@ -34,10 +34,10 @@
     }
 }
 
-/// Gathers changes.
+/// Collects changes until they make a version.
 pub(crate) struct ChangeCollector {
     current: Settled,
-    /// When the first and the last change came that no version has yet.
+    /// The times of the first and the last change that no version contains yet.
     pending: Option<(Time, Time)>,
 }
 
@@ -63,7 +63,7 @@
         self.pending.map(|(first, last)| (last + quiet).min(first + MAX_DELAY))
     }
 
-    /// A new version, if one is due and differs.
+    /// A new version, if one is due and differs from the last.
     pub(crate) fn make(
         &mut self,
         now: Time,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The same for the same members, in whatever order they come.
+/// Equal for equal sets of members, in any order.
 pub(crate) fn digest<'a>(members: impl Iterator<Item = (&'a Name, u64)>) -> u64 {
     members.fold(0, |sum, (name, life)| sum.wrapping_add(digest_of(name, life)))
 }
--- a/crates/gateway/membership/src/view/merge.rs
+++ b/crates/gateway/membership/src/view/merge.rs
@@ -1,9 +1,9 @@
-//! What is believed: of two records the greater stands; a foreign death is a suspicion.
+//! Merging records: the greater one prevails; a death reported by another member is first a suspicion.
 
 use super::*;
 
 impl View {
-    /// Somebody's word on a member. The greater record stands; a foreign death of who lives here is a suspicion.
+    /// Merges a record. The greater one prevails; the reported death of a member that is alive here is a suspicion.
     pub(super) fn merge(&mut self, now: Time, mut record: Record, out: &mut Vec<Output>) {
         if record.name == self.record.name {
             return self.merge_own_record(&record, out);
@@ -11,7 +11,7 @@
         let min = self.min_suspicion();
         let count = self.peers.len();
         let Some(peer) = self.peers.get_mut(&record.name) else {
-            // The dead of others are of no use here.
+            // Unknown dead members are of no use here.
             if record.state.is_alive() && count < self.config.max_members {
                 self.insert(now, record);
             }
@@ -42,7 +42,7 @@
         let at_once = planted!(DeadBelievedAtOnce) || !lived || lasted * 2 >= min;
         match record.state {
             State::Dead if !at_once => {
-                // Asked, not buried: it has the shortest time to refute.
+                // Suspected, not declared dead: it has the shortest time to refute.
                 record.state = State::Suspect;
                 let since = peer.suspicion.as_ref().map_or(now, |s| s.since);
                 let watch = Some((now, 0));
@@ -96,7 +96,7 @@
             self.suspects.remove(&record.name);
         }
         self.peers.insert(record.name.clone(), peer);
-        // Somewhere in the rest of the round.
+        // At a random position in the rest of the round.
         if record.state.is_alive() {
             let at = self.rng.usize(0..=self.probe_round.len());
             self.probe_round.insert(at, record.name.clone());
@@ -124,10 +124,10 @@
         }
     }
 
-    /// Somebody has heard of a later life of this name.
+    /// Another member knows a later generation of this name.
     pub(super) fn newer_generation(&mut self, life: u64, out: &mut Vec<Output>) {
         if self.phase == (Phase::Joining { renamed: false }) {
-            // The clock was put back since: this is the later one all the same.
+            // The clock was set back since: this one is the later one all the same.
             self.sums.remove(&self.record.name, self.record.generation);
             self.record.generation = life.saturating_add(1);
             self.sums.add(&self.record.name, self.record.generation);
@@ -146,8 +146,7 @@
         }
     }
 
-    /// A few look for themselves, so that accusers come soon, and who is wrongly accused hears of it; not all of a
-    /// large fleet.
+    /// A few members ping a suspect themselves, so that it is confirmed soon or can refute; not all of a large fleet.
     pub(super) fn maybe_watch(&mut self, now: Time, name: &Name, out: &mut Vec<Output>) {
         let few = MEAN_WATCHERS / (self.peers.len() as f64 + 1.0);
         let drawn = self.rng.f64() < few && !planted!(PlainSwim);
--- a/crates/gateway/membership/src/view/mod.rs
+++ b/crates/gateway/membership/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! The view as a state machine: probes, suspicions, rumours, digests joined.
+//! The view as a state machine: probes, suspicions, dissemination and digests.
 
 mod merge;
 mod receive;
@@ -23,30 +23,30 @@
 /// Helpers asked for one probe, and the accusers that shorten a suspicion to its least.
 const INDIRECT_PROBES: usize = 3;
 const MAX_ACCUSERS: usize = 3;
-/// So many of its own, half a period apart, must have had no answer before a member accuses or buries.
+/// How many pings of its own, half an interval apart, must go unanswered before a member accuses or declares dead.
 const MIN_UNANSWERED_PINGS: u32 = 3;
-/// So many look for themselves when they hear of a suspicion, in the mean.
+/// How many members ping for themselves when they hear of a suspicion, on average.
 const MEAN_WATCHERS: f64 = 12.0;
-/// The longest suspicion beside the shortest.
+/// The longest suspicion as a multiple of the shortest.
 const MAX_SUSPICION_FACTOR: Time = 6;
-/// The worst own health: times are stretched by one more than it.
+/// The worst local health score: intervals are multiplied by one more than the score.
 const MAX_LOCAL_HEALTH: u8 = 8;
-/// A tick that comes so late means that this process was stopped.
+/// A tick this late means that this process was suspended.
 const SLEEP_THRESHOLD: Time = 1000 * MS;
-/// A tick so late says nothing about the one who is being probed.
+/// A tick this late says nothing about the probed member.
 const LATE_TICK: Time = 50 * MS;
 const DEAD_PROBE_INTERVAL: Time = 400 * MS;
 const SEED_INTERVAL: Time = 2000 * MS;
 const JOIN_INTERVAL: Time = 500 * MS;
-/// So long after a greeting its answer may come from somebody unknown.
+/// How long after a join request its answer may come from an unknown member.
 const JOIN_ECHO_LIFETIME: Time = 1000 * MS;
-/// What rides on a ping at the most; the rest of a datagram's bytes is for names and figures.
+/// The most bytes of updates on a ping; the rest of a datagram is for names and numbers.
 const MAX_PIGGYBACK_BYTES: usize = 900;
-/// Of one answer to differing digests.
+/// The most bytes of records in one datagram, and the most such datagrams in one answer.
 const MAX_RECORDS_BYTES: usize = 1000;
 const MAX_RECORD_DATAGRAMS: usize = 4;
 const MAX_RELAYS: usize = 256;
-/// How many of those who live are told of a leave.
+/// How many members are told of a leave directly.
 const LEAVE_RECIPIENTS: usize = 8;
 const HELLO_PADDING: usize = 160;
 
@@ -55,17 +55,17 @@
     pub name: Name,
     /// Unix milliseconds at the start.
     pub generation: u64,
-    /// Where others reach this member.
+    /// The address of this member for others.
     pub address: SocketAddr,
     pub zone: String,
     pub role: Role,
-    /// Members that may live; this member's own address among them does no harm.
+    /// Addresses of members that may be alive; this member's own may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// Between two probes.
+    /// The time between two probes.
     pub probe_interval: Time,
-    /// So long the dead are kept, and tried.
+    /// How long dead members are remembered, and pinged.
     pub dead_retention: Time,
-    /// Members kept at the most, living and dead.
+    /// The most members that are remembered, living and dead.
     pub max_members: usize,
 }
 
@@ -87,9 +87,9 @@
 
 pub enum Input<'a> {
     Datagram(&'a [u8]),
-    /// The time that [`View::next_due`] named, or any other.
+    /// Time has passed: [`View::next_due`], or any other time.
     Tick,
-    /// This process ends in order.
+    /// This process shuts down.
     Leave,
 }
 
@@ -99,9 +99,9 @@
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// A new version of the settled view.
+    /// A new stable version of the view.
     Settled(Settled),
-    /// Another process runs under this name, and began later: this one speaks no more.
+    /// Another process started later under this name: this one is silent from now on.
     Superseded {
         generation: u64,
     },
@@ -111,26 +111,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub record: Record,
-    /// Since when it is in this state here; 0 for this one.
+    /// Since when it is in this state here; 0 for this member.
     pub since: Time,
-    /// Its own health, as it said last.
+    /// Its local health score, as last reported.
     pub health: u8,
 }
 
-/// How this member stands itself.
+/// This member's own condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Health {
     /// 0 is best, 8 worst.
     pub health: u8,
     pub isolated_since: Option<Time>,
     pub is_superseded: bool,
-    /// Whether anybody has taken it in, or has been found.
+    /// Whether it has joined, or found any member.
     pub has_joined: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// Nobody has answered yet. `renamed`: its life was raised above one that was known.
+    /// No member has answered yet. `renamed`: its generation was raised above a known one.
     Joining {
         renamed: bool,
     },
@@ -142,7 +142,7 @@
 struct Suspicion {
     since: Time,
     accusers: Vec<u32>,
-    /// Who looks for itself: when it next pings, and how often it has.
+    /// If this member pings the suspect itself: the next ping, and how many have been sent.
     watch: Option<(Time, u32)>,
 }
 
@@ -152,8 +152,8 @@
     }
 }
 
-/// Sums over those who live, this member among them. Kept up with each change: a wave of changes in a large fleet must
-/// not cost a look at everybody for each.
+/// Sums over the living members, this one among them, updated with each change: in a large fleet a change must not cost
+/// a pass over all members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct LivingSums {
     members: usize,
@@ -184,7 +184,7 @@
     bucket: TokenBucket,
     health: u8,
     suspicion: Option<Suspicion>,
-    /// Where the life before this one was reached, if elsewhere: it may still run there.
+    /// The address of the previous generation, if different: it may still run there.
     previous_address: Option<SocketAddr>,
 }
 
@@ -203,20 +203,20 @@
     }
 }
 
-/// The probe that is out.
+/// The probe in progress.
 struct Probe {
     number: u32,
     target: Name,
-    /// When others are asked, and when it is over.
+    /// When other members are asked to ping, and when it ends.
     indirect_at: Time,
     ends_at: Time,
     helpers: Vec<Name>,
     is_answered: bool,
-    /// Whether anybody at all was heard meanwhile.
+    /// Whether any member was heard meanwhile.
     has_heard_anyone: bool,
 }
 
-/// A ping for somebody else.
+/// A ping on behalf of another member.
 struct Relay {
     number: u32,
     requester: Name,
@@ -232,17 +232,17 @@
     record: Record,
     accuser_id: u32,
     phase: Phase,
-    /// Of the last datagram sent.
+    /// Number of the last datagram sent.
     last_datagram: u64,
     health: u8,
     peers: BTreeMap<Name, Peer>,
-    /// Those with a suspicion.
+    /// Members with a suspicion.
     suspects: BTreeSet<Name>,
     sums: LivingSums,
     broadcasts: BroadcastQueue,
     isolation: IsolationDetector,
     changes: ChangeCollector,
-    /// Who is still to be probed in this round, the next last.
+    /// Members still to be probed in this round, the next one last.
     probe_round: Vec<Name>,
     probe: Option<Probe>,
     last_probe: u32,
@@ -251,22 +251,22 @@
     next_seed: Time,
     join_attempts: u32,
     next_differs: Time,
-    /// What the answer to a `Join` of ours must echo, and until when it may come; 0 is none.
+    /// The echo expected in the answer to a `Join`, and until when; 0 is none.
     join_echo: (u64, Time),
-    /// When the set of the living last changed here.
+    /// When the set of living members last changed here.
     changed_at: Time,
-    /// When this was last due, for a tick that comes late.
+    /// When it was last due, to detect late ticks.
     due: Time,
     unknown_sender_limit: TokenBucket,
-    /// Pings beside the probes.
+    /// Limits pings other than probes.
     extra_ping_limit: TokenBucket,
-    /// Answers to differing digests.
+    /// Limits answers to digest mismatches.
     digest_answer_limit: TokenBucket,
     faults: BTreeMap<DatagramError, u64>,
 }
 
 impl View {
-    /// `seed` settles every choice; `secret` need only be unknown to others.
+    /// `seed` determines every random choice; `secret` must be unknown to others.
     pub fn new(config: Config, keys: Keys, seed: u64, secret: [u8; 16], now: Time) -> Self {
         let record = Record {
             name: config.name.clone(),
@@ -284,7 +284,7 @@
         let mut sums = LivingSums::default();
         sums.add(&record.name, record.generation);
         let mut rng = Rng::with_seed(seed);
-        // The first word is spread over a fifth of a second: hundreds may start at once.
+        // The first message is spread over a fifth of a second: hundreds of members may start at once.
         let first = now + rng.u64(0..200 * MS);
         View {
             keys,
@@ -320,12 +320,12 @@
         }
     }
 
-    /// Who lives, by whole versions.
+    /// The latest stable version of the view.
     pub fn settled(&self) -> &Settled {
         self.changes.current()
     }
 
-    /// All that are known, this one first.
+    /// All known members, this one first.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
         let me = Member { record: self.record.clone(), since: 0, health: self.health };
         let others = self.peers.values().map(|p| Member {
@@ -336,12 +336,12 @@
         std::iter::once(me).chain(others)
     }
 
-    /// Of those who live here, at this moment.
+    /// Digest of the living members at this moment.
     pub fn digest(&self) -> u64 {
         self.sums.digest
     }
 
-    /// The same counted anew.
+    /// The sums counted anew.
     #[cfg(debug_assertions)]
     fn recount(&self) -> LivingSums {
         let mut sums = LivingSums::default();
@@ -358,8 +358,8 @@
         }
     }
 
-    /// What may be worked by: this member's place among the living gateways, and how many they are. None if it is no
-    /// gateway, or if the view is lost: cut off, superseded, or nobody was ever found.
+    /// This member's position among the living gateways, and their number. None if it is no gateway, or if the view is
+    /// not usable: isolated, superseded, or never joined.
     pub fn position(&self) -> Option<(usize, usize)> {
         let (all, me) = self.settled().gateways();
         me.filter(|_| self.is_usable()).map(|me| (me, all))
@@ -373,7 +373,7 @@
             && self.settled().version != 0
     }
 
-    /// Whether the member of this name lives, by the settled view. None if it is not known, or if the view is lost.
+    /// Whether the member of this name is alive, by the stable view. None if it is unknown, or the view is not usable.
     pub fn is_alive(&self, name: &str) -> Option<bool> {
         self.is_usable().then_some(())?;
         if self.settled().members.iter().any(|(n, ..)| **n == *name) {
@@ -408,7 +408,7 @@
         due.min()
     }
 
-    /// Takes what happened by `now` and appends what to do about it, in order.
+    /// Handles an input and appends what to do about it, in order.
     pub fn handle(&mut self, now: Time, input: Input<'_>, out: &mut Vec<Output>) {
         if matches!(self.phase, Phase::Superseded | Phase::Left) {
             return;
--- a/crates/gateway/membership/src/view/receive.rs
+++ b/crates/gateway/membership/src/view/receive.rs
@@ -1,8 +1,8 @@
-//! What comes: who may say it, and what is done about it.
+//! Received datagrams: which senders are accepted, and what is done.
 
 use super::*;
 
-/// Whose a datagram is, and how long it was.
+/// The sender of a datagram, and the datagram's length.
 struct Sender {
     name: Name,
     life: u64,
@@ -58,8 +58,7 @@
         }
     }
 
-    /// Word from a life that is over here, of which `record` is a later one: one whose clock was put back, or that does
-    /// not know that it was taken over.
+    /// A datagram of an earlier generation than `record`: its clock was set back, or it does not know of its successor.
     fn earlier_generation(
         &mut self,
         now: Time,
@@ -77,7 +76,7 @@
                 }
                 (old.address, echo)
             }
-            // It knows us: it is where it says, or where it was.
+            // It knows this member: it is at the stated address, or at the previous one.
             Message::Ping { address, .. } => (address, 0),
             _ => match before {
                 Some(to) => (to, 0),
@@ -87,7 +86,7 @@
         self.send(to, Message::Records { echo, records: vec![record] }, out);
     }
 
-    /// The one answer to whoever is not known, no longer than what it answers.
+    /// The only answer to unknown senders, no longer than the request.
     fn send_cookie(&mut self, now: Time, sender: &Sender, to: SocketAddr, out: &mut Vec<Output>) {
         let cookie = self.cookies.make(&self.keys, now, &sender.name, sender.life, to);
         self.send_within(sender.length, to, Message::Cookie { cookie, address: self.record.address }, out);
@@ -101,7 +100,7 @@
         message: Message,
         out: &mut Vec<Output>,
     ) -> Result<(), DatagramError> {
-        // Who brings back a cookie has shown that it is where it says, and is heard however many ask.
+        // A returned cookie proves the sender's address: it is not rate-limited.
         if !matches!(message, Message::Join { .. }) && !self.unknown_sender_limit.take(now) {
             return Err(DatagramError::RateLimited);
         }
@@ -110,7 +109,7 @@
                 self.send_cookie(now, sender, record.address, out);
                 Ok(())
             }
-            // It takes this for an earlier life, or has been forgotten here.
+            // It knows an earlier generation of this member, or was forgotten here.
             Message::Ping { address, .. } => {
                 self.send_cookie(now, sender, address, out);
                 Ok(())
@@ -127,7 +126,7 @@
                 self.join(now, cookie, address, out);
                 Ok(())
             }
-            // The first that a joiner hears of whom it joined: what it says is taken, it itself is not known yet.
+            // The first answer to a join: its records are accepted, though its sender is not known yet.
             Message::Records { echo, records }
                 if echo != 0 && (echo, true) == (self.join_echo.0, now < self.join_echo.1) =>
             {
@@ -152,7 +151,7 @@
             peer.window.take(number);
         }
         self.send_records(to, echo, |r| r.name != name && r.state.is_alive(), out);
-        // The word of it has a start of a round or two.
+        // Gives the news of it a head start of a round or two.
         for helper in self.choose_helpers(&name) {
             if self.extra_ping_limit.take(now) {
                 self.ping(&helper, 0, out);
@@ -220,7 +219,7 @@
                     Sender { name: from.clone(), life: record.generation, length: MAX_DATAGRAM_BYTES };
                 self.send_cookie(now, &sender, record.address, out);
             }
-            // Our answer to the first was lost.
+            // The answer to its first request was lost.
             Message::Join { echo, .. } => {
                 self.send_records(to, echo, |r| r.state.is_alive(), out);
             }
--- a/crates/gateway/membership/src/view/send.rs
+++ b/crates/gateway/membership/src/view/send.rs
@@ -1,10 +1,10 @@
-//! What goes out.
+//! Sending datagrams.
 
 use super::*;
 
 impl View {
     pub(super) fn living_records(&self) -> impl Iterator<Item = &Record> {
-        // In the order of names, this one in its place.
+        // In the order of names, this member included.
         let own = &self.record;
         let (before, after) = (self.peers.range(..own.name.clone()), self.peers.range(own.name.clone()..));
         let lives = |r: &&Record| r.state.is_alive();
@@ -17,7 +17,7 @@
         self.last_probe
     }
 
-    /// What rides to this member: first what is said of itself, if it may want to refute that.
+    /// The updates for this member: first its own state, if it may want to refute that.
     pub(super) fn piggyback_for(&mut self, to: &Name) -> Piggyback {
         let said = self.peers.get(to).map(|p| &p.record).filter(|_| !planted!(PlainSwim));
         let buddy = said.filter(|r| r.state != State::Alive).cloned();
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Of those records that are wanted as many as a few datagrams hold. Of thousands only what goes out is copied.
+    /// Sends as many of the wanted records as a few datagrams hold; only those are copied.
     pub(super) fn send_records(
         &mut self,
         to: SocketAddr,
@@ -62,7 +62,7 @@
         let others = self.peers.values().map(|p| &p.record);
         let mut all: Vec<&Record> =
             std::iter::once(&self.record).chain(others).filter(|r| wanted(r)).collect();
-        // Of more than fit each answer sends others.
+        // If more match than fit, each answer sends others.
         self.rng.shuffle(&mut all);
         if let Some(own) = all.iter().position(|r| r.name == self.record.name) {
             all.swap(0, own);
@@ -82,7 +82,7 @@
         }
     }
 
-    /// To somebody who is not known: nothing, if it would be longer than what it answers.
+    /// To an unknown sender: nothing, if it would be longer than the request.
     pub(super) fn send_within(
         &mut self,
         length: usize,
--- a/crates/gateway/membership/src/view/timers.rs
+++ b/crates/gateway/membership/src/view/timers.rs
@@ -1,4 +1,4 @@
-//! What is done because time has passed: probes, suspicions, questions, the dead, the seeds.
+//! Timers: probes, suspicions, dead members, seeds.
 
 use super::*;
 
@@ -35,7 +35,7 @@
         }
         if self.next_seed <= now {
             let joining = matches!(self.phase, Phase::Joining { .. });
-            // Hundreds may be at it: each waits twice as long as before.
+            // Hundreds may join at once: each waits twice as long as before.
             let wait = if joining { JOIN_INTERVAL << self.join_attempts.min(3) } else { SEED_INTERVAL };
             self.join_attempts = self.join_attempts.saturating_add(1);
             self.next_seed = now + self.jittered(wait);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Half of it to half as much again: members that start together don't stay in step.
+    /// Half to one and a half of it: members that start together do not stay in step.
     pub(super) fn jittered(&mut self, time: Time) -> Time {
         time / 2 + self.rng.u64(0..time)
     }
@@ -62,7 +62,7 @@
         let (period, answer) =
             (self.config.probe_interval * stretch, self.config.probe_interval * 2 / 5 * stretch);
         if let Some(probe) = &mut self.probe {
-            // An answer may wait in the socket behind this tick.
+            // An answer may still wait in the socket.
             if late > LATE_TICK && late <= SLEEP_THRESHOLD && !probe.is_answered {
                 probe.indirect_at = probe.indirect_at.max(now + LATE_TICK);
                 probe.ends_at = probe.ends_at.max(now + LATE_TICK);
@@ -92,7 +92,7 @@
             }
             if !probe.is_answered {
                 let (target, heard) = (probe.target.clone(), probe.has_heard_anyone);
-                // Nobody at all was heard: it may well be this side.
+                // No member at all was heard: the fault may be on this side.
                 if !heard {
                     self.degrade_health();
                 }
@@ -101,7 +101,7 @@
         }
         self.probe = None;
         let Some(target) = self.next_probe_target() else {
-            // Nobody to probe: looked at again with the seeds.
+            // Nobody to probe.
             return;
         };
         let number = self.next_number();
@@ -119,7 +119,7 @@
     }
 
     pub(super) fn next_probe_target(&mut self) -> Option<Name> {
-        // Who is suspected and looked at anyway comes last: others may be dead unseen.
+        // Suspects that are watched anyway come last: others may be dead unnoticed.
         for anybody in [false, true] {
             while let Some(name) = self.probe_round.pop() {
                 let fit = |p: &Peer| {
@@ -146,7 +146,7 @@
         self.rng.choose_multiple(fit, INDIRECT_PROBES)
     }
 
-    /// Our own probe had no answer.
+    /// This member's own probe had no answer.
     pub(super) fn suspect(&mut self, now: Time, name: &Name) {
         let own = self.accuser_id;
         let Some(peer) = self.peers.get_mut(name).filter(|p| p.record.state.is_alive()) else { return };
@@ -176,7 +176,7 @@
         self.config.probe_interval * 2 + self.config.probe_interval / 4 * doublings
     }
 
-    /// When a suspicion ends, by how many have spoken it.
+    /// When a suspicion ends, by the number of accusers.
     pub(super) fn suspicion_ends(&self, peer: &Peer) -> Option<Time> {
         let suspicion = peer.suspicion.as_ref()?;
         let min = self.min_suspicion() as f64;
@@ -184,7 +184,7 @@
             return Some(suspicion.since + min as Time);
         }
         let max = min * MAX_SUSPICION_FACTOR as f64;
-        // The first accuser begins it; each further one shortens it, the first of them most.
+        // The first accuser starts it; each further one shortens it, the first of them most.
         let more = suspicion.accusers.len().saturating_sub(1) as f64;
         let share = (more + 1.0).ln() / (MAX_ACCUSERS as f64).ln();
         Some(suspicion.since + (max - (max - min) * share.min(1.0)) as Time)
@@ -201,7 +201,7 @@
             *next = now + half;
             if may {
                 *asked += 1;
-                // Each of the questions before this one had its time.
+                // Each ping before this one had its time to be answered.
                 if *asked > MIN_UNANSWERED_PINGS {
                     self.suspect(now, &name);
                 }
@@ -222,13 +222,13 @@
         for name in ended {
             let Some(peer) = self.peers.get_mut(&name) else { continue };
             if alone {
-                // It can't tell its own silence from theirs.
+                // Isolated: the silence may be its own.
                 if let Some(suspicion) = &mut peer.suspicion {
                     suspicion.since = now;
                 }
                 continue;
             }
-            // Who has not asked itself does before it buries.
+            // It pings for itself before it declares a member dead.
             if let Some(suspicion) = peer.suspicion.as_mut().filter(|_| !planted!(PlainSwim)) {
                 let (_, asked) = *suspicion.watch.get_or_insert((now, 0));
                 if asked <= MIN_UNANSWERED_PINGS {
@@ -245,8 +245,8 @@
         }
     }
 
-    /// A partition looks like death from either side: somebody has to ask. Who left may have come back while all its
-    /// seeds were gone.
+    /// A partition looks like failure from either side, so dead members are pinged. One that left may also have
+    /// returned while all its seeds were gone.
     pub(super) fn ping_a_dead_member(&mut self, now: Time, out: &mut Vec<Output>) {
         if planted!(DeadNeverTried) {
             return;
--- a/crates/gateway/membership/src/window.rs
+++ b/crates/gateway/membership/src/window.rs
@@ -1,8 +1,8 @@
-//! Which numbers of a life have been taken, and how many datagrams its sender may send.
+//! Replay protection by datagram numbers, and rate limits.
 
 use crate::Time;
 
-/// Each number once: the highest that came, and the 64 below it.
+/// Accepts each number once: the highest so far, and the 64 below it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplayWindow {
     /// 0 before the first.
@@ -11,7 +11,7 @@
 }
 
 impl ReplayWindow {
-    /// Whether this number is new; it is taken with that. Numbers run from 1.
+    /// Whether this number is new; it then counts as seen. Numbers start at 1.
     pub(crate) fn take(&mut self, number: u64) -> bool {
         if planted!(ReplayTaken) {
             return true;
--- a/crates/gateway/membership/src/wire.rs
+++ b/crates/gateway/membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! Datagrams: versioned, limited, authenticated, numbered. Bytes go in and out.
+//! Datagrams: versioned, bounded, authenticated, numbered.
 //!
 //! `GTFV`, version (1 byte), then by `postcard`: the sender's name, life, the datagram's number in that life, the
 //! message; then 16 bytes of HMAC-SHA-256 under the shared key over all before.
@@ -10,20 +10,20 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The version spoken here; one apart is never refused by this number alone, since fields are only added at the end.
+/// The wire version. Fields are only added at the end.
 pub const VERSION: u8 = 1;
 /// The longest datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The shortest key that will do.
+/// The shortest permitted key.
 pub const MIN_KEY_BYTES: usize = 16;
 pub const BUCKETS: usize = 16;
 const MAGIC: &[u8; 4] = b"GTFV";
 const TAG_BYTES: usize = 16;
 
-/// What rides on pings and their answers.
+/// What is piggybacked on pings and their answers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Piggyback {
-    /// Of those who live in the sender's eyes.
+    /// Digest of the members that the sender believes alive.
     pub digest: u64,
     /// The sender's own health: 0 is best.
     pub health: u8,
@@ -32,11 +32,11 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Answered by `Ack` with the same number, if it is meant for this life.
+    /// Answered by `Ack` with the same number, if it is meant for this generation.
     Ping {
         probe: u32,
         generation: u64,
-        /// Where its sender is reached.
+        /// The sender's address.
         address: SocketAddr,
         piggyback: Piggyback,
     },
@@ -44,46 +44,46 @@
         probe: u32,
         piggyback: Piggyback,
     },
-    /// Please ping this member and say what came of it.
+    /// Asks to ping this member and to report the result.
     PingRequest {
         probe: u32,
         target: Name,
         piggyback: Piggyback,
     },
-    /// The helper lives and got no answer.
+    /// The helper is alive and got no answer.
     Nack {
         probe: u32,
         piggyback: Piggyback,
     },
-    /// Digests by bucket; please send what differs.
+    /// Digests by bucket; asks for the records of the buckets that differ.
     DigestMismatch {
         buckets: [u32; BUCKETS],
     },
     Records {
-        /// Of the `Join` that this answers; else 0.
+        /// That of the `Join` that this answers; else 0.
         echo: u64,
         records: Vec<Record>,
     },
-    /// A stranger asks to be taken in. Padded, so that its answer is no longer.
+    /// An unknown sender asks to join. Padded, so that the answer is no longer than the request.
     Hello {
         record: Record,
         padding: Vec<u8>,
     },
-    /// To a stranger: nothing is kept of it until this comes back.
+    /// To an unknown sender: no state is kept until it returns the cookie.
     Cookie {
         cookie: [u8; 16],
-        /// Where its sender is reached.
+        /// The sender's address.
         address: SocketAddr,
     },
     Join {
         record: Record,
         cookie: [u8; 16],
-        /// Drawn anew, so that an old answer is not taken for this one's.
+        /// Random, so that an old answer is not taken for the answer to this one.
         echo: u64,
     },
 }
 
-/// A datagram that verified.
+/// An authenticated datagram.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
     pub from: Name,
@@ -95,24 +95,24 @@
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DatagramError {
-    /// Too long or too short, or it does not begin as ours do.
+    /// Too long, too short, or without our magic bytes.
     NotOurs,
     Version,
-    /// The tag does not verify: another key, or bytes changed on the way.
+    /// The tag does not verify: another key, or changed bytes.
     Authentication,
-    /// It verifies and can't be read, or says what can't be.
+    /// Authenticated, but unreadable or inconsistent.
     Malformed,
-    /// Its number was taken already, or is too old to tell.
+    /// Its number was seen already, or is too old to know.
     Replayed,
-    /// Of a life that is over.
+    /// Of an earlier generation.
     OldGeneration,
-    /// More than its sender may send.
+    /// Above its sender's rate limit.
     RateLimited,
-    /// A cookie that is not of this process, or too old.
+    /// A cookie of another process, or an expired one.
     Cookie,
-    /// Our own, come back.
+    /// Sent by this member itself.
     FromSelf,
-    /// Of somebody who has not been taken in.
+    /// Its sender has not joined.
     UnknownSender,
 }
 
@@ -135,13 +135,13 @@
 
 impl std::error::Error for DatagramError {}
 
-/// The shared keys: the first seals, each opens. Two while a key is changed.
+/// The shared keys: the first seals, each opens. There are two while a key is replaced.
 #[derive(Clone)]
 pub struct Keys(Vec<Vec<u8>>);
 
 impl Keys {
     /// # Errors
-    /// If there is none, or one is shorter than [`LEAST_KEY`].
+    /// If there is none, or one is shorter than [`MIN_KEY_BYTES`].
     pub fn new(keys: Vec<Vec<u8>>) -> Result<Self, String> {
         if !(1..=2).contains(&keys.len()) {
             return Err(format!("{} keys: 1 or 2 are wanted", keys.len()));
@@ -161,7 +161,7 @@
         mac
     }
 
-    /// 16 bytes that only who has the first key can make.
+    /// 16 bytes that only a holder of the first key can make.
     pub(crate) fn sign(&self, parts: &[&[u8]]) -> [u8; TAG_BYTES] {
         let tag = Keys::mac(&self.0[0], parts).finalize().into_bytes();
         let mut short = [0; TAG_BYTES];
@@ -173,7 +173,7 @@
         self.0.iter().any(|key| Keys::mac(key, &[bytes]).verify_truncated_left(tag).is_ok())
     }
 
-    /// A datagram as it goes out. None if it would be too long.
+    /// The bytes of a datagram. None if it would be too long.
     pub fn seal(&self, datagram: &Datagram) -> Option<Vec<u8>> {
         let mut bytes = Vec::with_capacity(256);
         bytes.extend_from_slice(MAGIC);
@@ -186,7 +186,7 @@
     }
 
     /// # Errors
-    /// [`Fault`]: it is dropped, and nobody is answered.
+    /// [`DatagramError`]: the datagram is dropped without an answer.
     pub fn open(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES
             || bytes.len() < MAGIC.len() + 1 + TAG_BYTES
@@ -195,7 +195,7 @@
             return Err(DatagramError::NotOurs);
         }
         let (sealed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
-        // Before anything of it is read: whoever has no key gets no further.
+        // Before anything else is parsed: a sender without the key gets no further.
         if !self.verifies(sealed, tag) {
             return Err(DatagramError::Authentication);
         }
--- a/crates/gateway/proxy/src/backends/attempt.rs
+++ b/crates/gateway/proxy/src/backends/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at one backend: a connection, the leave to write, the exchange, its end.
+//! One attempt at one backend: a connection, the permission to write, the exchange, its end.
 
 use super::connection::{drive, is_interrupted, Connection};
 use super::relay::Relay;
@@ -8,143 +8,245 @@
 };
 use bytes::Bytes;
 use http_body_util::BodyExt;
-use hyper::body::Body;
+use hyper::body::{Body, Incoming};
 use hyper::header::{CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
 use hyper::{Method, Response, StatusCode, Version};
-use interface::{Ending, Name};
+use interface::{Ending, Name, Time};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::atomic::Ordering::Relaxed;
+use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// How far an attempt came.
+/// The result of an attempt, so far as it is known when its answer has begun.
 pub enum ExchangeResult {
     Complete(Outcome),
-    /// A good answer has begun that is to be passed on as it comes.
+    /// A good answer has begun that is to be streamed.
     Streaming(Outcome, Box<Relay>),
 }
 
 impl Backends {
-    /// One attempt at one backend, given up at `not_past` if no answer to pass on has begun by then.
+    /// One attempt at one backend, given up at `not_past` if no answer that can be streamed has begun by then.
     pub async fn attempt(
         &self,
-        name: &Name,
-        place: SocketAddr,
+        backend: &Name,
+        address: SocketAddr,
         request: &Outgoing,
         not_past: Instant,
         progress: &Rc<Progress>,
     ) -> ExchangeResult {
         let without = |ending| ExchangeResult::Complete(Outcome::without_answer(ending));
-        match timeout_at(not_past, self.exchange(name, place, request, not_past, progress)).await {
-            Ok(Ok(done)) => done,
+        let exchange = Exchange { backends: self, backend, request, progress, not_past };
+        match timeout_at(not_past, exchange.run(address)).await {
+            Ok(Ok(result)) => result,
             Ok(Err(ending)) => without(ending),
             Err(_) if progress.may_have_run() => without(Ending::TimedOut),
             Err(_) => without(Ending::Unreachable),
         }
     }
+}
 
-    async fn exchange(
-        &self,
-        name: &Name,
-        place: SocketAddr,
-        request: &Outgoing,
-        not_past: Instant,
-        progress: &Rc<Progress>,
-    ) -> Result<ExchangeResult, Ending> {
-        let mut connection = match self.take_idle(name, place, request) {
-            Some(connection) => connection,
-            None => match self.connect(place).await {
-                Some(connection) => connection,
-                None => return Err(Ending::Unreachable),
-            },
-        };
-        // The backend may have been told to drain, or another have come at its address, while the connection
-        // came up; or nobody waits any more. Nothing is written then.
-        if !(progress.report)(AttemptStage::Connected) {
-            self.return_to_pool(name, connection);
+/// One exchange with a backend: a request is written, and its answer is read.
+struct Exchange<'a> {
+    backends: &'a Backends,
+    backend: &'a Name,
+    request: &'a Outgoing,
+    progress: &'a Rc<Progress>,
+    not_past: Instant,
+}
+
+/// When a request was written, and how long its connection had been idle if it was used before.
+struct ExchangeStart {
+    at: Time,
+    idle_time: Option<Time>,
+}
+
+/// The head of a valid answer, and what decides on how its body is read.
+struct AnswerHead {
+    parts: Parts,
+    /// None if no length is stated.
+    length: Option<u64>,
+    is_good: bool,
+    /// A body that pauses for longer is given up.
+    pause: Duration,
+}
+
+/// What has arrived of a body.
+#[derive(Default)]
+struct ReceivedBody {
+    frames: Vec<Bytes>,
+    size: usize,
+}
+
+impl ReceivedBody {
+    fn push(&mut self, data: Bytes) {
+        self.size += data.len();
+        self.frames.push(data);
+    }
+
+    fn into_bytes(mut self) -> Bytes {
+        match self.frames.len() {
+            0 | 1 => self.frames.pop().unwrap_or_default(),
+            _ => Bytes::from(self.frames.concat()),
+        }
+    }
+}
+
+impl Exchange<'_> {
+    async fn run(&self, address: SocketAddr) -> Result<ExchangeResult, Ending> {
+        let mut connection = self.connect(address).await?;
+        // While it connected the backend may have begun to drain, or another may have taken its address; or nobody
+        // waits any more. Nothing is written then.
+        if !(self.progress.report)(AttemptStage::Connected) {
+            self.backends.return_to_pool(self.backend, connection);
             return Err(Ending::Unreachable);
         }
-        let (put, rested) =
-            (self.now(), connection.upstream.idle_time(self.now()).filter(|_| connection.upstream.is_used()));
+        let start = self.begin(&mut connection);
+        let wait = self.not_past.saturating_duration_since(Instant::now());
+        // What cannot be repeated is not given up for a pause in its answer.
+        let pause =
+            if self.request.at_most_once { wait.max(ANSWER_PAUSE_TIMEOUT) } else { ANSWER_PAUSE_TIMEOUT };
+        let response = self.send(&mut connection, &start, wait, pause).await?;
+        let (parts, body) = response.into_parts();
+        let head = self.check_head(&mut connection, parts, pause)?;
+        self.read_body(connection, head, body).await
+    }
+
+    async fn connect(&self, address: SocketAddr) -> Result<Connection, Ending> {
+        match self.backends.take_idle(self.backend, address, self.request) {
+            Some(connection) => Ok(connection),
+            None => self.backends.connect(address).await.ok_or(Ending::Unreachable),
+        }
+    }
+
+    fn begin(&self, connection: &mut Connection) -> ExchangeStart {
+        let at = self.backends.now();
+        let idle_time = connection.upstream.idle_time(at).filter(|_| connection.upstream.is_used());
         connection.upstream.begin_exchange();
-        request.earlier_connections.borrow_mut().push(connection.upstream.number());
+        self.request.earlier_connections.borrow_mut().push(connection.upstream.number());
         connection.state.idle.set(false);
-        connection.state.progress.replace(progress.clone());
-        let wait = not_past.saturating_duration_since(Instant::now());
-        // What can't be sent again is not given up for a pause in its answer.
-        let pause = if request.at_most_once { wait.max(ANSWER_PAUSE_TIMEOUT) } else { ANSWER_PAUSE_TIMEOUT };
-        let outgoing = request;
-        let mut request = outgoing.to_backend(&*self.wire, name, wait, progress);
+        connection.state.progress.replace(self.progress.clone());
+        ExchangeStart { at, idle_time }
+    }
+
+    /// Writes the request and waits for the head of its answer.
+    async fn send(
+        &self,
+        connection: &mut Connection,
+        start: &ExchangeStart,
+        wait: Duration,
+        pause: Duration,
+    ) -> Result<Response<Incoming>, Ending> {
+        let mut request = self.request.to_backend(&*self.backends.wire, self.backend, wait, self.progress);
         // An interim answer may come long before the answer itself.
-        let begun = progress.has_answer_begun.clone();
-        hyper::ext::on_informational(&mut request, move |_| begun.store(false, Relaxed));
-        let answer = progress.in_time(pause, connection.send_request(request)).await;
-        let (head, mut body) = match answer {
-            Some(Some(Ok(answer))) => answer.into_parts(),
-            Some(Some(Err(error))) if !is_interrupted(&error) => return Err(Ending::Unreadable),
+        let has_answer_begun = self.progress.has_answer_begun.clone();
+        hyper::ext::on_informational(&mut request, move |_| has_answer_begun.store(false, Relaxed));
+        match self.progress.in_time(pause, connection.send_request(request)).await {
+            Some(Some(Ok(response))) => Ok(response),
+            Some(Some(Err(error))) if !is_interrupted(&error) => Err(Ending::Unreadable),
             Some(_) => {
-                let sooner = self.now() - put < nanos(self.connect_timeout) && !progress.has_begun();
-                if let Some(rested) = rested.filter(|_| sooner) {
-                    let mut fresh = self.idle_limit.get();
-                    fresh.on_reset(put, rested);
-                    self.idle_limit.set(fresh);
-                }
-                return Err(progress.broken());
+                self.record_reset(start);
+                Err(self.progress.broken())
             }
-            None => return Err(Ending::Unreadable),
-        };
-        let length = length(&outgoing.method, &head).ok_or(Ending::Unreadable)?;
-        let echo = self.wire.echo(outgoing, &head);
-        if !connection.upstream.is_answer(echo) || !self.wire.is_sound(outgoing, &head) {
+            None => Err(Ending::Unreadable),
+        }
+    }
+
+    /// A reset soon after the request means that the backend had forgotten the idle connection.
+    fn record_reset(&self, start: &ExchangeStart) {
+        let elapsed = self.backends.now() - start.at;
+        let was_soon = elapsed < nanos(self.backends.connect_timeout) && !self.progress.has_begun();
+        if let Some(idle_time) = start.idle_time.filter(|_| was_soon) {
+            let mut limit = self.backends.idle_limit.get();
+            limit.on_reset(start.at, idle_time);
+            self.backends.idle_limit.set(limit);
+        }
+    }
+
+    fn check_head(
+        &self,
+        connection: &mut Connection,
+        parts: Parts,
+        pause: Duration,
+    ) -> Result<AnswerHead, Ending> {
+        let wire = &self.backends.wire;
+        let length = length(&self.request.method, &parts).ok_or(Ending::Unreadable)?;
+        let echo = wire.echo(self.request, &parts);
+        if !connection.upstream.is_answer(echo) || !wire.is_sound(self.request, &parts) {
             return Err(Ending::Unreadable);
         }
-        if let Some(told) = self.wire.idle_time(&head) {
-            connection.max_idle = nanos(told / 2);
+        if let Some(idle_time) = wire.idle_time(&parts) {
+            connection.max_idle = nanos(idle_time / 2);
         }
-        let good = self.wire.is_good(&head);
-        if length.is_some_and(|l| l > if good { MAX_BODY } else { MAX_BUFFERED_ANSWER } as u64) {
+        let is_good = wire.is_good(&parts);
+        let max_length = if is_good { MAX_BODY } else { MAX_BUFFERED_ANSWER };
+        if length.is_some_and(|length| length > max_length as u64) {
             return Err(Ending::Unreadable);
         }
-        let (mut came, mut size) = (Vec::new(), 0);
-        let began = Instant::now();
-        while size <= MAX_BUFFERED_ANSWER && length.is_none_or(|l| l <= MAX_BUFFERED_ANSWER as u64) {
-            if length.is_none() && good && size > 0 && began.elapsed() >= ANSWER_PAUSE_TIMEOUT {
+        Ok(AnswerHead { parts, length, is_good, pause })
+    }
+
+    /// Reads a short body to its end; a long one, or one of unknown length that takes long, is streamed if it is good.
+    async fn read_body(
+        &self,
+        mut connection: Connection,
+        head: AnswerHead,
+        mut body: Incoming,
+    ) -> Result<ExchangeResult, Ending> {
+        let mut received = ReceivedBody::default();
+        let started = Instant::now();
+        while received.size <= MAX_BUFFERED_ANSWER
+            && head.length.is_none_or(|length| length <= MAX_BUFFERED_ANSWER as u64)
+        {
+            let is_slow = head.length.is_none() && received.size > 0;
+            if is_slow && head.is_good && started.elapsed() >= ANSWER_PAUSE_TIMEOUT {
                 break;
             }
             let frame = if body.is_end_stream() {
                 Ok(Some(None))
             } else {
-                let Connection { io, is_closed: closed, .. } = &mut connection;
-                timeout(pause, drive(io, closed, body.frame())).await
+                let Connection { io, is_closed, .. } = &mut connection;
+                timeout(head.pause, drive(io, is_closed, body.frame())).await
             };
             match frame {
                 Ok(Some(None)) => {
-                    self.keep_after_exchange(name, connection);
-                    let whole = match came.len() {
-                        0 | 1 => came.pop().unwrap_or_default(),
-                        _ => Bytes::from(came.concat()),
-                    };
-                    let answer = Response::from_parts(head, Content::Complete(whole));
-                    return Ok(ExchangeResult::Complete(self.wire.read(outgoing, name, answer)));
+                    self.backends.keep_after_exchange(self.backend, connection);
+                    return Ok(self.complete(head.parts, received.into_bytes()));
                 }
                 Ok(Some(Some(Ok(frame)))) => {
                     if let Ok(data) = frame.into_data() {
-                        size += data.len();
-                        came.push(data);
+                        received.push(data);
                     }
                 }
                 Ok(Some(Some(Err(error)))) if !is_interrupted(&error) => return Err(Ending::Unreadable),
-                Ok(_) => return Err(progress.broken()),
+                Ok(_) => return Err(self.progress.broken()),
                 Err(_) => return Err(Ending::Unreadable),
             }
         }
-        if !good {
+        if !head.is_good {
             return Err(Ending::Unreadable);
         }
-        let (relay, stream) = Relay::new(name, connection, body, came, length, progress);
-        let answer = Response::from_parts(head, Content::Stream(stream));
-        Ok(ExchangeResult::Streaming(self.wire.read(outgoing, name, answer), Box::new(relay)))
+        Ok(self.stream(connection, head, body, received.frames))
+    }
+
+    fn complete(&self, parts: Parts, body: Bytes) -> ExchangeResult {
+        let answer = Response::from_parts(parts, Content::Complete(body));
+        ExchangeResult::Complete(self.backends.wire.read(self.request, self.backend, answer))
+    }
+
+    fn stream(
+        &self,
+        connection: Connection,
+        head: AnswerHead,
+        body: Incoming,
+        received: Vec<Bytes>,
+    ) -> ExchangeResult {
+        let (relay, stream) =
+            Relay::new(self.backend, connection, body, received, head.length, self.progress);
+        let answer = Response::from_parts(head.parts, Content::Stream(stream));
+        let outcome = self.backends.wire.read(self.request, self.backend, answer);
+        ExchangeResult::Streaming(outcome, Box::new(relay))
     }
 }
 
--- a/crates/gateway/proxy/src/backends/mod.rs
+++ b/crates/gateway/proxy/src/backends/mod.rs
@@ -1,7 +1,7 @@
 //! Backends: their addresses, the pool of connections to them, and attempts.
 //!
-//! A connection is polled by the attempt that uses it and by nothing while it is idle: dropping the attempt
-//! closes it, so no late answer can reach anyone, and an exchange wakes one task.
+//! A connection is polled by the attempt that uses it, and by nothing while it is idle: dropping the attempt closes it,
+//! so that no late answer can reach another request, and an exchange wakes one task.
 
 mod answer;
 mod attempt;
@@ -36,32 +36,31 @@
 use tokio::net::TcpStream;
 use tokio::time::{interval, timeout, Instant};
 
-/// The longest answer that is awaited whole, so that another attempt can take the place of a broken one.
+/// The longest answer that is buffered, so that another attempt can replace a broken one.
 pub const MAX_BUFFERED_ANSWER: usize = 64 << 10;
 /// The largest body on either side.
 pub const MAX_BODY: usize = 32 << 20;
 const REAP_INTERVAL: Duration = Duration::from_secs(1);
-/// An answer that has begun and of which nothing more comes for this long never will be whole, or is not worth
-/// the wait; one of no stated length that has been coming for so long is passed on as it comes.
+/// An answer that pauses for this long is given up; one of unknown length that takes this long is streamed.
 const ANSWER_PAUSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Backends that were seen to forget an idle connection are believed to for so long, and it tells nothing that one was
 /// lost that had rested for less than the second figure.
 const NARROWED_IDLE_TIME: Duration = Duration::from_secs(10);
 const MIN_IDLE_LIMIT: Duration = Duration::from_millis(50);
-/// The most that is read of an answer's head. It is also the largest buffer of a connection.
+/// The longest head of an answer, which is also the largest buffer of a connection.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
 struct Backend {
     address: Option<SocketAddr>,
     boot_ms: u64,
     ready: bool,
-    /// Warm connections, the one used last at the end.
+    /// Idle connections, the one used last at the end.
     idle: Vec<Connection>,
 }
 
 pub struct Backends {
     table: RefCell<HashMap<Name, Backend>>,
-    /// Connections that are up or coming up, idle ones among them.
+    /// Connections that are open or being opened, idle ones among them.
     open_connections: Rc<Cell<usize>>,
     max_connections: usize,
     wire: Box<dyn Wire>,
@@ -69,21 +68,21 @@
     unacknowledged_timeout: Option<Duration>,
     relay_overtime: Option<Duration>,
     idle_time: Time,
-    /// How long those may have been idle on which something goes out that can't be sent again.
+    /// How long a connection may have been idle to carry a request that cannot be repeated.
     idle_limit: Cell<IdleLimit>,
     started_at: Instant,
     pub connects: Cell<u64>,
     connections_opened: Cell<u64>,
 }
 
-/// Figures that hold for all backends.
+/// Limits that hold for all backends.
 pub struct Limits {
-    /// The most connections, up, coming up or idle.
+    /// The most connections, open, being opened or idle.
     pub max_connections: usize,
     pub connect_timeout: Duration,
     /// How long a backend leaves a connection idle.
     pub keepalive: Duration,
-    /// A connection ends on which nothing has been acknowledged for so long; none: when the system says.
+    /// A connection on which nothing is acknowledged for this long is closed; none: as the system decides.
     pub unacknowledged_timeout: Option<Duration>,
     /// An answer that is passed on as it comes is given up once its request's time is over and nothing more of it has
     /// come for so long; none: when nothing has come for ten seconds, whatever the request's time.
@@ -114,9 +113,9 @@
         })
     }
 
-    /// Takes in what discovery tells. Connections to an old address, an old process or a backend that wants
-    /// nothing new are of no use. Returns those whose address a later one has taken over: they are gone, though
-    /// discovery may say so only later, and what is meant for them would reach a cold backend unseen.
+    /// Applies discovery's list. Connections to an old address, an old process or a draining backend are closed.
+    /// Returns the backends whose address a later one has taken over: they are gone, though discovery may report so
+    /// only later, and requests for them would reach another backend.
     pub fn update(&self, scope: Scope, targets: &[Target]) -> Vec<Name> {
         let mut replaced = Vec::new();
         let mut table = self.table.borrow_mut();
@@ -149,7 +148,7 @@
         replaced
     }
 
-    /// Closes connections that have been idle for long, or that the other side has closed.
+    /// Closes connections that have been idle for too long, or that the backend has closed.
     pub async fn close_idle(self: Rc<Self>) {
         let mut every = interval(REAP_INTERVAL);
         loop {
@@ -163,8 +162,7 @@
         }
     }
 
-    /// Gives a descriptor back when they run short: the connection that has been idle for longest. Whether
-    /// there was any to give.
+    /// Closes the connection that has been idle for longest, when descriptors run short. Returns whether there was one.
     pub fn drop_idle(&self) -> bool {
         let (now, mut table) = (self.now(), self.table.borrow_mut());
         // The one used last is at the end, so a backend's oldest is its first.
@@ -175,7 +173,7 @@
         oldest.map(|b| b.idle.remove(0)).is_some()
     }
 
-    /// The one used last that this request may go out on.
+    /// The idle connection used last that may carry this request.
     fn take_idle(&self, name: &Name, place: SocketAddr, request: &Outgoing) -> Option<Connection> {
         let mut table = self.table.borrow_mut();
         let backend = table.get_mut(name)?;
@@ -189,7 +187,7 @@
             let most = self.idle_time.min(connection.max_idle);
             let here = connection.address == place && connection.upstream.is_idle_for_less_than(now, most);
             if here && !connection.upstream.is_idle_for_less_than(now, rest) {
-                // Those below it have rested for longer.
+                // Those before it have been idle for longer.
                 return None;
             }
             if !here || !connection.is_reusable() {
@@ -201,7 +199,7 @@
         None
     }
 
-    /// The request and its answer are whole.
+    /// Request and answer were complete: the connection may be used again.
     fn keep_after_exchange(&self, name: &Name, mut connection: Connection) {
         connection.upstream.end_exchange(self.now(), true);
         self.return_to_pool(name, connection);
--- a/crates/gateway/proxy/src/backends/progress.rs
+++ b/crates/gateway/proxy/src/backends/progress.rs
@@ -1,4 +1,4 @@
-//! How far an attempt has come, counted where its bytes pass.
+//! How far an attempt has come, counted at its socket.
 
 use interface::Ending;
 use std::cell::Cell;
@@ -10,24 +10,24 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// What an attempt tells on its way.
+/// A stage that an attempt reports.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum AttemptStage {
-    /// Its connection is up. It writes only if the word that comes back is yes.
+    /// Its connection is established. It writes only if the report returns true.
     Connected,
-    /// So much of it is out that it may have run.
+    /// Enough has been written that it may have run.
     Written,
-    /// A part of the answer is in.
+    /// A part of the answer has arrived.
     Answering,
 }
 
-/// How far an attempt has come, counted where its bytes pass.
+/// How far an attempt has come.
 pub struct Progress {
     pub(super) report: Box<dyn Fn(AttemptStage) -> bool>,
     pub(super) reported: Cell<Option<AttemptStage>>,
     pub(super) written: Cell<usize>,
     pub(super) execution_start: Cell<usize>,
-    /// Whether a part of the answer has come that is not an interim answer (1xx).
+    /// Whether a part of the answer has arrived that is no interim answer (1xx).
     pub(super) has_answer_begun: Arc<AtomicBool>,
     pub(super) activity: Notify,
 }
@@ -39,9 +39,9 @@
 }
 
 impl Progress {
-    pub fn new(tell: impl Fn(AttemptStage) -> bool + 'static) -> Self {
+    pub fn new(report: impl Fn(AttemptStage) -> bool + 'static) -> Self {
         Progress {
-            report: Box::new(tell),
+            report: Box::new(report),
             reported: Cell::new(None),
             written: Cell::default(),
             execution_start: Cell::default(),
@@ -50,20 +50,20 @@
         }
     }
 
-    /// Each once, and nothing behind the answer's beginning.
-    pub(super) fn report_stage(&self, note: AttemptStage) {
-        let told = self.reported.get();
-        if told != Some(note) && told != Some(AttemptStage::Answering) {
-            self.reported.set(Some(note));
-            (self.report)(note);
+    /// Reports each stage once, and none after the beginning of the answer.
+    pub(super) fn report_stage(&self, stage: AttemptStage) {
+        let reported = self.reported.get();
+        if reported != Some(stage) && reported != Some(AttemptStage::Answering) {
+            self.reported.set(Some(stage));
+            (self.report)(stage);
         }
     }
 
-    /// Whether so much may be out that a backend may have begun. `whole` counts what we ask hyper to write and hyper
-    /// adds at most, so a request is never taken for unwritten when it is not.
+    /// Whether enough may have been written for a backend to begin. `execution_start` counts what hyper is asked to
+    /// write; hyper only adds to it, so a request never counts as unwritten when it is not.
     pub(super) fn may_have_run(&self) -> bool {
-        let whole = self.execution_start.get();
-        whole > 0 && self.written.get() >= whole
+        let execution_start = self.execution_start.get();
+        execution_start > 0 && self.written.get() >= execution_start
     }
 
     pub(super) fn broken(&self) -> Ending {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether a part of the answer itself is in.
+    /// Whether a part of the answer itself has arrived.
     pub(super) fn has_begun(&self) -> bool {
         self.has_answer_begun.load(Relaxed)
     }
--- a/crates/gateway/proxy/src/backends/request.rs
+++ b/crates/gateway/proxy/src/backends/request.rs
@@ -32,7 +32,7 @@
 impl Outgoing {
     /// Nothing will be sent again: what is kept for that can go.
     pub fn release(&self) {
-        self.body.replace(Upload::Gone);
+        self.body.replace(Upload::Taken);
     }
 
     pub(super) fn to_backend(
--- a/crates/gateway/proxy/src/backends/tests.rs
+++ b/crates/gateway/proxy/src/backends/tests.rs
@@ -29,7 +29,7 @@
             .into_iter()
             .map(|(n, v)| (HeaderName::from_static(n), HeaderValue::from_static(v)))
             .collect(),
-        body: RefCell::new(Upload::Whole(Bytes::from(vec![b'x'; body]), Budget::new(0).reserve())),
+        body: RefCell::new(Upload::Buffered(Bytes::from(vec![b'x'; body]), Budget::new(0).reserve())),
         ..Outgoing::default()
     }
 }
--- a/crates/gateway/proxy/src/backends/upload.rs
+++ b/crates/gateway/proxy/src/backends/upload.rs
@@ -1,4 +1,4 @@
-//! A body on its way to a backend: whole in memory, or passed on as it comes from the client.
+//! A request's body on its way to a backend: buffered, or streamed from the client.
 
 use super::Progress;
 use crate::fronts::Reservation;
@@ -11,42 +11,42 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// What is in hand of a client's body.
+/// What there is of a client's body.
 #[derive(Default)]
 pub enum Upload {
     #[default]
     None,
-    /// All of it, in its part of the budget: it can be sent again.
-    Whole(Bytes, Reservation),
-    /// The rest is still to come. It can be sent once.
+    /// All of it, with its reservation of the budget: it can be sent again.
+    Buffered(Bytes, Reservation),
+    /// The rest is still to arrive. It can be sent once.
     Open(Open),
-    /// It has been handed to an attempt.
-    Gone,
+    /// It was taken by an attempt.
+    Taken,
 }
 
 pub struct Open {
     pub first: Bytes,
-    /// What `first` takes of the budget.
+    /// The reservation for `first`.
     pub part: Option<Reservation>,
-    /// The frames behind it; the sender's end without an empty one means that the client stopped.
+    /// The frames after it; an end without an empty frame means that the client stopped.
     pub rest: mpsc::Receiver<Bytes>,
-    /// Of the whole, if it is stated.
+    /// The stated length of the whole body, if any.
     pub length: Option<u64>,
 }
 
-/// The same as hyper writes it.
+/// The body as hyper writes it.
 pub(super) enum Sent {
-    Whole(Option<Bytes>),
+    Buffered(Option<Bytes>),
     Open { open: Open, progress: Rc<Progress>, head: usize, begins: ExecutionStart, sent: usize, done: bool },
 }
 
 impl Upload {
-    /// For an attempt that has the leave to write.
+    /// The body for an attempt that may write.
     pub(super) fn take(&mut self, progress: &Rc<Progress>) -> Sent {
-        match std::mem::replace(self, Upload::Gone) {
-            Upload::Whole(bytes, part) => {
-                *self = Upload::Whole(bytes.clone(), part);
-                Sent::Whole(Some(bytes))
+        match std::mem::replace(self, Upload::Taken) {
+            Upload::Buffered(bytes, part) => {
+                *self = Upload::Buffered(bytes.clone(), part);
+                Sent::Buffered(Some(bytes))
             }
             Upload::Open(open) => {
                 let (progress, begins) = (progress.clone(), ExecutionStart::FullRequest);
@@ -54,7 +54,7 @@
             }
             none => {
                 *self = none;
-                Sent::Whole(None)
+                Sent::Buffered(None)
             }
         }
     }
@@ -63,12 +63,12 @@
 impl Sent {
     pub(super) fn length(&self) -> Option<u64> {
         match self {
-            Sent::Whole(bytes) => Some(bytes.as_ref().map_or(0, |b| b.len() as u64)),
+            Sent::Buffered(bytes) => Some(bytes.as_ref().map_or(0, |b| b.len() as u64)),
             Sent::Open { open, .. } => open.length,
         }
     }
 
-    /// How long the head is that goes before it, and from when on the request may run.
+    /// Sets the length of the head before it, and how much of the request a backend needs to begin.
     pub(super) fn behind(&mut self, size: usize, from: ExecutionStart) {
         if let Sent::Open { head, begins, .. } = self {
             (*head, *begins) = (size, from);
@@ -82,7 +82,7 @@
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let (open, progress, head, begins, sent, done) = match &mut *self {
-            Sent::Whole(bytes) => {
+            Sent::Buffered(bytes) => {
                 let bytes = bytes.take().filter(|b| !b.is_empty());
                 return Poll::Ready(bytes.map(|b| Ok(Frame::data(b))));
             }
@@ -103,7 +103,7 @@
             None => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
             Some(data) if data.is_empty() => {
                 *done = true;
-                // From here on the last byte may be out.
+                // From here on the last byte may have been written.
                 progress.execution_start.set(begins.byte_count(*head, Some(*sent)));
                 Poll::Ready(None)
             }
@@ -116,7 +116,7 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Sent::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Sent::Buffered(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             Sent::Open { done, .. } => *done,
         }
     }
--- a/crates/gateway/proxy/src/driver.rs
+++ b/crates/gateway/proxy/src/driver.rs
@@ -1,24 +1,27 @@
-//! The thin part between the engine and the sockets: what happens on them goes in, what the engine orders is
-//! carried out. No policy and no rule stands here: the engine joins the deciding parts.
+//! Connects the engine to the sockets: what happens on them becomes an input, and the engine's outputs are carried out.
+//! No decision is made here.
 
+mod allowances;
 mod attempt;
 mod clock;
+mod discovery;
+mod input_context;
+mod status;
 
 pub use attempt::Ticket;
 
 use crate::backends::{AttemptStage, Backends, Outcome, Outgoing, Served};
-use crate::list::{List, ListSnapshot, State, Target};
+use crate::list::{ListSnapshot, Target};
 use attempt::Attempt;
 use clock::Clock;
 use engine::{
-    AnswerCounts, AttemptFacts, Engine, Error, FinalAnswer, Input, ListEntry, ModuleFactory, Notice, Output,
-    Reply, Step, Timing, Totals,
+    AnswerCounts, AttemptFacts, Engine, Error, Input, ModuleFactory, Notice, Output, Reply, Step, Timing,
+    Totals,
 };
-use forward::{Account, Mode};
 use hyper::StatusCode;
-use interface::{Allowance, Ending, Health, Module, Name, Node, RequestId, Scope, Settings, Time};
+use input_context::InputContext;
+use interface::{Ending, Module, Name, RequestId, Settings, Time};
 use maintenance::NeverListed;
-use plan::message::{Grant, Report};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
 use std::convert::Infallible;
@@ -34,39 +37,39 @@
 /// The final answer to a request.
 pub enum Answer {
     Served(Served),
-    /// Trying again is harmless, after so long.
+    /// Nothing has run; the client may try again after this time.
     Refused {
         tried: bool,
         retry_after: Duration,
     },
-    /// A backend found fault with the request itself.
+    /// A backend rejected the request itself.
     Rejected(StatusCode),
     Failed {
         late: bool,
     },
 }
 
-/// A client's request that the server found well-formed.
+/// A client's well-formed request.
 pub struct Incoming {
     pub request: engine::Incoming,
     pub arrived: Instant,
     pub outgoing: Outgoing,
 }
 
-/// A request's ends in the world of sockets, for as long as its life lasts.
+/// What a request has on sockets until it is over.
 struct RequestHandles {
-    /// None once answered, or when the client is gone.
+    /// None once it is answered, or its client has left.
     client: Option<oneshot::Sender<Answer>>,
     outgoing: Rc<Outgoing>,
     attempt: Option<AbortHandle>,
-    /// A backend's own failure, of 64 KiB at most: its client hears it in place of ours if the request ends as failed.
+    /// A backend's own error answer, of 64 KiB at most: the client gets it in place of ours if the request fails.
     failure: Option<Served>,
 }
 
 struct DriverState {
     engine: Engine<Box<dyn Module>>,
     handles: HashMap<RequestId, RequestHandles>,
-    /// Empty but while they are carried out: kept for its room.
+    /// Empty except while they are carried out: kept to reuse its allocation.
     outputs: Vec<Output>,
 }
 
@@ -74,13 +77,13 @@
     state: RefCell<DriverState>,
     wake: Notify,
     backends: Rc<Backends>,
-    /// The list for a next process, if one is to have it; and word of its changes.
+    /// The list for a next process, if it is exported; and a notification of its changes.
     exported_list: RefCell<Option<ListSnapshot>>,
     list_changed: Notify,
     clock: Clock,
     /// Final answers up to the last status line.
     reported_answers: Cell<AnswerCounts>,
-    /// The longest that the loop came late to a timer, since the last status line.
+    /// The largest delay of a timer since the last status line.
     max_timer_delay: Cell<Duration>,
     zones: Vec<String>,
     /// The pools of a backend, a bit each.
@@ -89,21 +92,21 @@
     max_deadline: Cell<Time>,
 }
 
-/// What a driver is made of.
+/// Builds a [`Driver`].
 pub struct Config {
     pub settings: Settings,
     pub seed: u64,
     pub timing: Timing,
     pub module: ModuleFactory<Box<dyn Module>>,
     pub backends: Rc<Backends>,
-    /// Zone names; a zone's number is its place.
+    /// Zone names; a zone's number is its index.
     pub zones: Vec<String>,
     /// The pools of a backend, a bit each.
     pub pools: Box<dyn Fn(&Target) -> u32>,
 }
 
 impl Driver {
-    /// A driver that holds nothing and knows no backend.
+    /// A driver without requests that knows no backend.
     ///
     /// # Errors
     /// What the module says of the settings.
@@ -129,8 +132,7 @@
         }))
     }
 
-    /// Goes on by these settings, which name at least the classes, plans and pools that the old ones did, in their
-    /// places.
+    /// Applies new settings, which name at least the old classes, plans and pools, at their indices.
     pub fn reconfigure(&self, settings: Settings) {
         self.max_deadline.set(max_deadline(&settings));
         self.state.borrow_mut().engine.reconfigure(settings);
@@ -141,7 +143,7 @@
         self.clock.time(at)
     }
 
-    /// When it is this time on the engine's clock.
+    /// The instant of a time on the engine's clock.
     pub fn instant(&self, time: Time) -> Instant {
         self.clock.instant(time)
     }
@@ -155,68 +157,9 @@
         self.state.borrow().engine.can_serve()
     }
 
-    // ---- Discovery ----
+    // ---- Manual bans and totals ----
 
-    /// The list that the configuration gave; it may be old.
-    pub fn apply_cached_list(self: &Rc<Self>, known: List) {
-        self.apply_list(Scope::Cached, known);
-    }
-
-    /// Who is believed to live: this gateway's place among how many; none: what the settings say.
-    pub fn neighbours(self: &Rc<Self>, seen: Option<(u32, u32)>) {
-        let (me, gateways) = seen.unwrap_or_default();
-        let input = Input::Neighbours { me, gateways };
-        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
-    }
-
-    /// What the fleet's view says of each planner.
-    pub fn planners(self: &Rc<Self>, lives: Vec<Option<bool>>) {
-        let input = Input::Planners(lives);
-        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
-    }
-
-    /// Discovery failed, and why. The old list stands.
-    pub fn list_failed(self: &Rc<Self>, what: String) {
-        let brought = InputContext { discovery_failure: Some(what), ..InputContext::default() };
-        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), Input::ListFailed, brought);
-    }
-
-    /// From now on the list is held for a next process.
-    pub fn export_list(&self) {
-        *self.exported_list.borrow_mut() = Some(ListSnapshot::default());
-    }
-
-    /// The list that is held, as text, if there is one.
-    pub fn exported_list(&self) -> Option<String> {
-        self.exported_list.borrow().as_ref()?.to_json()
-    }
-
-    /// Until the list that is held has changed.
-    pub async fn list_changed(&self) {
-        self.list_changed.notified().await;
-    }
-
-    /// Discovery: the list, or what changed in it.
-    pub fn apply_list(self: &Rc<Self>, scope: Scope, list: List) {
-        if let Some(held) = &mut *self.exported_list.borrow_mut() {
-            held.apply(scope, &list);
-            self.list_changed.notify_one();
-        }
-        let replaced = self.backends.update(scope, &list.targets);
-        let placed = |t: Target| {
-            let place = t.endpoint.parse().ok().filter(|_| t.state == State::Ready);
-            let pools = (self.pools)(&t);
-            (t.node(&self.zones, pools), place)
-        };
-        let mut entries: Vec<ListEntry> = list.targets.into_iter().map(placed).collect();
-        entries.extend(replaced.iter().map(|name| (Node::new(name, Health::Removed), None)));
-        let input = Input::List { scope, rev: list.rev, entries };
-        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
-    }
-
-    // ---- Maintenance by hand, figures ----
-
-    /// Has the engine do something that the module is to hear of.
+    /// Calls the engine, and wakes the loop if the module must be told.
     fn with_engine<T>(&self, act: impl FnOnce(&mut Engine<Box<dyn Module>>, Time) -> T) -> T {
         let mut state = self.state.borrow_mut();
         let done = act(&mut state.engine, self.clock.time(Instant::now()));
@@ -238,14 +181,14 @@
         self.state.borrow().engine.bans()
     }
 
-    /// What another process of this gateway has banned counts here.
+    /// Adopts the bans of another process of this gateway.
     pub fn adopt_bans(&self, bans: &BTreeMap<Name, Time>) {
         if self.with_engine(|engine, now| engine.adopt_bans(now, bans)) > 0 {
             info!(out = bans.len(), "handover: {} backends are out by hand", bans.len());
         }
     }
 
-    /// What the process after this one is to go on with.
+    /// The decision module's state for the next process of this gateway.
     pub fn export_state(&self) -> String {
         self.state.borrow().engine.export_state()
     }
@@ -260,7 +203,7 @@
 
     // ---- Requests ----
 
-    /// Takes in a request. None if the life of one with its id is not over.
+    /// Accepts a request. None if a request with its id is not over.
     pub fn submit(self: &Rc<Self>, r: Incoming) -> Option<Ticket> {
         let mut state = self.state.borrow_mut();
         let id = r.request.id;
@@ -278,7 +221,7 @@
         Some(Ticket { id, answer, driver: self.clone(), answered: false })
     }
 
-    /// The last byte of an open request has come: its time counts from here.
+    /// The last byte of an open request has arrived: its timeout counts from now.
     pub fn body_completed(self: &Rc<Self>, id: RequestId, timeout: Time) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
@@ -300,50 +243,9 @@
         );
     }
 
-    // ---- Allowances ----
-
-    /// What is known by now of the allowance of a request that awaited it. Whether it is still in hand.
-    pub fn set_allowance(self: &Rc<Self>, id: RequestId, allowance: Allowance) -> bool {
-        let mut state = self.state.borrow_mut();
-        let held = state.engine.has_request(id);
-        if held {
-            self.handle_or_warn(
-                &mut state,
-                Instant::now(),
-                Input::Allowed { id, allowance },
-                InputContext::default(),
-            );
-        }
-        held
-    }
-
-    /// From now on this account says what may be spent.
-    pub fn set_account(&self, account: Account) {
-        self.state.borrow_mut().engine.set_account(account);
-    }
-
-    /// Once a tick: the reports to send. What waited too long for a grant is told so.
-    pub fn reports(self: &Rc<Self>) -> Vec<(usize, Report)> {
-        let mut brought = InputContext::default();
-        // Nothing in it can be wrong.
-        let _ = self.handle(&mut self.state.borrow_mut(), Instant::now(), Input::PlanningTick, &mut brought);
-        brought.reports
-    }
-
-    /// A planner's grant.
-    pub fn apply_grant(self: &Rc<Self>, planner: usize, grant: Grant) {
-        let input = Input::Grant { planner, grant };
-        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
-    }
-
-    /// Whether the share is with this planner.
-    pub fn is_lent_to(&self, n: usize) -> bool {
-        matches!(self.state.borrow().engine.mode(), Some(Mode::Lent { planner, .. }) if planner == n)
-    }
-
     // ---- Outputs ----
 
-    /// Hands the engine an input and carries out what it orders. Whether a leave to write was among it.
+    /// Passes an input to the engine and carries out its outputs. Returns whether the attempt may write.
     fn handle(
         self: &Rc<Self>,
         state: &mut DriverState,
@@ -353,7 +255,7 @@
     ) -> Result<bool, Error> {
         let mut outputs = std::mem::take(&mut state.outputs);
         let done = state.engine.handle(self.clock.time(now), input, &mut outputs);
-        let mut leave = false;
+        let mut may_write = false;
         for output in outputs.drain(..) {
             match output {
                 Output::Start { id, attempt, server, address: place, not_past } => {
@@ -365,7 +267,7 @@
                         ends.attempt = Some(run.start(server, place, not_past));
                     }
                 }
-                Output::Write { .. } => leave = true,
+                Output::Write { .. } => may_write = true,
                 Output::Withhold { .. } => {}
                 Output::Abort { id, .. } => {
                     state.handles.get(&id).and_then(|e| e.attempt.as_ref()).inspect(|out| out.abort());
@@ -375,7 +277,7 @@
                     let (client, failure) =
                         ends.map(|e| (e.client.take(), e.failure.take())).unwrap_or_default();
                     if let (Some(client), Some(answer)) = (client, brought.answer(answer, failure)) {
-                        // An error means that the client has just gone.
+                        // An error means that the client has just left.
                         let _ = client.send(answer);
                     }
                 }
@@ -392,10 +294,10 @@
         if state.engine.wants_wake() {
             self.wake.notify_one();
         }
-        done.map(|()| leave)
+        done.map(|()| may_write)
     }
 
-    /// The same where nothing can be wrong but our own telling.
+    /// The same for inputs that only a fault of this program can make invalid.
     fn handle_or_warn(
         self: &Rc<Self>,
         state: &mut DriverState,
@@ -411,7 +313,7 @@
 
     // ---- Attempts ----
 
-    /// An attempt tells how far it has come. Whether it may go on.
+    /// An attempt has reached a stage. Returns whether it may go on.
     fn attempt_reached(self: &Rc<Self>, id: RequestId, attempt: u32, note: AttemptStage) -> bool {
         let mut state = self.state.borrow_mut();
         let step = match note {
@@ -422,7 +324,7 @@
             AttemptStage::Written => Step::Written,
             AttemptStage::Answering => Step::Answering,
         };
-        // Nothing is ordered on such news, and it needs no time.
+        // Nothing follows from this input, and it needs no time.
         let DriverState { engine, outputs, .. } = &mut *state;
         if let Err(wrong) = engine.handle(0, Input::Progress { id, attempt, step }, outputs) {
             warn!(request = format!("{id:016x}"), attempt, cause = %wrong, "lifecycle: {wrong}");
@@ -430,7 +332,7 @@
         true
     }
 
-    /// A good answer has begun that is passed on as it comes. Whether anybody waits for it.
+    /// A good answer has begun that is streamed. Returns whether anybody waits for it.
     fn answer_started(self: &Rc<Self>, run: &Attempt, outcome: Outcome) -> bool {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
@@ -440,11 +342,11 @@
         let input = Input::AnswerStarted { id: run.id, attempt: run.number, facts };
         let mut brought = InputContext { served, ..InputContext::default() };
         let done = self.handle(&mut state, now, input, &mut brought);
-        // What was brought has gone to the client, or nobody wants it.
+        // The answer has gone to the client, or nobody waits for it.
         done.is_ok() && brought.served.is_none()
     }
 
-    /// An attempt is over, however it came to that.
+    /// An attempt has ended, for whatever reason.
     fn attempt_ended(self: &Rc<Self>, run: &Attempt, outcome: Outcome) {
         let (id, attempt) = (run.id, run.number);
         let mut state = self.state.borrow_mut();
@@ -464,7 +366,7 @@
         let mut brought = InputContext { served, rejected: turned, ..InputContext::default() };
         if let Err(wrong) = self.handle(&mut state, now, input, &mut brought) {
             warn!(request = format!("{id:016x}"), attempt, cause = %wrong, "lifecycle: {wrong}");
-            // It must not stay out for ever.
+            // It must not stay in flight for ever.
             let (ending, reply, facts) = (Ending::Cancelled, Reply::None, AttemptFacts::default());
             let undone = Input::AttemptEnded { id, attempt, ending, reply, facts };
             let _ = self.handle(&mut state, now, undone, &mut InputContext::default());
@@ -473,7 +375,7 @@
 
     // ---- The loop ----
 
-    /// Hands the module what has happened: at once, or the stated gap apart.
+    /// Calls the module with what has happened: at once, or at the configured interval.
     pub async fn run(self: &Rc<Self>) -> Infallible {
         let mut status = Instant::now() + STATUS_INTERVAL;
         loop {
@@ -486,7 +388,7 @@
                     self.max_timer_delay.set(self.max_timer_delay.get().max(late));
                 }
             }
-            // Only a wait that something ends costs a wake-up: after a quiet spell there is none.
+            // After a quiet spell there is nothing to wait for.
             let earliest = self.clock.instant(self.state.borrow().engine.next_batch_at());
             if earliest > Instant::now() {
                 sleep_until(earliest).await;
@@ -499,64 +401,8 @@
             }
         }
     }
-
-    /// A line for whoever carries the pager, if anything went on.
-    fn log_status(&self) {
-        let mut state = self.state.borrow_mut();
-        let c = state.engine.take_counts();
-        let mut sum = AnswerCounts::default();
-        for of in state.engine.totals().answers {
-            sum.served += of.served;
-            sum.refused += of.refused;
-            sum.failed += of.failed;
-        }
-        let said = self.reported_answers.replace(sum);
-        let (served, refused, failed) =
-            (sum.served - said.served, sum.refused - said.refused, sum.failed - said.failed);
-        let (connects, latest) = (self.backends.connects.take(), self.max_timer_delay.take().as_millis());
-        if served + refused + failed > 0 {
-            info!(
-                served,
-                refused,
-                failed,
-                overdue = c.overdue,
-                held = state.engine.request_count(),
-                connects,
-                batches = c.batches,
-                late_ms = latest as u64,
-                "served {served}, refused {refused}, failed {failed} ({} overdue), held {}; \
-                 new connections {connects}, batches {}, loop late by {latest} ms at most",
-                c.overdue,
-                state.engine.request_count(),
-                c.batches
-            );
-        }
-    }
 }
 
 fn max_deadline(settings: &Settings) -> Time {
     settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0)
 }
-
-/// What an input brings along that the engine has no use for, and what its outputs leave behind.
-#[derive(Default)]
-struct InputContext {
-    served: Option<Served>,
-    rejected: Option<StatusCode>,
-    /// Why discovery failed.
-    discovery_failure: Option<String>,
-    reports: Vec<(usize, Report)>,
-}
-
-impl InputContext {
-    fn answer(&mut self, answer: FinalAnswer, failure: Option<Served>) -> Option<Answer> {
-        match answer {
-            FinalAnswer::Served => self.served.take().map(Answer::Served),
-            FinalAnswer::Rejected => self.rejected.map(Answer::Rejected),
-            FinalAnswer::Refused { tried, advice } => {
-                Some(Answer::Refused { tried, retry_after: Duration::from_nanos(advice) })
-            }
-            FinalAnswer::Failed { late } => Some(failure.map_or(Answer::Failed { late }, Answer::Served)),
-        }
-    }
-}
--- a/crates/gateway/proxy/src/driver/attempt.rs
+++ b/crates/gateway/proxy/src/driver/attempt.rs
@@ -12,7 +12,7 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::Instant;
 
-/// An attempt in flight. Its end is told once, also if its task is aborted or lost.
+/// An attempt in flight. Its end is reported once, also if its task is aborted or lost.
 pub(super) struct Attempt {
     pub(super) driver: Rc<Driver>,
     pub(super) id: RequestId,
@@ -33,7 +33,7 @@
                 ExchangeResult::Streaming(outcome, relay) => {
                     self.request.release();
                     let wanted = self.driver.answer_started(&self, outcome);
-                    // In a box: the many that are short don't pay for its size.
+                    // Boxed: the many short attempts do not pay for its size.
                     let ending = if wanted {
                         Box::pin(relay.run(&backends, not_past)).await
                     } else {
@@ -46,7 +46,7 @@
         task.abort_handle()
     }
 
-    /// How long it has been out, but for what its body took to come.
+    /// How long it has been in flight, without the time its body took to arrive.
     pub(super) fn elapsed(&self, now: Instant) -> Time {
         let since = self.request.completed_at.get().map_or(self.sent, |at| at.max(self.sent));
         now.saturating_duration_since(since).as_nanos() as Time
@@ -66,7 +66,7 @@
     }
 }
 
-/// The wait for a final answer. Dropping it tells that the client is gone.
+/// Waits for a final answer. Dropping it reports that the client has left.
 pub struct Ticket {
     pub(super) id: RequestId,
     pub(super) answer: oneshot::Receiver<Answer>,
--- /dev/null
+++ b/crates/gateway/proxy/src/driver/input_context.rs
@@ -0,0 +1,31 @@
+//! What accompanies an input through the engine.
+
+use super::Answer;
+use crate::backends::Served;
+use engine::FinalAnswer;
+use hyper::StatusCode;
+use plan::message::Report;
+use std::time::Duration;
+
+/// What an input carries that the engine does not need, and what its outputs leave behind.
+#[derive(Default)]
+pub(super) struct InputContext {
+    pub(super) served: Option<Served>,
+    pub(super) rejected: Option<StatusCode>,
+    /// Why discovery failed.
+    pub(super) discovery_failure: Option<String>,
+    pub(super) reports: Vec<(usize, Report)>,
+}
+
+impl InputContext {
+    pub(super) fn answer(&mut self, answer: FinalAnswer, failure: Option<Served>) -> Option<Answer> {
+        match answer {
+            FinalAnswer::Served => self.served.take().map(Answer::Served),
+            FinalAnswer::Rejected => self.rejected.map(Answer::Rejected),
+            FinalAnswer::Refused { tried, advice } => {
+                Some(Answer::Refused { tried, retry_after: Duration::from_nanos(advice) })
+            }
+            FinalAnswer::Failed { late } => Some(failure.map_or(Answer::Failed { late }, Answer::Served)),
+        }
+    }
+}
--- a/crates/gateway/proxy/src/fronts/budget.rs
+++ b/crates/gateway/proxy/src/fronts/budget.rs
@@ -1,9 +1,9 @@
-//! Memory for what clients send, over all of them together.
+//! Memory for request bodies, over all clients.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// No body has more than this.
+/// The most that one body may reserve.
 const MAX_RESERVATION: usize = 2 << 20;
 
 pub struct Budget {
@@ -16,20 +16,20 @@
         Rc::new(Budget { max: most, used: Cell::new(0) })
     }
 
-    /// Nothing yet, for one client.
+    /// An empty reservation, for one client.
     pub fn reserve(self: &Rc<Self>) -> Reservation {
         Reservation { budget: self.clone(), size: 0 }
     }
 }
 
-/// What one body has of it. Given back when dropped.
+/// What one body has reserved; released when dropped.
 pub struct Reservation {
     budget: Rc<Budget>,
     size: usize,
 }
 
 impl Reservation {
-    /// Takes so much more, if it is there.
+    /// Reserves `by` bytes more, if they are available.
     pub fn grow(&mut self, by: usize) -> bool {
         let used = self.budget.used.get() + by;
         let there = used <= self.budget.max;
@@ -40,7 +40,7 @@
         there
     }
 
-    /// The most that one body may have: others want some too.
+    /// The most that one body may reserve: others need some too.
     pub fn max(&self) -> usize {
         MAX_RESERVATION.min(self.budget.max / 8)
     }
--- a/crates/gateway/proxy/src/fronts/http1/client.rs
+++ b/crates/gateway/proxy/src/fronts/http1/client.rs
@@ -1,4 +1,4 @@
-//! A client's connection: its life, its socket, and how to have it close.
+//! A client's connection: its state, its socket, and how it is closed.
 
 use super::{LINGER, MAX_DISCARD};
 use crate::backends::Stream;
@@ -22,27 +22,27 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// Whether something has come that the runtime does not know of yet.
+/// Whether bytes have arrived that the runtime does not know of yet.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum PendingBytes {
     #[default]
     None,
-    /// To be looked for with the next read.
+    /// To be checked with the next read.
     Unknown,
     Some,
 }
 
-/// A client's connection, and how to have it close.
+/// A client's connection, and how it is closed.
 pub(super) struct Client {
     pub(super) connection: Cell<Connection>,
     pub(super) driver: Rc<Driver>,
-    /// Why it is to close, and the news of it.
+    /// Why it is to be closed, and the notification of that.
     pub(super) close_reason: Cell<Option<Close>>,
     pub(super) close: Notify,
-    /// The head that is coming, as it is written, if all of it came while the connection was idle before.
+    /// The head that is arriving, byte by byte, if all of it arrived on an idle connection.
     pub(super) head: RefCell<Vec<u8>>,
     pub(super) pending_bytes: Cell<PendingBytes>,
-    /// Whether the answer's last byte has gone to hyper, so that a flush means that all of it is written.
+    /// Whether the answer's last byte was handed to hyper, so that a flush means that all of it is written.
     pub(super) is_answer_handed_over: Cell<bool>,
 }
 
@@ -72,14 +72,14 @@
         })
     }
 
-    /// Has it close for this reason. How is settled when its turn comes: it may have sent a request by then.
+    /// Closes it for this reason. How is decided when its task runs: it may have sent a request by then.
     pub(super) fn close(&self, why: Close) {
         self.close_reason.set(Some(why));
         self.close.notify_one();
     }
 }
 
-/// What is written of an answer.
+/// An answer's body.
 pub enum Payload {
     Full(Full<Bytes>),
     Stream(Stream),
@@ -94,7 +94,7 @@
     }
 }
 
-/// An answer's body that tells when all of it has gone to hyper.
+/// An answer's body that records when all of it was handed to hyper.
 pub(super) struct TrackedBody {
     pub(super) body: Payload,
     pub(super) client: Rc<Client>,
@@ -125,11 +125,11 @@
     }
 }
 
-/// A client's socket that tells when something has come and when all has been written.
+/// A client's socket that reports when bytes have arrived and when all has been written.
 pub(super) struct WatchedSocket {
     pub(super) io: TokioIo<TcpStream>,
     pub(super) client: Rc<Client>,
-    /// Until when what still comes is thrown away behind the last answer, and how much of it has come.
+    /// Until when bytes after the last answer are discarded, and how many have been.
     pub(super) linger: Option<(Pin<Box<Sleep>>, usize)>,
 }
 
@@ -148,7 +148,7 @@
         if !matches!(state, State::Idle | State::Head) {
             return Pin::new(&mut self.io).poll_read(cx, buf);
         }
-        // Kept beside hyper, which hides a length that stands beside a coding.
+        // Recorded beside hyper, which hides a length that stands beside a coding.
         let mut bytes = [MaybeUninit::uninit(); 4096];
         let most = buf.remaining().min(bytes.len());
         let mut own = ReadBuf::uninit(&mut bytes[..most]);
@@ -196,7 +196,7 @@
         flushed
     }
 
-    /// RFC 9112, 9.6: a close with bytes unread resets the connection, and with it what the client has not read
+    /// RFC 9112, section 9.6: a close with bytes unread resets the connection, and with it what the client has not read
     /// of its last answer. So this side is closed first, and the other read until the client has closed too.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.linger.is_none() {
--- a/crates/gateway/proxy/src/fronts/http1/mod.rs
+++ b/crates/gateway/proxy/src/fronts/http1/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: connections, requests and their bodies, the drain at the end. What a request means its [`Door`] says.
+//! HTTP/1.1: connections, requests and their bodies, and shutdown. What a request means its [`Door`] defines.
 
 mod client;
 mod request;
@@ -48,7 +48,7 @@
 /// So long a client is left to read its last answer and to close.
 const LINGER: Duration = Duration::from_millis(500);
 const HEAD_BYTES: usize = 16 << 10;
-/// So often a connection that is to close is looked at for what may still have come.
+/// How often a closing connection is checked for bytes that have already arrived.
 const MAX_PENDING_CHECKS: usize = 8;
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(5);
 const BACKLOG: u32 = 1024;
@@ -56,28 +56,29 @@
 
 type Reply = Response<TrackedBody>;
 
-/// The answer to a request that goes no further.
+/// The answer to a request that is not passed on.
 pub type ErrorReply = Box<Response<Payload>>;
 
-/// What a front's requests mean: which it answers itself, what the others ask for, and how answers are worded.
+/// What requests mean: which are answered without a backend, what the others ask for, and the form of answers.
 pub trait Door: 'static {
-    /// What is answered without any backend, if this is such a request.
+    /// The answer to a request that needs no backend.
     fn own(&self, head: &Request<IncomingBody>, draining: bool) -> Option<Response<Payload>>;
 
     /// Reads a request's head.
     ///
     /// # Errors
-    /// The answer to one that is not sound, or that nothing takes.
+    /// The answer to a request that is invalid, or has no route.
     fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, ErrorReply>;
 
-    /// The last word on a request that is whole, before it is in hand.
+    /// The last decision on a complete request, before it is submitted.
     ///
     /// # Errors
-    /// The answer to one that is refused.
+    /// The answer to a request that is refused.
     fn admit(&self, _incoming: &mut Incoming) -> impl Future<Output = Result<(), ErrorReply>> {
         std::future::ready(Ok(()))
     }
 
+    /// The HTTP form of a final answer.
     fn reply(&self, answer: Answer) -> Response<Payload>;
 
     /// What a client is told that stops in the middle of a body of which a part has gone to a backend; this is the
@@ -86,41 +87,54 @@
         status
     }
 
-    /// How long clients may say nothing.
+    /// How long clients may be silent.
     fn client_timeouts(&self) -> Timeouts {
         Timeouts::default()
     }
 
-    /// How long clients may still come after the process was told to end, and how long it may then last in all.
+    /// How long clients may still connect after the shutdown request, and how long shutdown may take in all.
     fn shutdown_times(&self) -> (Duration, Duration) {
         (Duration::from_nanos(drain::ACCEPT_WINDOW), Duration::MAX)
     }
 }
 
+/// Serves clients on a listening socket.
 pub struct Server<D> {
     door: D,
     driver: Rc<Driver>,
     backends: Rc<Backends>,
     clients: RefCell<BTreeMap<u64, Rc<Client>>>,
     link: Rc<Link>,
-    /// Memory for bodies.
+    /// Memory for request bodies.
     body_budget: Rc<Budget>,
-    /// The most clients of one gateway; this process may have its role's part.
+    /// The most clients of one gateway; this process has its role's share.
     max_clients: usize,
-    /// Once it was told to end.
+    /// Set once shutdown has been requested.
     drain: Cell<Option<Drain>>,
     client_removed: Notify,
 }
 
-pub fn listen(address: SocketAddr) -> Result<TcpListener, String> {
+/// The address cannot be listened on.
+#[derive(Debug, thiserror::Error)]
+#[error("cannot listen on {address}: {reason}")]
+pub struct ListenError {
+    address: SocketAddr,
+    reason: std::io::Error,
+}
+
+/// A listening socket.
+///
+/// # Errors
+/// The address cannot be had.
+pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     let open = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        // A restart finds the old process's connections in their last throes.
+        // After a restart connections of the old process may still linger.
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         socket.listen(BACKLOG)
     };
-    open().map_err(|e: std::io::Error| format!("cannot listen on {address}: {e}"))
+    open().map_err(|reason| ListenError { address, reason })
 }
 
 impl<D: Door> Server<D> {
@@ -141,11 +155,12 @@
         !self.is_draining() && self.driver.can_serve()
     }
 
-    /// Requests that were taken and whose answer is not written yet.
+    /// Accepted requests whose answer is not written yet.
     pub fn in_flight(&self) -> usize {
         let open = |c: &&Rc<Client>| {
-            let life = c.connection.get();
-            life.state() == State::Processing || life.state() == State::Answering && life.has_unwritten()
+            let connection = c.connection.get();
+            let is_answering = connection.state() == State::Answering && connection.has_unwritten();
+            connection.state() == State::Processing || is_answering
         };
         self.clients.borrow().values().filter(open).count()
     }
@@ -154,16 +169,16 @@
         self.drain.get().is_some()
     }
 
-    /// How long a request may wait that is whole now.
+    /// How long a request may wait that is complete now.
     fn wait(&self, timeout: Time) -> Time {
         self.drain.get().map_or(timeout, |drain| drain.wait(self.driver.time(Instant::now()), timeout))
     }
 
-    /// Serves until `stop`, then through the drain; returns when nothing is held.
+    /// Serves until `stop`, then shuts down; returns when no client is left.
     pub async fn accept(self: Rc<Self>, listener: TcpListener, stop: impl Future<Output = ()>) {
         let mut next = 0;
         let mut stop = pin!(stop);
-        // The other process can serve; this one leaves clients to it until it can too.
+        // The other process serves: this one accepts no clients until it can too.
         while self.link.is_shared() && !self.driver.can_serve() {
             tokio::select! {
                 () = &mut stop => return,
@@ -180,16 +195,16 @@
         let started = Instant::now();
         let (window, most) = self.door.shutdown_times();
         let nanos = |d: Duration| Time::try_from(d.as_nanos()).unwrap_or(Time::MAX);
-        let told = self.driver.time(started);
-        let drain = Drain::with_limits(told, nanos(window), self.driver.max_deadline(), nanos(most));
+        let requested_at = self.driver.time(started);
+        let drain = Drain::with_limits(requested_at, nanos(window), self.driver.max_deadline(), nanos(most));
         self.drain.set(Some(drain));
         info!("draining");
-        let door = started + window;
+        let window_end = started + window;
         self.link.on_shutdown(&self.driver);
         if self.link.is_shared() {
-            self.hand_over(door).await;
+            self.hand_over(window_end).await;
         } else {
-            self.close_the_door(listener, &mut next, door).await;
+            self.accept_until(listener, &mut next, window_end).await;
         }
         self.close_all(Close::Drain);
         let mut last = pin!(sleep_until(self.driver.instant(drain.end())));
@@ -203,38 +218,38 @@
         info!(ms, "drained in {ms} ms");
     }
 
-    /// Another process accepts from the same socket: new connections are its. Who has one here and has yet to
-    /// ask, or is in the middle of it, gets the time to.
-    async fn hand_over(&self, door: Instant) {
-        let most = self.link.role().share_of(self.max_clients);
+    /// Another process accepts from the same socket and gets the new connections. Clients that are connected here may
+    /// finish a first request.
+    async fn hand_over(&self, window_end: Instant) {
+        let max_clients = self.link.role().share_of(self.max_clients);
         self.close_all(Close::Handover);
-        while self.clients.borrow().len() > most && self.close_spare() == Some(Duration::ZERO) {
+        while self.clients.borrow().len() > max_clients && self.evict() == Some(Duration::ZERO) {
             self.client_removed.notified().await;
         }
-        sleep_until(door).await;
+        sleep_until(window_end).await;
     }
 
-    /// Nobody else listens here: clients that still come are served, then the socket goes.
-    async fn close_the_door(self: &Rc<Self>, listener: TcpListener, next: &mut u64, door: Instant) {
-        // At once, not at the end of the window: a request that crosses the close comes again on a new
-        // connection, and must find the listener open.
+    /// No other process listens here: clients are accepted until the end of the window, then the socket is closed.
+    async fn accept_until(self: &Rc<Self>, listener: TcpListener, next: &mut u64, window_end: Instant) {
+        // At once, not at the end of the window: a request that crosses the close is sent again on a new connection,
+        // and must find the listener open.
         self.close_all(Close::Drain);
-        let mut window = pin!(sleep_until(door));
+        let mut window = pin!(sleep_until(window_end));
         loop {
             tokio::select! {
                 () = &mut window => break,
                 () = self.admit(&listener, next) => {}
             }
         }
-        // What waits in the listener's queue would be reset with it.
+        // Connections in the listener's queue would be reset with it.
         while timeout(Duration::ZERO, self.admit(&listener, next)).await.is_ok() {}
     }
 
     /// Accepts one client within the descriptor budget.
     async fn admit(self: &Rc<Self>, listener: &TcpListener, next: &mut u64) {
         while self.clients.borrow().len() >= self.link.role().share_of(self.max_clients) {
-            match self.close_spare() {
-                // What it has sent may not have been looked at yet.
+            match self.evict() {
+                // Bytes that it has sent may not have been read yet.
                 Some(wait) if !wait.is_zero() => drop(timeout(wait, self.client_removed.notified()).await),
                 _ => self.client_removed.notified().await,
             }
@@ -244,32 +259,32 @@
                 let client = Client::new(self.driver.clone(), self.door.client_timeouts());
                 *next += 1;
                 self.clients.borrow_mut().insert(*next, client.clone());
-                let place = Place { server: self.clone(), number: *next };
-                spawn_local(async move { place.server.serve(stream, client).await });
+                let entry = ClientEntry { server: self.clone(), number: *next };
+                spawn_local(async move { entry.server.serve(stream, client).await });
             }
-            // Out of descriptors, or a connection that was reset in the queue. Accepting at once again would
-            // spin; what can be spared is given back first.
+            // Out of descriptors, or a connection that was reset in the queue. Accepting again at once would spin:
+            // descriptors are freed first.
             Err(_) => {
                 self.backends.drop_idle();
-                self.close_spare();
+                self.evict();
                 sleep(EMFILE_PAUSE).await;
             }
         }
     }
 
-    /// Has every client's connection close, once it is owed nothing.
+    /// Closes every client's connection once no answer is due on it.
     fn close_all(&self, why: Close) {
         self.clients.borrow().values().for_each(|c| c.close(why));
     }
 
-    /// Has the client close that can best be spared. None if every client is owed an answer; else how long to
-    /// wait before that one may go.
-    fn close_spare(&self) -> Option<Duration> {
+    /// Evicts a client. None if every client is due an answer; else how long that one is still protected.
+    fn evict(&self) -> Option<Duration> {
         let clients = self.clients.borrow();
-        let lives: Vec<(&Rc<Client>, Connection)> =
+        let connections: Vec<(&Rc<Client>, Connection)> =
             clients.values().map(|c| (c, c.connection.get())).collect();
         let now = self.driver.time(Instant::now());
-        let (client, wait) = connection::eviction_candidate(lives.iter().map(|(c, life)| (*c, life)), now)?;
+        let (client, wait) =
+            connection::eviction_candidate(connections.iter().map(|(c, connection)| (*c, connection)), now)?;
         if wait == 0 {
             client.close(Close::Evict);
         }
@@ -282,45 +297,45 @@
         }
         let accepted = Instant::now();
         let service = service_fn(|request| {
-            // Bytes of it that came behind another request stand in no head of its own.
-            let seen = client.connection.get().state() == State::Head;
+            // A head that arrived behind another request was not recorded.
+            let is_head_recorded = client.connection.get().state() == State::Head;
             client.handle(Input::Head);
             let start = if client.connection.get().has_requested() { Instant::now() } else { accepted };
             let pace = Pace { start, grace: BODY_TIMEOUT };
             let client = client.clone();
-            async move { Ok::<_, Infallible>(self.reply(request, &client, pace, seen).await) }
+            async move { Ok::<_, Infallible>(self.reply(request, &client, pace, is_head_recorded).await) }
         });
         let http = http1::Builder::new().header_read_timeout(None).max_buf_size(HEAD_BYTES).serve_connection(
             WatchedSocket { io: TokioIo::new(stream), client: client.clone(), linger: None },
             service,
         );
         let mut http = pin!(http);
-        // Looked at again when it would be due, not moved with every request.
-        let silent = self.door.client_timeouts().idle;
-        let mut patience = pin!(sleep(Duration::from_nanos(silent)));
-        let mut looks = 0;
+        // Checked again when it would be due, not reset with every request.
+        let idle = self.door.client_timeouts().idle;
+        let mut deadline = pin!(sleep(Duration::from_nanos(idle)));
+        let mut pending_checks = 0;
         loop {
             tokio::select! {
-                // First, so that a request which has arrived is read before a close.
+                // First, so that a request that has arrived is read before a close.
                 biased;
-                // Errors are the client's: it left, or sent what is no HTTP.
+                // Errors are the client's: it left, or sent no valid HTTP.
                 _ = http.as_mut() => return,
                 () = client.close.notified() => {}
-                () = &mut patience => {
+                () = &mut deadline => {
                     let now = self.driver.time(Instant::now());
-                    let left = client.connection.get().read_deadline().map_or(silent, |at| at.saturating_sub(now));
-                    if left == 0 {
+                    let remaining = client.connection.get().read_deadline().map_or(idle, |at| at.saturating_sub(now));
+                    if remaining == 0 {
                         return;
                     }
-                    patience.as_mut().reset(Instant::now() + Duration::from_nanos(left));
+                    deadline.as_mut().reset(Instant::now() + Duration::from_nanos(remaining));
                     continue;
                 }
             }
-            // What has come is read before a close: its client has written it to an open connection.
-            if looks < MAX_PENDING_CHECKS
+            // Bytes that have arrived are read before a close: the client wrote them to an open connection.
+            if pending_checks < MAX_PENDING_CHECKS
                 && matches!(client.connection.get().state(), State::Idle | State::Head)
             {
-                looks += 1;
+                pending_checks += 1;
                 client.pending_bytes.set(PendingBytes::Unknown);
                 if std::future::poll_fn(|cx| Poll::Ready(http.as_mut().poll(cx).is_ready())).await {
                     return;
@@ -331,8 +346,8 @@
                     continue;
                 }
             }
-            let why = client.close_reason.get().unwrap_or(Close::Drain);
-            match client.handle(Input::Close(why)) {
+            let reason = client.close_reason.get().unwrap_or(Close::Drain);
+            match client.handle(Input::Close(reason)) {
                 Command::Finish => http.as_mut().graceful_shutdown(),
                 Command::None if client.connection.get().state() != State::Closed => {}
                 _ => return,
@@ -340,34 +355,35 @@
         }
     }
 
-    /// `pace`: how the request's body must come. `seen`: whether its head is known as it was written.
+    /// `pace`: how fast the request's body must arrive. `is_head_recorded`: whether its head is known byte by byte.
     async fn reply(
         &self,
         request: Request<IncomingBody>,
         client: &Rc<Client>,
         pace: Pace,
-        seen: bool,
+        is_head_recorded: bool,
     ) -> Reply {
         let coded = request.headers().contains_key(TRANSFER_ENCODING);
         let bad = || plain(StatusCode::BAD_REQUEST, "");
         let mut reply = if request.headers().get_all(HOST).iter().count() > 1 {
-            // RFC 9112, 3.2: whoever reads the other one would take the request for another's.
+            // RFC 9112, section 3.2: a reader of the other one would take the request for another host's.
             bad()
-        } else if coded && seen && states_length(&client.head.borrow()) {
-            // A length beside a coding may hide a second request in the body (RFC 9112, 6.1), and hyper drops it.
+        } else if coded && is_head_recorded && states_length(&client.head.borrow()) {
+            // A length beside a coding may hide a second request in the body (RFC 9112, section 6.1), and hyper drops
+            // it.
             bad()
         } else if coded && !only_chunked(request.headers()) {
             plain(StatusCode::LENGTH_REQUIRED, "")
         } else if let Some(own) = self.door.own(&request, self.is_draining()) {
             own
         } else {
-            self.pass(request, client, pace).await.unwrap_or_else(|unsound| *unsound)
+            self.pass(request, client, pace).await.unwrap_or_else(|reply| *reply)
         };
-        // Behind these nothing is read: where the request ends is in doubt, or far off.
-        let doubt = coded && (!seen || reply.status() == StatusCode::BAD_REQUEST);
-        let cut = doubt || matches!(reply.status().as_u16(), 408 | 411 | 413);
+        // After these nothing more is read: the end of the request is in doubt, or far away.
+        let is_end_in_doubt = coded && (!is_head_recorded || reply.status() == StatusCode::BAD_REQUEST);
+        let must_close = is_end_in_doubt || matches!(reply.status().as_u16(), 408 | 411 | 413);
         let close = client.handle(Input::Reply) == Command::Answer { close: true };
-        if self.is_draining() || close || cut {
+        if self.is_draining() || close || must_close {
             reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         client.is_answer_handed_over.set(reply.body().is_end());
@@ -383,17 +399,17 @@
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
         if body.size_hint().lower() > MAX_BODY as u64 {
-            // Most of it is thrown away, so that the client gets to read the answer.
+            // Most of it is discarded, so that the client gets to read the answer.
             let _ = timeout_at(pace.start + pace.grace, discard(body)).await;
-            return Err(unsound(StatusCode::PAYLOAD_TOO_LARGE));
+            return Err(error_reply(StatusCode::PAYLOAD_TOO_LARGE));
         }
-        // Before the body: what is refused by its head takes no memory.
+        // Before the body: a request that is refused by its head takes no memory.
         let mut incoming = self.door.parse(head, arrived)?;
         if body.is_end_stream() {
             incoming.request.timeout = self.wait(incoming.request.timeout);
-            return self.in_hand(incoming, client).await;
+            return self.submit(incoming, client).await;
         }
-        // In a box: a request without a body doesn't pay for its size.
+        // Boxed: a request without a body does not pay for its size.
         Box::pin(self.with_body(incoming, Coming::new(body, pace), client)).await
     }
 
@@ -403,17 +419,17 @@
         mut body: Coming,
         client: &Client,
     ) -> Result<Response<Payload>, ErrorReply> {
-        let (first, part, open) = body.read(self.body_budget.reserve()).await.map_err(unsound)?;
+        let (first, reservation, open) = body.read(self.body_budget.reserve()).await.map_err(error_reply)?;
         if incoming.outgoing.method == Method::GET && !first.is_empty() {
-            return Err(unsound(StatusCode::BAD_REQUEST));
+            return Err(error_reply(StatusCode::BAD_REQUEST));
         }
-        // Its time counts from its last byte.
+        // Its timeout counts from its last byte.
         incoming.arrived = Instant::now();
         incoming.request.timeout = self.wait(incoming.request.timeout);
-        // Not in hand before: hundreds of half requests would hold every place.
+        // Not submitted earlier: hundreds of incomplete requests would occupy every slot.
         if !open {
-            incoming.outgoing.body = RefCell::new(Upload::Whole(first, part));
-            return self.in_hand(incoming, client).await;
+            incoming.outgoing.body = RefCell::new(Upload::Buffered(first, reservation));
+            return self.submit(incoming, client).await;
         }
         self.door.admit(&mut incoming).await?;
         let (id, timeout) = (incoming.request.id, incoming.request.timeout);
@@ -421,62 +437,59 @@
         let length = body.length();
         incoming.request.open = true;
         incoming.outgoing.timeout = Some(Duration::from_nanos(timeout));
-        incoming.outgoing.body = RefCell::new(Upload::Open(Open { first, part: Some(part), rest, length }));
-        let mut ticket = self.driver.submit(incoming).ok_or_else(|| unsound(StatusCode::BAD_REQUEST))?;
+        incoming.outgoing.body =
+            RefCell::new(Upload::Open(Open { first, part: Some(reservation), rest, length }));
+        let mut ticket = self.driver.submit(incoming).ok_or_else(|| error_reply(StatusCode::BAD_REQUEST))?;
         tokio::select! {
             biased;
-            // Before it is whole: the rest is not wanted.
+            // Answered before it is complete: the rest is not needed.
             answer = &mut ticket => {
                 let mut reply = self.door.reply(answer);
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
                 return Ok(reply);
             }
-            // Whoever stops in the middle is owed nothing: dropping the ticket ends the attempt.
-            passed = body.pass(&send) => passed.map_err(|status| unsound(self.door.aborted_body_status(status)))?,
+            // A client that stops in the middle is due nothing: dropping the ticket ends the attempt.
+            passed = body.pass(&send) => passed.map_err(|status| error_reply(self.door.aborted_body_status(status)))?,
         }
         client.handle(Input::Accepted);
         self.driver.body_completed(id, self.wait(timeout));
         Ok(self.door.reply(ticket.await))
     }
 
-    /// A whole request, from here on owed an answer.
-    async fn in_hand(
-        &self,
-        mut incoming: Incoming,
-        client: &Client,
-    ) -> Result<Response<Payload>, ErrorReply> {
+    /// Submits a complete request: from here on an answer is due.
+    async fn submit(&self, mut incoming: Incoming, client: &Client) -> Result<Response<Payload>, ErrorReply> {
         self.door.admit(&mut incoming).await?;
-        let ticket = self.driver.submit(incoming).ok_or_else(|| unsound(StatusCode::BAD_REQUEST))?;
+        let ticket = self.driver.submit(incoming).ok_or_else(|| error_reply(StatusCode::BAD_REQUEST))?;
         client.handle(Input::Accepted);
         Ok(self.door.reply(ticket.await))
     }
 }
 
-/// A client's place in the budget.
-struct Place<D: Door> {
+/// A client's entry in the server's table, removed when dropped.
+struct ClientEntry<D: Door> {
     server: Rc<Server<D>>,
     number: u64,
 }
 
-impl<D: Door> Drop for Place<D> {
+impl<D: Door> Drop for ClientEntry<D> {
     fn drop(&mut self) {
         self.server.clients.borrow_mut().remove(&self.number);
         self.server.client_removed.notify_one();
     }
 }
 
-/// Whether the only coding is the one that hyper takes off.
+/// Whether the only coding is the one that hyper decodes.
 fn only_chunked(headers: &HeaderMap) -> bool {
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     codings.next().is_some_and(|c| c.as_bytes().eq_ignore_ascii_case(b"chunked")) && codings.next().is_none()
 }
 
-/// The same to a request that goes no further.
-pub fn unsound(status: StatusCode) -> ErrorReply {
+/// An empty answer to a request that is not passed on.
+pub fn error_reply(status: StatusCode) -> ErrorReply {
     Box::new(plain(status, ""))
 }
 
-/// An answer of our own.
+/// An answer of the gateway itself.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Payload> {
     let mut reply = Response::new(Payload::Full(Full::new(Bytes::from_static(text.as_bytes()))));
     *reply.status_mut() = status;
--- a/crates/gateway/proxy/src/fronts/http1/request.rs
+++ b/crates/gateway/proxy/src/fronts/http1/request.rs
@@ -1,4 +1,4 @@
-//! A client's request: its head as it came, its body.
+//! A client's request: its recorded head, and its body.
 
 use super::{MAX_DISCARD, MIN_BODY_RATE, UPLOAD_READ_TIMEOUT};
 use crate::backends::{MAX_BODY, MAX_BUFFERED_ANSWER};
@@ -11,7 +11,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Whether a head, as it came, states a length.
+/// Whether a recorded head states a length.
 pub(super) fn states_length(raw: &[u8]) -> bool {
     let end = raw.windows(2).position(|w| w == b"\n\n");
     let end = raw.windows(3).position(|w| w == b"\n\r\n").into_iter().chain(end).min().unwrap_or(raw.len());
@@ -21,7 +21,7 @@
         .any(|l| l.len() >= name.len() && l[..name.len()].eq_ignore_ascii_case(name))
 }
 
-/// How fast a body must come.
+/// How fast a body must arrive.
 #[derive(Clone, Copy)]
 pub(super) struct Pace {
     pub(super) start: Instant,
@@ -29,14 +29,14 @@
 }
 
 impl Pace {
-    /// When more of it must have come, now that so much has.
+    /// When more of it must have arrived, now that `came` bytes have.
     fn until(self, came: usize) -> Instant {
         let earned = Duration::from_millis((came / (MIN_BODY_RATE / 1000)) as u64);
         (Instant::now() + self.grace).min(self.start + self.grace + earned)
     }
 }
 
-/// A body as it comes.
+/// A body that is arriving.
 pub(super) struct Coming {
     body: IncomingBody,
     pace: Pace,
@@ -48,7 +48,7 @@
         Coming { body, pace, came: 0 }
     }
 
-    /// The next bytes of it; none at its end.
+    /// Its next bytes; none at its end.
     async fn next(&mut self) -> Result<Option<Bytes>, StatusCode> {
         loop {
             let frame = timeout_at(self.pace.until(self.came), self.body.frame()).await;
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The whole of it in a part of the budget; or as much as there is room for, if it is open.
+    /// The whole body within the reservation; or as much as the budget allows, if it stays open.
     pub(super) async fn read(
         &mut self,
         mut part: Reservation,
@@ -73,7 +73,7 @@
         let mut came = BytesMut::with_capacity(told.min(MAX_BUFFERED_ANSWER));
         while let Some(data) = self.next().await? {
             came.extend_from_slice(&data);
-            // Up to the usual size there is always room: it is bounded by the descriptors.
+            // Up to the usual size there is always memory: it is bounded by the descriptors.
             let room = part.grow(data.len()) && came.len() <= part.max();
             if !room && came.len() > MAX_BUFFERED_ANSWER {
                 return Ok((came.freeze(), part, true));
@@ -83,12 +83,11 @@
     }
 
     pub(super) fn length(&self) -> Option<u64> {
-        // What is left of it, and what has come.
+        // What remains of it, and what has arrived.
         self.body.size_hint().exact().map(|left| left + self.came as u64)
     }
 
-    /// Passes on the rest; then an empty frame says that it is whole. A server that does not read has its
-    /// time too.
+    /// Streams the rest; an empty frame marks its end. A backend that does not read has a time limit too.
     pub(super) async fn pass(&mut self, to: &mpsc::Sender<Bytes>) -> Result<(), StatusCode> {
         loop {
             let data = self.next().await?;
@@ -97,19 +96,19 @@
             match timeout(UPLOAD_READ_TIMEOUT, to.send(data.unwrap_or_default())).await {
                 Err(_) => return Err(StatusCode::GATEWAY_TIMEOUT),
                 Ok(Ok(())) => {}
-                // The attempt is over, and the answer on its way.
+                // The attempt is over, and the answer is on its way.
                 Ok(Err(_)) => std::future::pending().await,
             }
             if whole {
                 return Ok(());
             }
-            // That was the server's time, not the client's.
+            // That was the backend's time, not the client's.
             self.pace.start += waits.elapsed();
         }
     }
 }
 
-/// Throws away what still comes, so that the client gets to read its answer.
+/// Discards what still arrives, so that the client gets to read its answer.
 pub(super) async fn discard(mut body: IncomingBody) {
     let mut thrown = 0;
     while let Some(Ok(frame)) = body.frame().await {
--- a/crates/gateway/proxy/src/fronts/mod.rs
+++ b/crates/gateway/proxy/src/fronts/mod.rs
@@ -1,4 +1,4 @@
-//! Ways in. A front parses and frames, no more.
+//! Front ends: they parse and frame, no more.
 
 mod budget;
 pub mod http1;
--- a/crates/gateway/proxy/src/handover.rs
+++ b/crates/gateway/proxy/src/handover.rs
@@ -1,5 +1,5 @@
-//! The thin link between two processes of one gateway at an upgrade: a lock that tells who lives, and a file of bans,
-//! in the folder that both are given. What they mean is settled in `handover`.
+//! The link between two processes of one gateway during an upgrade: a lock that shows which one is alive, and a file of
+//! bans, in a directory that both are given. The `handover` crate decides what they mean.
 
 use crate::driver::Driver;
 use handover::{Input, Role};
@@ -14,22 +14,22 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// How often the other process is looked for, and its bans; and what it leaves, while it is about to.
+/// How often the other process and its bans are looked for; and its state, while it is expected.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 const STATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const BANS_FILE: &str = "granitethread.bans";
 const STATE_FILE: &str = "granitethread.left";
 
 pub struct Link {
-    /// None: no folder is given, or the socket is our own, and nobody takes over.
+    /// None: no directory is given, or the socket is not inherited, and no process takes over.
     folder: Option<PathBuf>,
     role: Cell<Role>,
-    /// Held locked for as long as this process lives, once the one before it has ended.
+    /// Locked while this process is alive, once the previous one has ended.
     alive: Option<File>,
 }
 
 impl Link {
-    /// `folder`: where the other process looks too.
+    /// `folder`: the directory that both processes use.
     pub fn new(folder: Option<PathBuf>) -> Rc<Self> {
         let open =
             |f: &PathBuf| OpenOptions::new().create(true).append(true).open(f.join("granitethread.alive"));
@@ -37,7 +37,7 @@
             .as_ref()
             .and_then(|f| open(f).inspect_err(|e| warn!(cause = %e, "handover: {}: {e}", f.display())).ok());
         let other = alive.as_ref().is_some_and(|f| matches!(f.try_lock(), Err(TryLockError::WouldBlock)));
-        // Whatever lies there is not from the one that still lives.
+        // Any state file is not from the process that is still alive.
         if let Some(folder) = &folder {
             let _ = fs::remove_file(folder.join(STATE_FILE));
         }
@@ -48,7 +48,7 @@
         self.role.get()
     }
 
-    /// This process is to end: what it has learnt is left for the next.
+    /// This process shuts down: its state is left for the next.
     pub fn on_shutdown(&self, driver: &Driver) {
         self.role.set(self.role.get().after(Input::ShutdownRequested));
         if let Some(folder) = &self.folder {
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Whether another process takes the clients that this one leaves.
+    /// Whether another process takes over this one's clients.
     pub fn is_shared(&self) -> bool {
         self.folder.is_some()
     }
 
-    /// Looks for what the other process does, for as long as this one lives.
+    /// Follows the other process for as long as this one is alive.
     pub async fn follow(self: Rc<Self>, driver: Rc<Driver>) {
         let Some(folder) = &self.folder else { return };
         let (mut last, mut wrong) = (None, None);
@@ -79,7 +79,7 @@
                     last = Some(bans);
                 }
                 Ok(Some(_)) => {}
-                // Said once, not five times a second.
+                // Logged once, not five times a second.
                 Err(what) if wrong.as_ref() != Some(&what) => {
                     warn!(cause = what, "handover: bans: {what}; what is known stands");
                     wrong = Some(what);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether the one before has left what there is to go on with.
+    /// Returns whether the previous process has left its state.
     fn take_over(&self, folder: &Path, driver: &Driver) -> bool {
         let Ok(Some(text)) = read_file(folder, STATE_FILE) else { return false };
         let _ = fs::remove_file(folder.join(STATE_FILE));
@@ -109,12 +109,11 @@
         true
     }
 
-    /// Takes in what the other process has banned, has this change made, and leaves the result for both; one
-    /// process at a time.
+    /// Adopts the bans of the other process, makes a change, and writes the result for both; one process at a time.
     pub fn change<T>(&self, driver: &Rc<Driver>, change: impl FnOnce() -> T) -> (T, io::Result<()>) {
         let Some(folder) = &self.folder else { return (change(), Ok(())) };
         let turn = File::create(folder.join("granitethread.bans.turn"));
-        // Held for a moment by whoever writes; the system lets it go with its holder.
+        // Locked for a moment by the process that writes; released by the system if that dies.
         let turn = turn.and_then(|f| f.lock().map(|()| f));
         if let Ok(Some(bans)) = read(folder) {
             driver.adopt_bans(&bans);
@@ -128,7 +127,7 @@
     replace(folder, BANS_FILE, &handover::write(bans))
 }
 
-/// Whole, then in place of the old one: nobody reads half of it.
+/// Written completely, then renamed: no reader sees half of it.
 fn replace(folder: &Path, name: &str, text: &str) -> io::Result<()> {
     let new = folder.join(format!("{name}.new"));
     fs::write(&new, text)?;
@@ -140,7 +139,7 @@
     text.map(|t| handover::read(&t).map_err(|e| e.to_string())).transpose()
 }
 
-/// What is longer than any text of ours is read so far only, and fails.
+/// Reads a file up to just beyond the longest valid one, which is then refused.
 fn read_file(folder: &Path, name: &str) -> io::Result<Option<Vec<u8>>> {
     let file = match File::open(folder.join(name)) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
--- a/crates/gateway/proxy/src/list.rs
+++ b/crates/gateway/proxy/src/list.rs
@@ -1,4 +1,4 @@
-//! The list of backends as discovery words it. Plain values: the configuration holds one, the watch brings more.
+//! Discovery's list of backends, with the names of its JSON. The configuration holds one, and the watch brings more.
 
 use interface::{Health, Node, Scope};
 use serde::{Deserialize, Serialize};
@@ -15,7 +15,7 @@
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Target {
     pub uid: String,
-    /// Not an address yet: an entry that says `Gone` counts, whatever stands here.
+    /// Not parsed yet: an entry that is `Gone` counts, whatever its address.
     #[serde(default)]
     pub endpoint: String,
     #[serde(default)]
@@ -43,7 +43,7 @@
 }
 
 impl Target {
-    /// As the module knows it. A zone's number is its place in the settings.
+    /// The entry for the module. A zone's number is its index in the settings.
     pub fn node(self, zones: &[String], pools: u32) -> Node {
         let t = self;
         let zone = zones.iter().position(|z| *z == t.az).unwrap_or(zones.len());
@@ -63,7 +63,7 @@
     }
 }
 
-/// The list as it stands after all that was told, for a next process.
+/// The list after all changes, for a next process.
 #[derive(Default)]
 pub struct ListSnapshot {
     /// None before any list.
--- a/crates/gateway/proxy/tests/answers.rs
+++ b/crates/gateway/proxy/tests/answers.rs
@@ -158,7 +158,7 @@
             method: Method::POST,
             uri: Uri::from_static("/"),
             headers,
-            body: RefCell::new(Upload::Whole(vec![b'x'; body].into(), Budget::new(0).reserve())),
+            body: RefCell::new(Upload::Buffered(vec![b'x'; body].into(), Budget::new(0).reserve())),
             at_most_once: class == UNSAFE,
             ..Outgoing::default()
         };
--- a/crates/gateway/route/src/table.rs
+++ b/crates/gateway/route/src/table.rs
@@ -13,7 +13,7 @@
 //! an edit elsewhere change what a request does.)
 //!
 //! The cost of a match grows with the request (labels of its host, segments of its path) and with the routes at one
-//! host and prefix, of which there are [`MOST_LEVEL`] at most; not with the number of routes.
+//! host and prefix, of which there are [`MAX_ROUTES_PER_PREFIX`] at most; not with the number of routes.
 
 use crate::split::{Shadow, Split};
 use std::collections::HashMap;
--- a/src/bin/granitethread/api.rs
+++ b/src/bin/granitethread/api.rs
@@ -9,7 +9,7 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use proxy::backends::{Content, Outgoing};
 use proxy::driver::{Answer, Driver, Incoming};
-use proxy::fronts::http1::{plain, unsound, Door, ErrorReply, Payload};
+use proxy::fronts::http1::{error_reply, plain, Door, ErrorReply, Payload};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -109,11 +109,11 @@
 
     /// 400 if a header is missing or malformed or a figure out of its range, 404 if no route takes it.
     fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, ErrorReply> {
-        let mut request = self.figures(&head).ok_or_else(|| unsound(StatusCode::BAD_REQUEST))?;
+        let mut request = self.figures(&head).ok_or_else(|| error_reply(StatusCode::BAD_REQUEST))?;
         let place = self.routes.place(&head, request.class, &request.customer);
-        let place = place.ok_or_else(|| unsound(StatusCode::NOT_FOUND))?;
+        let place = place.ok_or_else(|| error_reply(StatusCode::NOT_FOUND))?;
         request.pool = place.pool;
-        let outgoing = outgoing(head, place.uri).ok_or_else(|| unsound(StatusCode::BAD_REQUEST))?;
+        let outgoing = outgoing(head, place.uri).ok_or_else(|| error_reply(StatusCode::BAD_REQUEST))?;
         Ok(Incoming { arrived, request, outgoing })
     }
 
--- a/src/bin/granitethread/main.rs
+++ b/src/bin/granitethread/main.rs
@@ -29,6 +29,7 @@
 use proxy::handover::Link;
 use snapshot::Snapshots;
 use std::cell::Cell;
+use std::future::Future;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -146,74 +147,54 @@
     runtime.block_on(async { spawn_local(run(config, operator)).await }).map_err(|e| format!("lost: {e}"))?
 }
 
+/// Runs the gateway, or the planner, until a signal ends it.
 async fn run(config: config::Config, operator: Operator) -> Result<(), String> {
     let signals = |kind| signal(kind).map_err(|e| format!("cannot listen for signals: {e}"));
     let (mut term, mut int) = (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
-    // Before `/ready`: from then on the signal may come, and by default it would end the process.
-    let hup = signals(SignalKind::hangup())?;
+    // Before `/ready`: from then on the signal may arrive, and by default it would end the process.
+    let reload = signals(SignalKind::hangup())?;
+    let fleet = prepare_fleet(&operator)?;
+    let leaving = fleet.clone();
     let stop = async {
         tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
+        if let Some(fleet) = leaving {
+            fleet.leave();
+        }
     };
+    match &operator.planner {
+        Some(planner) => allowance::planner::run(planner, &operator.allowances, &config.settings, stop).await,
+        None => run_gateway(config, operator, fleet, reload, stop).await,
+    }
+}
+
+/// The membership view, if it is configured; it runs from now on.
+fn prepare_fleet(operator: &Operator) -> Result<Option<Rc<Fleet>>, String> {
     let role = if operator.planner.is_some() { Role::Planner } else { Role::Gateway };
     let fleet = operator.fleet.as_ref().map(|table| Fleet::prepare(table, role)).transpose()?;
     if let Some(fleet) = &fleet {
         spawn_local(fleet.clone().run());
     }
-    let leaves = fleet.clone();
-    let stop = async {
-        stop.await;
-        if let Some(fleet) = leaves {
-            fleet.leave();
-        }
-    };
-    if let Some(planner) = &operator.planner {
-        return allowance::planner::run(planner, &operator.allowances, &config.settings, stop).await;
-    }
+    Ok(fleet)
+}
+
+async fn run_gateway(
+    config: config::Config,
+    operator: Operator,
+    fleet: Option<Rc<Fleet>>,
+    reload: Signal,
+    stop: impl Future<Output = ()>,
+) -> Result<(), String> {
     let routes = routes::Routes::new(&operator, &config.settings).map_err(|e| format!("routes: {e}"))?;
-    let settings = granitehub::Settings { pools: routes.pools(), ..config.settings };
-    let limits = backends::Limits {
-        max_connections: config.backend_sockets,
-        connect_timeout: config.connect_timeout,
-        keepalive: config.keepalive,
-        unacknowledged_timeout: None,
-        relay_overtime: None,
-    };
-    let wire = wire::Backward { most_units: settings.most_units.max(1.0) };
-    let backends = Backends::new(&limits, Box::new(wire));
-    let (routes, own, table) = (Rc::new(routes), settings.clone(), &operator.lifecycle);
-    let nanos = |d: Duration| d.as_nanos() as Time;
-    let figures = Timing {
-        way_back: nanos(table.way_back),
-        module_grace: nanos(table.module_grace),
-        key_margin: nanos(table.key_margin),
-        min_batch_interval: nanos(table.gap),
-    };
-    let pools = routes.clone();
-    let driver = Driver::new(Config {
-        settings: settings.clone(),
-        seed: config.seed,
-        timing: figures,
-        module: Box::new(move |seed, now| {
-            Gateway::new(own.clone(), seed, now).map(|g| Box::new(g) as Box<dyn Module>)
-        }),
-        backends: backends.clone(),
-        zones: config.zones,
-        pools: Box::new(move |target| pools.of(target)),
-    })?;
+    let settings = granitehub::Settings { pools: routes.pools(), ..config.settings.clone() };
+    let routes = Rc::new(routes);
+    let backends = backends_of(&config, &settings);
+    let driver = Driver::new(driver_config(&config, &operator, &settings, &routes, &backends))?;
     if let Some(forwarder) = &operator.forwarder {
         let now = driver.time(tokio::time::Instant::now());
         let setup = allowance::forwarder::prepare(forwarder, &operator.allowances, &settings, now)?;
         spawn_local(allowance::forwarder::run(setup, driver.clone()));
     }
-    let service = if settings.subscribe {
-        Service::Shared {
-            gateways: settings.gateways,
-            within: Duration::from_nanos(settings.max_poll_interval),
-        }
-    } else {
-        Service::Local
-    };
-    let mut held = config.known.as_ref().map(|known| known.rev);
+    let mut known_revision = config.known.as_ref().map(|known| known.rev);
     if operator.snapshot.is_some() {
         driver.export_list();
     }
@@ -221,21 +202,20 @@
         driver.apply_cached_list(known);
     }
     let inherited = std::env::var("LB_INHERITED_FD").ok();
-    let listener = match &inherited {
-        None => http1::listen(config.listen)?,
-        Some(number) => inherit(number).map_err(|e| format!("LB_INHERITED_FD is {number:?}: {e}"))?,
-    };
-    // Only what is inherited is shared with a process that comes after.
+    let listener = listener(config.listen, inherited.as_deref())?;
+    // Only an inherited socket is shared with a process that comes after.
     let link = Link::new(inherited.and(std::env::var_os("TMPDIR")).map(PathBuf::from));
-    let second = config.operator.map(http1::listen).transpose()?;
+    let operator_listener =
+        config.operator.map(http1::listen).transpose().map_err(|error| error.to_string())?;
     if let Ok(address) = listener.local_addr() {
         info!(%address, "listening on {address}");
     }
     let bodies = Budget::new(config.body_bytes);
     let api = Api::new(driver.clone(), routes, &settings);
-    let (room, gateway) = (config.client_sockets, driver.clone());
-    let server = Rc::new(http1::Server::new(api, gateway, backends.clone(), link.clone(), bodies, room));
-    if let Some(listener) = second {
+    let (max_clients, gateway) = (config.client_sockets, driver.clone());
+    let server =
+        Rc::new(http1::Server::new(api, gateway, backends.clone(), link.clone(), bodies, max_clients));
+    if let Some(listener) = operator_listener {
         if let Ok(address) = listener.local_addr() {
             info!(%address, "operators' calls on {address}");
         }
@@ -246,20 +226,20 @@
     let snapshots = operator
         .snapshot
         .as_ref()
-        .and_then(|table| Snapshots::begin(table, &settings, link.role(), &driver, &mut held));
+        .and_then(|table| Snapshots::begin(table, &settings, link.role(), &driver, &mut known_revision));
     if let Some(snapshots) = snapshots {
         let link = link.clone();
         spawn_local(snapshots.run(driver.clone(), move || link.role()));
     }
     spawn_local(link.follow(driver.clone()));
-    let pace = Pace::new(service, config.seed);
+    let pace = Pace::new(discovery_service(&settings), config.seed);
     let callers = Rc::new(Cell::new(None));
     if let Some(fleet) = &fleet {
         fleet.serves(&operator, &driver, settings.gateways, &callers);
     }
     // A shared service is asked for no more than what changed since: the whole list costs it work for each line.
-    let held = held.filter(|_| settings.subscribe);
-    spawn_local(follow(config.discovery, held, pace, callers, hup, driver.clone()));
+    let known_revision = known_revision.filter(|_| settings.subscribe);
+    spawn_local(follow(config.discovery, known_revision, pace, callers, reload, driver.clone()));
     spawn_local(backends.close_idle());
     let driver = spawn_local(async move { driver.run().await });
     tokio::select! {
@@ -268,7 +248,66 @@
     }
 }
 
-/// The listening socket that whoever started this process left open for it.
+fn backends_of(config: &config::Config, settings: &granitehub::Settings) -> Rc<Backends> {
+    let limits = backends::Limits {
+        max_connections: config.backend_sockets,
+        connect_timeout: config.connect_timeout,
+        keepalive: config.keepalive,
+        unacknowledged_timeout: None,
+        relay_overtime: None,
+    };
+    let wire = wire::Backward { most_units: settings.most_units.max(1.0) };
+    Backends::new(&limits, Box::new(wire))
+}
+
+fn driver_config(
+    config: &config::Config,
+    operator: &Operator,
+    settings: &granitehub::Settings,
+    routes: &Rc<routes::Routes>,
+    backends: &Rc<Backends>,
+) -> Config {
+    let nanos = |duration: Duration| duration.as_nanos() as Time;
+    let table = &operator.lifecycle;
+    let timing = Timing {
+        way_back: nanos(table.way_back),
+        module_grace: nanos(table.module_grace),
+        key_margin: nanos(table.key_margin),
+        min_batch_interval: nanos(table.gap),
+    };
+    let (module_settings, routes) = (settings.clone(), routes.clone());
+    Config {
+        settings: settings.clone(),
+        seed: config.seed,
+        timing,
+        module: Box::new(move |seed, now| {
+            let gateway = Gateway::new(module_settings.clone(), seed, now)?;
+            Ok(Box::new(gateway) as Box<dyn Module>)
+        }),
+        backends: backends.clone(),
+        zones: config.zones.clone(),
+        pools: Box::new(move |target| routes.of(target)),
+    }
+}
+
+fn discovery_service(settings: &granitehub::Settings) -> Service {
+    if settings.subscribe {
+        let within = Duration::from_nanos(settings.max_poll_interval);
+        Service::Shared { gateways: settings.gateways, within }
+    } else {
+        Service::Local
+    }
+}
+
+/// The inherited socket with this descriptor's number, or one of our own.
+fn listener(address: SocketAddr, inherited: Option<&str>) -> Result<TcpListener, String> {
+    match inherited {
+        None => http1::listen(address).map_err(|error| error.to_string()),
+        Some(number) => inherit(number).map_err(|e| format!("LB_INHERITED_FD is {number:?}: {e}")),
+    }
+}
+
+/// The listening socket that the parent process left open for this one.
 fn inherit(number: &str) -> Result<TcpListener, String> {
     let listener = inherit::listener(number)?;
     listener.set_nonblocking(true).map_err(|e| e.to_string())?;
