--- a/crates/common/quota/tests/limits.rs
+++ b/crates/common/quota/tests/limits.rs
@@ -14,7 +14,7 @@
     (0..n).map(|g| format!("g{g}")).collect()
 }
 
-/// A tenant's requests at several nodes, some of them cut off from the storage for a while; the storage changes once.
+/// A tenant's requests at several nodes, some of them isolated from the storage for a while; the storage changes once.
 /// How many passed in each 10 ms, and how many were turned away.
 fn configuration(rate: f64, asked: f64, cut: std::ops::Range<u64>, new_keeper: u64) -> (Vec<u32>, u32) {
     let (all, limits) = (names(6), limits(rate, rate));
--- a/crates/common/quota/tests/trial_throttling.rs
+++ b/crates/common/quota/tests/trial_throttling.rs
@@ -1,5 +1,5 @@
-//! A trial runs out over six gateways: nobody goes at full speed beside one that refuses, waits are alike, the pace is kept,
-//! whoever is cut off, and whoever keeps.
+//! A trial runs out over six gateways: nobody goes at full speed beside one that refuses, waits are alike, the pace is
+//! kept, whoever is isolated, and whoever keeps.
 
 use quota::{
     Decision, LeaseGrant, Limit, QueueOutcome, QueuedRequest, QuotaClient, QuotaCoordinator, Time, TrialPace,
--- a/crates/control/consensus/src/node/election.rs
+++ b/crates/control/consensus/src/node/election.rs
@@ -14,7 +14,7 @@
 /// Why and how a node campaigns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CampaignKind {
-    /// It asks whether it would be elected, so that a node that was cut off does not depose a leader that works.
+    /// It asks whether it would be elected, so that a node that was isolated does not depose a leader that works.
     PreVote,
     /// A majority would vote for it.
     Election,
@@ -97,7 +97,8 @@
     }
 
     /// Whether a candidate is not even answered: a node that hears its leader, or may have heard one just before it was
-    /// restarted, takes part in no election but one that the leader wants. It does not adopt the candidate's term either.
+    /// restarted, takes part in no election but one that the leader wants. It does not adopt the candidate's term
+    /// either.
     pub(super) fn ignores_vote_request(&self, now: Time, message: &Message) -> bool {
         let MessageBody::RequestVote { leadership_transfer, .. } = message.body else { return false };
         let heard_leader =
--- a/crates/control/consensus/tests/common/net.rs
+++ b/crates/control/consensus/tests/common/net.rs
@@ -115,7 +115,7 @@
         self.stop(name);
     }
 
-    /// It is cut off from all others, or joined again.
+    /// It is isolated from all others, or joined again.
     pub fn cut(&mut self, name: &str, off: bool) {
         let names: Vec<String> = self.members.iter().map(|m| m.id.name.clone()).collect();
         for other in names.into_iter().filter(|o| o != name) {
--- a/crates/control/consensus/tests/slow_links.rs
+++ b/crates/control/consensus/tests/slow_links.rs
@@ -57,7 +57,8 @@
     assert_eq!(net.term(), term);
 }
 
-/// `rehearsal`, seed 991: the leader repeated the last part for ever to one that had begun again in the middle of a state.
+/// `simulation`, seed 991: the leader repeated the last part for ever to one that had begun again in the middle of a
+/// state.
 #[test]
 fn restarted_node_gets_a_snapshot_transfer_from_its_start() {
     let mut net = Net::bootstrapped(5, &["a", "b", "c"]);
--- a/crates/control/consensus/tests/storage_health.rs
+++ b/crates/control/consensus/tests/storage_health.rs
@@ -168,7 +168,7 @@
 }
 
 impl Three {
-    /// There may be a leader that is cut off beside the one that this one believes in.
+    /// There may be a leader that is isolated beside the one that this one believes in.
     fn propose_to_the_leader(&mut self, command: &[u8], believes: usize) {
         let leader: usize = self.cores[believes].leader().unwrap().name.parse().unwrap();
         self.give(leader, Input::Propose { tag: 1, command: command.to_vec() });
--- a/crates/control/consensus/tests/voter_replacement.rs
+++ b/crates/control/consensus/tests/voter_replacement.rs
@@ -1,4 +1,4 @@
-//! Members are replaced, lost, cut off and come back: who votes then, and whether it goes on.
+//! Members are replaced, lost, isolated and come back: who votes then, and whether it goes on.
 
 mod common;
 
@@ -94,7 +94,7 @@
     net.run(4_000);
     assert!(net.commits_within(2_000));
     assert_eq!(net.voters(), "a b c");
-    // One alone is cut off: the newcomer has its index, and it waits when it is back. As many vote as before.
+    // One alone is isolated: the newcomer has its index, and it waits when it is back. As many vote as before.
     net.cut(other, true);
     net.run(20_000);
     assert!(!net.voters().contains(other));
--- a/crates/control/control-node/src/drains.rs
+++ b/crates/control/control-node/src/drains.rs
@@ -40,7 +40,7 @@
         if self.state.is_draining(instance) || self.has_defect(Defect::DrainForgotten) {
             return self.complete_drain(drain);
         }
-        // A node that is cut off can have nothing committed: the backend calls another gateway at once.
+        // A node that is isolated can have nothing committed: the backend calls another gateway at once.
         if !self.has_quorum_contact() || self.drains.len() >= MAX_PENDING_CALLS {
             return self.effects.push(Effect::Reply { call, reply: Reply::Unavailable });
         }
--- a/crates/control/control-node/src/heartbeats.rs
+++ b/crates/control/control-node/src/heartbeats.rs
@@ -7,9 +7,9 @@
 
 /// Heartbeats are forwarded to the other control nodes this often.
 const FORWARD_INTERVAL: Time = 400 * MS;
-/// A node that was out of contact with a majority, or stood still, for so long expires nobody: a backend that others last
-/// heard shortly before may have been silent here for one heartbeat interval and a half by then, and expires after three
-/// and a half.
+/// A node that was out of contact with a majority, or stood still, for so long expires nobody: a backend that others
+/// last heard shortly before may have been silent here for one heartbeat interval and a half by then, and expires after
+/// three and a half.
 const ISOLATION_LIMIT: Time = 1500 * MS;
 
 /// First-hand heartbeats that have yet to be forwarded.
@@ -28,7 +28,7 @@
         let (id, asks_to_drain) = (heartbeat.instance.clone(), heartbeat.draining);
         heartbeat.draining |= self.state.is_draining(&id);
         self.record_heartbeat(heartbeat, true);
-        // A node that is cut off from the majority would keep this backend from all others.
+        // A node that is isolated from the majority would keep this backend from all others.
         if !self.has_quorum_contact() {
             self.effects.push(Effect::Reply { call, reply: Reply::Unavailable });
         } else if asks_to_drain {
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Heartbeats that another node forwards. Those of backends that are not known here are asked for whole: this node may
-    /// have heard the last one a little sooner than the others, and expired the backend alone.
+    /// Heartbeats that another node forwards. Those of backends that are not known here are asked for whole: this node
+    /// may have heard the last one a little sooner than the others, and expired the backend alone.
     pub(crate) fn on_forwarded_heartbeats(
         &mut self,
         from: &str,
--- a/crates/control/control-node/tests/isolated_node.rs
+++ b/crates/control/control-node/tests/isolated_node.rs
@@ -1,4 +1,4 @@
-//! A control-plane node that is cut off from all others.
+//! A control-plane node that is isolated from all others.
 
 use consensus::{Message, MessageBody, NodeId, PersistedState, PreviousEntry};
 use control_node::{ControlNode, Effect, NodeConfig, Reply, Time};
@@ -66,7 +66,8 @@
     assert_eq!(answers(&p.take_effects()), [later(1), later(2), later(3), later(4)]);
 }
 
-/// A leader tells it that it is in touch until 3 s; the backend has beat last 1.4 s before, here, and elsewhere from then on.
+/// A leader tells it that it is in touch until 3 s; the backend has heartbeat last 1.4 s before, here, and elsewhere
+/// from then on.
 #[test]
 fn isolated_node_expires_no_backend() {
     let mut p = isolated_node();
--- a/crates/control/control-plane/src/storage/directory.rs
+++ b/crates/control/control-plane/src/storage/directory.rs
@@ -1,5 +1,5 @@
-//! The few operations that storage needs of a disk, so that a test can stand in for one: files in one directory, and their
-//! names.
+//! The few operations that storage needs of a disk, so that a test can stand in for one: files in one directory, and
+//! their names.
 
 use std::fmt::Debug;
 use std::fs::{File, OpenOptions};
@@ -24,7 +24,7 @@
     fn sync(&self) -> io::Result<()>;
 }
 
-/// An open file. What was written or cut off lasts once the file was synced.
+/// An open file. What was written or isolated lasts once the file was synced.
 pub trait DataFile: Debug + Send + Sync {
     /// Its length in bytes.
     fn len(&self) -> io::Result<u64>;
--- a/crates/control/control-state/tests/change_decisions.rs
+++ b/crates/control/control-state/tests/change_decisions.rs
@@ -44,7 +44,7 @@
 fn one_of_two_concurrent_changes_of_one_version_is_acknowledged() {
     let mut state = ControlState::new();
     taken(&mut state, 1, 0, 3, "first");
-    // Both were decided on before either was agreed on, by two who each held the duty once.
+    // Both were decided on before either was agreed on, by two who each held leadership once.
     let (one, other) = (body(3, 5, "one"), body(3, 5, "other"));
     let (first, second) = (asked(&state, &one), asked(&state, &other));
     assert_eq!(settled(&mut state, 2, &first), Decision::Acknowledged);
--- a/crates/control/control-state/tests/configuration_transfer.rs
+++ b/crates/control/control-state/tests/configuration_transfer.rs
@@ -102,7 +102,7 @@
         let new = configuration(n, body(n as u32, 3000, n as usize * 31));
         steps.record(&newest, &new);
         newest = new;
-        // One follows at once, one each fifth time, one is cut off all the while.
+        // One follows at once, one each fifth time, one is isolated all the while.
         links[0].settle(&steps, &newest);
         if n % 5 == 0 {
             links[1].settle(&steps, &newest);
--- a/crates/control/registry/tests/registry.rs
+++ b/crates/control/registry/tests/registry.rs
@@ -25,8 +25,8 @@
     assert_eq!(replica.heartbeats().map(|f| f.instance.as_str()).collect::<Vec<_>>(), ["b"]);
 }
 
-/// `rehearsal`, seed 4119: a control-plane node told another of a life that it had not heard for long, and the one that stood at that address
-/// by then was taken for over.
+/// `simulation`, seed 4119: a control-plane node told another of a life that it had not heard for long, and the one
+/// that stood at that address by then was taken for over.
 #[test]
 fn only_recently_alive_backends_are_told_to_others() {
     let mut replica = ZoneRegistry::new(S, 0);
--- a/crates/data/data-plane/src/relay.rs
+++ b/crates/data/data-plane/src/relay.rs
@@ -1,5 +1,5 @@
-//! Gateways that are cut off from all control nodes are relayed to the one that this gateway follows. What passes is not
-//! looked at.
+//! Gateways that are isolated from all control nodes are relayed to the one that this gateway follows. What passes is
+//! not looked at.
 
 use crate::gateway::Gateway;
 use process::sockets::{connect, detect_dead_peer};
--- a/crates/data/subscription/src/backoff.rs
+++ b/crates/data/subscription/src/backoff.rs
@@ -40,8 +40,8 @@
         self.0.get(ip).map(|backoff| backoff.since)
     }
 
-    /// A connection that was begun at `started` has failed. A node that did well for a while begins anew; one that fails again
-    /// and again is left alone for longer.
+    /// A connection that was begun at `started` has failed. A node that did well for a while begins anew; one that
+    /// fails again and again is left alone for longer.
     pub fn on_failure(&mut self, now: Time, ip: IpAddr, started: Time, delay: Time, timed_out: bool) {
         let before = self.0.get(&ip);
         let did_well = now.saturating_sub(started) >= STABLE_CONNECTION;
@@ -57,12 +57,12 @@
         self.0.insert(ip, backoff);
     }
 
-    /// This gateway may have been cut off anew: nodes that time out from now on may be retried again.
+    /// This gateway may have been isolated anew: nodes that time out from now on may be retried again.
     pub fn allow_retries(&mut self) {
         self.0.values_mut().for_each(|backoff| backoff.retried = false);
     }
 
-    /// Nodes that timed out before `connected` may have been there, and this gateway cut off: each is tried once more.
+    /// Nodes that timed out before `connected` may have been there, and this gateway isolated: each is tried once more.
     pub fn retry_timed_out(&mut self, now: Time, connected: Time) {
         let timed_out = |backoff: &&mut Backoff| backoff.timed_out && backoff.since < connected;
         for backoff in self.0.values_mut().filter(timed_out) {
--- a/crates/data/subscription/src/subscription.rs
+++ b/crates/data/subscription/src/subscription.rs
@@ -1,5 +1,5 @@
-//! To which control node a gateway subscribes: one of its own zone if it can be had, else any other; and what it makes of
-//! that node's updates.
+//! To which control node a gateway subscribes: one of its own zone if it can be had, else any other; and what it makes
+//! of that node's updates.
 
 use crate::backoff::Backoffs;
 use crate::freshness::Freshness;
@@ -26,7 +26,7 @@
 const TIMEOUT_BACKOFF: Time = 700 * MS;
 /// A relay is followed for so long before a control node is tried again.
 const RELAY_PERIOD: Time = 2000 * MS;
-/// So many nodes in a row that did not answer: this gateway is cut off, not they.
+/// So many nodes in a row that did not answer: this gateway is isolated, not they.
 const ISOLATION_THRESHOLD: u32 = 2;
 /// Doubtful backends are looked for this often.
 const SWEEP_INTERVAL: Time = 1000 * MS;
@@ -137,8 +137,8 @@
         act(&mut self.view)
     }
 
-    /// The node to connect to next, of these seeds and all that were heard of: one of the own zone first; of the others, any.
-    /// `draw`: a random number below that.
+    /// The node to connect to next, of these seeds and all that were heard of: one of the own zone first; of the
+    /// others, any. `draw`: a random number below that.
     pub fn next_node(
         &mut self,
         now: Time,
@@ -184,8 +184,8 @@
         self.view.configuration().map_or(0, |held| held.index)
     }
 
-    /// The try to follow this node directly, begun at `started`, has ended. Whether this gateway seems to be cut off from
-    /// control nodes, so that it is to go through other gateways.
+    /// The try to follow this node directly, begun at `started`, has ended. Whether this gateway seems to be isolated
+    /// from control nodes, so that it is to go through other gateways.
     pub fn on_disconnected(
         &mut self,
         now: Time,
--- a/crates/data/subscription/src/view/tests.rs
+++ b/crates/data/subscription/src/view/tests.rs
@@ -52,8 +52,8 @@
     assert_eq!(f.apply_snapshot(20, scene(&[], true)), [ViewChange::BackendRemoved("b".into())]);
 }
 
-/// `rehearsal`, seed 1031: a gateway that had no link for seven seconds took a backend that lived for over with the first command behind
-/// that, since it had been in doubt for long by then.
+/// `simulation`, seed 1031: a gateway that had no link for seven seconds took a backend that lived for over with the
+/// first command behind that, since it had been in doubt for long by then.
 #[test]
 fn doubtful_backends_are_not_expired_without_a_connection() {
     let mut f = View::default();
@@ -64,8 +64,8 @@
     assert_eq!(f.expire_doubtful(2 * DOUBT_TIMEOUT), [ViewChange::BackendRemoved("a".into())]);
 }
 
-/// `rehearsal`, seed 11: a young control-plane node heard of it by an earlier beat than the one that the gateway knew of, and the gateway took
-/// a backend that lived for over eight seconds later.
+/// `simulation`, seed 11: a young control-plane node heard of it by an earlier heartbeat than the one that the gateway
+/// knew of, and the gateway took a backend that lived for over eight seconds later.
 #[test]
 fn backend_named_again_is_no_longer_doubtful() {
     let mut f = View::default();
--- a/crates/data/subscription/tests/subscription.rs
+++ b/crates/data/subscription/tests/subscription.rs
@@ -1,4 +1,4 @@
-//! Which control-plane node a gateway follows, and how far it takes its command. Stories that `rehearsal` told first.
+//! Which control-plane node a gateway follows, and how far it takes its command. Stories that `simulation` told first.
 
 use control_state::{CommittedConfiguration, ConfigurationSender, DeltaHistory, CHUNK_BYTES};
 use messages::{GatewayMessage, GatewayUpdate, Greeting};
@@ -69,7 +69,8 @@
     assert!(f.freshness().is_ready(1020 * MS) && !f.freshness().is_fresh(1020 * MS));
 }
 
-/// All processes were killed: whoever begins again holds nothing, and no control-plane node is in contact with a majority yet.
+/// All processes were killed: whoever begins again holds nothing, and no control-plane node is in contact with a
+/// majority yet.
 #[test]
 fn gateway_without_a_configuration_accepts_one_without_contact() {
     let mut f = follow();
@@ -98,7 +99,8 @@
     assert!(!f.freshness().is_fresh(5 * MS) && !f.freshness().is_ready(5 * MS));
 }
 
-/// Seed 11763: a gateway in the middle of a long configuration left for its own zone's control-plane node, which was cut off, and began anew.
+/// Seed 11763: a gateway in the middle of a long configuration left for its own zone's control-plane node, which was
+/// isolated, and began anew.
 #[test]
 fn subscription_stays_while_a_configuration_is_in_transfer() {
     let mut f = follow();
@@ -149,7 +151,8 @@
     }
 }
 
-/// Seed 1543: a gateway was cut off from all; the first that it reaches again is a control machine that is cut off itself.
+/// Seed 1543: a gateway was isolated from all; the first that it reaches again is a control machine that is isolated
+/// itself.
 #[test]
 fn nodes_that_timed_out_are_retried_when_another_has_no_quorum() {
     let (mut f, seeds) = (follow(), [ip(1), ip(2), ip(3)]);
--- a/crates/testing/control-sim/src/backends.rs
+++ b/crates/testing/control-sim/src/backends.rs
@@ -1,6 +1,6 @@
-//! Backends: they beat at whichever prompter answers, leave, and must be known for as long as they live.
+//! Backends: they heartbeat at whichever control node answers, leave, and must be known for as long as they live.
 
-use crate::machine::BEAT;
+use crate::machine::HEARTBEAT_INTERVAL;
 use crate::{Time, MS};
 use fastrand::Rng;
 use registry::Heartbeat;
@@ -11,19 +11,19 @@
     pub id: String,
     address: String,
     sequence: u64,
-    /// It wants to leave: it says so with each beat, from then on.
-    pub drains: bool,
+    /// It wants to leave: it says so with each heartbeat, from then on.
+    pub is_draining: bool,
     /// Its leaving was acknowledged, and when.
-    pub drained: Option<Time>,
+    pub drained_at: Option<Time>,
     /// It has ended.
-    pub over: bool,
-    /// Since when all of its beats were acknowledged, each in time.
-    pub heard_since: Option<Time>,
+    pub has_ended: bool,
+    /// Since when all of its heartbeats were acknowledged, each in time.
+    pub acknowledged_since: Option<Time>,
     /// When the latest was.
-    pub heard: Time,
-    /// The call that is under way, and how often this beat was tried.
+    pub last_acknowledged_at: Time,
+    /// The call that is under way, and how often this heartbeat was tried.
     pub call: u64,
-    pub tries: u32,
+    pub attempts: u32,
 }
 
 impl Backend {
@@ -33,47 +33,49 @@
             id: format!("i{b}-{number}"),
             address: format!("10.8.0.{}:80", b + 1),
             sequence: 0,
-            drains: false,
-            drained: None,
-            over: false,
-            heard_since: None,
-            heard: 0,
+            is_draining: false,
+            drained_at: None,
+            has_ended: false,
+            acknowledged_since: None,
+            last_acknowledged_at: 0,
             call: 0,
-            tries: 0,
+            attempts: 0,
         }
     }
 
     /// What it says now.
-    pub fn fact(&mut self) -> Heartbeat {
+    pub fn next_heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let (id, address) = (self.id.clone(), self.address.clone());
         Heartbeat {
             instance: id,
             address,
             sequence: self.sequence,
-            draining: self.drains,
+            draining: self.is_draining,
             slots: 3,
             ..Heartbeat::default()
         }
     }
 
-    /// A beat was acknowledged.
+    /// A heartbeat was acknowledged.
     pub fn acknowledged(&mut self, now: Time) {
-        if now > self.heard + 2 * BEAT {
-            self.heard_since = None;
+        if now > self.last_acknowledged_at + 2 * HEARTBEAT_INTERVAL {
+            self.acknowledged_since = None;
         }
-        self.heard_since.get_or_insert(now);
-        self.heard = now;
-        self.tries = 0;
+        self.acknowledged_since.get_or_insert(now);
+        self.last_acknowledged_at = now;
+        self.attempts = 0;
     }
 
-    /// When it beats next.
-    pub fn pause(rng: &mut Rng) -> Time {
-        BEAT - rng.u64(..50) * MS
+    /// When it heartbeats next.
+    pub fn heartbeat_pause(rng: &mut Rng) -> Time {
+        HEARTBEAT_INTERVAL - rng.u64(..50) * MS
     }
 
     /// Since when it has been heard all the time, if it lives on.
-    pub fn lives_since(&self, now: Time) -> Option<Time> {
-        self.heard_since.filter(|_| !self.over && !self.drains && now <= self.heard + 2 * BEAT)
+    pub fn alive_since(&self, now: Time) -> Option<Time> {
+        self.acknowledged_since.filter(|_| {
+            !self.has_ended && !self.is_draining && now <= self.last_acknowledged_at + 2 * HEARTBEAT_INTERVAL
+        })
     }
 }
--- a/crates/testing/control-sim/src/ledger.rs
+++ b/crates/testing/control-sim/src/change_history.rs
@@ -1,6 +1,6 @@
 //! What is true of all orders, and what operators were told of them: what must hold of each answer.
 
-use crate::rules::Broken;
+use crate::rules::Violation;
 use crate::Time;
 use configuration::{ConfigurationError, Version};
 use control_state::{body_digest, BodyDigest, Command, DeclaredVersions, LogIndex};
@@ -9,7 +9,7 @@
 
 /// A change as an operator sends it, of so many bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Order {
+pub struct Change {
     pub base: Version,
     pub version: Version,
     /// Tells two of one number apart.
@@ -19,7 +19,7 @@
     pub alike: bool,
 }
 
-impl Order {
+impl Change {
     pub fn body(&self) -> Vec<u8> {
         let mut body = vec![0; self.bytes.max(16) as usize];
         if !self.alike {
@@ -55,8 +55,8 @@
 
 /// What a call asks for.
 #[derive(Clone, Debug)]
-pub enum Ask {
-    Replace(Order),
+pub enum Request {
+    Replace(Change),
     /// With what was acknowledged when it was sent.
     Read(Version),
 }
@@ -65,53 +65,53 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
     /// 200.
-    Taken,
+    Acknowledged,
     /// 412.
-    Other,
+    Conflict,
     /// 400.
     Invalid,
     /// 200, with what stands.
-    Stands(Option<(Version, Vec<u8>)>),
+    Current(Option<(Version, Vec<u8>)>),
     /// 307.
-    Elsewhere(String),
+    Redirect(String),
     /// 503: nothing is known.
-    Later,
+    Unavailable,
 }
 
 impl Reply {
-    /// What a prompter says.
+    /// What a control node says.
     pub fn of(reply: &control_node::Reply) -> Reply {
         match reply {
-            control_node::Reply::Acknowledged => Reply::Taken,
-            control_node::Reply::Conflict { .. } => Reply::Other,
+            control_node::Reply::Acknowledged => Reply::Acknowledged,
+            control_node::Reply::Conflict { .. } => Reply::Conflict,
             control_node::Reply::Invalid(_) => Reply::Invalid,
             control_node::Reply::Current(held) => {
-                Reply::Stands(held.as_ref().map(|c| (c.version, c.body.clone())))
+                Reply::Current(held.as_ref().map(|c| (c.version, c.body.clone())))
             }
-            control_node::Reply::Redirect(name) => Reply::Elsewhere(name.clone()),
-            control_node::Reply::Unavailable => Reply::Later,
+            control_node::Reply::Redirect(name) => Reply::Redirect(name.clone()),
+            control_node::Reply::Unavailable => Reply::Unavailable,
         }
     }
 }
 
 /// What is agreed on, folded once more without the program's code, and all that operators were told.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct ChangeHistory {
     /// What stands at each place, as a hash of its bytes.
-    places: BTreeMap<LogIndex, u64>,
+    entries: BTreeMap<LogIndex, u64>,
     /// All orders that were ever sent, by their marks.
     sent: BTreeMap<BodyDigest, Nonce>,
     /// Backends that are agreed to leave.
-    leaving: BTreeSet<String>,
+    draining: BTreeSet<String>,
     /// The newest, and since when.
-    stands: (Version, Time),
+    current: (Version, Time),
     /// Each taken order by its number and bytes, and since when.
-    taken: BTreeMap<(Version, Nonce), Time>,
+    committed: BTreeMap<(Version, Nonce), Time>,
     /// Acknowledged: number, with base and bytes.
     acknowledged: BTreeMap<Version, (Version, Nonce)>,
-    refused: BTreeSet<Order>,
+    refused: BTreeSet<Change>,
     /// When each was first acknowledged, as they came.
-    when: Vec<(Time, Version)>,
+    acknowledged_at: Vec<(Time, Version)>,
     pub counts: Counts,
 }
 
@@ -128,42 +128,42 @@
     pub drains: u32,
 }
 
-impl Ledger {
-    pub fn applied(&mut self, now: Time, place: LogIndex, word: &[u8]) -> Result<(), Broken> {
+impl ChangeHistory {
+    pub fn applied(&mut self, now: Time, place: LogIndex, word: &[u8]) -> Result<(), Violation> {
         let bytes = hash(word);
-        if let Some(known) = self.places.get(&place) {
-            return if *known == bytes { Ok(()) } else { Err(Broken::Agreed(place)) };
+        if let Some(known) = self.entries.get(&place) {
+            return if *known == bytes { Ok(()) } else { Err(Violation::Agreed(place)) };
         }
-        self.places.insert(place, bytes);
+        self.entries.insert(place, bytes);
         let (base, version, nonce) = match Command::decode(word) {
             Some(Command::ReplaceConfiguration { base, version, body }) => (base, version, nonce(&body)),
             Some(Command::ConfigurationDelta { base, version, digest: mark, .. }) => {
-                let Some(nonce) = self.sent.get(&mark) else { return Err(Broken::Agreed(place)) };
+                let Some(nonce) = self.sent.get(&mark) else { return Err(Violation::Agreed(place)) };
                 self.counts.changes += 1;
                 (base, version, *nonce)
             }
             Some(Command::Drain { instance }) => {
-                self.leaving.insert(instance);
+                self.draining.insert(instance);
                 return Ok(());
             }
             _ => return Ok(()),
         };
         let key = (version, nonce);
-        if self.taken.contains_key(&key) || base != self.stands.0 || version <= self.stands.0 {
+        if self.committed.contains_key(&key) || base != self.current.0 || version <= self.current.0 {
             return Ok(());
         }
-        let refused = |o: &Order| (o.version, o.nonce) == key;
+        let refused = |o: &Change| (o.version, o.nonce) == key;
         if let Some(order) = self.refused.iter().find(|o| refused(o)) {
-            return Err(Broken::TakenThoughRefused(order.version));
+            return Err(Violation::TakenThoughRefused(order.version));
         }
         self.counts.taken += 1;
-        self.stands = (version, now);
-        self.taken.insert(key, now);
+        self.current = (version, now);
+        self.committed.insert(key, now);
         Ok(())
     }
 
     /// An operator sends this.
-    pub fn sends(&mut self, order: &Order, body: &[u8]) {
+    pub fn sent(&mut self, order: &Change, body: &[u8]) {
         self.sent.insert(body_digest(body), order.nonce);
     }
 
@@ -171,12 +171,12 @@
     ///
     /// # Errors
     /// It was not agreed on.
-    pub fn drained(&mut self, id: &str) -> Result<(), Broken> {
+    pub fn drained(&mut self, id: &str) -> Result<(), Violation> {
         self.counts.drains += 1;
-        if self.leaving.contains(id) {
+        if self.draining.contains(id) {
             Ok(())
         } else {
-            Err(Broken::Drain(id.into()))
+            Err(Violation::Drain(id.into()))
         }
     }
 
@@ -186,66 +186,66 @@
     }
 
     /// An order was agreed on.
-    pub fn is_taken(&self, order: &Order) -> bool {
-        self.taken.contains_key(&(order.version, order.nonce))
+    pub fn is_committed(&self, order: &Change) -> bool {
+        self.committed.contains_key(&(order.version, order.nonce))
     }
 
     /// The newest that was acknowledged by this time.
     pub fn acknowledged_by(&self, at: Time) -> Version {
-        self.when.iter().rev().find(|(when, _)| *when <= at).map_or(0, |(_, version)| *version)
+        self.acknowledged_at.iter().rev().find(|(when, _)| *when <= at).map_or(0, |(_, version)| *version)
     }
 
-    /// A prompter says this to a call that came then.
-    pub fn answered(&mut self, now: Time, came: Time, ask: &Ask, reply: &Reply) -> Result<(), Broken> {
+    /// A control node says this to a call that came then.
+    pub fn answered(&mut self, now: Time, came: Time, ask: &Request, reply: &Reply) -> Result<(), Violation> {
         match (ask, reply) {
-            (_, Reply::Elsewhere(_) | Reply::Later) => Ok(()),
-            (Ask::Replace(order), Reply::Taken) => self.confirmed(now, order),
-            (Ask::Replace(order), Reply::Other | Reply::Invalid) => {
+            (_, Reply::Redirect(_) | Reply::Unavailable) => Ok(()),
+            (Request::Replace(order), Reply::Acknowledged) => self.confirmed(now, order),
+            (Request::Replace(order), Reply::Conflict | Reply::Invalid) => {
                 self.counts.refused += 1;
-                if self.is_taken(order) {
-                    return Err(Broken::RefusedThoughTaken(order.version));
+                if self.is_committed(order) {
+                    return Err(Violation::RefusedThoughTaken(order.version));
                 }
                 // Whatever is proper on top of what stands is not to be refused.
-                if order.base == self.stands.0 && self.stands.1 < came && order.version > order.base {
-                    return Err(Broken::RefusedOnNewest(order.version));
+                if order.base == self.current.0 && self.current.1 < came && order.version > order.base {
+                    return Err(Violation::RefusedOnNewest(order.version));
                 }
                 self.refused.insert(*order);
                 Ok(())
             }
-            (Ask::Read(acknowledged), Reply::Stands(held)) => {
+            (Request::Read(acknowledged), Reply::Current(held)) => {
                 self.counts.reads += 1;
                 let read = held.as_ref().map_or(0, |(v, _)| *v);
                 if read < *acknowledged {
-                    return Err(Broken::Stale { read, acknowledged: *acknowledged });
+                    return Err(Violation::Stale { read, acknowledged: *acknowledged });
                 }
                 let same = |(v, body): &(Version, Vec<u8>)| {
                     self.acknowledged.get(v).is_none_or(|(_, told)| *told == nonce(body))
                 };
                 if held.as_ref().is_some_and(|h| !same(h)) {
-                    return Err(Broken::Number(read));
+                    return Err(Violation::Number(read));
                 }
                 Ok(())
             }
-            (Ask::Replace(_), Reply::Stands(_)) | (Ask::Read(_), _) => Ok(()),
+            (Request::Replace(_), Reply::Current(_)) | (Request::Read(_), _) => Ok(()),
         }
     }
 
-    fn confirmed(&mut self, now: Time, order: &Order) -> Result<(), Broken> {
-        let Order { base, version, nonce, .. } = *order;
+    fn confirmed(&mut self, now: Time, order: &Change) -> Result<(), Violation> {
+        let Change { base, version, nonce, .. } = *order;
         match self.acknowledged.get(&version) {
-            Some((_, told)) if *told != nonce => return Err(Broken::Number(version)),
+            Some((_, told)) if *told != nonce => return Err(Violation::Number(version)),
             Some(_) => self.counts.again += 1,
             None => self.counts.acknowledged += 1,
         }
         if self.acknowledged.iter().any(|(v, (b, _))| *b == base && *v != version) {
-            return Err(Broken::Twice(base));
+            return Err(Violation::Twice(base));
         }
         let newest = self.newest().max(version);
         if self.acknowledged.insert(version, (base, nonce)).is_none() {
-            self.when.push((now, newest));
+            self.acknowledged_at.push((now, newest));
         }
-        if !self.is_taken(order) {
-            return Err(Broken::NotAgreed(version));
+        if !self.is_committed(order) {
+            return Err(Violation::NotAgreed(version));
         }
         Ok(())
     }
--- a/crates/testing/control-sim/src/system.rs
+++ b/crates/testing/control-sim/src/cluster.rs
@@ -1,12 +1,12 @@
-//! Prompters, links among them, disks, and gateways that follow, as both kinds of worlds play them: what the program's drivers
-//! do, on a simulated network. What the worlds are to look at is handed to them as [`Seen`].
+//! Control nodes, links among them, disks, and gateways that follow, as both kinds of worlds play them: what the
+//! program's drivers do, on a simulated network. What the worlds are to look at is handed to them as [`Seen`].
 
 use crate::defect::Defect;
 use crate::disks::Disks;
 use crate::gateways::{bytes, Gateway, Link};
-use crate::machine::{address, place, Machine, Told};
-use crate::net::Net;
-use crate::rules::Broken;
+use crate::machine::{address, machine_index, Machine, MachineSettings};
+use crate::network::Net;
+use crate::rules::Violation;
 use crate::{Time, MS};
 use configuration::ConfigurationError;
 use consensus::{EntryPayload, MessageBody, NodeId};
@@ -25,7 +25,7 @@
 const DIALS: Time = 100 * MS;
 /// A connection to a machine that says nothing is given up.
 const CONNECT: Time = 200 * MS;
-/// A gateway pauses where all prompters are shunned.
+/// A gateway pauses where all control nodes are shunned.
 const PAUSE: Time = 40 * MS;
 
 /// What happens. `E`: of the world's own.
@@ -43,9 +43,9 @@
     /// The disk of a machine, in that life of its, has done a write.
     Written(usize, u64, u64),
     Start(usize),
-    /// A prompter, in this life of its, dials the others, and says who it is.
+    /// A control node, in this life of its, dials the others, and says who it is.
     Links(usize, u64),
-    /// A gateway looks for a prompter to follow.
+    /// A gateway looks for a control node to follow.
     Dial(usize),
     /// It is connected to this one, in this try of its.
     Linked {
@@ -60,12 +60,12 @@
         ip: IpAddr,
         end: DisconnectReason,
     },
-    /// The prompter at the other side of a link hears that it has ended.
+    /// The control node at the other side of a link hears that it has ended.
     Unlinked {
         link: Link,
         g: usize,
     },
-    Pulse {
+    SubscriptionHeartbeat {
         g: usize,
         link: Link,
     },
@@ -110,33 +110,33 @@
 
 /// What a world is to look at.
 #[derive(Debug)]
-pub enum Seen {
+pub enum Observation {
     Applied {
-        place: LogIndex,
-        word: Vec<u8>,
+        index: LogIndex,
+        command: Vec<u8>,
     },
-    /// A prompter answers a call.
+    /// A control node answers a call.
     Answered {
         n: usize,
         call: u64,
         reply: Reply,
     },
     /// A gateway was told of rights.
-    Lent {
+    Granted {
         g: usize,
         lent: LeaseGrant,
     },
     /// It was told of something else.
-    News {
+    ViewChanged {
         g: usize,
-        news: Vec<ViewChange>,
+        changes: Vec<ViewChange>,
     },
 }
 
 /// What a machine reads a configuration with.
 pub type Check = fn(&[u8]) -> Result<DeclaredVersions, ConfigurationError>;
 
-pub struct System<E> {
+pub struct Cluster<E> {
     pub rng: Rng,
     pub defect: Option<Defect>,
     pub now: Time,
@@ -151,14 +151,14 @@
     pub disks: Disks,
     pub gateways: Vec<Gateway>,
     check: Check,
-    /// Links among prompters that stand, with the lives at both ends, and when they said who they are.
+    /// Links among control nodes that stand, with the lives at both ends, and when they said who they are.
     links: BTreeMap<(usize, usize), ((u64, u64), Time)>,
-    pub seen: VecDeque<Seen>,
+    pub seen: VecDeque<Observation>,
 }
 
-impl<E> System<E> {
+impl<E> Cluster<E> {
     pub fn new(rng: Rng, defect: Option<Defect>, check: Check) -> Self {
-        System {
+        Cluster {
             rng,
             defect,
             now: 0,
@@ -177,7 +177,7 @@
     }
 
     /// One more machine; it starts when [`Event::Start`] says so.
-    pub fn add(&mut self, votes: bool, told: Told) -> usize {
+    pub fn add(&mut self, votes: bool, told: MachineSettings) -> usize {
         let n = self.machines.len();
         self.machines.push(Machine::new(n, votes, told, self.defect));
         self.wakes.push(Time::MAX);
@@ -200,7 +200,7 @@
         Some(event)
     }
 
-    /// Gateways look for prompters, from the beginning on.
+    /// Gateways look for control nodes, from the beginning on.
     pub fn begin(&mut self) {
         for g in 0..self.gateways.len() {
             let at = self.rng.u64(..300) * MS;
@@ -217,13 +217,13 @@
     ///
     /// # Errors
     /// A rule was broken.
-    pub fn step(&mut self, event: Event<E>) -> Result<Option<E>, Broken> {
+    pub fn step(&mut self, event: Event<E>) -> Result<Option<E>, Violation> {
         match event {
             Event::World(event) => return Ok(Some(event)),
             Event::Peer { from, to, lives, sent, peer } => {
                 if let Some(thaws) = self.thaws(to) {
                     self.at(thaws, Event::Peer { from, to, lives, sent, peer });
-                } else if self.net.arrives(from, to, sent) && self.machines[to].life == lives.1 {
+                } else if self.net.arrives(from, to, sent) && self.machines[to].starts == lives.1 {
                     let now = self.now;
                     // Who says it is told by the connection's first word.
                     let id = NodeId { name: address(from), disk_id: 0 };
@@ -235,7 +235,7 @@
                 self.work(n)?;
             }
             Event::Written(n, life, number) => {
-                if self.machines[n].life == life && self.machines[n].is_up() {
+                if self.machines[n].starts == life && self.machines[n].is_up() {
                     if let Some(thaws) = self.thaws(n) {
                         self.at(thaws, Event::Written(n, life, number));
                     } else {
@@ -246,29 +246,29 @@
                 }
             }
             Event::Start(n) => self.start(n)?,
-            Event::Links(n, life) => self.say_hello(n, life),
+            Event::Links(n, life) => self.greet_others(n, life),
             Event::Dial(g) => self.dial(g),
             Event::Linked { g, number, ip } => self.linked(g, number, ip)?,
             Event::Ended { g, number, ip, end } => self.ended(g, number, ip, end),
             Event::Unlinked { link, g } => {
-                if self.machines[link.at].life == link.life {
+                if self.machines[link.machine].starts == link.machine_start {
                     let name = self.gateways[g].name.clone();
-                    self.machines[link.at].with(|p| p.unsubscribe(&name, link.theirs));
+                    self.machines[link.machine].with(|p| p.unsubscribe(&name, link.remote_number));
                 }
             }
-            Event::Pulse { g, link } => self.pulse(g, link)?,
+            Event::SubscriptionHeartbeat { g, link } => self.subscription_heartbeat(g, link)?,
             Event::Down { g, number, down } => self.down(g, number, down),
             Event::Up { g, link, up } => {
-                let (to, name, now) = (link.at, self.gateways[g].name.clone(), self.now);
+                let (to, name, now) = (link.machine, self.gateways[g].name.clone(), self.now);
                 if let Some(thaws) = self.thaws(to) {
                     self.at(thaws, Event::Up { g, link, up });
-                } else if self.machines[to].life == link.life {
-                    self.with(to, |p| p.on_gateway_message(now, &name, link.theirs, *up))?;
+                } else if self.machines[to].starts == link.machine_start {
+                    self.with(to, |p| p.on_gateway_message(now, &name, link.remote_number, *up))?;
                 }
             }
             Event::Silent { g, number } => {
                 let gateway = &self.gateways[g];
-                let (ends, awake) = (gateway.heard + SILENCE_TIMEOUT, gateway.asleep);
+                let (ends, awake) = (gateway.last_heard_at + SILENCE_TIMEOUT, gateway.suspended_until);
                 if gateway.link.is_some_and(|l| l.number == number) {
                     if ends.max(awake) > self.now {
                         self.at(ends.max(awake), Event::Silent { g, number });
@@ -287,7 +287,7 @@
     ///
     /// # Errors
     /// A rule was broken.
-    pub fn with(&mut self, n: usize, act: impl FnOnce(&mut ControlNode)) -> Result<(), Broken> {
+    pub fn with(&mut self, n: usize, act: impl FnOnce(&mut ControlNode)) -> Result<(), Violation> {
         if self.machines[n].runs(self.now) {
             self.machines[n].with(act);
             self.work(n)?;
@@ -299,13 +299,13 @@
     ///
     /// # Errors
     /// A rule was broken.
-    pub fn work(&mut self, n: usize) -> Result<(), Broken> {
+    pub fn work(&mut self, n: usize) -> Result<(), Violation> {
         if !self.machines[n].runs(self.now) {
             return Ok(());
         }
         self.carry_out(n)?;
         let (now, wall) = (self.now, self.machines[n].wall(self.now, self.began));
-        if self.machines[n].prompter().is_some_and(|p| p.has_ready_input() || p.next_due() <= now) {
+        if self.machines[n].node().is_some_and(|p| p.has_ready_input() || p.next_due() <= now) {
             self.machines[n].with(|p| p.advance(now, wall));
             self.carry_out(n)?;
         }
@@ -317,13 +317,13 @@
         Ok(())
     }
 
-    fn carry_out(&mut self, n: usize) -> Result<(), Broken> {
+    fn carry_out(&mut self, n: usize) -> Result<(), Violation> {
         let mut news = false;
         loop {
             let (effects, applied) = self.machines[n].effects()?;
             for applied in applied {
                 if let AppliedRecord::Command(place, word) = applied {
-                    self.seen.push_back(Seen::Applied { place, word });
+                    self.seen.push_back(Observation::Applied { index: place, command: word });
                 }
             }
             if effects.is_empty() {
@@ -331,10 +331,12 @@
             }
             for effect in effects {
                 match effect {
-                    Effect::SendToNode { to, message: peer } => self.tell(n, place(&to), peer),
+                    Effect::SendToNode { to, message: peer } => {
+                        self.send_to_node(n, machine_index(&to), peer)
+                    }
                     Effect::Broadcast { message: peer } => {
                         let all: Vec<usize> = self.others(n);
-                        all.into_iter().for_each(|to| self.tell(n, to, peer.clone()));
+                        all.into_iter().for_each(|to| self.send_to_node(n, to, peer.clone()));
                     }
                     Effect::SendToGateway { gateway, update: down } => {
                         if let Some(g) = self.gateways.iter().position(|g| g.name == gateway) {
@@ -343,38 +345,40 @@
                     }
                     Effect::ChunkWindowOpened { gateway } => {
                         if let Some(g) = self.gateways.iter().position(|g| g.name == gateway) {
-                            self.tell_follower(g, n);
+                            self.update_subscriber(g, n);
                         }
                     }
                     Effect::NotifySubscribers => news = true,
                     Effect::Persist { number, request: work } => {
                         let (life, done) =
-                            (self.machines[n].life, self.disks.write_done(n, self.now, &mut self.rng));
-                        self.machines[n].begin(number, work);
+                            (self.machines[n].starts, self.disks.write_done(n, self.now, &mut self.rng));
+                        self.machines[n].begin_write(number, work);
                         self.at(done, Event::Written(n, life, number));
                     }
                     Effect::Validate { change: job, body } => {
                         let (read, now) = ((self.check)(&body), self.now);
                         self.machines[n].with(|p| p.on_validated(now, job, Some(read)));
                     }
-                    Effect::Reply { call, reply } => self.seen.push_back(Seen::Answered { n, call, reply }),
+                    Effect::Reply { call, reply } => {
+                        self.seen.push_back(Observation::Answered { n, call, reply })
+                    }
                 }
             }
         }
         if news {
-            (0..self.gateways.len()).for_each(|g| self.tell_follower(g, n));
+            (0..self.gateways.len()).for_each(|g| self.update_subscriber(g, n));
         }
         Ok(())
     }
 
-    fn start(&mut self, n: usize) -> Result<(), Broken> {
-        if self.machines[n].is_up() || self.machines[n].gone {
+    fn start(&mut self, n: usize) -> Result<(), Violation> {
+        if self.machines[n].is_up() || self.machines[n].is_removed {
             return Ok(());
         }
         let (seed, now) = (self.rng.u64(..), self.now);
         self.machines[n].start(now, seed);
         self.wakes[n] = Time::MAX;
-        let (life, dials) = (self.machines[n].life, self.rng.u64(..DIALS));
+        let (life, dials) = (self.machines[n].starts, self.rng.u64(..DIALS));
         self.at(now + dials, Event::Links(n, life));
         self.work(n)
     }
@@ -387,27 +391,27 @@
         let writes = self.rng.usize(..=self.machines[n].writes());
         self.machines[n].stop(writes);
         for g in 0..self.gateways.len() {
-            if self.gateways[g].link.is_some_and(|l| l.at == n) {
+            if self.gateways[g].link.is_some_and(|l| l.machine == n) {
                 let (number, ip) = (self.gateways[g].number, ip(n));
-                // Where it is cut off it hears nothing of it.
-                if self.gateways[g].cut_until <= self.now {
+                // Where it is isolated it hears nothing of it.
+                if self.gateways[g].isolated_until <= self.now {
                     self.at(self.now + MS, Event::Ended { g, number, ip, end: DisconnectReason::Lost });
                 }
             }
         }
     }
 
-    // ---- Among prompters ----
+    // ---- Among control nodes ----
 
     /// Other machines that this one knows of.
     fn others(&self, n: usize) -> Vec<usize> {
-        let known = self.machines[n].prompter().map(ControlNode::known_nodes).unwrap_or_default();
-        let known = known.iter().map(|(name, _)| place(name));
+        let known = self.machines[n].node().map(ControlNode::known_nodes).unwrap_or_default();
+        let known = known.iter().map(|(name, _)| machine_index(name));
         known.filter(|m| *m != n && *m < self.machines.len()).collect()
     }
 
-    fn say_hello(&mut self, n: usize, life: u64) {
-        if self.machines[n].life != life || !self.machines[n].is_up() {
+    fn greet_others(&mut self, n: usize, life: u64) {
+        if self.machines[n].starts != life || !self.machines[n].is_up() {
             return;
         }
         let now = self.now;
@@ -417,32 +421,32 @@
             return;
         }
         for m in self.others(n) {
-            let lives = (life, self.machines[m].life);
+            let lives = (life, self.machines[m].starts);
             let held = self.links.get(&(n, m)).filter(|(l, at)| *l == lives && self.net.arrives(n, m, *at));
             let held = held.map(|(_, at)| *at);
             if held.is_some_and(|at| now < at + HELLO_INTERVAL) {
                 continue;
             }
-            if held.is_none() && (!self.machines[m].runs(now) || !self.net.joined(n, m, now)) {
+            if held.is_none() && (!self.machines[m].runs(now) || !self.net.is_connected(n, m, now)) {
                 self.links.remove(&(n, m));
                 continue;
             }
             self.links.insert((n, m), (lives, now));
             let wall = self.machines[n].wall(now, self.began);
-            let Some(p) = self.machines[n].prompter() else { continue };
+            let Some(p) = self.machines[n].node() else { continue };
             let (beats, hello) = (p.all_heartbeats(now), p.hello(wall));
             if held.is_none() {
-                self.tell(n, m, beats);
+                self.send_to_node(n, m, beats);
             }
-            self.tell(n, m, hello);
+            self.send_to_node(n, m, hello);
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, peer: ControlMessage) {
+    fn send_to_node(&mut self, from: usize, to: usize, peer: ControlMessage) {
         if to >= self.machines.len() || !self.machines[to].is_up() {
             return;
         }
-        let lives = (self.machines[from].life, self.machines[to].life);
+        let lives = (self.machines[from].starts, self.machines[to].starts);
         if self.links.get(&(from, to)).is_none_or(|(linked, _)| *linked != lives) {
             return;
         }
@@ -456,22 +460,23 @@
 
     fn dial(&mut self, g: usize) {
         let (now, gateway) = (self.now, &mut self.gateways[g]);
-        if gateway.asleep > now {
-            let awake = gateway.asleep;
+        if gateway.suspended_until > now {
+            let awake = gateway.suspended_until;
             return self.at(awake, Event::Dial(g));
         }
         let seeds = gateway.seeds.clone();
         let rng = &mut self.rng;
-        let Some(NextNode { ip, is_backed_off }) = gateway.follow.next_node(now, &seeds, |n| rng.usize(..n))
+        let Some(NextNode { ip, is_backed_off }) =
+            gateway.subscription.next_node(now, &seeds, |n| rng.usize(..n))
         else {
             return self.at(now + PAUSE, Event::Dial(g));
         };
         gateway.number += 1;
-        let (number, n) = (gateway.number, place(&ip.to_string()));
-        let cut = gateway.cut_until > now;
+        let (number, n) = (gateway.number, machine_index(&ip.to_string()));
+        let cut = gateway.isolated_until > now;
         let wait = if is_backed_off { PAUSE + self.rng.u64(..PAUSE) } else { 0 };
-        self.gateways[g].began = now + wait;
-        let there = n < self.machines.len() && !self.machines[n].gone;
+        self.gateways[g].attempt_started_at = now + wait;
+        let there = n < self.machines.len() && !self.machines[n].is_removed;
         let event = match there {
             true if !cut && self.machines[n].is_up() => Event::Linked { g, number, ip },
             true if !cut => Event::Ended { g, number, ip, end: DisconnectReason::Refused },
@@ -485,13 +490,13 @@
     }
 
     /// The connection is there; the first word goes out on it. One that stands still hears it later.
-    fn linked(&mut self, g: usize, number: u64, ip: IpAddr) -> Result<(), Broken> {
+    fn linked(&mut self, g: usize, number: u64, ip: IpAddr) -> Result<(), Violation> {
         let now = self.now;
-        let n = place(&ip.to_string());
+        let n = machine_index(&ip.to_string());
         if self.gateways[g].number != number {
             return Ok(());
         }
-        if !self.machines[n].is_up() || self.gateways[g].cut_until > now {
+        if !self.machines[n].is_up() || self.gateways[g].isolated_until > now {
             self.ended(g, number, ip, DisconnectReason::Lost);
             return Ok(());
         }
@@ -511,25 +516,25 @@
             configuration_index: holds,
             contact_number: contact,
             ..
-        } = gateway.follow.on_connected(now, ip, true)
+        } = gateway.subscription.on_connected(now, ip, true)
         else {
             return Ok(());
         };
-        gateway.heard = now;
-        let life = self.machines[n].life;
+        gateway.last_heard_at = now;
+        let life = self.machines[n].starts;
         let theirs = self.machines[n].with(|p| p.subscribe(&name, place, holds, contact)).unwrap_or(0);
-        let link = Link { number, at: n, life, theirs };
+        let link = Link { number, machine: n, machine_start: life, remote_number: theirs };
         self.gateways[g].link = Some(link);
         self.at(now + SILENCE_TIMEOUT, Event::Silent { g, number });
-        self.at(now, Event::Pulse { g, link });
-        self.tell_follower(g, n);
+        self.at(now, Event::SubscriptionHeartbeat { g, link });
+        self.update_subscriber(g, n);
         Ok(())
     }
 
     /// The gateway's link ends, by its own will.
     fn end_link(&mut self, g: usize, end: DisconnectReason) {
         let Some(link) = self.gateways[g].link else { return };
-        let (joined, ip) = (self.now.max(self.gateways[g].cut_until), ip(link.at));
+        let (joined, ip) = (self.now.max(self.gateways[g].isolated_until), ip(link.machine));
         self.at(joined + MS, Event::Unlinked { link, g });
         self.ended(g, link.number, ip, end);
     }
@@ -540,14 +545,14 @@
         if gateway.number != number {
             return;
         }
-        if gateway.asleep > now {
-            let awake = gateway.asleep;
+        if gateway.suspended_until > now {
+            let awake = gateway.suspended_until;
             return self.at(awake, Event::Ended { g, number, ip, end });
         }
         gateway.number += 1;
         gateway.link = None;
-        gateway.busy = now;
-        gateway.follow.on_disconnected(now, ip, gateway.began, end);
+        gateway.link_busy_until = now;
+        gateway.subscription.on_disconnected(now, ip, gateway.attempt_started_at, end);
         self.at(now, Event::Dial(g));
     }
 
@@ -555,53 +560,56 @@
     pub fn restart_gateway(&mut self, g: usize) {
         let now = self.now;
         if let Some(link) = self.gateways[g].link {
-            self.at(now.max(self.gateways[g].cut_until) + MS, Event::Unlinked { link, g });
+            self.at(now.max(self.gateways[g].isolated_until) + MS, Event::Unlinked { link, g });
         }
-        self.gateways[g].begin_anew();
+        self.gateways[g].restart();
         let at = now + self.rng.u64(1..100) * MS;
         self.at(at, Event::Dial(g));
     }
 
-    fn pulse(&mut self, g: usize, link: Link) -> Result<(), Broken> {
-        let (n, now) = (link.at, self.now);
-        if self.machines[n].life != link.life || !self.machines[n].is_up() {
+    fn subscription_heartbeat(&mut self, g: usize, link: Link) -> Result<(), Violation> {
+        let (n, now) = (link.machine, self.now);
+        if self.machines[n].starts != link.machine_start || !self.machines[n].is_up() {
             return Ok(());
         }
         if let Some(thaws) = self.thaws(n) {
-            self.at(thaws, Event::Pulse { g, link });
+            self.at(thaws, Event::SubscriptionHeartbeat { g, link });
             return Ok(());
         }
         let name = self.gateways[g].name.clone();
-        if let Some(Some(pulse)) = self.machines[n].with(|p| p.heartbeat_update(now, &name, link.theirs)) {
-            self.at(now + UPDATE_INTERVAL, Event::Pulse { g, link });
-            self.tell_follower(g, n);
+        if let Some(Some(pulse)) =
+            self.machines[n].with(|p| p.heartbeat_update(now, &name, link.remote_number))
+        {
+            self.at(now + UPDATE_INTERVAL, Event::SubscriptionHeartbeat { g, link });
+            self.update_subscriber(g, n);
             self.send_down(g, n, pulse);
         }
         self.work(n)
     }
 
-    /// Whatever this prompter has to tell a gateway that follows it.
-    fn tell_follower(&mut self, g: usize, n: usize) {
-        let Some(link) = self.gateways[g].link.filter(|l| l.at == n && l.life == self.machines[n].life)
+    /// Whatever this control node has to tell a gateway that follows it.
+    fn update_subscriber(&mut self, g: usize, n: usize) {
+        let Some(link) =
+            self.gateways[g].link.filter(|l| l.machine == n && l.machine_start == self.machines[n].starts)
         else {
             return;
         };
         let (now, name) = (self.now, self.gateways[g].name.clone());
-        if let Some(Some(news)) = self.machines[n].with(|p| p.next_update(now, &name, link.theirs)) {
+        if let Some(Some(news)) = self.machines[n].with(|p| p.next_update(now, &name, link.remote_number)) {
             self.send_down(g, n, news);
         }
-        while let Some(Some(part)) = self.machines[n].with(|p| p.next_chunk(&name, link.theirs)) {
+        while let Some(Some(part)) = self.machines[n].with(|p| p.next_chunk(&name, link.remote_number)) {
             self.send_down(g, n, part);
         }
     }
 
     fn send_down(&mut self, g: usize, n: usize, down: GatewayUpdate) {
-        let Some(link) = self.gateways[g].link.filter(|l| l.at == n) else { return };
+        let Some(link) = self.gateways[g].link.filter(|l| l.machine == n) else { return };
         let now = self.now;
         let delay = MS / 2 + self.rng.u64(..2 * MS);
         let gateway = &mut self.gateways[g];
-        // What is sent while it is cut off comes behind that, if the connection still stands.
-        gateway.busy = gateway.busy.max(gateway.cut_until);
+        // What is sent while it is isolated comes behind that, if the connection still stands.
+        gateway.link_busy_until = gateway.link_busy_until.max(gateway.isolated_until);
         let at = gateway.arrives(now, bytes(&down), delay);
         self.at(at, Event::Down { g, number: link.number, down: Box::new(down) });
     }
@@ -609,37 +617,41 @@
     fn down(&mut self, g: usize, number: u64, down: Box<GatewayUpdate>) {
         let now = self.now;
         let gateway = &mut self.gateways[g];
-        if gateway.asleep > now {
-            let awake = gateway.asleep;
+        if gateway.suspended_until > now {
+            let awake = gateway.suspended_until;
             return self.at(awake, Event::Down { g, number, down });
         }
         let Some(link) = gateway.link.filter(|l| l.number == number) else { return };
-        if gateway.cut_until > now {
-            let joined = gateway.cut_until;
+        if gateway.isolated_until > now {
+            let joined = gateway.isolated_until;
             return self.at(joined, Event::Down { g, number, down });
         }
-        gateway.heard = now;
-        for effect in gateway.follow.on_update(now, *down, Vec::new) {
+        gateway.last_heard_at = now;
+        for effect in gateway.subscription.on_update(now, *down, Vec::new) {
             match effect {
-                subscription::Effect::Changed(news) => self.seen.push_back(Seen::News { g, news }),
-                subscription::Effect::LeaseGrant(lent) => self.seen.push_back(Seen::Lent { g, lent }),
-                subscription::Effect::Send(up) => self.say(g, link, up),
+                subscription::Effect::Changed(news) => {
+                    self.seen.push_back(Observation::ViewChanged { g, changes: news })
+                }
+                subscription::Effect::LeaseGrant(lent) => {
+                    self.seen.push_back(Observation::Granted { g, lent })
+                }
+                subscription::Effect::Send(up) => self.send_to_control_node(g, link, up),
                 subscription::Effect::Disconnect(end) => return self.end_link(g, end),
             }
         }
     }
 
-    /// A gateway says something to the prompter that it follows.
-    pub fn say(&mut self, g: usize, link: Link, up: GatewayMessage) {
-        let joined = self.now.max(self.gateways[g].cut_until);
+    /// A gateway says something to the control node that it follows.
+    pub fn send_to_control_node(&mut self, g: usize, link: Link, up: GatewayMessage) {
+        let joined = self.now.max(self.gateways[g].isolated_until);
         let delay = MS / 2 + self.rng.u64(..2 * MS);
         self.at(joined + delay, Event::Up { g, link, up: Box::new(up) });
     }
 
     /// Who leads, as the newest term has it.
     pub fn leader(&self) -> Option<usize> {
-        let leads = (0..self.machines.len()).filter(|n| self.machines[*n].leads());
-        leads.max_by_key(|n| self.machines[*n].duty().map(|d| d.term))
+        let leads = (0..self.machines.len()).filter(|n| self.machines[*n].is_leader());
+        leads.max_by_key(|n| self.machines[*n].leadership().map(|d| d.term))
     }
 }
 
--- a/crates/testing/control-sim/src/defect.rs
+++ b/crates/testing/control-sim/src/defect.rs
@@ -3,8 +3,8 @@
 /// A way to get it wrong.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// In a prompter itself.
-    Prompter(control_node::Defect),
+    /// In a control node itself.
+    ControlNode(control_node::Defect),
     /// A machine whose disk was lost comes back as the voter that it was.
     WipedVotes,
     /// A gateway that is alone passes whatever comes.
@@ -18,7 +18,7 @@
     /// A slowed tenant's requests go without a turn.
     PaceIgnored,
     /// At its start one takes its snapshot and nothing of the log behind it.
-    LogCutAtStart,
+    LogTruncatedAtStart,
 }
 
 impl Defect {
@@ -31,15 +31,15 @@
             Defect::FullWhileAlone,
             Defect::RefusedAtOnce,
             Defect::PaceIgnored,
-            Defect::LogCutAtStart,
+            Defect::LogTruncatedAtStart,
         ];
-        control_node::Defect::ALL.into_iter().map(Defect::Prompter).chain(own)
+        control_node::Defect::ALL.into_iter().map(Defect::ControlNode).chain(own)
     }
 
-    /// As it is planted in a prompter; none: it is planted in the world.
+    /// As it is planted in a control node; none: it is planted in the world.
     pub fn planted(self) -> Option<control_node::Defect> {
         match self {
-            Defect::Prompter(planted) => Some(planted),
+            Defect::ControlNode(planted) => Some(planted),
             _ => None,
         }
     }
@@ -47,7 +47,7 @@
     /// Its name on a command line.
     pub fn name(self) -> String {
         let told = match self {
-            Defect::Prompter(planted) => format!("{planted:?}"),
+            Defect::ControlNode(planted) => format!("{planted:?}"),
             own => format!("{own:?}"),
         };
         let mut name = String::new();
--- a/crates/testing/control-sim/src/gateways.rs
+++ b/crates/testing/control-sim/src/gateways.rs
@@ -1,39 +1,39 @@
-//! Gateways that follow prompters: the program's own [`subscription::Follow`], with simulated links.
+//! Gateways that follow control nodes: the program's own [`subscription::Follow`], with simulated links.
 
 use crate::machine::address;
 use crate::Time;
 use std::net::{IpAddr, Ipv4Addr};
 use subscription::{Subscription, SubscriptionConfig};
 
-/// A link to a prompter.
+/// A link to a control node.
 #[derive(Clone, Copy, Debug)]
 pub struct Link {
     /// Tells this gateway's tries apart.
     pub number: u64,
-    /// The machine, in that life of its, and the prompter's number of the link.
-    pub at: usize,
-    pub life: u64,
-    pub theirs: u64,
+    /// The machine, in that life of its, and the control node's number of the link.
+    pub machine: usize,
+    pub machine_start: u64,
+    pub remote_number: u64,
 }
 
 pub struct Gateway {
     pub name: String,
     setup: SubscriptionConfig,
-    pub follow: Subscription,
+    pub subscription: Subscription,
     pub link: Option<Link>,
     /// Tries so far.
     pub number: u64,
     /// When the latest began, and whom it is to.
-    pub began: Time,
-    pub heard: Time,
-    /// It reaches no prompter until then.
-    pub cut_until: Time,
+    pub attempt_started_at: Time,
+    pub last_heard_at: Time,
+    /// It reaches no control node until then.
+    pub isolated_until: Time,
     /// It stands still until then.
-    pub asleep: Time,
+    pub suspended_until: Time,
     /// Bytes a second of its link; none: as fast as they come.
     pub rate: Option<f64>,
     /// When what is on its way to it will have come.
-    pub busy: Time,
+    pub link_busy_until: Time,
     pub seeds: Vec<IpAddr>,
 }
 
@@ -44,41 +44,41 @@
         let setup = SubscriptionConfig { name: name.clone(), zone: zone.into(), ip };
         let mut gateway = Gateway {
             name,
-            follow: Subscription::new(setup.clone()),
+            subscription: Subscription::new(setup.clone()),
             setup,
             link: None,
             number: 0,
-            began: 0,
-            heard: 0,
-            cut_until: 0,
-            asleep: 0,
+            attempt_started_at: 0,
+            last_heard_at: 0,
+            isolated_until: 0,
+            suspended_until: 0,
             rate: None,
-            busy: 0,
+            link_busy_until: 0,
             seeds: Vec::new(),
         };
-        gateway.tell_seeds(seeds);
+        gateway.set_seeds(seeds);
         gateway
     }
 
     /// Three of these at the most.
-    pub fn tell_seeds(&mut self, seeds: &[usize]) {
+    pub fn set_seeds(&mut self, seeds: &[usize]) {
         self.seeds = seeds.iter().take(3).filter_map(|n| address(*n).parse().ok()).collect();
     }
 
     /// Another process of the same name. What was meant for the one before is nobody's.
-    pub fn begin_anew(&mut self) {
-        self.follow = Subscription::new(self.setup.clone());
+    pub fn restart(&mut self) {
+        self.subscription = Subscription::new(self.setup.clone());
         self.link = None;
         self.number += 1;
-        self.busy = 0;
+        self.link_busy_until = 0;
     }
 
     /// When it hears something of so many bytes that is sent now, behind what is on its way.
     pub fn arrives(&mut self, now: Time, bytes: usize, delay: Time) -> Time {
         let takes = self.rate.map_or(0.0, |rate| bytes as f64 / rate * 1e9) as Time;
-        self.busy = self.busy.max(now) + takes;
-        self.busy = self.busy.max(now + delay);
-        self.busy
+        self.link_busy_until = self.link_busy_until.max(now) + takes;
+        self.link_busy_until = self.link_busy_until.max(now + delay);
+        self.link_busy_until
     }
 }
 
@@ -87,11 +87,11 @@
     use messages::GatewayUpdate;
     match down {
         GatewayUpdate::ConfigurationChunk(part) => 60 + part.bytes.len(),
-        GatewayUpdate::Snapshot { snapshot: scene, .. } => {
-            60 + 120 * scene.backends.len() + 20 * scene.draining.len()
+        GatewayUpdate::Snapshot { snapshot, .. } => {
+            60 + 120 * snapshot.backends.len() + 20 * snapshot.draining.len()
         }
         GatewayUpdate::Changes { changes, .. } => 40 + 100 * changes.len(),
-        GatewayUpdate::Heartbeat { control_nodes: prompters, .. } => 20 + 24 * prompters.len(),
+        GatewayUpdate::Heartbeat { control_nodes, .. } => 20 + 24 * control_nodes.len(),
         GatewayUpdate::LeaseGrant(_) => 200,
     }
 }
--- a/crates/testing/control-sim/src/growth.rs
+++ b/crates/testing/control-sim/src/growth.rs
@@ -1,5 +1,5 @@
-//! What grows with the fleet: bytes of each piece of news, and the processor time and memory of what decides, each by the one
-//! size that it grows with, up to the operators' size (`docs/CAPACITY.md`).
+//! What grows with the fleet: bytes of each piece of news, and the processor time and memory of what decides, each by
+//! the one size that it grows with, up to the operators' size (`docs/CAPACITY.md`).
 
 mod pieces;
 
@@ -13,7 +13,8 @@
 use std::sync::Arc;
 
 const MS: u64 = 1_000_000;
-/// Gateways, backends, tenants, routes: the two small sites, the two grown ones, a fleet beyond them, the operators' size.
+/// Gateways, backends, tenants, routes: the two small sites, the two grown ones, a fleet beyond them, the operators'
+/// size.
 const FLEETS: [(usize, usize, usize, usize); 6] = [
     (12, 27, 8, 8),
     (63, 209, 71, 8),
@@ -25,12 +26,12 @@
 /// Tenants whose requests one gateway sees at a time.
 const SEEN: usize = 12;
 /// Desks that are played; of more gateways the rest ask like these.
-const DESKS: usize = 30;
-/// Asks of which the keeper's time is measured, at most.
-const ASKS: usize = 6000;
-/// A gateway's link on the grown deployments, and a prompter's, in bits a second.
+const QUOTA_CLIENTS: usize = 30;
+/// Asks of which the coordinator's time is measured, at most.
+const LEASE_REQUESTS: usize = 6000;
+/// A gateway's link on the grown deployments, and a control node's, in bits a second.
 const LINK: f64 = 2e6;
-const PROMPTERS_LINK: f64 = 100e6;
+const CONTROL_NODE_LINK: f64 = 100e6;
 
 fn bytes(message: &impl Serialize) -> usize {
     // With the frame's length.
@@ -102,18 +103,18 @@
 pub fn table() -> Vec<String> {
     let mut lines = vec![
         "| gateways, backends, tenants, routes | scene, B | changed backend, B | rights a gateway, B/s | keeper a second, ms \
-         | beats a prompter tells another, B/s | scenes to half at once, s |"
+         | beats a node tells another, B/s | scenes to half at once, s |"
             .to_string(),
         "| --- | --- | --- | --- | --- | --- | --- |".to_string(),
     ];
     let memory = pieces::memory();
-    lines.extend(FLEETS.into_iter().map(line));
+    lines.extend(FLEETS.into_iter().map(table_row));
     lines.extend(pieces::tables());
     lines.extend(memory);
     lines
 }
 
-fn line((gateways, backends, tenants, routes): (usize, usize, usize, usize)) -> String {
+fn table_row((gateways, backends, tenants, routes): (usize, usize, usize, usize)) -> String {
     let names = self::gateways(gateways);
     let scene = FleetSnapshot {
         backends: (0..backends).map(fact).collect(),
@@ -127,51 +128,52 @@
             + configuration(routes, tenants).body.len();
     let from = change_log::Offset::default();
     let change = bytes(&GatewayUpdate::Changes { from, changes: vec![FleetChange::Backend(fact(3))] });
-    let prompters = pieces::prompters(gateways);
+    let prompters = pieces::control_nodes(gateways);
     let beats: Vec<(String, u64)> = (0..backends / prompters).map(|n| (fact(n).instance, 40)).collect();
-    // A backend's beat comes each 1.5 s, to one of the prompters, which tell the others each 400 ms.
+    // A backend's heartbeat comes each 1.5 s, to one of the control nodes, which tell the others each 400 ms.
     let beats = bytes(&ControlMessage::Heartbeats { changed: Vec::new(), unchanged: beats }) as f64 / 1.5;
     let (rights, keeper) = rights(&names, tenants);
-    // Its own link, or the prompter's, which sends to its part of them.
-    let theirs = scene as f64 * 8.0 * gateways as f64 / 2.0 / prompters as f64 / PROMPTERS_LINK;
+    // Its own link, or the control node's, which sends to its part of them.
+    let theirs = scene as f64 * 8.0 * gateways as f64 / 2.0 / prompters as f64 / CONTROL_NODE_LINK;
     let all = (scene as f64 * 8.0 / LINK).max(theirs);
     format!(
         "| {gateways}, {backends}, {tenants}, {routes} | {scene} | {change} | {rights:.0} | {keeper:.1} | {beats:.0} | {all:.2} |"
     )
 }
 
-/// A second of all gateways' asks, each with twelve tenants at work: bytes a gateway both ways, and the keeper's time in ms.
+/// A second of all gateways' asks, each with twelve tenants at work: bytes a gateway both ways, and the coordinator's
+/// time in ms.
 fn rights(names: &BTreeSet<String>, tenants: usize) -> (f64, f64) {
     let limits = limits(tenants);
     let mut keeper = QuotaCoordinator::new(0, 1, &limits, &BTreeSet::new(), names);
-    let mut desks: Vec<(usize, &String, QuotaClient)> =
-        names.iter().enumerate().take(DESKS).map(|(n, g)| (n, g, QuotaClient::new(0))).collect();
+    let mut clients: Vec<(usize, &String, QuotaClient)> =
+        names.iter().enumerate().take(QUOTA_CLIENTS).map(|(n, g)| (n, g, QuotaClient::new(0))).collect();
     let (mut sent, mut asks, mut all, mut back) = (0, 0, 0, 0.0);
-    for (_, _, desk) in &mut desks {
-        desk.set_limits(0, &limits);
-        desk.set_gateway_count(names.len() as u32);
+    for (_, _, client) in &mut clients {
+        client.set_limits(0, &limits);
+        client.set_gateway_count(names.len() as u32);
     }
     let mut last = LeaseRequest::default();
     for tick in 0..20u64 {
         let now = tick * 100 * MS;
-        for (n, name, desk) in &mut desks {
+        for (n, name, client) in &mut clients {
             for t in 0..SEEN.min(tenants) {
                 let tenant = tenant((*n * 7 + t) % tenants);
-                if matches!(desk.acquire(now, &tenant, 0.99, None), Decision::Wait { .. }) {
-                    desk.cancel_wait(&tenant);
+                if matches!(client.acquire(now, &tenant, 0.99, None), Decision::Wait { .. }) {
+                    client.cancel_wait(&tenant);
                 }
             }
-            let Some(ask) = desk.next_request(now) else { continue };
-            let (told, spent) = asked(&mut keeper, now, name, &ask, Some(desk));
+            let Some(ask) = client.next_request(now) else { continue };
+            let (told, spent) = requests_per_client(&mut keeper, now, name, &ask, Some(client));
             last = ask;
             all += usize::from(tick >= 10);
             if tick >= 10 {
                 (sent, asks, back) = (sent + told, asks + 1, back + spent);
             }
         }
-        for name in names.iter().skip(DESKS) {
-            if asks < ASKS || tick < 10 && asks == 0 && all < ASKS {
-                let (_, spent) = asked(&mut keeper, now, name, &last, None);
+        for name in names.iter().skip(QUOTA_CLIENTS) {
+            if asks < LEASE_REQUESTS || tick < 10 && asks == 0 && all < LEASE_REQUESTS {
+                let (_, spent) = requests_per_client(&mut keeper, now, name, &last, None);
                 if tick >= 10 {
                     (asks, back) = (asks + 1, back + spent);
                 }
@@ -180,22 +182,22 @@
     }
     // Ten a second each.
     let a_second = back / asks.max(1) as f64 * 10.0 * names.len() as f64;
-    (sent as f64 / desks.len() as f64, a_second * 1e3)
+    (sent as f64 / clients.len() as f64, a_second * 1e3)
 }
 
-fn asked(
+fn requests_per_client(
     keeper: &mut QuotaCoordinator,
     now: u64,
     name: &str,
     ask: &LeaseRequest,
-    desk: Option<&mut QuotaClient>,
+    client: Option<&mut QuotaClient>,
 ) -> (usize, f64) {
     let began = spent();
     let lent = keeper.grant(now, name, ask);
     let spent = spent() - began;
     let Some(lent) = lent else { return (0, spent) };
-    if let Some(desk) = desk {
-        desk.on_grant(now, &lent);
+    if let Some(client) = client {
+        client.on_grant(now, &lent);
     }
     (bytes(&GatewayMessage::LeaseRequest(ask.clone())) + bytes(&GatewayUpdate::LeaseGrant(lent)), spent)
 }
--- a/crates/testing/control-sim/src/growth/pieces.rs
+++ b/crates/testing/control-sim/src/growth/pieces.rs
@@ -18,15 +18,15 @@
 const TENANTS: [usize; 4] = [100, 1000, 8000, 38_000];
 const GATEWAYS: [usize; 4] = [30, 100, 300, 1000];
 const BACKENDS: [usize; 4] = [231, 800, 2300, 9200];
-const PROMPTERS: [usize; 4] = [3, 8, 19, 28];
+const CONTROL_NODES: [usize; 4] = [3, 8, 19, 28];
 /// Routes and tenants of a configuration.
 const CONFIGURATIONS: [(usize, usize); 7] =
     [(8, 82), (100, 82), (1000, 82), (14_000, 82), (8, 1000), (8, 38_000), (14_000, 38_000)];
 /// A measurement goes on for so long, in seconds of processor time.
 const LONG: f64 = 0.06;
 
-/// So many prompters stand before a fleet of this size: two a zone.
-pub(super) fn prompters(gateways: usize) -> usize {
+/// So many control nodes stand before a fleet of this size: two a zone.
+pub(super) fn control_nodes(gateways: usize) -> usize {
     match gateways {
         0..=100 => 6,
         101..=500 => 8,
@@ -62,8 +62,8 @@
         .collect()
 }
 
-/// What each piece holds. To be asked for first of all: memory that was given back would be taken again, and not be seen. What
-/// is measured is kept until the end for the same reason.
+/// What each piece holds. To be asked for first of all: memory that was given back would be taken again, and not be
+/// seen. What is measured is kept until the end for the same reason.
 pub(super) fn memory() -> Vec<String> {
     let mut lines = head("Memory", &["what", "size", "MB more"]);
     let bodies = CONFIGURATIONS.map(|(routes, tenants)| (routes, tenants, configuration(routes, tenants)));
@@ -80,11 +80,11 @@
     held("a gateway that is told", "-".into(), NOW, &|| Box::new(QuotaClient::new(0)));
     for (routes, tenants, configuration) in &bodies {
         let size = format!("{routes} routes, {tenants} tenants");
-        held("a gateway's table and its desk", size, NOW, &|| {
+        held("a gateway's table and its client", size, NOW, &|| {
             let playbill = Configuration::parse(&configuration.body).expect("it is sound");
-            let mut desk = QuotaClient::new(0);
-            desk.set_limits(0, &TenantTerms::from_configuration(&playbill).limits);
-            Box::new((RouteTable::new(playbill), desk))
+            let mut client = QuotaClient::new(0);
+            client.set_limits(0, &TenantTerms::from_configuration(&playbill).limits);
+            Box::new((RouteTable::new(playbill), client))
         });
     }
     for (tenants, limits) in &limits {
@@ -123,12 +123,12 @@
 pub(super) fn tables() -> Vec<String> {
     let mut lines = vec![String::new(), "Times are processor time of the one thread that does it.".into()];
     lines.extend(configurations());
-    lines.extend(books());
-    lines.extend(keepers());
-    lines.extend(desks());
+    lines.extend(states());
+    lines.extend(coordinators());
+    lines.extend(clients());
     lines.extend(changes());
     lines.extend(differences());
-    lines.extend(cells());
+    lines.extend(registries());
     lines.extend(core());
     lines
 }
@@ -140,7 +140,7 @@
         "body, B",
         "checked, ms",
         "read and made a table, ms",
-        "limits of a desk, ms",
+        "limits of a client, ms",
         "a route found, us: 48 a host, all of one host",
     ];
     let mut lines = head("A configuration", &columns);
@@ -151,10 +151,10 @@
         let read =
             micros(|| drop(black_box(RouteTable::new(Configuration::parse(body).expect("it is sound")))));
         let terms = TenantTerms::from_configuration(&Configuration::parse(body).expect("it is sound"));
-        let mut desk = QuotaClient::new(0);
-        desk.set_limits(0, &terms.limits);
-        let limited = micros(|| desk.set_limits(0, &terms.limits));
-        drop((desk, terms));
+        let mut client = QuotaClient::new(0);
+        client.set_limits(0, &terms.limits);
+        let limited = micros(|| client.set_limits(0, &terms.limits));
+        drop((client, terms));
         let own = found(&RouteTable::new(Configuration::parse(body).expect("it is sound")), routes, 48);
         let text = String::from_utf8_lossy(body);
         let one: String = (0..routes / 48 + 1).fold(text.into_owned(), |text, n| {
@@ -191,16 +191,16 @@
     all / asked.len() as f64
 }
 
-/// The book that is agreed on: bytes on the disk and in a message of the agreement, time to write and read it.
-fn books() -> Vec<String> {
+/// The state that is agreed on: bytes on the disk and in a message of the agreement, time to write and read it.
+fn states() -> Vec<String> {
     let columns = [
         "routes, tenants, gateways, leaving",
         "an entry with the configuration, B",
-        "the book, B",
+        "the state, B",
         "written, ms",
         "read, ms",
     ];
-    let mut lines = head("The book", &columns);
+    let mut lines = head("The state", &columns);
     let sizes = [
         (8, 82, 85, 0),
         (8, 82, 85, 4096),
@@ -214,28 +214,28 @@
         let body = configuration(routes, tenants).body.clone();
         let word = Command::ReplaceConfiguration { base: 0, version: 7, body };
         let entry = Entry { term: 3, payload: EntryPayload::Command(word.encode()) };
-        let mut book = ControlState::new();
-        book.apply(1, &word);
+        let mut state = ControlState::new();
+        state.apply(1, &word);
         gateways(all).into_iter().enumerate().for_each(|(n, name)| {
-            book.apply(2 + n as u64, &Command::AddGateway { name });
+            state.apply(2 + n as u64, &Command::AddGateway { name });
         });
         for n in 0..leaving {
-            book.apply(2000 + n as u64, &Command::Drain { instance: fact(n).instance });
+            state.apply(2000 + n as u64, &Command::Drain { instance: fact(n).instance });
         }
-        let written = book.encode();
+        let written = state.encode();
         lines.push(format!(
             "| {routes}, {tenants}, {all}, {leaving} | {} | {} | {:.2} | {:.2} |",
             bytes(&entry),
             written.len(),
-            micros(|| drop(black_box(book.encode()))) / 1e3,
+            micros(|| drop(black_box(state.encode()))) / 1e3,
             micros(|| drop(black_box(ControlState::decode(&written)))) / 1e3,
         ));
     }
     lines
 }
 
-/// A keeper's ask of as many wants as a gateway of the operators' size has in a tenth of a second.
-fn keepers() -> Vec<String> {
+/// A coordinator's ask of as many wants as a gateway of the operators' size has in a tenth of a second.
+fn coordinators() -> Vec<String> {
     let columns = ["gateways, tenants", "an ask, us", "all asks, ten a second a gateway, cores"];
     let mut lines = head("The keeper of rights", &columns);
     let sizes =
@@ -264,7 +264,7 @@
 }
 
 /// A gateway's own part: a second of its requests, nearly each of another tenant, and of its asks.
-fn desks() -> Vec<String> {
+fn clients() -> Vec<String> {
     let columns = [
         "tenants",
         "an ask made, us",
@@ -274,35 +274,35 @@
         "bytes an ask, both ways",
         "150 requests a second: asks at once for each, of a core",
     ];
-    let mut lines = head("A gateway's desk", &columns);
+    let mut lines = head("A gateway's client", &columns);
     for tenants in TENANTS {
         let limits = limits(tenants);
         let mut keeper = QuotaCoordinator::new(0, 1, &limits, &BTreeSet::new(), &gateways(1));
-        let mut desk = QuotaClient::new(0);
-        desk.set_limits(0, &limits);
-        desk.set_gateway_count(1);
+        let mut client = QuotaClient::new(0);
+        client.set_limits(0, &limits);
+        client.set_gateway_count(1);
         let (mut made, mut taken, mut polled, mut asked, mut told, mut asks) = (0.0, 0.0, 0.0, 0.0, 0, 0u32);
         let mut now = 0;
         for n in 0..4 * REQUESTS {
             now += 1_000_000_000 / REQUESTS as u64;
             let name = tenant(n * 13 % tenants);
             let began = spent();
-            let waits = matches!(desk.acquire(now, &name, 0.99, None), Decision::Wait { .. });
+            let waits = matches!(client.acquire(now, &name, 0.99, None), Decision::Wait { .. });
             let spoke = spent();
-            black_box(desk.next_outcome_at(now));
+            black_box(client.next_outcome_at(now));
             let looked = spent();
             (asked, polled) = (asked + spoke - began, polled + looked - spoke);
             if waits {
-                desk.cancel_wait(&name);
+                client.cancel_wait(&name);
             }
             let before = spent();
-            let Some(ask) = desk.next_request(now) else { continue };
+            let Some(ask) = client.next_request(now) else { continue };
             made += spent() - before;
             let Some(lent) = keeper.grant(now, "edge-long-bien-0", &ask) else { continue };
             told += bytes(&messages::GatewayMessage::LeaseRequest(ask))
                 + bytes(&GatewayUpdate::LeaseGrant(lent.clone()));
             let before = spent();
-            desk.on_grant(now, &lent);
+            client.on_grant(now, &lent);
             taken += spent() - before;
             asks += 1;
         }
@@ -320,7 +320,7 @@
     lines
 }
 
-/// What a prompter tells one follower: bytes, and the time to put it into a frame.
+/// What a control node tells one follower: bytes, and the time to put it into a frame.
 fn changes() -> Vec<String> {
     let mut lines = head("What one follower is told", &["what", "size", "bytes", "made, us"]);
     let from = change_log::Offset::default();
@@ -339,16 +339,16 @@
         let names = gateways(all).into_iter().collect();
         told("one more gateway", format!("{all} gateways"), &changed(FleetChange::Gateways(names)));
     }
-    for count in PROMPTERS {
-        let prompters = (0..count).map(|n| (format!("10.{n}.0.5"), "long-bien".into())).collect();
+    for count in CONTROL_NODES {
+        let nodes = (0..count).map(|n| (format!("10.{n}.0.5"), "long-bien".into())).collect();
         told(
             "a pulse",
-            format!("{count} prompters"),
+            format!("{count} control nodes"),
             &GatewayUpdate::Heartbeat {
                 contact_number: 300,
                 quorum_contact_ms: 80,
                 newest_configuration: 4000,
-                control_nodes: prompters,
+                control_nodes: nodes,
             },
         );
     }
@@ -369,7 +369,7 @@
     lines
 }
 
-/// A change of ten routes, as a difference: what a prompter makes of it once, and a gateway of what it is told.
+/// A change of ten routes, as a difference: what a control node makes of it once, and a gateway of what it is told.
 fn differences() -> Vec<String> {
     let columns = [
         "routes, tenants",
@@ -394,10 +394,10 @@
             let body = difference.apply(&old.body, 16 << 20).expect("it is of these bytes");
             black_box(body_digest(&body));
         });
-        let mut desk = QuotaClient::new(0);
+        let mut client = QuotaClient::new(0);
         let anew = micros(|| {
             let playbill = Configuration::parse(&new.body).expect("it is sound");
-            desk.set_limits(0, &TenantTerms::from_configuration(&playbill).limits);
+            client.set_limits(0, &TenantTerms::from_configuration(&playbill).limits);
             black_box(RouteTable::new(playbill));
         });
         lines.push(format!(
@@ -411,14 +411,14 @@
     lines
 }
 
-/// A prompter's backends.
-fn cells() -> Vec<String> {
+/// A control node's backends.
+fn registries() -> Vec<String> {
     let columns = [
         "backends",
         "taken in",
         "a new one, us",
         "a beat, us",
-        "another prompter's beat, us",
+        "another node's beat, us",
         "a sweep, us",
         "all of them, B",
     ];
@@ -449,19 +449,19 @@
     lines
 }
 
-/// What prompters say to each other while nothing happens, each to each.
+/// What control nodes say to each other while nothing happens, each to each.
 fn core() -> Vec<String> {
     let columns = [
-        "prompters",
+        "control nodes",
         "a round and its answer, B",
         "the leader's rounds, B/s out",
         "a greeting, B",
         "greetings, B/s out",
-        "of 9,200 backends: beats a prompter tells all others, B/s out",
-        "of 9,200 backends: a prompter that comes is told, B",
+        "of 9,200 backends: beats a node tells all others, B/s out",
+        "of 9,200 backends: a node that comes is told, B",
     ];
     let mut lines = head("Prompters among themselves", &columns);
-    for count in PROMPTERS {
+    for count in CONTROL_NODES {
         let id = |n: usize| NodeId { name: format!("10.{n}.0.5"), disk_id: 0x7a5b_1c2d_3e4f_5061 };
         let said = |body| ControlMessage::Consensus(Message { from: id(1), to: id(2), term: 3, body });
         let append = MessageBody::AppendEntries {
--- a/crates/testing/control-sim/src/lib.rs
+++ b/crates/testing/control-sim/src/lib.rs
@@ -1,28 +1,29 @@
-//! Whole control planes and the deciding parts of gateways on a simulated network, disk and clock. A seed draws all that
-//! happens: loss, delay, copies, one-way cuts, crashes before, in the middle of and behind a save, lost disks, freezes. The
-//! rules that concern state are checked after each step; a seed that breaks one prints its story, and plays it again.
+//! Whole control planes and the deciding parts of gateways on a simulated network, disk and clock. A seed draws all
+//! that happens: loss, delay, copies, one-way cuts, crashes before, in the middle of and behind a save, lost disks,
+//! freezes. The rules that concern state are checked after each step; a seed that breaks one prints its story, and
+//! plays it again.
 #![forbid(unsafe_code)]
 
 mod backends;
+mod change_history;
+mod cluster;
 mod defect;
 mod disks;
+mod fault_schedule;
 mod gateways;
 pub mod growth;
-mod guest;
-mod ledger;
-mod long;
+mod long_workload;
 mod machine;
-mod net;
+mod network;
 mod operators;
 mod rules;
-mod storm;
-mod system;
-mod world;
+mod short_workload;
+mod trial_tenant;
 
 pub use defect::Defect;
-use long::Long;
-pub use rules::Broken;
-pub use world::{Story, World};
+use long_workload::LongWorkload;
+pub use rules::Violation;
+pub use short_workload::{ShortWorkload, Story};
 
 /// Nanoseconds.
 pub type Time = u64;
@@ -37,11 +38,11 @@
 ///
 /// # Errors
 /// The rule that was broken, and the story up to there.
-pub fn play(seed: u64, defect: Option<Defect>) -> Result<Story, Box<(Broken, Story)>> {
+pub fn play(seed: u64, defect: Option<Defect>) -> Result<Story, Box<(Violation, Story)>> {
     if is_long(seed) {
-        Long::new(seed, defect, false).play()
+        LongWorkload::new(seed, defect, false).play()
     } else {
-        World::new(seed, defect).play()
+        ShortWorkload::new(seed, defect).play()
     }
 }
 
@@ -49,6 +50,6 @@
 ///
 /// # Errors
 /// The rule that was broken, and the story up to there.
-pub fn play_pairs(seed: u64, defect: Option<Defect>) -> Result<Story, Box<(Broken, Story)>> {
-    Long::new(seed, defect, true).play()
+pub fn play_pairs(seed: u64, defect: Option<Defect>) -> Result<Story, Box<(Violation, Story)>> {
+    LongWorkload::new(seed, defect, true).play()
 }
--- a/crates/testing/control-sim/src/machine.rs
+++ b/crates/testing/control-sim/src/machine.rs
@@ -1,7 +1,8 @@
-//! A machine of the control plane: the program's prompter, with a simulated disk that takes its time, loses or refuses.
+//! A machine of the control plane: the program's control node, with a simulated disk that takes its time, loses or
+//! refuses.
 
 use crate::defect::Defect;
-use crate::rules::Broken;
+use crate::rules::Violation;
 use crate::{Time, MS};
 use consensus::{Entry, NodeId, Persist, PersistedState, RaftNode};
 use control_node::{AppliedRecord, ControlNode, Effect, Leadership, NodeConfig, StorageRequest};
@@ -11,7 +12,7 @@
 use trial::{TenantTerms, UnixMillis};
 
 /// How often backends are heard here.
-pub const BEAT: Time = 1000 * MS;
+pub const HEARTBEAT_INTERVAL: Time = 1000 * MS;
 
 /// The address of machine `n`, which is its name.
 pub fn address(n: usize) -> String {
@@ -19,7 +20,7 @@
 }
 
 /// Which machine that is.
-pub fn place(name: &str) -> usize {
+pub fn machine_index(name: &str) -> usize {
     let mut numbers = name.split('.').skip(2).filter_map(|n| n.parse::<usize>().ok());
     let (high, low) = (numbers.next().unwrap_or(0), numbers.next().unwrap_or(1));
     high * 250 + low.saturating_sub(1)
@@ -27,33 +28,33 @@
 
 /// What a machine is told of its world.
 #[derive(Clone)]
-pub struct Told {
+pub struct MachineSettings {
     pub seeds: Vec<String>,
     /// It starts with the whole system, for the first time.
-    pub first: bool,
+    pub is_initial_start: bool,
     pub zone: String,
     pub terms: fn(&[u8]) -> TenantTerms,
     /// The log is folded into the state at so many entries.
-    pub fold: usize,
+    pub snapshot_threshold: usize,
 }
 
 pub struct Machine {
     pub id: NodeId,
     /// It has a disk.
-    pub votes: bool,
+    pub can_vote: bool,
     /// Replaced for good.
-    pub gone: bool,
+    pub is_removed: bool,
     /// What would be there after a loss of power.
     pub disk: PersistedState,
     /// Backends as it kept them for the next start, on its disk too.
-    cell: Vec<Heartbeat>,
+    saved_registry: Vec<Heartbeat>,
     /// Starts of its process.
-    pub life: u64,
+    pub starts: u64,
     pub frozen_until: Time,
     /// How far its time of day is from the true one, in ms.
     pub skew: i64,
-    pub told: Told,
-    prompter: Option<ControlNode>,
+    pub settings: MachineSettings,
+    node: Option<ControlNode>,
     /// What the disk is at, in order, by number.
     writes: VecDeque<(u64, StorageRequest)>,
     applied: LogIndex,
@@ -61,18 +62,18 @@
 }
 
 impl Machine {
-    pub fn new(n: usize, votes: bool, told: Told, defect: Option<Defect>) -> Self {
+    pub fn new(n: usize, can_vote: bool, settings: MachineSettings, defect: Option<Defect>) -> Self {
         Machine {
             id: NodeId { name: address(n), disk_id: 100 + n as u64 },
-            votes,
-            gone: false,
+            can_vote,
+            is_removed: false,
             disk: PersistedState::default(),
-            cell: Vec::new(),
-            life: 0,
+            saved_registry: Vec::new(),
+            starts: 0,
             frozen_until: 0,
             skew: 0,
-            told,
-            prompter: None,
+            settings,
+            node: None,
             writes: VecDeque::new(),
             applied: 0,
             defect,
@@ -80,7 +81,7 @@
     }
 
     pub fn is_up(&self) -> bool {
-        self.prompter.is_some()
+        self.node.is_some()
     }
 
     /// Its process runs.
@@ -88,75 +89,75 @@
         self.is_up() && self.frozen_until <= now
     }
 
-    pub fn prompter(&self) -> Option<&ControlNode> {
-        self.prompter.as_ref()
+    pub fn node(&self) -> Option<&ControlNode> {
+        self.node.as_ref()
     }
 
-    pub fn book(&self) -> Option<&ControlState> {
-        self.prompter.as_ref().map(ControlNode::state)
+    pub fn state(&self) -> Option<&ControlState> {
+        self.node.as_ref().map(ControlNode::state)
     }
 
     /// The configuration that it holds; 0: none.
     pub fn version(&self) -> u32 {
-        self.book().map_or(0, ControlState::version)
+        self.state().map_or(0, ControlState::version)
     }
 
-    pub fn core(&self) -> Option<&RaftNode> {
-        self.prompter.as_ref().map(ControlNode::raft)
+    pub fn raft(&self) -> Option<&RaftNode> {
+        self.node.as_ref().map(ControlNode::raft)
     }
 
-    pub fn duty(&self) -> Option<&Leadership> {
-        self.prompter.as_ref().map(ControlNode::leadership)
+    pub fn leadership(&self) -> Option<&Leadership> {
+        self.node.as_ref().map(ControlNode::leadership)
     }
 
-    pub fn leads(&self) -> bool {
-        self.duty().is_some_and(|d| d.is_leader)
+    pub fn is_leader(&self) -> bool {
+        self.leadership().is_some_and(|d| d.is_leader)
     }
 
     /// It starts, or starts again.
     pub fn start(&mut self, now: Time, seed: u64) {
-        self.life += 1;
-        if !self.votes {
+        self.starts += 1;
+        if !self.can_vote {
             (self.disk, self.id.disk_id) = (PersistedState::default(), self.id.disk_id + 1);
-            self.cell.clear();
+            self.saved_registry.clear();
         }
         let mut stored = self.disk.clone();
         match self.defect {
             Some(Defect::TailLost) => drop(stored.entries.pop()),
-            Some(Defect::LogCutAtStart) => stored.entries.clear(),
+            Some(Defect::LogTruncatedAtStart) => stored.entries.clear(),
             _ => {}
         }
         let setup = NodeConfig {
             id: self.id.clone(),
-            zone: self.told.zone.clone(),
-            can_vote: self.votes,
-            initial_start: self.told.first && self.life == 1,
-            seeds: self.told.seeds.clone(),
-            heartbeat_interval: BEAT,
-            read_terms: self.told.terms,
+            zone: self.settings.zone.clone(),
+            can_vote: self.can_vote,
+            initial_start: self.settings.is_initial_start && self.starts == 1,
+            seeds: self.settings.seeds.clone(),
+            heartbeat_interval: HEARTBEAT_INTERVAL,
+            read_terms: self.settings.terms,
             seed,
         };
         let planted = self.defect.and_then(Defect::planted);
         self.applied = 0;
-        let mut prompter = ControlNode::with_defect(setup, stored, self.cell.clone(), now, planted);
-        prompter.set_snapshot_threshold(self.told.fold);
-        self.prompter = Some(prompter);
+        let mut node = ControlNode::with_defect(setup, stored, self.saved_registry.clone(), now, planted);
+        node.set_snapshot_threshold(self.settings.snapshot_threshold);
+        self.node = Some(node);
     }
 
     /// Power is lost, or the process is killed. How much of what the disk is at comes to it is chance.
     pub fn stop(&mut self, writes: usize) {
         for (_, work) in std::mem::take(&mut self.writes).into_iter().take(writes) {
-            self.keep(work);
+            self.apply_write(work);
         }
-        if let Some(prompter) = self.prompter.take() {
-            self.cell = prompter.serving_backends().1;
+        if let Some(node) = self.node.take() {
+            self.saved_registry = node.serving_backends().1;
         }
     }
 
     /// The disk is lost, and what comes in its place has another id.
     pub fn wipe(&mut self, keeps_id: bool) {
         self.disk = PersistedState::default();
-        self.cell.clear();
+        self.saved_registry.clear();
         if !keeps_id {
             self.id.disk_id += 1000;
         }
@@ -167,7 +168,7 @@
         self.writes.len()
     }
 
-    fn keep(&mut self, work: StorageRequest) {
+    fn apply_write(&mut self, work: StorageRequest) {
         match work {
             StorageRequest::Append { changes: saves, commit_index: agreed } => {
                 saves.iter().for_each(|s| save(&mut self.disk, s));
@@ -178,7 +179,7 @@
     }
 
     /// The disk is at this from now on.
-    pub fn begin(&mut self, number: u64, work: StorageRequest) {
+    pub fn begin_write(&mut self, number: u64, work: StorageRequest) {
         self.writes.push_back((number, work));
     }
 
@@ -186,7 +187,7 @@
     pub fn written(&mut self, now: Time, number: u64, done: bool) {
         if let Some((_, work)) = self.writes.pop_front().filter(|(n, _)| *n == number) {
             if done {
-                self.keep(work);
+                self.apply_write(work);
             }
         }
         self.with(|p| p.on_persisted(now, number, done));
@@ -194,22 +195,24 @@
 
     /// Hands it something, if it runs.
     pub fn with<T>(&mut self, act: impl FnOnce(&mut ControlNode) -> T) -> Option<T> {
-        self.prompter.as_mut().map(act)
+        self.node.as_mut().map(act)
     }
 
     /// What it wants done, and what it has applied.
     ///
     /// # Errors
     /// It applied something out of order.
-    pub fn effects(&mut self) -> Result<(Vec<Effect>, Vec<AppliedRecord>), Broken> {
-        let Some(prompter) = &mut self.prompter else { return Ok(Default::default()) };
-        let (effects, journal) = (prompter.take_effects(), std::mem::take(&mut prompter.applied_records));
+    pub fn effects(&mut self) -> Result<(Vec<Effect>, Vec<AppliedRecord>), Violation> {
+        let Some(node) = &mut self.node else { return Ok(Default::default()) };
+        let (effects, journal) = (node.take_effects(), std::mem::take(&mut node.applied_records));
         for applied in &journal {
             match applied {
                 AppliedRecord::Command(place, _) if *place <= self.applied => {
-                    return Err(Broken::Order(*place))
+                    return Err(Violation::Order(*place))
+                }
+                AppliedRecord::Snapshot(place) if *place < self.applied => {
+                    return Err(Violation::Order(*place))
                 }
-                AppliedRecord::Snapshot(place) if *place < self.applied => return Err(Broken::Order(*place)),
                 AppliedRecord::Command(place, _) | AppliedRecord::Snapshot(place) => self.applied = *place,
             }
         }
@@ -218,7 +221,7 @@
 
     /// When it next wants to work.
     pub fn next_due(&self) -> Time {
-        self.prompter.as_ref().map_or(Time::MAX, ControlNode::next_due)
+        self.node.as_ref().map_or(Time::MAX, ControlNode::next_due)
     }
 
     /// This machine's time of day; true time began at `began`.
--- a/crates/testing/control-sim/src/main.rs
+++ b/crates/testing/control-sim/src/main.rs
@@ -1,7 +1,7 @@
-//! Plays seeds: `rehearsal --seeds 1000`, `rehearsal --seed 7 --story`, `rehearsal --defect wiped-votes`.
+//! Plays seeds: `control-sim --seeds 1000`, `control-sim --seed 7 --story`, `control-sim --defect wiped-votes`.
 #![forbid(unsafe_code)]
 
-use control_sim::{play, play_pairs, Broken, Defect, Story};
+use control_sim::{play, play_pairs, Defect, Story, Violation};
 use std::ops::Range;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -60,7 +60,7 @@
     let plays: Plays = if told.opt_present("pairs") { play_pairs } else { play };
     match several(seeds, planted, jobs.max(1), plays) {
         Ok(sums) => {
-            println!("{count} seeds from {first}: no rule broken; {}", sums.told());
+            println!("{count} seeds from {first}: no rule broken; {}", sums.summary());
             ExitCode::SUCCESS
         }
         Err((seed, broken)) => {
@@ -71,15 +71,15 @@
     }
 }
 
-type Failure = (u64, Box<(Broken, Story)>);
-type Plays = fn(u64, Option<Defect>) -> Result<Story, Box<(Broken, Story)>>;
+type Failure = (u64, Box<(Violation, Story)>);
+type Plays = fn(u64, Option<Defect>) -> Result<Story, Box<(Violation, Story)>>;
 
 /// What all stories come to.
 #[derive(Default)]
 struct Sums {
     steps: u64,
     acknowledged: u64,
-    guest: [u64; 3],
+    trial: [u64; 3],
     longs: u64,
     again: u64,
     refused: u64,
@@ -90,16 +90,16 @@
     fn add(&mut self, story: &Story) {
         self.steps += story.steps;
         self.acknowledged += u64::from(story.acknowledged);
-        let (full, paced, refused) = story.guest;
-        self.guest.iter_mut().zip([full, paced, refused]).for_each(|(sum, n)| *sum += u64::from(n));
+        let (full, paced, refused) = story.trial;
+        self.trial.iter_mut().zip([full, paced, refused]).for_each(|(sum, n)| *sum += u64::from(n));
         self.longs += u64::from(story.lasted > 0);
         self.again += u64::from(story.again);
         self.refused += u64::from(story.refused);
         self.minutes += story.lasted as f64 / 60e9;
     }
 
-    fn told(&self) -> String {
-        let [full, paced, refused] = self.guest;
+    fn summary(&self) -> String {
+        let [full, paced, refused] = self.trial;
         format!(
             "{} steps, {} acknowledged\non trial: {full} at full speed, {paced} in turn, {refused} refused for the pace\n\
              worlds of minutes: {}, of {:.0} minutes together; {} orders acknowledged again, {} refused",
--- a/crates/testing/control-sim/src/net.rs
+++ b/crates/testing/control-sim/src/network.rs
@@ -10,7 +10,7 @@
 #[derive(Default)]
 pub struct Net {
     /// One-way cuts, and until when.
-    cuts: BTreeMap<(usize, usize), Time>,
+    partitions: BTreeMap<(usize, usize), Time>,
     /// What was sent before has been lost with its connection.
     resets: BTreeMap<(usize, usize), Time>,
     /// Machines with narrow links: bytes a second, and until when.
@@ -26,8 +26,8 @@
 }
 
 impl Net {
-    pub fn cut(&mut self, from: usize, to: usize, until: Time) {
-        let held = self.cuts.entry((from, to)).or_insert(until);
+    pub fn partition(&mut self, from: usize, to: usize, until: Time) {
+        let held = self.partitions.entry((from, to)).or_insert(until);
         *held = until.max(*held);
     }
 
@@ -41,21 +41,21 @@
         self.narrow.insert(machine, (bytes_a_second, until));
     }
 
-    pub fn rough(&mut self, per_mille: u32, until: Time) {
+    pub fn make_lossy(&mut self, per_mille: u32, until: Time) {
         self.rough = (per_mille, until);
     }
 
     /// No cut lasts any more.
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.partitions.clear();
     }
 
     pub fn is_open(&self, from: usize, to: usize, now: Time) -> bool {
-        from == to || self.cuts.get(&(from, to)).is_none_or(|until| *until <= now)
+        from == to || self.partitions.get(&(from, to)).is_none_or(|until| *until <= now)
     }
 
     /// Both ways.
-    pub fn joined(&self, a: usize, b: usize, now: Time) -> bool {
+    pub fn is_connected(&self, a: usize, b: usize, now: Time) -> bool {
         self.is_open(a, b, now) && self.is_open(b, a, now)
     }
 
--- a/crates/testing/control-sim/src/rules.rs
+++ b/crates/testing/control-sim/src/rules.rs
@@ -1,6 +1,6 @@
 //! What must hold after each step.
 
-use crate::{guest, Time};
+use crate::{trial_tenant, Time};
 use control_state::{Command, LogIndex};
 use quota::{TrialPace, PHASE_GAP, PHASE_NOTICE, REQUEST_INTERVAL};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,7 +9,7 @@
 
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Broken {
+pub enum Violation {
     /// Two say different things of one place of the agreed log.
     Agreed(LogIndex),
     /// One applied a place out of its order.
@@ -68,7 +68,7 @@
     Stuck,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{self:?}")
     }
@@ -80,36 +80,38 @@
 const SLACK: f64 = 20.0;
 /// How far clocks that are not stepped are from true time, in ms, and a little.
 const SKEW_MS: u64 = 60;
-/// Behind the word that a trial is over: the step's lead, behind the one before if that is on its way, each seen with the next
-/// ask that comes.
+/// Behind the word that a trial is over: the step's lead, behind the one before if that is on its way, each seen with
+/// the next ask that comes.
 const FULL_BEHIND: Time = 2 * (PHASE_NOTICE + REQUEST_INTERVAL);
 
 /// All that was seen so far.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct Observations {
     agreed: BTreeMap<LogIndex, Vec<u8>>,
     /// Acknowledged configurations: base by version.
     taken: BTreeMap<u32, u32>,
     drains: BTreeSet<String>,
     passed: VecDeque<Time>,
-    guest: GuestSeen,
+    trial_tenant: TrialObservations,
     pub acknowledged: u32,
     pub reads: u32,
     pub through: u32,
 }
 
-impl Seen {
-    pub fn applied(&mut self, now: Time, place: LogIndex, word: &[u8]) -> Result<(), Broken> {
+impl Observations {
+    pub fn applied(&mut self, now: Time, place: LogIndex, word: &[u8]) -> Result<(), Violation> {
         let first = !self.agreed.contains_key(&place);
         let known = self.agreed.entry(place).or_insert_with(|| word.to_vec());
         if known != word {
-            return Err(Broken::Agreed(place));
+            return Err(Violation::Agreed(place));
         }
         match Command::decode(word).filter(|_| first) {
-            Some(Command::ExpireTrial { ends_at: ends, .. }) => self.guest.over(now, ends),
-            Some(Command::ReplaceConfiguration { base, version, body }) if base == self.guest.version => {
-                self.guest.version = version;
-                self.guest.moved(now, guest::ends(&body));
+            Some(Command::ExpireTrial { ends_at: ends, .. }) => self.trial_tenant.over(now, ends),
+            Some(Command::ReplaceConfiguration { base, version, body })
+                if base == self.trial_tenant.version =>
+            {
+                self.trial_tenant.version = version;
+                self.trial_tenant.moved(now, trial_tenant::trial_end(&body));
                 Ok(())
             }
             _ => Ok(()),
@@ -124,7 +126,7 @@
         self.drains.clone()
     }
 
-    pub fn acknowledge(&mut self, word: &Command) -> Result<(), Broken> {
+    pub fn acknowledge(&mut self, word: &Command) -> Result<(), Violation> {
         self.acknowledged += 1;
         match word {
             Command::ReplaceConfiguration { base, version, .. }
@@ -132,7 +134,7 @@
                 let other = self.taken.iter().any(|(v, b)| b == base && v != version);
                 self.taken.insert(*version, *base);
                 if other {
-                    return Err(Broken::Twice(*base));
+                    return Err(Violation::Twice(*base));
                 }
             }
             Command::Drain { instance } => drop(self.drains.insert(instance.clone())),
@@ -148,89 +150,90 @@
         acknowledged: u32,
         knows: impl Fn(&str) -> bool,
         drains: &BTreeSet<String>,
-    ) -> Result<(), Broken> {
+    ) -> Result<(), Violation> {
         self.reads += 1;
         if read < acknowledged {
-            return Err(Broken::Stale { read, acknowledged });
+            return Err(Violation::Stale { read, acknowledged });
         }
         match drains.iter().find(|d| !knows(d)) {
-            Some(forgotten) => Err(Broken::Drain(forgotten.clone())),
+            Some(forgotten) => Err(Violation::Drain(forgotten.clone())),
             None => Ok(()),
         }
     }
 
     /// One of the tenant's requests passed.
-    pub fn pass(&mut self, now: Time, rate: f64, burst: f64) -> Result<(), Broken> {
+    pub fn pass(&mut self, now: Time, rate: f64, burst: f64) -> Result<(), Violation> {
         self.through += 1;
         quota(&mut self.passed, now, rate, burst)
     }
 
     // ---- The guest ----
 
-    /// One of the guest's requests passed at full speed, at this gateway.
-    pub fn full(&mut self, now: Time, gateway: usize, rate: f64, burst: f64) -> Result<(), Broken> {
-        let g = &mut self.guest;
+    /// One of the trial tenant's requests passed at full speed, at this gateway.
+    pub fn full(&mut self, now: Time, gateway: usize, rate: f64, burst: f64) -> Result<(), Violation> {
+        let g = &mut self.trial_tenant;
         g.counts.0 += 1;
         let beside = |(other, at): &&(usize, Time)| *other != gateway && now - at < PHASE_GAP;
         if let Some((refuses, _)) = g.refused.iter().find(beside) {
-            return Err(Broken::Both { refuses: *refuses, full: gateway });
+            return Err(Violation::Both { refuses: *refuses, full: gateway });
         }
         let after = g.over_since.map_or(0, |since| now.saturating_sub(since));
         if after > FULL_BEHIND {
-            return Err(Broken::Full { after: after / 1_000_000 });
+            return Err(Violation::Full { after: after / 1_000_000 });
         }
-        note(&mut g.full, now, gateway);
+        record(&mut g.full, now, gateway);
         quota(&mut g.passed, now, rate, burst)
     }
 
     /// One was refused for the pace.
-    pub fn refused(&mut self, now: Time, gateway: usize, in_touch: bool) -> Result<(), Broken> {
-        let g = &mut self.guest;
+    pub fn refused(&mut self, now: Time, gateway: usize, in_touch: bool) -> Result<(), Violation> {
+        let g = &mut self.trial_tenant;
         g.counts.2 += 1;
         if !in_touch {
             return Ok(());
         }
         if let Some((full, _)) = g.full.iter().find(|(other, at)| *other != gateway && now - at < PHASE_GAP) {
-            return Err(Broken::Both { refuses: gateway, full: *full });
+            return Err(Violation::Both { refuses: gateway, full: *full });
         }
-        note(&mut g.refused, now, gateway);
+        record(&mut g.refused, now, gateway);
         Ok(())
     }
 
     /// One passed in its turn.
-    pub fn paced(&mut self, now: Time, slow: TrialPace) -> Result<(), Broken> {
-        let g = &mut self.guest;
+    pub fn paced(&mut self, now: Time, slow: TrialPace) -> Result<(), Violation> {
+        let g = &mut self.trial_tenant;
         g.counts.1 += 1;
         let passed = window(&mut g.paced, now);
-        // Twice the wait by what is promised, a fifth of a second for each change of the keeper's, and those alone.
+        // Twice the wait by what is promised, a fifth of a second for each change of the coordinator's, and those
+        // alone.
         let span = (WINDOW + 2 * slow.max_wait) as f64 / 1e9;
         let most = slow.rate * (span + 1.0) + 6.0;
         if f64::from(passed) > most {
-            return Err(Broken::Pace { passed, most });
+            return Err(Violation::Pace { passed, most });
         }
         Ok(())
     }
 
     /// At the end of a world that was calm for long.
-    pub fn trial_at_the_end(&self, now: Time) -> Result<(), Broken> {
-        let g = &self.guest;
-        let passed = g.ends.is_some_and(|ends| ends + 2000 < guest::BEGAN + now / 1_000_000);
+    pub fn trial_at_the_end(&self, now: Time) -> Result<(), Violation> {
+        let g = &self.trial_tenant;
+        let passed = g.ends.is_some_and(|ends| ends + 2000 < trial_tenant::START_OF_TIME + now / 1_000_000);
         let long = now.saturating_sub(g.moved_at) > 2_000_000_000;
         if passed && long && g.over_since.is_none() {
-            return Err(Broken::NeverOver);
+            return Err(Violation::NeverOver);
         }
         Ok(())
     }
 
-    /// How many of the guest's requests went at full speed, in their turn, and were refused for the pace.
-    pub fn guest_counts(&self) -> (u32, u32, u32) {
-        self.guest.counts
+    /// How many of the trial tenant's requests went at full speed, in their turn, and were refused for the pace.
+    pub fn trial_counts(&self) -> (u32, u32, u32) {
+        self.trial_tenant.counts
     }
 }
 
 /// What was seen of the tenant on trial.
 #[derive(Debug, Default)]
-struct GuestSeen {
+struct TrialObservations {
     version: u32,
     ends: Option<UnixMillis>,
     moved_at: Time,
@@ -243,11 +246,11 @@
     counts: (u32, u32, u32),
 }
 
-impl GuestSeen {
-    fn over(&mut self, now: Time, ends: UnixMillis) -> Result<(), Broken> {
-        let true_now = guest::BEGAN + now / 1_000_000;
+impl TrialObservations {
+    fn over(&mut self, now: Time, ends: UnixMillis) -> Result<(), Violation> {
+        let true_now = trial_tenant::START_OF_TIME + now / 1_000_000;
         if ends > true_now + SKEW_MS {
-            return Err(Broken::TooEarly { by: ends - true_now });
+            return Err(Violation::TooEarly { by: ends - true_now });
         }
         if self.ends == Some(ends) {
             self.over_since.get_or_insert(now);
@@ -264,7 +267,7 @@
     }
 }
 
-fn note(list: &mut VecDeque<(usize, Time)>, now: Time, gateway: usize) {
+fn record(list: &mut VecDeque<(usize, Time)>, now: Time, gateway: usize) {
     list.push_back((gateway, now));
     while list.front().is_some_and(|(_, at)| now - at > PHASE_GAP) {
         list.pop_front();
@@ -280,11 +283,11 @@
     list.len() as u32
 }
 
-fn quota(list: &mut VecDeque<Time>, now: Time, rate: f64, burst: f64) -> Result<(), Broken> {
+fn quota(list: &mut VecDeque<Time>, now: Time, rate: f64, burst: f64) -> Result<(), Violation> {
     let passed = window(list, now);
     let most = (rate * WINDOW as f64 / 1e9 + burst) * (1.0 + OVERSHOOT) + SLACK;
     if f64::from(passed) > most {
-        return Err(Broken::Quota { passed, most });
+        return Err(Violation::Quota { passed, most });
     }
     Ok(())
 }
--- a/crates/testing/control-sim/src/world.rs
+++ b/crates/testing/control-sim/src/short_workload.rs
@@ -1,13 +1,13 @@
-//! A world of seconds: prompters, gateways with one hot tenant and one on trial, operators and leaving backends, and what goes
-//! wrong, on a network that keeps no order.
+//! A world of seconds: control nodes, gateways with one hot tenant and one on trial, operators and leaving backends,
+//! and what goes wrong, on a network that keeps no order.
 
+use crate::change_history::check;
+use crate::cluster::{Cluster, Event, Observation as Happened};
 use crate::defect::Defect;
 use crate::gateways::Gateway;
-use crate::guest::{self, Guest};
-use crate::ledger::check;
-use crate::machine::{address, Told};
-use crate::rules::{Broken, Seen};
-use crate::system::{Event, Seen as Happened, System};
+use crate::machine::{address, MachineSettings};
+use crate::rules::{Observations, Violation};
+use crate::trial_tenant::{self, TrialTenant};
 use crate::{Time, MS};
 use control_node::Reply;
 use control_state::Command;
@@ -21,7 +21,7 @@
 /// How long a seed is played, and how long nothing goes wrong at its end.
 const LENGTH: Time = 16_000 * MS;
 const CALM: Time = 4_000 * MS;
-/// Nothing goes wrong before the core is founded, which takes no longer than that.
+/// Nothing goes wrong before the core is bootstrapped, which takes no longer than that.
 const FOUNDED: Time = 2_500 * MS;
 const GATEWAYS: usize = 5;
 /// A disk is lost again no sooner: the machine has come back and caught up by then.
@@ -29,13 +29,13 @@
 
 /// What happens beside what the system does.
 #[derive(Debug)]
-pub enum Happens {
+pub enum WorkloadEvent {
     HandOver(usize),
     Kill(usize, Time),
     /// One way, until then.
-    Cut(usize, usize, Time),
+    Partition(usize, usize, Time),
     Operator,
-    Trouble,
+    Fault,
     Gateway,
 }
 
@@ -56,7 +56,7 @@
     pub reads: u32,
     pub through: u32,
     /// Of the tenant on trial: at full speed, in turn, refused for the pace.
-    pub guest: (u32, u32, u32),
+    pub trial: (u32, u32, u32),
     /// Of worlds of minutes: acknowledged again, refused, and how long they lasted.
     pub again: u32,
     pub refused: u32,
@@ -66,17 +66,17 @@
     pub changes: u32,
 }
 
-pub struct World {
-    system: System<Happens>,
-    desks: Vec<QuotaClient>,
-    waits: Vec<Vec<Time>>,
-    guest: Guest,
-    /// Requests of the guest's a second.
-    guests: f64,
+pub struct ShortWorkload {
+    system: Cluster<WorkloadEvent>,
+    quota_clients: Vec<QuotaClient>,
+    waiting_for_units: Vec<Vec<Time>>,
+    trial_tenant: TrialTenant,
+    /// Requests of the trial tenant's a second.
+    trial_request_rate: f64,
     /// When a clock that had been stepped was last right again.
     stepped: Time,
     wiped_at: Vec<Option<Time>>,
-    seen: Seen,
+    observations: Observations,
     /// What operators know of.
     known: u32,
     version: u32,
@@ -94,29 +94,35 @@
     settled: u32,
 }
 
-impl Deref for World {
-    type Target = System<Happens>;
-    fn deref(&self) -> &System<Happens> {
+impl Deref for ShortWorkload {
+    type Target = Cluster<WorkloadEvent>;
+    fn deref(&self) -> &Cluster<WorkloadEvent> {
         &self.system
     }
 }
 
-impl DerefMut for World {
-    fn deref_mut(&mut self) -> &mut System<Happens> {
+impl DerefMut for ShortWorkload {
+    fn deref_mut(&mut self) -> &mut Cluster<WorkloadEvent> {
         &mut self.system
     }
 }
 
-impl World {
+impl ShortWorkload {
     pub fn new(seed: u64, defect: Option<Defect>) -> Self {
         let mut rng = Rng::with_seed(seed);
         let count = if rng.bool() { 3 } else { 5 };
-        let (guests, hot) = (5.0 + rng.f64() * 90.0, rng.f64() * 5.0 * guest::HOT_RATE);
+        let (trial_request_rate, hot) = (5.0 + rng.f64() * 90.0, rng.f64() * 5.0 * trial_tenant::HOT_RATE);
         let hot_from = if rng.bool() { 0 } else { rng.u64(3_000..9_000) * MS };
-        let mut system = System::new(rng, defect, check);
-        (system.net.wild, system.began) = (true, guest::BEGAN);
+        let mut system = Cluster::new(rng, defect, check);
+        (system.net.wild, system.began) = (true, trial_tenant::START_OF_TIME);
         let seeds = (0..3).map(address).collect();
-        let told = Told { seeds, first: true, zone: String::new(), terms: guest::terms, fold: 24 };
+        let told = MachineSettings {
+            seeds,
+            is_initial_start: true,
+            zone: String::new(),
+            terms: trial_tenant::terms,
+            snapshot_threshold: 24,
+        };
         // The last has no disk.
         for n in 0..=count {
             let n = system.add(n < count, told.clone());
@@ -125,15 +131,15 @@
         for g in 0..GATEWAYS {
             system.gateways.push(Gateway::new(g, "", &[g % 3, (g + 1) % 3]));
         }
-        World {
+        ShortWorkload {
             wiped_at: vec![None; system.machines.len()],
             system,
-            desks: (0..GATEWAYS).map(|_| QuotaClient::new(0)).collect(),
-            waits: vec![Vec::new(); GATEWAYS],
-            guest: Guest::new(GATEWAYS),
-            guests,
+            quota_clients: (0..GATEWAYS).map(|_| QuotaClient::new(0)).collect(),
+            waiting_for_units: vec![Vec::new(); GATEWAYS],
+            trial_tenant: TrialTenant::new(GATEWAYS),
+            trial_request_rate,
             stepped: 0,
-            seen: Seen::default(),
+            observations: Observations::default(),
             known: 0,
             version: 0,
             instance: 0,
@@ -148,7 +154,7 @@
         }
     }
 
-    fn tell(&mut self, line: String) {
+    fn log(&mut self, line: String) {
         if self.story.lines.len() >= 400 {
             self.story.lines.pop_front();
         }
@@ -157,7 +163,7 @@
     }
 
     /// Plays to the end.
-    pub fn play(mut self) -> Result<Story, Box<(Broken, Story)>> {
+    pub fn play(mut self) -> Result<Story, Box<(Violation, Story)>> {
         match self.run() {
             Ok(()) => Ok(self.end()),
             Err(broken) => Err(Box::new((broken, self.end()))),
@@ -165,57 +171,58 @@
     }
 
     fn end(mut self) -> Story {
-        self.story.guest = self.seen.guest_counts();
-        let Seen { acknowledged, reads, through, .. } = self.seen;
+        self.story.trial = self.observations.trial_counts();
+        let Observations { acknowledged, reads, through, .. } = self.observations;
         (self.story.acknowledged, self.story.reads, self.story.through) = (acknowledged, reads, through);
         self.story
     }
 
-    fn run(&mut self) -> Result<(), Broken> {
+    fn run(&mut self) -> Result<(), Violation> {
         for n in 0..self.machines.len() {
             let at = self.rng.u64(..300) * MS;
             self.at(at, Event::Start(n));
         }
         self.begin();
-        for event in [Happens::Operator, Happens::Gateway] {
+        for event in [WorkloadEvent::Operator, WorkloadEvent::Gateway] {
             self.later(200 * MS, event);
         }
-        self.later(FOUNDED, Happens::Trouble);
+        self.later(FOUNDED, WorkloadEvent::Fault);
         while let Some(event) = self.pop() {
             if self.now > LENGTH {
                 break;
             }
             self.story.steps += 1;
             if self.now < LENGTH - 1000 * MS {
-                self.settled = self.seen.newest();
+                self.settled = self.observations.newest();
             }
             let stepped = at_which(&event);
             if let Some(event) = self.system.step(event)? {
                 self.step(event)?;
             }
-            self.look_at_what_was_seen()?;
+            self.process_observations()?;
             if let Some(n) = stepped.filter(|_| self.now > FOUNDED && !self.is_calm()) {
                 self.may_die(n);
             }
             self.check_lease()?;
         }
-        self.seen.trial_at_the_end(self.now)?;
+        self.observations.trial_at_the_end(self.now)?;
         if self.now.saturating_sub(self.last_ack) > CALM {
-            let cores = self.machines.iter().filter_map(|n| n.core());
+            let cores = self.machines.iter().filter_map(|n| n.raft());
             let cores: Vec<String> = cores.map(|c| format!("{c:?}")).collect();
-            cores.into_iter().for_each(|c| self.tell(c));
-            return Err(Broken::Stuck);
+            cores.into_iter().for_each(|c| self.log(c));
+            return Err(Violation::Stuck);
         }
         // A second is enough for everybody, with a vote or without one.
         let behind = self.machines.iter().find(|n| n.is_up() && n.version() < self.settled);
-        behind.map_or(Ok(()), |n| Err(Broken::Behind(n.id.to_string())))
+        behind.map_or(Ok(()), |n| Err(Violation::Behind(n.id.to_string())))
     }
 
     fn is_calm(&self) -> bool {
         self.now + CALM > LENGTH
     }
 
-    /// One dies in the middle of what it does, at times: of what is to be saved some is, and nothing that rests on it was said.
+    /// One dies in the middle of what it does, at times: of what is to be saved some is, and nothing that rests on it
+    /// was said.
     fn may_die(&mut self, n: usize) {
         if self.machines[n].is_up() && self.rng.u16(..4000) == 0 {
             let lasts = self.rng.u64(50..900) * MS;
@@ -223,77 +230,81 @@
         }
     }
 
-    fn check_lease(&mut self) -> Result<(), Broken> {
+    fn check_lease(&mut self) -> Result<(), Violation> {
         let now = self.now;
         // One that stands still lends nothing: it looks at the clock when it goes on.
         let awake = self.machines.iter().filter(|n| n.frozen_until <= now);
-        let mut all = awake.filter_map(|n| n.prompter()?.coordinator_term(now));
+        let mut all = awake.filter_map(|n| n.node()?.coordinator_term(now));
         match (all.next(), all.next()) {
-            (Some(a), Some(b)) => Err(Broken::TwoLend(a, b)),
+            (Some(a), Some(b)) => Err(Violation::TwoLend(a, b)),
             _ => Ok(()),
         }
     }
 
-    fn step(&mut self, event: Happens) -> Result<(), Broken> {
+    fn step(&mut self, event: WorkloadEvent) -> Result<(), Violation> {
         let now = self.now;
         match event {
-            Happens::HandOver(n) => self.with(n, |p| p.begin_shutdown(now)),
-            Happens::Kill(n, lasts) => {
+            WorkloadEvent::HandOver(n) => self.with(n, |p| p.begin_shutdown(now)),
+            WorkloadEvent::Kill(n, lasts) => {
                 self.kill(n, lasts);
                 Ok(())
             }
-            Happens::Cut(from, to, until) => {
-                self.net.cut(from, to, until);
+            WorkloadEvent::Partition(from, to, until) => {
+                self.net.partition(from, to, until);
                 Ok(())
             }
-            Happens::Operator => self.operator(),
-            Happens::Trouble => {
-                self.trouble();
+            WorkloadEvent::Operator => self.operator(),
+            WorkloadEvent::Fault => {
+                self.inject_fault();
                 Ok(())
             }
-            Happens::Gateway => self.gateways(),
+            WorkloadEvent::Gateway => self.gateways(),
         }
     }
 
-    fn look_at_what_was_seen(&mut self) -> Result<(), Broken> {
+    fn process_observations(&mut self) -> Result<(), Violation> {
         let now = self.now;
         while let Some(seen) = self.system.seen.pop_front() {
             match seen {
-                Happened::Applied { place, word } => self.seen.applied(now, place, &word)?,
+                Happened::Applied { index: place, command: word } => {
+                    self.observations.applied(now, place, &word)?
+                }
                 Happened::Answered { n, call, reply } => self.answered(n, call, reply)?,
-                Happened::Lent { g, lent } => drop(self.desks[g].on_grant(now, &lent)),
-                Happened::News { g, news } => news.into_iter().for_each(|n| self.news(g, &n)),
+                Happened::Granted { g, lent } => drop(self.quota_clients[g].on_grant(now, &lent)),
+                Happened::ViewChanged { g, changes: news } => {
+                    news.into_iter().for_each(|n| self.view_changed(g, &n))
+                }
             }
         }
         Ok(())
     }
 
     /// A gateway has heard of something; nothing that it knows goes back.
-    fn news(&mut self, g: usize, news: &ViewChange) {
+    fn view_changed(&mut self, g: usize, news: &ViewChange) {
         let now = self.now;
         match news {
             ViewChange::Configuration(c) => {
-                if guest::ends(&c.body).is_some() {
-                    self.guest.unaware.remove(&g);
+                if trial_tenant::trial_end(&c.body).is_some() {
+                    self.trial_tenant.unaware.remove(&g);
                 } else {
-                    self.guest.unaware.insert(g);
+                    self.trial_tenant.unaware.insert(g);
                 }
-                self.desks[g].set_limits(now, &guest::terms(&c.body).limits);
+                self.quota_clients[g].set_limits(now, &trial_tenant::terms(&c.body).limits);
             }
             ViewChange::Gateways => {
                 let gateway = &self.system.gateways[g];
-                let all = gateway.follow.view().gateways();
+                let all = gateway.subscription.view().gateways();
                 let is_one = all.contains(&gateway.name);
-                self.desks[g].set_gateway_count(if is_one { all.len() as u32 } else { 0 });
+                self.quota_clients[g].set_gateway_count(if is_one { all.len() as u32 } else { 0 });
             }
             ViewChange::BackendReady(_) | ViewChange::BackendDraining(_) | ViewChange::BackendRemoved(_) => {}
         }
     }
 
-    /// Operators change and read, backends leave, at any prompter.
-    fn operator(&mut self) -> Result<(), Broken> {
+    /// Operators change and read, backends leave, at any control node.
+    fn operator(&mut self) -> Result<(), Violation> {
         let (now, next) = (self.now, self.rng.u64(10..120) * MS);
-        self.later(now + next, Happens::Operator);
+        self.later(now + next, WorkloadEvent::Operator);
         let count = self.machines.len();
         let mut n = self.rng.usize(..count);
         // In the end they find whoever leads, as they do by its word; chance alone may miss it for long.
@@ -310,12 +321,13 @@
             0 | 1 => {
                 self.version += 1;
                 let old = self.rng.u8(..4) == 0;
-                let book = self.machines[n].book();
-                let held = book.and_then(|b| b.configuration()).and_then(|c| guest::ends(&c.body));
+                let state = self.machines[n].state();
+                let held =
+                    state.and_then(|b| b.configuration()).and_then(|c| trial_tenant::trial_end(&c.body));
                 let base = if old { self.known } else { self.machines[n].version() };
-                let ends = guest::moved(&mut self.rng, now, held);
+                let ends = trial_tenant::next_trial_end(&mut self.rng, now, held);
                 let version = self.version.max(base + 1);
-                let body = guest::body(base, version, ends);
+                let body = trial_tenant::body(base, version, ends);
                 self.calls.insert(call, Call::Change { base, version, body: body.clone() });
                 self.with(n, |p| p.replace_configuration(now, call, body.into()))
             }
@@ -326,30 +338,30 @@
                 self.with(n, |p| p.deregister(now, call, &instance))
             }
             _ => {
-                let (acknowledged, drains) = (self.seen.newest(), self.seen.drains());
+                let (acknowledged, drains) = (self.observations.newest(), self.observations.drains());
                 self.calls.insert(call, Call::Read { acknowledged, drains });
                 self.with(n, |p| p.read_configuration(now, call))
             }
         }
     }
 
-    fn answered(&mut self, n: usize, call: u64, reply: Reply) -> Result<(), Broken> {
+    fn answered(&mut self, n: usize, call: u64, reply: Reply) -> Result<(), Violation> {
         match (self.calls.remove(&call), reply) {
             (Some(Call::Change { base, version, body }), Reply::Acknowledged) => {
                 self.known = self.known.max(version);
                 self.last_ack = self.now;
-                self.seen.acknowledge(&Command::ReplaceConfiguration { base, version, body })
+                self.observations.acknowledge(&Command::ReplaceConfiguration { base, version, body })
             }
             (Some(Call::Drain { instance }), Reply::Acknowledged) => {
                 self.last_ack = self.now;
-                self.seen.acknowledge(&Command::Drain { instance })
+                self.observations.acknowledge(&Command::Drain { instance })
             }
             (Some(Call::Read { acknowledged, drains }), Reply::Current(held)) => {
                 let version = held.map_or(0, |c| c.version);
                 (self.known, self.last_ack) = (self.known.max(version), self.now);
-                let book = self.system.machines[n].book();
-                let knows = |d: &str| book.is_some_and(|b| b.is_draining(d));
-                self.seen.read(version, acknowledged, knows, &drains)
+                let state = self.system.machines[n].state();
+                let knows = |d: &str| state.is_some_and(|b| b.is_draining(d));
+                self.observations.read(version, acknowledged, knows, &drains)
             }
             (_, Reply::Conflict { current }) => {
                 (self.known, self.last_ack) = (self.known.max(current), self.now);
@@ -359,14 +371,14 @@
         }
     }
 
-    fn trouble(&mut self) {
+    fn inject_fault(&mut self) {
         if self.is_calm() {
             self.net.heal();
             self.machines.iter_mut().for_each(|n| n.skew = n.skew.clamp(-20, 20));
             return;
         }
         let (now, next) = (self.now, self.rng.u64(100..900) * MS);
-        self.later(now + next, Happens::Trouble);
+        self.later(now + next, WorkloadEvent::Fault);
         let count = self.machines.len();
         let (n, m) = (self.rng.usize(..count), self.rng.usize(..count));
         let short = self.rng.bool();
@@ -376,33 +388,33 @@
             8 => self.one_against_the_leader(),
             9 => self.step_a_clock(n),
             0 | 1 => {
-                self.tell(format!("cut {n} -> {m} for {} ms", lasts / MS));
-                self.net.cut(n, m, until);
+                self.log(format!("cut {n} -> {m} for {} ms", lasts / MS));
+                self.net.partition(n, m, until);
                 if self.rng.bool() {
-                    self.net.cut(m, n, until);
+                    self.net.partition(m, n, until);
                 }
             }
             2 => {
-                self.tell(format!("cut {n} off for {} ms", lasts / MS));
+                self.log(format!("cut {n} off for {} ms", lasts / MS));
                 for other in (0..count).filter(|other| *other != n) {
-                    self.net.cut(n, other, until);
-                    self.net.cut(other, n, until);
+                    self.net.partition(n, other, until);
+                    self.net.partition(other, n, until);
                 }
             }
             3 => {
-                self.tell(format!("freeze {n} for {} ms", lasts / MS));
+                self.log(format!("freeze {n} for {} ms", lasts / MS));
                 self.machines[n].frozen_until = until;
                 self.at(until, Event::Wake(n));
             }
             4 => self.kill(n, lasts),
             5 => {
                 // Told to end: it names its successor, and dies a little later.
-                self.tell(format!("{} is told to end", self.machines[n].id));
-                self.later(now, Happens::HandOver(n));
-                self.later(now + 30 * MS, Happens::Kill(n, lasts));
+                self.log(format!("{} is told to end", self.machines[n].id));
+                self.later(now, WorkloadEvent::HandOver(n));
+                self.later(now + 30 * MS, WorkloadEvent::Kill(n, lasts));
             }
             6 => {
-                self.tell("kill all".into());
+                self.log("kill all".into());
                 for n in 0..count {
                     let lasts = self.rng.u64(50..900) * MS;
                     self.kill(n, lasts);
@@ -414,12 +426,12 @@
         let g = self.rng.usize(..GATEWAYS);
         if self.rng.u8(..3) == 0 {
             let lasts = self.rng.u64(200..4000) * MS;
-            self.system.gateways[g].cut_until = now + lasts;
+            self.system.gateways[g].isolated_until = now + lasts;
         }
         if self.rng.u8(..5) == 0 {
             let (g, lasts) = (self.rng.usize(..GATEWAYS), self.rng.u64(50..2500) * MS);
-            self.system.gateways[g].asleep = now + lasts;
-            self.tell(format!("gateway {g} stands still"));
+            self.system.gateways[g].suspended_until = now + lasts;
+            self.log(format!("gateway {g} stands still"));
         }
     }
 
@@ -427,7 +439,7 @@
     fn step_a_clock(&mut self, n: usize) {
         let stepped = self.machines.iter().any(|n| n.skew.abs() > 20);
         if stepped {
-            self.tell("the clock that jumped is back".into());
+            self.log("the clock that jumped is back".into());
             self.machines.iter_mut().for_each(|n| n.skew = n.skew.clamp(-20, 20));
             self.stepped = self.now;
         }
@@ -436,7 +448,7 @@
         }
         let by = if self.rng.bool() { self.rng.i64(500..5000) } else { self.rng.i64(5000..4_000_000) };
         let by = if self.rng.bool() { by } else { -by };
-        self.tell(format!("the clock of {n} jumps by {by} ms"));
+        self.log(format!("the clock of {n} jumps by {by} ms"));
         self.machines[n].skew = by;
     }
 
@@ -444,7 +456,7 @@
         if !self.machines[n].is_up() {
             return;
         }
-        self.tell(format!("{} dies", self.machines[n].id));
+        self.log(format!("{} dies", self.machines[n].id));
         self.stop(n);
         let at = (self.now + lasts).min(LENGTH - CALM).max(self.now);
         self.at(at, Event::Start(n));
@@ -453,22 +465,22 @@
     /// One does not hear the leader and stands up; another, who does, dies meanwhile and is back at once.
     fn one_against_the_leader(&mut self) {
         let Some(leader) = self.leader() else { return };
-        let count = self.machines.iter().filter(|n| n.votes).count();
+        let count = self.machines.iter().filter(|n| n.can_vote).count();
         let (deaf, dies) = ((leader + 1) % count, (leader + 2) % count);
-        self.tell(format!("{deaf} does not hear {leader}, {dies} dies for a moment"));
+        self.log(format!("{deaf} does not hear {leader}, {dies} dies for a moment"));
         let now = self.now;
         let until = (now + 1500 * MS).min(LENGTH - CALM);
-        self.net.cut(leader, deaf, until);
-        self.net.cut(deaf, leader, until);
+        self.net.partition(leader, deaf, until);
+        self.net.partition(deaf, leader, until);
         for _ in 0..3 {
             let at = now + self.rng.u64(500..1300) * MS;
-            self.later(at, Happens::Kill(dies, 20 * MS));
+            self.later(at, WorkloadEvent::Kill(dies, 20 * MS));
         }
         if self.rng.bool() {
             // Nor does that one hear the leader any more, once it is back.
             let at = now + self.rng.u64(500..1000) * MS;
-            self.later(at, Happens::Kill(dies, 20 * MS));
-            self.later(at, Happens::Cut(leader, dies, until));
+            self.later(at, WorkloadEvent::Kill(dies, 20 * MS));
+            self.later(at, WorkloadEvent::Partition(leader, dies, until));
         }
     }
 
@@ -477,57 +489,60 @@
         let now = self.now;
         let recent = |at: &Option<Time>| at.is_some_and(|at| now < at + CATCH_UP);
         let all_in =
-            self.machines.iter().filter(|node| node.votes).all(|node| {
-                node.core().is_some_and(consensus::RaftNode::is_voter) && node.frozen_until <= now
+            self.machines.iter().filter(|node| node.can_vote).all(|node| {
+                node.raft().is_some_and(consensus::RaftNode::is_voter) && node.frozen_until <= now
             });
-        if !self.machines[n].votes || self.wiped_at.iter().any(recent) || !all_in {
+        if !self.machines[n].can_vote || self.wiped_at.iter().any(recent) || !all_in {
             return;
         }
         self.kill(n, lasts);
         self.wiped_at[n] = Some(now + lasts);
         let keeps_id = self.defect == Some(Defect::WipedVotes);
         self.machines[n].wipe(keeps_id);
-        self.tell(format!("and comes back without its disk, as {}", self.machines[n].id));
+        self.log(format!("and comes back without its disk, as {}", self.machines[n].id));
     }
 
     /// A hot tenant's requests through all gateways, each 10 ms.
-    fn gateways(&mut self) -> Result<(), Broken> {
+    fn gateways(&mut self) -> Result<(), Violation> {
         let now = self.now;
-        self.later(now + 10 * MS, Happens::Gateway);
+        self.later(now + 10 * MS, WorkloadEvent::Gateway);
         let defect = self.defect;
         // Before a gateway knows what tenants may do it refuses them all.
-        let knows =
-            |g: &Gateway| g.follow.configuration_index() > 0 && g.follow.view().gateways().len() == GATEWAYS;
+        let knows = |g: &Gateway| {
+            g.subscription.configuration_index() > 0 && g.subscription.view().gateways().len() == GATEWAYS
+        };
         self.is_open |= self.system.gateways.iter().all(knows);
         for g in 0..GATEWAYS {
-            if !self.is_open || self.system.gateways[g].asleep > now {
+            if !self.is_open || self.system.gateways[g].suspended_until > now {
                 continue;
             }
             let rng = &mut self.system.rng;
-            let comes = rng.f64() < self.guests * 0.01 / GATEWAYS as f64;
-            let desk = &mut self.desks[g];
-            self.guest.turn((now, g), comes, desk, rng, defect, &mut self.seen)?;
+            let comes = rng.f64() < self.trial_request_rate * 0.01 / GATEWAYS as f64;
+            let client = &mut self.quota_clients[g];
+            self.trial_tenant.turn((now, g), comes, client, rng, defect, &mut self.observations)?;
             let mut tries: Vec<Option<Time>> =
-                std::mem::take(&mut self.waits[g]).into_iter().map(Some).collect();
+                std::mem::take(&mut self.waiting_for_units[g]).into_iter().map(Some).collect();
             if rng.f64() < self.hot * 0.01 / GATEWAYS as f64 && now >= self.hot_from {
                 tries.push(None);
             }
             for since in tries {
                 let draw = rng.f64();
-                let mut verdict = desk.acquire(now, guest::HOT, draw, since);
-                if defect == Some(Defect::AloneAndFree) && desk.is_isolated(now) {
+                let mut verdict = client.acquire(now, trial_tenant::HOT, draw, since);
+                if defect == Some(Defect::AloneAndFree) && client.is_isolated(now) {
                     verdict = Decision::Granted;
                 }
                 match verdict {
-                    Decision::Granted => self.seen.pass(now, guest::HOT_RATE, guest::HOT_RATE)?,
+                    Decision::Granted => {
+                        self.observations.pass(now, trial_tenant::HOT_RATE, trial_tenant::HOT_RATE)?
+                    }
                     Decision::Refused { .. } | Decision::Throttled { .. } => {}
-                    Decision::Wait { .. } => self.waits[g].push(since.unwrap_or(now)),
+                    Decision::Wait { .. } => self.waiting_for_units[g].push(since.unwrap_or(now)),
                 }
             }
             // Without a link it is lost.
-            let ask = self.desks[g].next_request(now);
+            let ask = self.quota_clients[g].next_request(now);
             if let Some((ask, link)) = ask.zip(self.system.gateways[g].link) {
-                self.say(g, link, GatewayMessage::LeaseRequest(ask));
+                self.send_to_control_node(g, link, GatewayMessage::LeaseRequest(ask));
             }
         }
         Ok(())
@@ -535,7 +550,7 @@
 }
 
 /// At which machine something happens that it may die of.
-fn at_which(event: &Event<Happens>) -> Option<usize> {
+fn at_which(event: &Event<WorkloadEvent>) -> Option<usize> {
     match event {
         Event::Peer { to, .. } => Some(*to),
         Event::Written(n, ..) => Some(*n),
--- a/crates/testing/control-sim/tests/rehearsal.rs
+++ b/crates/testing/control-sim/tests/seeds_and_defects.rs
@@ -1,4 +1,4 @@
-//! Seeds and defects. `rehearsal --seed N --story` plays a seed by hand.
+//! Seeds and defects. `simulation --seed N --story` plays a seed by hand.
 
 use control_node::Defect as Planted;
 use control_sim::{is_long, play, play_pairs, Defect};
@@ -8,8 +8,8 @@
 const SEEDS: u64 = 1000;
 /// A defect is found within so many.
 const DEFECT_SEEDS: u64 = 1000;
-/// Of worlds of minutes in which as many machines are replaced at a time as may be lost: 127 and 223 once made seven voters of
-/// five, two of them gone.
+/// Of worlds of minutes in which as many machines are replaced at a time as may be lost: 127 and 223 once made seven
+/// voters of five, two of them gone.
 const PAIRS: std::ops::Range<u64> = 120..240;
 
 #[gtest]
@@ -21,7 +21,7 @@
             match play(seed, None) {
                 Ok(story) => {
                     acknowledged += u64::from(story.acknowledged);
-                    refused += u64::from(story.guest.2);
+                    refused += u64::from(story.trial.2);
                     again += u64::from(story.again);
                 }
                 Err(broken) => panic!("seed {seed}: {}\n{:#?}", broken.0, broken.1.lines),
@@ -56,9 +56,10 @@
     });
 }
 
-/// These need moments of milliseconds, which worlds of seconds bring about far more often: the others are left out for them.
+/// These need moments of milliseconds, which worlds of seconds bring about far more often: the others are left out for
+/// them.
 const SECONDS: [Defect; 2] =
-    [Defect::Prompter(Planted::SendBeforeSync), Defect::Prompter(Planted::VoteRightAfterRestart)];
+    [Defect::ControlNode(Planted::SendBeforeSync), Defect::ControlNode(Planted::VoteRightAfterRestart)];
 
 #[gtest]
 fn every_defect_is_found() {
--- a/crates/testing/fleet-sim/src/members.rs
+++ b/crates/testing/fleet-sim/src/members.rs
@@ -313,8 +313,8 @@
     pub faults: Vec<(u64, String)>,
     /// From the last fault until all that reach each other had one view; none: not within the bound.
     pub settled_ms: Option<u64>,
-    /// Fewer than an eighth are left, who can't tell at first whether they or all others are gone; later they had one view,
-    /// or each whose view is not the others' says that it is cut off: what is promised then.
+    /// Fewer than an eighth are left, who can't tell at first whether they or all others are gone; later they had one
+    /// view, or each whose view is not the others' says that it is isolated: what is promised then.
     pub too_few: bool,
     /// Who saw what wrongly then, if that is so.
     pub wrong: Vec<String>,
@@ -325,7 +325,7 @@
 /// So long after the last fault there must be one view.
 pub const BOUND: Time = 8 * S;
 
-/// The same where fewer than an eighth are left: for most of a wave they take themselves for cut off.
+/// The same where fewer than an eighth are left: for most of a wave they take themselves for isolated.
 pub const BOUND_FEW: Time = 30 * S;
 
 /// A random day: so many members start, faults come and go, the last one is mended; then one view within the bound.
--- a/crates/testing/fleet-sim/tests/members.rs
+++ b/crates/testing/fleet-sim/tests/members.rs
@@ -218,7 +218,7 @@
     net.stop(2, net.now + 400 * MS);
     net.play(net.now + 350 * MS);
     let before = state(&net, 6, "m0002");
-    // So short that those whom it heard before still count as heard: it is not cut off in its own eyes.
+    // So short that those whom it heard before still count as heard: it is not isolated in its own eyes.
     net.stop(6, net.now + 1500 * MS);
     net.play(net.now + 1500 * MS);
     let dead = state(&net, 6, "m0002") == Some(State::Dead);
--- a/crates/testing/model-check/tests/storms.rs
+++ b/crates/testing/model-check/tests/storms.rs
@@ -391,7 +391,7 @@
     }
 }
 
-/// A storm of some 40 s; what was passed in it.
+/// A fault schedule of some 40 s; what was passed in it.
 fn storm(seed: u64, seats: u16, lies: bool) -> Option<String> {
     let mut world = World::new(seed, seats, 2, 3, true);
     world.lies = lies.then(|| Rng::with_seed(seed ^ 0x11e5));
@@ -407,7 +407,7 @@
     None
 }
 
-/// What the first of these storms passed that passed anything: some side by side, the same at every run.
+/// What the first of these fault phases passed that passed anything: some side by side, the same at every run.
 fn first_passed(seeds: std::ops::Range<u64>, lies: bool) -> Option<String> {
     let cores = std::thread::available_parallelism().map_or(1, |n| n.get() as u64);
     let (mut at, mut some) = (seeds.start, 1);
@@ -479,7 +479,7 @@
     }
 }
 
-/// Defects that are harmless in nearly every storm: they are shown by a story instead, here or in `leases.rs`.
+/// Defects that are harmless in nearly every fault schedule: they are shown by a story instead, here or in `leases.rs`.
 const TOLD: [&str; 10] = [
     "withdrawn-taken-up",
     "fencing-off",
--- a/crates/testing/test-harness/src/comeback.rs
+++ b/crates/testing/test-harness/src/comeback.rs
@@ -4,7 +4,7 @@
 
 use crate::fleet::lock;
 use crate::peers::{Client, Discovery};
-use crate::planners::{customer, fleet, units, Files, Ledger, QUOTA};
+use crate::planners::{customer, fleet, units, Files, RequestRecord, QUOTA};
 use crate::program::{locate, Program, EXAMPLE};
 use crate::scenario::{Figures, Play, Scenario};
 use fastrand::Rng;
@@ -53,7 +53,7 @@
 struct Arm {
     gateways: Vec<Program>,
     folders: Vec<PathBuf>,
-    ledger: Arc<Ledger>,
+    ledger: Arc<RequestRecord>,
     outcomes: Arc<Mutex<Vec<Outcome>>>,
     lanes: Vec<JoinHandle<()>>,
     _discovery: Discovery,
--- a/crates/testing/test-harness/src/crowd.rs
+++ b/crates/testing/test-harness/src/crowd.rs
@@ -36,7 +36,7 @@
 const LANES: u64 = 12;
 
 #[derive(Default)]
-struct Ledger {
+struct RequestRecord {
     served: AtomicUsize,
     refused: AtomicUsize,
     /// Written whole and not answered.
@@ -47,7 +47,7 @@
 }
 
 /// True requests, each on a connection of its own.
-fn lane(n: u64, play: &Play, to: SocketAddr, over: &AtomicBool, ledger: &Ledger) {
+fn lane(n: u64, play: &Play, to: SocketAddr, over: &AtomicBool, ledger: &RequestRecord) {
     let mut rng = Rng::with_seed(play.seed.wrapping_add(n).wrapping_mul(0x2545_f491_4f6c_dd1d));
     let mut number = (n + 1) << 32;
     while !over.load(Ordering::Relaxed) {
@@ -135,7 +135,7 @@
     let gateway = Program::start_operated(&locate()?, &config, discovery.address, None)?;
     discovery.called(2);
     let (to, gateway) = (gateway.address, Arc::new(Mutex::new(gateway)));
-    let (over, ledger) = (Arc::new(AtomicBool::new(false)), Arc::<Ledger>::default());
+    let (over, ledger) = (Arc::new(AtomicBool::new(false)), Arc::<RequestRecord>::default());
     let mut threads = Vec::new();
     {
         let (play, over) = (play.clone(), over.clone());
--- a/crates/testing/test-harness/src/house.rs
+++ b/crates/testing/test-harness/src/local_cluster.rs
@@ -1,5 +1,6 @@
-//! The whole system on loopback: three prompters, three gateways, stand-in backends that beat, an operator. One prompter is
-//! killed in the middle, a configuration changes, a backend leaves; what is counted is counted at clients and backends.
+//! The whole system on loopback: three control nodes, three gateways, stand-in backends that heartbeat, an operator.
+//! One control node is killed in the middle, a configuration changes, a backend leaves; what is counted is counted at
+//! clients and backends.
 
 use crate::fleet::{lock, serve};
 use crate::peers::{Client, Message};
@@ -17,8 +18,8 @@
 use std::time::{Duration, Instant};
 
 pub const SCENARIO: Scenario = Scenario {
-    name: "house",
-    about: "the whole system: a backend leaves, a prompter is killed, a gateway told to end, a configuration changed",
+    name: "cluster",
+    about: "the whole system: a backend leaves, a control node is killed, a gateway told to end, a configuration changed",
     seconds: 12,
     test_seconds: 7,
     defects: &[
@@ -31,14 +32,14 @@
 
 pub const MACHINES: usize = 3;
 const BACKENDS: usize = 4;
-const BEAT_MS: u64 = 500;
+const HEARTBEAT_MS: u64 = 500;
 /// So long after its drain was acknowledged a backend must get nothing more.
 const DRAIN: Duration = Duration::from_millis(1500);
 /// A gateway that was told to end has so long.
 const GRACE: Duration = Duration::from_secs(6);
 pub const KEY: &str = "2b9wu3fexd9dnn2ctnfz";
 /// The other tenant's, where there is one.
-pub const GUEST: &str = "s989anu6wsjnbanfqasn";
+pub const TRIAL_TENANT: &str = "s989anu6wsjnbanfqasn";
 
 /// What all backends saw.
 #[derive(Default)]
@@ -64,13 +65,13 @@
 struct Machine {
     ip: String,
     folder: PathBuf,
-    prompter: Child,
+    control_plane: Child,
     gateway: Child,
 }
 
 impl Drop for Machine {
     fn drop(&mut self) {
-        for child in [&mut self.prompter, &mut self.gateway] {
+        for child in [&mut self.control_plane, &mut self.gateway] {
             // It may have ended.
             let _ = child.kill();
             let _ = child.wait();
@@ -79,17 +80,17 @@
 }
 
 /// The whole system, running.
-pub struct House {
+pub struct LocalCluster {
     machines: Vec<Machine>,
     front: u16,
     control: u16,
     inner: u16,
-    prompter: PathBuf,
-    proscenium: PathBuf,
+    control_plane_program: PathBuf,
+    data_plane_program: PathBuf,
     folder: PathBuf,
 }
 
-impl Drop for House {
+impl Drop for LocalCluster {
     fn drop(&mut self) {
         self.machines.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
@@ -121,35 +122,43 @@
     command.spawn().map_err(|e| format!("{}: {e}", program.display()))
 }
 
-impl House {
+impl LocalCluster {
     /// Starts all of it, for the first time.
     ///
     /// # Errors
     /// One line, if it can't be built or started.
-    pub fn open(seed: u64) -> Result<House, String> {
-        House::open_with(seed, MACHINES, BEAT_MS)
+    pub fn open(seed: u64) -> Result<LocalCluster, String> {
+        LocalCluster::open_with(seed, MACHINES, HEARTBEAT_MS)
     }
 
-    /// The same with so many machines, each in a zone of its own, and so long between two beats of a backend.
+    /// The same with so many machines, each in a zone of its own, and so long between two heartbeats of a backend.
     ///
     /// # Errors
     /// One line, if it can't be built or started.
-    pub fn open_with(seed: u64, machines: usize, beat_ms: u64) -> Result<House, String> {
-        let (proscenium, prompter) = locate_system()?;
+    pub fn open_with(seed: u64, machines: usize, beat_ms: u64) -> Result<LocalCluster, String> {
+        let (data_plane, control_plane) = locate_system()?;
         // Tests may run beside each other: each has addresses of its own.
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let net = 100 + (u64::from(std::process::id()) + NEXT.fetch_add(1, Relaxed)) % 100;
         let ips: Vec<String> = (1..=machines).map(|n| format!("127.0.{net}.{n}")).collect();
         let [front, readiness, control, inner] = ports(&ips)?;
         let folder =
-            std::env::temp_dir().join(format!("granitethread-house-{}-{net}-{seed}", std::process::id()));
+            std::env::temp_dir().join(format!("granitethread-cluster-{}-{net}-{seed}", std::process::id()));
         // As the operator's files name them.
         let seeds: Vec<String> = ips.iter().take(3).map(|ip| format!("\"{ip}:{control}\"")).collect();
         let seeds = seeds.join(", ");
         let zones: String = (0..machines).map(|n| format!("zone-{n} = \"r\"\n")).collect();
-        let mut house = House { machines: Vec::new(), front, control, inner, prompter, proscenium, folder };
+        let mut cluster = LocalCluster {
+            machines: Vec::new(),
+            front,
+            control,
+            inner,
+            control_plane_program: control_plane,
+            data_plane_program: data_plane,
+            folder,
+        };
         for (n, ip) in ips.into_iter().enumerate() {
-            let folder = house.folder.join(n.to_string());
+            let folder = cluster.folder.join(n.to_string());
             std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
             let (data, last) = (folder.join("data"), inner + 2);
             let text = format!(
@@ -163,11 +172,13 @@
             let settings = folder.join("settings.toml");
             std::fs::create_dir_all(&data).map_err(|e| e.to_string())?;
             std::fs::write(&settings, text).map_err(|e| format!("{}: {e}", settings.display()))?;
-            let (prompter, gateway) =
-                (spawn(&house.prompter, &settings)?, spawn(&house.proscenium, &settings)?);
-            house.machines.push(Machine { ip, folder, prompter, gateway });
+            let (control_plane, gateway) = (
+                spawn(&cluster.control_plane_program, &settings)?,
+                spawn(&cluster.data_plane_program, &settings)?,
+            );
+            cluster.machines.push(Machine { ip, folder, control_plane, gateway });
         }
-        Ok(house)
+        Ok(cluster)
     }
 
     pub fn fronts(&self) -> Vec<SocketAddr> {
@@ -178,14 +189,14 @@
         self.at(self.control)
     }
 
-    /// Where prompters hear gateways and each other.
+    /// Where control nodes hear gateways and each other.
     pub fn inners(&self) -> Vec<SocketAddr> {
         self.at(self.inner)
     }
 
-    /// The processes of each machine: its prompter, its gateway.
+    /// The processes of each machine: its control node, its gateway.
     pub fn children(&self) -> Vec<(u32, u32)> {
-        self.machines.iter().map(|m| (m.prompter.id(), m.gateway.id())).collect()
+        self.machines.iter().map(|m| (m.control_plane.id(), m.gateway.id())).collect()
     }
 
     fn at(&self, port: u16) -> Vec<SocketAddr> {
@@ -212,35 +223,39 @@
         // It may have ended already.
         let _ = machine.gateway.kill();
         let _ = machine.gateway.wait();
-        machine.gateway = spawn(&self.proscenium, &machine.folder.join("settings.toml"))?;
+        machine.gateway = spawn(&self.data_plane_program, &machine.folder.join("settings.toml"))?;
         Ok(ended)
     }
 
-    /// Stops a machine's gateway or prompter where it stands, or lets it go on.
+    /// Stops a machine's gateway or control node where it stands, or lets it go on.
     ///
     /// # Errors
     /// One line, if no signal can be sent.
     pub fn freeze(&self, n: usize, gateway: bool, frozen: bool) -> Result<(), String> {
         let machine = &self.machines[n];
-        let child = if gateway { &machine.gateway } else { &machine.prompter };
+        let child = if gateway { &machine.gateway } else { &machine.control_plane };
         let signal = if frozen { "-STOP" } else { "-CONT" };
         let told = Command::new("kill").args([signal, &child.id().to_string()]).status();
         told.map(|_| ()).map_err(|e| format!("kill: {e}"))
     }
 
-    /// Kills a prompter and starts it again, no more for the first time.
+    /// Kills a control node and starts it again, no more for the first time.
     ///
     /// # Errors
     /// One line, if that can't be done.
     pub fn kill(&mut self, n: usize) -> Result<(), String> {
         let machine = &mut self.machines[n];
-        machine.prompter.kill().and_then(|()| machine.prompter.wait()).map_err(|e| e.to_string())?;
+        machine
+            .control_plane
+            .kill()
+            .and_then(|()| machine.control_plane.wait())
+            .map_err(|e| e.to_string())?;
         thread::sleep(Duration::from_millis(300));
         let settings = machine.folder.join("settings.toml");
         let text = std::fs::read_to_string(&settings).map_err(|e| e.to_string())?;
         std::fs::write(&settings, text.replace("initialStart = true", "initialStart = false"))
             .map_err(|e| e.to_string())?;
-        machine.prompter = spawn(&self.prompter, &settings)?;
+        machine.control_plane = spawn(&self.control_plane_program, &settings)?;
         Ok(())
     }
 }
@@ -273,7 +288,7 @@
 }
 
 impl Backend {
-    fn beat(&mut self, controls: &[SocketAddr], tries: usize) -> bool {
+    fn send_heartbeat(&mut self, controls: &[SocketAddr], tries: usize) -> bool {
         self.sequence += 1;
         let body = json!({"address": self.address.to_string(),
             "nodeInfo": {"targetService": "desk", "configVersion": "v1", "zone": "zone-0", "capacitySlots": 4},
@@ -367,9 +382,9 @@
     failed: u64,
 }
 
-/// Backends that beat until they are stopped; the operator's first configuration.
+/// Backends that heartbeat until they are stopped; the operator's first configuration.
 pub struct Running {
-    pub house: House,
+    pub cluster: LocalCluster,
     pub seen: Arc<Seen>,
     backends: Arc<Mutex<Vec<Backend>>>,
     stop: Arc<AtomicBool>,
@@ -394,8 +409,8 @@
 /// # Errors
 /// One line, if the system can't be built or does not come up.
 pub fn begin_with(seed: u64, first: &str) -> Result<Running, String> {
-    let house = House::open(seed)?;
-    let controls = house.controls();
+    let cluster = LocalCluster::open(seed)?;
+    let controls = cluster.controls();
     let seen: Arc<Seen> = Arc::default();
     let all: Result<Vec<Backend>, String> = (0..BACKENDS).map(|n| backend(n, &seen)).collect();
     let backends = Arc::new(Mutex::new(all?));
@@ -409,14 +424,14 @@
         while !over.load(Relaxed) {
             for backend in lock(&beats).iter_mut().filter(|b| b.state == "ready") {
                 // One that is lost is made good by the next.
-                backend.beat(&to, 6);
+                backend.send_heartbeat(&to, 6);
             }
-            thread::sleep(Duration::from_millis(BEAT_MS / 2));
+            thread::sleep(Duration::from_millis(HEARTBEAT_MS / 2));
         }
     });
-    let running = Running { house, seen, backends, stop, beating: Some(beating) };
+    let running = Running { cluster, seen, backends, stop, beating: Some(beating) };
     let until = Instant::now() + Duration::from_secs(15);
-    for (n, front) in running.house.fronts().into_iter().enumerate() {
+    for (n, front) in running.cluster.fronts().into_iter().enumerate() {
         let serves = || {
             Client::try_connect(front).and_then(|mut c| c.try_ask(&request("/look/1", u64::MAX - n as u64)))
         };
@@ -477,9 +492,9 @@
 
 fn run(play: &Play) -> Result<Figures, String> {
     let mut running = begin(play.seed)?;
-    let controls = running.house.controls();
+    let controls = running.cluster.controls();
     let stop: Arc<AtomicBool> = Arc::default();
-    let (counts, threads) = clients(&running.house.fronts(), &stop, play.has("runs-twice"));
+    let (counts, threads) = clients(&running.cluster.fronts(), &stop, play.has("runs-twice"));
     let third = play.time / 3;
     let mut figures = Figures::default();
     thread::sleep(third);
@@ -488,24 +503,24 @@
         let mut backends = lock(&running.backends);
         let one = &mut backends[(play.seed % BACKENDS as u64) as usize];
         one.state = "draining";
-        let acknowledged = one.beat(&controls, 40);
+        let acknowledged = one.send_heartbeat(&controls, 40);
         *lock(&one.drained) = acknowledged.then(Instant::now);
         figures.none("drains not acknowledged", usize::from(!acknowledged));
         (one.id.clone(), one.drained.clone(), one.address)
     };
-    running.house.kill((play.seed % MACHINES as u64) as usize)?;
+    running.cluster.kill((play.seed % MACHINES as u64) as usize)?;
     let began = Instant::now();
     let second = configuration(1, 2, &["/look/", "/pay/", "/new/"]);
     let taken = call(&controls, "POST", "/-/Configuration.Replace", &second, 150).map_or(0, |a| a.status());
     figures.none("changes not taken", usize::from(taken != 200));
-    figures.set("a change past a killed prompter, ms", began.elapsed().as_millis() as u64);
+    figures.set("a change past a killed control node, ms", began.elapsed().as_millis() as u64);
     let again = call(&controls, "POST", "/-/Configuration.Replace", &second, 50).map_or(0, |a| a.status());
     figures.none("the same change once more, not taken", usize::from(again != 200));
     let other = configuration(1, 3, &["/look/"]);
     let raced = call(&controls, "POST", "/-/Configuration.Replace", &other, 50).map_or(0, |a| a.status());
     figures.none("another on the same base, taken", usize::from(raced != 412));
     // A gateway is told to end while all this goes on.
-    let rolled = running.house.roll(((play.seed + 1) % MACHINES as u64) as usize)?;
+    let rolled = running.cluster.roll(((play.seed + 1) % MACHINES as u64) as usize)?;
     figures.none("gateways that did not end by themselves", usize::from(rolled.is_none()));
     figures.set("a gateway's end, ms", rolled.map_or(0, |d| d.as_millis() as u64));
     thread::sleep(third);
@@ -515,7 +530,7 @@
             request("/look/1", 7).replace("Credential", &format!("Target-Instance: {left}\r\nCredential"));
         Client::try_connect(address).and_then(|mut c| c.try_ask(&text));
     }
-    let fronts = running.house.fronts();
+    let fronts = running.cluster.fronts();
     let news = fronts.iter().filter(|front| {
         let answer = Client::try_connect(**front).and_then(|mut c| c.try_ask(&request("/new/1", 0xbeef)));
         answer.is_none_or(|a| a.status() != 200)
@@ -554,18 +569,18 @@
 /// One line, if the system can't be built or does not come up.
 pub fn demo(stop: &Arc<AtomicBool>, mut say: impl FnMut(&str)) -> Result<(), String> {
     let running = begin(1)?;
-    say("three prompters and three gateways before four stand-in backends; try it, or press Ctrl-C to end:");
-    let front = running.house.fronts()[0];
+    say("three control nodes and three gateways before four stand-in backends; try it, or press Ctrl-C to end:");
+    let front = running.cluster.fronts()[0];
     say(&format!(
         "  curl -i http://{front}/look/1 -H 'Host: desk.example' -H 'Attempt-Id: 00000000000000ff' \
          -H 'Remaining-Time: 2000' -H 'Credential: {KEY}'"
     ));
-    say(&format!("  curl -iL http://{}/-/Configuration.Read", running.house.controls()[0]));
-    let inner = running.house.inners()[0];
+    say(&format!("  curl -iL http://{}/-/Configuration.Read", running.cluster.controls()[0]));
+    let inner = running.cluster.inners()[0];
     say(&format!(
-        "  cargo run --release -q -p foyer -- -a {inner} -c status    # or backends, gateways, configuration"
+        "  cargo run --release -q -p granitethread-ctl -- -a {inner} -c status    # or backends, gateways, configuration"
     ));
-    let (counts, threads) = clients(&running.house.fronts(), stop, false);
+    let (counts, threads) = clients(&running.cluster.fronts(), stop, false);
     let mut second = 0;
     while !stop.load(Relaxed) {
         thread::sleep(Duration::from_secs(1));
--- a/crates/testing/test-harness/src/main.rs
+++ b/crates/testing/test-harness/src/main.rs
@@ -83,7 +83,7 @@
             return ExitCode::SUCCESS;
         }
         "demo" => return demo(test_harness::demo::run, args.seconds),
-        "system" => return demo(test_harness::house::demo, args.seconds),
+        "system" => return demo(test_harness::local_cluster::demo, args.seconds),
         _ => {}
     }
     let Some(scenario) = ALL.iter().find(|s| s.name == args.name) else {
--- a/crates/testing/test-harness/src/peers.rs
+++ b/crates/testing/test-harness/src/peers.rs
@@ -112,7 +112,7 @@
 }
 
 #[derive(Default)]
-struct Told {
+struct SharedList {
     /// Bodies, in order; a call for the whole list gets the latest that is one.
     lists: Vec<(u64, String)>,
     calls: usize,
@@ -121,14 +121,14 @@
 /// Discovery that tells what the test says next.
 pub struct Discovery {
     pub address: SocketAddr,
-    told: Arc<(Mutex<Told>, Condvar)>,
+    told: Arc<(Mutex<SharedList>, Condvar)>,
 }
 
 impl Discovery {
     pub fn new(first: String) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let told = Arc::new((Mutex::new(Told::default()), Condvar::new()));
+        let told = Arc::new((Mutex::new(SharedList::default()), Condvar::new()));
         let d = Discovery { address, told: told.clone() };
         d.tell(1, first);
         thread::spawn(move || {
@@ -141,13 +141,13 @@
     }
 
     /// Discovery that takes calls and answers none.
-    pub fn silent() -> Self {
+    pub fn never_answers() -> Self {
         let d = Discovery::new(String::new());
         d.untell();
         d
     }
 
-    fn serve(mut stream: TcpStream, told: &(Mutex<Told>, Condvar)) {
+    fn serve(mut stream: TcpStream, told: &(Mutex<SharedList>, Condvar)) {
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(call) = read(&mut reader, 0) {
             let since = call.start.split("since=").nth(1).and_then(|s| s.split('&').next()?.parse().ok());
@@ -256,21 +256,21 @@
 }
 
 /// A request of each class, new with every call.
-pub struct Ask {
+pub struct CallerRequest {
     pub class: &'static str,
     pub id: String,
     pub plan: &'static str,
     pub timeout: &'static str,
 }
 
-pub fn ask(class: &'static str) -> Ask {
+pub fn ask(class: &'static str) -> CallerRequest {
     let id = format!("{:016x}", NUMBER.fetch_add(1, Ordering::Relaxed));
-    Ask { class, id, plan: "basic", timeout: "2.0" }
+    CallerRequest { class, id, plan: "basic", timeout: "2.0" }
 }
 
-impl Ask {
+impl CallerRequest {
     pub fn text(&self) -> String {
-        let Ask { class, id, plan, timeout } = self;
+        let CallerRequest { class, id, plan, timeout } = self;
         let (method, rest) = match *class {
             "quote" => ("GET", "\r\n".to_string()),
             "confirm" => ("POST", "Idempotency-Key: k-1\r\nContent-Length: 5\r\n\r\nhello".to_string()),
--- a/crates/testing/test-harness/src/planners.rs
+++ b/crates/testing/test-harness/src/planners.rs
@@ -40,7 +40,7 @@
 const SERVERS: usize = 10;
 /// The `partner` plan of this scenario: units a second and units.
 pub(crate) const QUOTA: (f64, f64) = (60.0, 90.0);
-const CEILING: (f64, f64) = (120.0, 150.0);
+const HARD_LIMIT: (f64, f64) = (120.0, 150.0);
 /// The rule's slack: 10%, or one of the largest requests.
 const SLACK: f64 = 15.0;
 const FLOODERS: u64 = 3;
@@ -49,12 +49,12 @@
 
 /// What the servers know: when which units came for whom, each request counted once, and how often each ran.
 #[derive(Default)]
-pub(crate) struct Ledger {
+pub(crate) struct RequestRecord {
     came: Mutex<Vec<(Instant, u64, f64)>>,
     runs: Mutex<HashMap<u64, u32>>,
 }
 
-impl Ledger {
+impl RequestRecord {
     pub(crate) fn came(&self) -> &Mutex<Vec<(Instant, u64, f64)>> {
         &self.came
     }
@@ -73,8 +73,8 @@
 }
 
 /// A fleet of servers with a ledger of its own, and its list.
-pub(crate) fn fleet() -> Result<(Arc<Ledger>, Discovery), String> {
-    let (ledger, meter) = (Arc::<Ledger>::default(), Arc::new(Meter::default()));
+pub(crate) fn fleet() -> Result<(Arc<RequestRecord>, Discovery), String> {
+    let (ledger, meter) = (Arc::<RequestRecord>::default(), Arc::new(Meter::default()));
     let mut targets = Vec::new();
     for n in 0..SERVERS {
         let (ledger, meter) = (ledger.clone(), meter.clone());
@@ -115,7 +115,7 @@
     (s["me"], s["siblings"]) = (me.into(), SEATS.into());
     for plan in s["plans"].as_array_mut().into_iter().flatten().filter(|p| p["name"] == "partner") {
         (plan["quota_rate"], plan["depth"]) = (QUOTA.0.into(), QUOTA.1.into());
-        (plan["never_over_rate"], plan["ceiling_burst"]) = (CEILING.0.into(), CEILING.1.into());
+        (plan["never_over_rate"], plan["ceiling_burst"]) = (HARD_LIMIT.0.into(), HARD_LIMIT.1.into());
     }
     config.to_string()
 }
@@ -459,10 +459,10 @@
 fn overrun(came: &[(Instant, u64, f64)], who: u64) -> f64 {
     let mut all: Vec<_> = came.iter().filter(|c| c.1 == who).collect();
     all.sort_by_key(|c| c.0);
-    let (mut level, mut least, mut last) = (CEILING.1, CEILING.1, all.first().map(|c| c.0));
+    let (mut level, mut least, mut last) = (HARD_LIMIT.1, HARD_LIMIT.1, all.first().map(|c| c.0));
     for (at, _, units) in all {
         let passed = last.map_or(0.0, |l| at.duration_since(l).as_secs_f64());
-        level = (level + CEILING.0 * passed).min(CEILING.1) - units;
+        level = (level + HARD_LIMIT.0 * passed).min(HARD_LIMIT.1) - units;
         (last, least) = (Some(*at), least.min(level));
     }
     ((-least).max(0.0) * 10.0).round() / 10.0
--- a/crates/testing/test-harness/src/program.rs
+++ b/crates/testing/test-harness/src/program.rs
@@ -73,8 +73,8 @@
             cargo(&mut build)?;
         }
     }
-    let [proscenium, prompter] = both;
-    Ok((there(proscenium)?, there(prompter)?))
+    let [data_plane, control_plane] = both;
+    Ok((there(data_plane)?, there(control_plane)?))
 }
 
 /// What builds it, if cargo started this program.
--- a/crates/testing/test-harness/src/lives.rs
+++ b/crates/testing/test-harness/src/request_lifecycle.rs
@@ -40,7 +40,7 @@
 
 /// What the servers know.
 #[derive(Default)]
-struct Ledger {
+struct RequestRecord {
     /// How often each request has run or may have, by its id.
     runs: Mutex<HashMap<String, u32>>,
     /// Since when each server is drained.
@@ -61,7 +61,7 @@
     own: bool,
 }
 
-fn script(n: usize, ledger: &Arc<Ledger>, play: &Play) -> Arc<crate::fleet::Script> {
+fn script(n: usize, ledger: &Arc<RequestRecord>, play: &Play) -> Arc<crate::fleet::Script> {
     let (ledger, play) = (ledger.clone(), play.clone());
     let tries = AtomicUsize::new(0);
     let last = Mutex::new(String::from("for nobody\n"));
@@ -149,7 +149,7 @@
 }
 
 fn run(play: &Play) -> Result<Figures, String> {
-    let ledger = Arc::<Ledger>::default();
+    let ledger = Arc::<RequestRecord>::default();
     let mut addresses = Vec::new();
     for n in 0..SERVERS {
         addresses.push(serve(script(n, &ledger, play)).map_err(|e| e.to_string())?);
@@ -211,7 +211,7 @@
     Ok(figures(&ledger, &asked, status.success(), panicked))
 }
 
-fn figures(ledger: &Ledger, asked: &[Answered], clean: bool, panicked: usize) -> Figures {
+fn figures(ledger: &RequestRecord, asked: &[Answered], clean: bool, panicked: usize) -> Figures {
     let runs = lock(&ledger.runs);
     let ran = |a: &Answered| runs.get(&a.id).copied().unwrap_or(0);
     let stayed = || asked.iter().filter(|a| a.stayed);
--- a/crates/testing/test-harness/src/scale.rs
+++ b/crates/testing/test-harness/src/scale.rs
@@ -1,10 +1,11 @@
-//! How far a control plane goes: real prompters and gateways on loopback, beside them hollow gateways and hollow backends, many in
-//! this process. What a prompter spends is its threads' time on a processor, so that a busy machine does not count.
+//! How far a control plane goes: real control nodes and gateways on loopback, beside them hollow gateways and hollow
+//! backends, many in this process. What a control node spends is its threads' time on a processor, so that a busy
+//! machine does not count.
 
 mod hollow;
 mod meter;
 
-use crate::house::{call, configured, House};
+use crate::local_cluster::{call, configured, LocalCluster};
 use crate::scenario::{Figures, Play, Scenario};
 use hollow::{Herd, Tally};
 use meter::Meter;
@@ -15,7 +16,7 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "scale",
-    about: "real prompters before hollow gateways and backends, a configuration changed again and again: what each spends",
+    about: "real control nodes before hollow gateways and backends, a configuration changed again and again: what each spends",
     seconds: 24,
     test_seconds: 6,
     defects: &[
@@ -32,12 +33,12 @@
 const BACKENDS: usize = 200;
 const ROUTES: usize = 100;
 const TENANTS: usize = 40;
-const PROMPTERS: usize = 3;
+const CONTROL_NODES: usize = 3;
 const CHANGES: usize = 3;
-/// Machines with a prompter and a gateway each, at the most, and hollow ones of either kind.
-const MOST_PROMPTERS: usize = 28;
+/// Machines with a control node and a gateway each, at the most, and hollow ones of either kind.
+const MAX_CONTROL_NODES: usize = 28;
 const MOST: usize = 12_000;
-const BEAT_MS: u64 = 1500;
+const HEARTBEAT_MS: u64 = 1500;
 /// The operators want a change in force everywhere within so long.
 const IN_FORCE: Duration = Duration::from_secs(18);
 /// The whole comes up within so long, or within three times as long as it is to be played.
@@ -51,7 +52,7 @@
     backends: usize,
     routes: usize,
     tenants: usize,
-    prompters: usize,
+    control_nodes: usize,
     changes: usize,
     fresh: bool,
 }
@@ -64,7 +65,7 @@
             backends: s.backends.unwrap_or(BACKENDS),
             routes: s.routes.unwrap_or(ROUTES),
             tenants: s.tenants.unwrap_or(TENANTS),
-            prompters: s.prompters.unwrap_or(PROMPTERS),
+            control_nodes: s.control_nodes.unwrap_or(CONTROL_NODES),
             changes: s.changes.unwrap_or(CHANGES),
             fresh: s.fresh,
         };
@@ -76,7 +77,7 @@
         few(size.backends, MOST, "backends")?;
         few(size.routes, 20_000, "routes")?;
         few(size.tenants, 50_000, "tenants")?;
-        few(size.prompters, MOST_PROMPTERS, "prompters")?;
+        few(size.control_nodes, MAX_CONTROL_NODES, "control-nodes")?;
         few(size.changes, 200, "changes")?;
         Ok(size)
     }
@@ -103,27 +104,27 @@
 fn run(play: &Play) -> Result<Figures, String> {
     let size = Size::of(play)?;
     let first = size.configuration(0, 1);
-    // Each real process holds it several times, and a prompter the list of gateways for each of them.
-    let own = 16.0 * first.len() as f64 * size.prompters as f64;
+    // Each real process holds it several times, and a control node the list of gateways for each of them.
+    let own = 16.0 * first.len() as f64 * size.control_nodes as f64;
     let wanted = (own + 20.0 * (size.gateways as f64).powi(2) * 300.0) / 1e6;
     let free = meter::free_mb();
     if wanted > 0.4 * free {
         return Err(format!("that takes {wanted:.0} MB, and {free:.0} are free: fewer gateways, or routes"));
     }
-    let house = House::open_with(play.seed, size.prompters, BEAT_MS)?;
-    let controls = house.controls();
+    let cluster = LocalCluster::open_with(play.seed, size.control_nodes, HEARTBEAT_MS)?;
+    let controls = cluster.controls();
     let mut figures = Figures::default();
     figures.set("gateways, backends", json!([size.gateways, size.backends]));
-    figures.set("routes, tenants, prompters", json!([size.routes, size.tenants, size.prompters]));
+    figures.set("routes, tenants, control nodes", json!([size.routes, size.tenants, size.control_nodes]));
     figures.set("a configuration, B", first.len());
-    let mut meter = Meter::new(house.children());
+    let mut meter = Meter::new(cluster.children());
     let began = Instant::now();
     let taken = call(&controls, "POST", "/-/Configuration.Replace", &first, 150).map_or(0, |a| a.status());
     if taken != 200 {
         return Err(format!("the first configuration was not taken: {taken}"));
     }
     figures.set("the first configuration taken after, ms", began.elapsed().as_millis() as u64);
-    let herd = Herd::start(play, &size, &house)?;
+    let herd = Herd::start(play, &size, &cluster)?;
     let up = Instant::now();
     while !herd.is_up() && up.elapsed() < UP.min(3 * play.time) {
         sleep(Duration::from_millis(20));
@@ -135,12 +136,12 @@
     let part = play.time / 3;
     sleep(part / 3);
     let leader = leader(&controls);
-    // Nothing happens but beats, pulses, rounds and asks.
+    // Nothing happens but heartbeats, pulses, rounds and asks.
     let rest = measured(&mut meter, &herd, || sleep(part));
     let (share, span) = (|s: f64| s / rest.span.as_secs_f64(), rest.span.as_secs_f64());
-    let cores: Vec<f64> = rest.prompters.iter().map(|s| round(share(*s) * 100.0, 2)).collect();
+    let cores: Vec<f64> = rest.control_nodes.iter().map(|s| round(share(*s) * 100.0, 2)).collect();
     figures.set("the leader's place", leader);
-    figures.set("at rest: processor by prompter, % of a core", cores.clone());
+    figures.set("at rest: processor by control node, % of a core", cores.clone());
     figures.set("at rest: processor by real gateway, % of a core", shares(&rest.gateways, span));
     figures.set("at rest: asks answered a second", round(share(rest.tally.answers as f64), 1));
     figures.set("at rest: beats answered a second", round(share(rest.tally.beats as f64), 1));
@@ -153,22 +154,22 @@
     figures.bound("at rest: asks answered, of asked", rest.tally.answers as f64 / asked, 0.97, 1.05);
     let beats = rest.tally.beats as f64 / rest.tally.beats_sent.max(1) as f64;
     figures.bound("at rest: beats answered with 200, of sent", beats, 0.97, 1.05);
-    figures.set("memory by prompter at rest, MB", meter.resident().0);
+    figures.set("memory by control node at rest, MB", meter.resident().0);
     changes(play, &size, (&controls, leader, &rest), &mut meter, &herd, &mut figures);
     figures.set("the leader's place at the end", self::leader(&controls));
-    let (prompters, gateways) = meter.resident();
-    figures.set("memory by prompter at the end, MB", prompters);
+    let (control_nodes, gateways) = meter.resident();
+    figures.set("memory by control node at the end, MB", control_nodes);
     figures.set("memory by real gateway at the end, MB", gateways);
-    let (prompters, gateways) = meter.peak();
-    figures.set("memory by prompter at the peak, MB", prompters);
+    let (control_nodes, gateways) = meter.peak();
+    figures.set("memory by control node at the peak, MB", control_nodes);
     figures.set("memory by real gateway at the peak, MB", gateways);
-    figures.none("prompters and gateways that ended by themselves", meter.ended());
+    figures.none("control nodes and gateways that ended by themselves", meter.ended());
     figures.none("versions that went back", herd.tally().backwards as usize);
     figures.set("links lost", herd.tally().lost);
     // Lent over all gateways: what flows, the burst, and half a second that may be out.
     let most = herd.age().as_secs_f64() * RATE as f64 + 1.5 * RATE as f64;
     figures.bound("lent of one tenant, of what flows", herd.most_lent() as f64 / most, 0.0, 1.0);
-    // Patience and a beat; who has not beaten for so long is over.
+    // Patience and a heartbeat; who has not beaten for so long is over.
     let seen = herd.backends_seen(Duration::from_secs(8));
     figures.bound("backends that gateways know, of all", seen as f64 / size.backends as f64, 1.0, 1.0);
     Ok(figures)
@@ -218,27 +219,30 @@
     figures.set("the last has it after, ms", last);
     let count = taken.len().max(1) as f64;
     let more = |n: usize| {
-        let idle = rest.prompters[n] / rest.span.as_secs_f64() * span;
-        round((changed.prompters[n] - idle).max(0.0) * 1e3 / count, 1)
+        let idle = rest.control_nodes[n] / rest.span.as_secs_f64() * span;
+        round((changed.control_nodes[n] - idle).max(0.0) * 1e3 / count, 1)
     };
     figures.set("a change: the leader's processor, ms", more(leader));
-    let others: Vec<f64> = (0..size.prompters).filter(|n| *n != leader).map(more).collect();
-    figures.set("a change: the other prompters' processor, ms", others);
+    let others: Vec<f64> = (0..size.control_nodes).filter(|n| *n != leader).map(more).collect();
+    figures.set("a change: the other control nodes' processor, ms", others);
     let real = |n: usize| {
         let idle = rest.gateways[n] / rest.span.as_secs_f64() * span;
         round((changed.gateways[n] - idle).max(0.0) * 1e3 / count, 1)
     };
-    figures
-        .set("a change: a real gateway's processor, ms", (0..size.prompters).map(real).collect::<Vec<_>>());
+    figures.set(
+        "a change: a real gateway's processor, ms",
+        (0..size.control_nodes).map(real).collect::<Vec<_>>(),
+    );
     let idle = rest.tally.told as f64 / rest.span.as_secs_f64() * span;
     let told = (changed.tally.told as f64 - idle).max(0.0) / count / size.gateways as f64;
     figures.set("a change: a gateway is told, B", round(told, 0));
 }
 
-/// What was spent in a while: seconds of processor time by prompter and by real gateway, and what hollow ones counted.
+/// What was spent in a while: seconds of processor time by control node and by real gateway, and what hollow ones
+/// counted.
 struct Measured {
     span: Duration,
-    prompters: Vec<f64>,
+    control_nodes: Vec<f64>,
     gateways: Vec<f64>,
     tally: Tally,
 }
@@ -250,7 +254,7 @@
     let less = |a: Vec<f64>, b: Vec<f64>| a.into_iter().zip(b).map(|(a, b)| (a - b).max(0.0)).collect();
     Measured {
         span,
-        prompters: less(after.0, before.0),
+        control_nodes: less(after.0, before.0),
         gateways: less(after.1, before.1),
         tally: herd.tally().since(&counted),
     }
@@ -265,7 +269,7 @@
     (value * by).round() / by
 }
 
-/// Which of them holds the duty: the others point to it.
+/// Which of them holds leadership: the others point to it.
 fn leader(controls: &[std::net::SocketAddr]) -> usize {
     let ask = |to: &std::net::SocketAddr| {
         let text =
@@ -284,4 +288,4 @@
 }
 
 /// Shared with the tasks that play hollow ones.
-type Shared = Arc<hollow::Book>;
+type Shared = Arc<hollow::GrantedUnits>;
--- a/crates/testing/test-harness/src/scale/hollow.rs
+++ b/crates/testing/test-harness/src/scale/hollow.rs
@@ -1,9 +1,9 @@
-//! Hollow gateways follow a prompter, ask for rights and keep nothing but counts; hollow backends beat. All of them are tasks of
-//! two threads.
+//! Hollow gateways follow a control node, ask for rights and keep nothing but counts; hollow backends heartbeat. All of
+//! them are tasks of two threads.
 
-use super::{tenant, Shared, Size, BEAT_MS};
+use super::{tenant, Shared, Size, HEARTBEAT_MS};
 use crate::fleet::lock;
-use crate::house::House;
+use crate::local_cluster::LocalCluster;
 use crate::scenario::Play;
 use messages::{FleetChange, GatewayMessage, GatewayUpdate, Greeting, MESSAGE_FORMAT};
 use quota::{LeaseRequest, UnitRequest};
@@ -23,18 +23,18 @@
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
 /// As a gateway asks: so often, of so many tenants, where it takes 150 requests a second.
-const ASK: Duration = Duration::from_millis(100);
+const LEASE_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 const WANTS: usize = 15;
-/// One that has lost its prompter, or hears nothing for so long, goes to the next.
+/// One that has lost its control node, or hears nothing for so long, goes to the next.
 const AGAIN: Duration = Duration::from_millis(200);
-const SILENT: Duration = Duration::from_secs(20);
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Gateways come one after the other, so far apart.
 const APART: Duration = Duration::from_millis(3);
-/// Connections to each prompter on which backends beat in turn, where they do not have one each.
+/// Connections to each control node on which backends heartbeat in turn, where they do not have one each.
 const LINES: usize = 16;
 /// The first few gateways read all that they are told; the others what concerns configurations and rights.
 const WITNESSES: usize = 2;
-/// The longest message; a prompter's.
+/// The longest message; a control node's.
 const LONGEST: usize = 16 << 20;
 /// So many gateways share a thread.
 const A_THREAD: usize = 250;
@@ -83,7 +83,7 @@
     backends: Mutex<HashSet<String>>,
 }
 
-pub struct Book {
+pub struct GrantedUnits {
     tally: Mutex<Tally>,
     gateways: Vec<Seen>,
     lent: Vec<AtomicU64>,
@@ -110,8 +110,8 @@
 impl Herd {
     /// # Errors
     /// One line: a thread cannot be had.
-    pub fn start(play: &Play, size: &Size, house: &House) -> Result<Herd, String> {
-        let book = Arc::new(Book {
+    pub fn start(play: &Play, size: &Size, cluster: &LocalCluster) -> Result<Herd, String> {
+        let book = Arc::new(GrantedUnits {
             tally: Mutex::default(),
             gateways: (0..size.gateways).map(|_| Seen::default()).collect(),
             lent: (0..size.tenants).map(|_| AtomicU64::new(0)).collect(),
@@ -120,7 +120,7 @@
             stop: AtomicBool::new(false),
             began: Instant::now(),
         });
-        let (inners, controls) = (house.inners(), house.controls());
+        let (inners, controls) = (cluster.inners(), cluster.controls());
         let (seed, shared, count) = (play.seed, book.clone(), size.gateways);
         let mut threads = Vec::new();
         for first in (0..count).step_by(A_THREAD) {
@@ -135,7 +135,7 @@
         let beating = if play.has("silent") { size.backends * 3 / 4 } else { size.backends };
         let (shared, fresh) = (book.clone(), size.fresh);
         threads.push(on_a_thread(book.clone(), move |tasks| {
-            // Each line beats for its part of the backends, evenly over the time between two beats.
+            // Each line heartbeats for its part of the backends, evenly over the time between two heartbeats.
             let lines = if fresh { beating.min(512) } else { LINES * controls.len() };
             for line in 0..lines {
                 let ids: Vec<usize> = (line..beating).step_by(lines).collect();
@@ -186,8 +186,8 @@
         self.book.lent.iter().map(|n| n.load(Relaxed)).max().unwrap_or(0)
     }
 
-    /// How long after `since` each gateway had this version, the first first, of those that had it within `most`; and the
-    /// middle one of them.
+    /// How long after `since` each gateway had this version, the first first, of those that had it within `most`; and
+    /// the middle one of them.
     pub fn in_force(&self, version: u32, since: Instant, most: Duration) -> (Vec<Duration>, Duration) {
         let has = |g: &&Seen| g.version.load(Relaxed) >= version;
         while self.book.gateways.iter().filter(has).count() < self.book.gateways.len()
@@ -249,7 +249,7 @@
 
 async fn follow(
     n: usize,
-    book: &Book,
+    book: &GrantedUnits,
     to: SocketAddr,
     zone: usize,
     rng: &mut fastrand::Rng,
@@ -273,7 +273,7 @@
     lock(&book.tally).said += said;
     let (sender, mut more) = mpsc::unbounded_channel::<GatewayMessage>();
     let says = async {
-        let mut every = interval(ASK);
+        let mut every = interval(LEASE_REQUEST_INTERVAL);
         every.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut number = 0;
         loop {
@@ -295,7 +295,7 @@
     let hears = async {
         let mut coming = None;
         loop {
-            let heard = timeout(SILENT, hear(n, book, &mut reader, &mut coming)).await;
+            let heard = timeout(SILENCE_TIMEOUT, hear(n, book, &mut reader, &mut coming)).await;
             let up = heard.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
             up.into_iter().for_each(|up| drop(sender.send(up)));
         }
@@ -309,7 +309,7 @@
 /// One message, and what is to be said to it.
 async fn hear(
     n: usize,
-    book: &Book,
+    book: &GrantedUnits,
     reader: &mut OwnedReadHalf,
     coming: &mut Coming,
 ) -> io::Result<Option<GatewayMessage>> {
@@ -368,7 +368,7 @@
 }
 
 /// A gateway has all of a configuration.
-fn taken(book: &Book, seen: &Seen, version: u32) {
+fn taken(book: &GrantedUnits, seen: &Seen, version: u32) {
     let held = seen.version.load(Relaxed);
     if version > held {
         *lock(&seen.at) = Some(Instant::now());
@@ -382,7 +382,7 @@
 
 /// Beats of these backends, one after the other.
 async fn beats(line: usize, ids: Vec<usize>, book: Shared, controls: Vec<SocketAddr>, fresh: bool) {
-    let between = Duration::from_millis(BEAT_MS);
+    let between = Duration::from_millis(HEARTBEAT_MS);
     let mut every = interval(between / ids.len().max(1) as u32);
     every.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (mut to, mut kept) = (line, None);
@@ -407,7 +407,7 @@
     }
 }
 
-/// One beat: its status, and the bytes of both ways.
+/// One heartbeat: its status, and the bytes of both ways.
 async fn beat(
     kept: &mut Option<TcpStream>,
     to: SocketAddr,
--- a/crates/testing/test-harness/src/scale/meter.rs
+++ b/crates/testing/test-harness/src/scale/meter.rs
@@ -2,21 +2,21 @@
 
 use std::fs;
 
-/// Prompters and real gateways, by process.
+/// Control nodes and real gateways, by process.
 pub struct Meter {
-    prompters: Vec<u32>,
+    control_nodes: Vec<u32>,
     gateways: Vec<u32>,
 }
 
 impl Meter {
     pub fn new(children: Vec<(u32, u32)>) -> Self {
-        let (prompters, gateways) = children.into_iter().unzip();
-        Meter { prompters, gateways }
+        let (control_nodes, gateways) = children.into_iter().unzip();
+        Meter { control_nodes, gateways }
     }
 
-    /// Seconds on a processor so far, by prompter and by gateway; a process that has ended has none.
+    /// Seconds on a processor so far, by control node and by gateway; a process that has ended has none.
     pub fn spent(&self) -> (Vec<f64>, Vec<f64>) {
-        (self.prompters.iter().map(spent).collect(), self.gateways.iter().map(spent).collect())
+        (self.control_nodes.iter().map(spent).collect(), self.gateways.iter().map(spent).collect())
     }
 
     /// Megabytes that are resident now.
@@ -31,7 +31,7 @@
 
     fn status(&self, line: &str) -> (Vec<u64>, Vec<u64>) {
         let of = |all: &[u32]| all.iter().map(|id| megabytes(&format!("/proc/{id}/status"), line)).collect();
-        (of(&self.prompters), of(&self.gateways))
+        (of(&self.control_nodes), of(&self.gateways))
     }
 
     /// How many are not there any more.
@@ -40,7 +40,7 @@
             let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
             stat.rsplit(')').next().is_none_or(|rest| rest.trim_start().is_empty() || rest.starts_with(" Z"))
         };
-        self.prompters.iter().chain(&self.gateways).filter(gone).count()
+        self.control_nodes.iter().chain(&self.gateways).filter(gone).count()
     }
 }
 
--- a/crates/testing/test-harness/src/scenario.rs
+++ b/crates/testing/test-harness/src/scenario.rs
@@ -32,16 +32,16 @@
     /// Tenants of the configuration
     #[arg(long)]
     pub tenants: Option<usize>,
-    /// Machines with a real prompter and a real gateway each
+    /// Machines with a real control node and a real gateway each
     #[arg(long)]
-    pub prompters: Option<usize>,
+    pub control_nodes: Option<usize>,
     /// Services, a backend each
     #[arg(long)]
     pub services: Option<usize>,
     /// Changes of the configuration, one after the other
     #[arg(long)]
     pub changes: Option<usize>,
-    /// Each beat comes on a connection of its own
+    /// Each heartbeat comes on a connection of its own
     #[arg(long)]
     pub fresh: bool,
 }
@@ -97,14 +97,14 @@
 }
 
 pub const ALL: &[Scenario] = &[
-    crate::lives::SCENARIO,
+    crate::request_lifecycle::SCENARIO,
     crate::upgrade::SCENARIO,
     crate::crowd::SCENARIO,
     crate::planners::SCENARIO,
     crate::planning_cost::SCENARIO,
     crate::view::SCENARIO,
     crate::comeback::SCENARIO,
-    crate::house::SCENARIO,
+    crate::local_cluster::SCENARIO,
     crate::trial::SCENARIO,
     crate::scale::SCENARIO,
     crate::services::SCENARIO,
--- a/crates/testing/test-harness/src/services.rs
+++ b/crates/testing/test-harness/src/services.rs
@@ -1,7 +1,7 @@
 //! Many services, a backend each, behind real gateways: each request must be answered by a backend of its route's service.
 
 use crate::fleet::serve;
-use crate::house::{call, House, MACHINES};
+use crate::local_cluster::{call, LocalCluster, MACHINES};
 use crate::peers::{Client, Message};
 use crate::scenario::{Figures, Play, Scenario};
 use serde_json::json;
@@ -23,7 +23,7 @@
 };
 
 const SERVICES: usize = 24;
-const BEAT_MS: u64 = 500;
+const HEARTBEAT_MS: u64 = 500;
 
 fn configuration(services: usize) -> String {
     let route = |n| {
@@ -57,8 +57,8 @@
     if !(2..=400).contains(&services) {
         return Err(format!("{services} services: 2 to 400"));
     }
-    let house = House::open_with(play.seed, MACHINES, BEAT_MS)?;
-    let controls = house.controls();
+    let cluster = LocalCluster::open_with(play.seed, MACHINES, HEARTBEAT_MS)?;
+    let controls = cluster.controls();
     let taken = call(&controls, "POST", "/-/Configuration.Replace", &configuration(services), 150);
     if taken.is_none_or(|a| a.status() != 200) {
         return Err("the configuration was not taken".into());
@@ -80,11 +80,11 @@
                     return;
                 }
             }
-            sleep(Duration::from_millis(BEAT_MS / 4));
+            sleep(Duration::from_millis(HEARTBEAT_MS / 4));
         }
     });
     let (mut right, mut wrong, mut failed, mut id) = (0u32, 0usize, 0u32, 0u64);
-    let fronts = house.fronts();
+    let fronts = cluster.fronts();
     let mut ask = |n: usize| {
         id += 1;
         let text = format!(
