--- a/crates/testing/test-harness/src/trial.rs
+++ b/crates/testing/test-harness/src/trial.rs
@@ -1,9 +1,9 @@
-//! A live expiry: a tenant on trial asks through all three gateways while its trial runs out, with a prompter killed in that second, a
-//! gateway frozen over it and another prompter frozen later; then it is extended, and over once more. What is counted is
-//! counted at clients and backends.
+//! A live expiry: a tenant on trial asks through all three gateways while its trial runs out, with a control node
+//! killed in that second, a gateway frozen over it and another control node frozen later; then it is extended, and over
+//! once more. What is counted is counted at clients and backends.
 
 use crate::fleet::lock;
-use crate::house::{begin_with, call, configured, request_by, Running, GUEST, KEY, MACHINES};
+use crate::local_cluster::{begin_with, call, configured, request_by, Running, KEY, MACHINES, TRIAL_TENANT};
 use crate::peers::Client;
 use crate::scenario::{Figures, Play, Scenario};
 use serde_json::{json, Value};
@@ -16,7 +16,7 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "trial",
-    about: "a trial runs out under load: a prompter killed in that second, a gateway frozen over it; extended; over again",
+    about: "a trial runs out under load: a control node killed in that second, a gateway frozen over it; extended; over again",
     seconds: 24,
     test_seconds: 18,
     defects: &[
@@ -30,14 +30,14 @@
     run,
 };
 
-/// The guest's pace behind its trial, a second, and how long its requests may wait, in ms.
+/// The trial tenant's pace behind its trial, a second, and how long its requests may wait, in ms.
 const PACE: f64 = 20.0;
 const WAIT_MS: u64 = 1000;
-/// Clients of the guest's at each gateway, each asking so often while it is served at once.
+/// Clients of the trial tenant's at each gateway, each asking so often while it is served at once.
 const CLIENTS: usize = 12;
 const EVERY: Duration = Duration::from_millis(250);
-/// More than so many served at one gateway within a window is full speed: in turn all three together serve six, and a few that
-/// could not wait.
+/// More than so many served at one gateway within a window is full speed: in turn all three together serve six, and a
+/// few that could not wait.
 const WINDOW: Duration = Duration::from_millis(300);
 const FULL: usize = 11;
 const ROUTES: [&str; 2] = ["/look/", "/pay/"];
@@ -55,7 +55,7 @@
     frozen: bool,
 }
 
-type Book = Arc<Mutex<Vec<Seen>>>;
+type RequestRecords = Arc<Mutex<Vec<Seen>>>;
 
 fn unix_ms(after: Duration) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -71,7 +71,7 @@
     let members =
         json!({"name": "members", "apiKeys": [KEY], "priority": 1, "ratePerS": 400, "burstSize": 400});
     let mut guest =
-        json!({"name": "guest", "apiKeys": [GUEST], "priority": 1, "ratePerS": 300, "burstSize": 300});
+        json!({"name": "guest", "apiKeys": [TRIAL_TENANT], "priority": 1, "ratePerS": 300, "burstSize": 300});
     if !play.has("not-slowed") {
         let wait = if play.has("shut-out") { 0 } else { WAIT_MS };
         guest["trial"] = json!({"endsAt": rfc3339(ends), "pacePerS": PACE, "waitMs": wait});
@@ -86,8 +86,8 @@
     count: usize,
     (began, frozen, stop): (Instant, Arc<AtomicBool>, Arc<AtomicBool>),
     twice: bool,
-) -> (Book, Vec<JoinHandle<()>>) {
-    let book: Book = Arc::default();
+) -> (RequestRecords, Vec<JoinHandle<()>>) {
+    let book: RequestRecords = Arc::default();
     let threads = (0..count).map(|n| {
         let (book, frozen, stop) = (book.clone(), frozen.clone(), stop.clone());
         thread::spawn(move || {
@@ -125,7 +125,7 @@
 
 fn replace(running: &Running, base: u32, version: u32, tenants: &[Value]) -> Result<(), String> {
     let text = configured(base, version, &ROUTES, tenants);
-    let taken = call(&running.house.controls(), "POST", "/-/Configuration.Replace", &text, 150);
+    let taken = call(&running.cluster.controls(), "POST", "/-/Configuration.Replace", &text, 150);
     match taken.map(|a| a.status()) {
         Some(200) => Ok(()),
         other => Err(format!("the configuration {version} was not taken: {other:?}")),
@@ -145,8 +145,8 @@
     let stop: Arc<AtomicBool> = Arc::default();
     let frozen: Vec<Arc<AtomicBool>> = (0..MACHINES).map(|_| Arc::default()).collect();
     let (mut books, mut members, mut threads) = (Vec::new(), Vec::new(), Vec::new());
-    for (n, front) in running.house.fronts().into_iter().enumerate() {
-        let key = if play.has("uneven") && n == 0 { KEY } else { GUEST };
+    for (n, front) in running.cluster.fronts().into_iter().enumerate() {
+        let key = if play.has("uneven") && n == 0 { KEY } else { TRIAL_TENANT };
         let ends = || (began, frozen[n].clone(), stop.clone());
         let (book, more) = clients((n, front), key, CLIENTS, ends(), play.has("runs-twice"));
         books.push(book);
@@ -158,21 +158,21 @@
     let until = |at: Duration| sleep(at.saturating_sub(began.elapsed()));
     let (dies, sleeps) = ((play.seed % 3) as usize, ((play.seed / 3) % 3) as usize);
     let other = (dies + 1) % MACHINES;
-    // In the second of the end one prompter dies, and one gateway stands still over it.
+    // In the second of the end one control node dies, and one gateway stands still over it.
     until(part - Duration::from_millis(300));
     frozen[sleeps].store(true, Relaxed);
-    running.house.freeze(sleeps, true, true)?;
+    running.cluster.freeze(sleeps, true, true)?;
     until(part - Duration::from_millis(play.seed % 200));
-    running.house.kill(dies)?;
+    running.cluster.kill(dies)?;
     until(part + Duration::from_millis(900));
-    running.house.freeze(sleeps, true, false)?;
+    running.cluster.freeze(sleeps, true, false)?;
     until(part + Duration::from_millis(1900));
     frozen[sleeps].store(false, Relaxed);
-    // Slowed; late in that another prompter hangs for a while.
+    // Slowed; late in that another control node hangs for a while.
     until(part * 3);
-    running.house.freeze(other, false, true)?;
+    running.cluster.freeze(other, false, true)?;
     until(part * 3 + Duration::from_millis(400));
-    running.house.freeze(other, false, false)?;
+    running.cluster.freeze(other, false, false)?;
     // Extended, and over again.
     until(part * 4);
     replace(&running, 2, 3, &tenants(play, unix_ms(Duration::from_secs(3600))))?;
@@ -184,7 +184,7 @@
     until(over + Duration::from_millis(1300));
     let (rolls, told) = ((sleeps + 1) % MACHINES, began.elapsed());
     frozen[rolls].store(true, Relaxed);
-    let rolled = running.house.roll(rolls)?;
+    let rolled = running.cluster.roll(rolls)?;
     until(part * 6);
     stop.store(true, Relaxed);
     threads.into_iter().for_each(|t| drop(t.join()));
@@ -237,8 +237,8 @@
     figures.none("left without an answer", all.iter().filter(failed).count());
 }
 
-/// Windows in which one gateway served at full speed while another refused. One that stands still refuses nobody, and what it
-/// does when it wakes counts like any other's.
+/// Windows in which one gateway served at full speed while another refused. One that stands still refuses nobody, and
+/// what it does when it wakes counts like any other's.
 fn both(all: &[Seen]) -> usize {
     let refused = all.iter().filter(|s| matches!(s.status, Some(429 | 503)));
     let beside = |r: &&Seen| {
--- a/crates/testing/test-harness/src/upgrade.rs
+++ b/crates/testing/test-harness/src/upgrade.rs
@@ -36,7 +36,7 @@
 const YES: Duration = Duration::from_secs(6);
 
 #[derive(Default)]
-struct Ledger {
+struct RequestRecord {
     /// Since when each server is out.
     out: Mutex<[Option<Instant>; NAMES.len()]>,
     after_ban: AtomicUsize,
@@ -46,7 +46,7 @@
 }
 
 /// Asks on a kept connection for as long as it is let, as clients of the platform do.
-fn lane(n: u64, to: SocketAddr, over: &AtomicBool, ledger: &Ledger) {
+fn lane(n: u64, to: SocketAddr, over: &AtomicBool, ledger: &RequestRecord) {
     let (mut kept, mut number) = (None::<Client>, (n + 1) << 32);
     while !over.load(Ordering::Relaxed) {
         number += 1;
@@ -110,7 +110,7 @@
 }
 
 fn run(play: &Play) -> Result<Figures, String> {
-    let ledger = Arc::<Ledger>::default();
+    let ledger = Arc::<RequestRecord>::default();
     let mut servers = Vec::new();
     for (n, name) in NAMES.into_iter().enumerate() {
         let ledger = ledger.clone();
--- a/crates/testing/test-harness/src/view/mod.rs
+++ b/crates/testing/test-harness/src/view/mod.rs
@@ -46,7 +46,7 @@
 /// On top of each bound, for 24 processes and their looks on two cores.
 const ROOM: Duration = Duration::from_millis(500);
 const KEY: &str = "the key of the rig, sixteen and more bytes\n";
-/// A member may hold so many for dead when it is cut off: those on whom it had an eye before it knew.
+/// A member may hold so many for dead when it is isolated: those on whom it had an eye before it knew.
 const BURIED_ALONE: usize = 2;
 /// Versions that one wave may make at each who outlives it.
 const VERSIONS: f64 = 3.0;
@@ -64,9 +64,9 @@
     heal: Times,
     join: Times,
     wronged: usize,
-    /// Deaths that a member believed in which had been stopped or cut off.
+    /// Deaths that a member believed in which had been stopped or isolated.
     blamed: usize,
-    /// Members that were cut off, or whose name another took, and did not say so.
+    /// Members that were isolated, or whose name another took, and did not say so.
     unsaid: usize,
     /// Old datagrams that came once more, and those that were dropped for it.
     replayed: (usize, u64),
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::{ask, list, ok, Ask, Backend, Client, Discovery, Gateway, Setup, LIMIT};
+use support::{ask, list, ok, Backend, CallerRequest, Client, Discovery, Gateway, Setup, LIMIT};
 
 fn one(backend: &Backend) -> Discovery {
     Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]))
@@ -32,7 +32,7 @@
     discovery.called(2);
     let mut client = gateway.client();
     let started = Instant::now();
-    client.send(&Ask { timeout: "4.0", ..ask("book-slot") }.text());
+    client.send(&CallerRequest { timeout: "4.0", ..ask("book-slot") }.text());
     backend.next();
     gateway.signal("-TERM");
     let answer = client.answer();
@@ -47,7 +47,7 @@
     let backend = silent();
     let mut gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
-    let text = Ask { timeout: "2.5", ..ask("book-slot") }.text();
+    let text = CallerRequest { timeout: "2.5", ..ask("book-slot") }.text();
     let (head, body) = text.split_at(text.len() - 2);
     client.send(head);
     // The listener is read in order: once a later client has its answer, the head has been seen.
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -634,7 +634,7 @@
     let (old, new) = (Backend::good(), Backend::good());
     let known = list(7, true, &[("s-1", old.address, "Ready")]);
     // There is no whole list to be had: a call for one waits for ever.
-    let discovery = Discovery::silent();
+    let discovery = Discovery::never_answers();
     discovery.tell(8, list(8, false, &[("s-1", old.address, "Gone"), ("s-2", new.address, "Ready")]));
     let setup = Setup { mode: "subscribe", known: Some(known), ..Setup::default() };
     let gateway = Gateway::with(&discovery, setup);
@@ -733,7 +733,7 @@
 fn killed_and_started_again_it_serves_from_the_old_list_while_discovery_is_silent() {
     let backend = Backend::good();
     let known = Some(list(1, true, &[("s-1", backend.address, "Ready")]));
-    let silent = Discovery::silent();
+    let silent = Discovery::never_answers();
     let first = Gateway::with(&silent, Setup { known: known.clone(), ..Setup::default() });
     let address = first.address;
     let mut client = first.client();
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -343,7 +343,7 @@
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let held = Held::new();
     let mut old = held.start(&discovery);
-    let silent = Discovery::silent();
+    let silent = Discovery::never_answers();
     let inherited = Some((held.socket.try_clone().expect("a second handle"), held.folder.clone()));
     let new = Gateway::with(&silent, Setup { operator: true, inherited, ..Setup::default() });
     assert_eq!(new.call("GET /status", "").status(), 503);
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -75,7 +75,7 @@
     let mut files = Files(Vec::new());
     let both = format!("{FILE}[[route]]\nprefix = \"/api/\"\npool = \"pricing\"\n");
     let operator = files.add("routes.toml", &both, 0o600).expect("a file");
-    let discovery = Discovery::silent();
+    let discovery = Discovery::never_answers();
     let program = Path::new(env!("CARGO_BIN_EXE_granitethread"));
     let error =
         Program::start_as(program, EXAMPLE, discovery.address, Some(&operator)).err().expect("it won't do");
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -148,7 +148,7 @@
     }
     first.kill();
     let _ = drains.requests.try_iter().count();
-    let silent = Discovery::silent();
+    let silent = Discovery::never_answers();
     let second = gateway(&folder.0, &operators, "g1", &silent);
     assert!(burst(second.address, 3) >= 1, "it serves by what it knew");
     assert!(drains.untouched(), "nothing new to what was told to drain");
