--- a/crates/gateway/engine/src/admission.rs
+++ b/crates/gateway/engine/src/admission.rs
@@ -37,14 +37,17 @@
 }
 
 impl Admission {
+    /// From now on this account decides on allowances.
     pub fn set_account(&mut self, account: Account) {
         (self.account_generation, self.account) = (account.incarnation(), Some(account));
     }
 
+    /// This gateway's share of all work, if there is an account.
     pub fn work_share(&self) -> Option<f64> {
         self.account.as_ref().map(Account::work_share)
     }
 
+    /// The account's mode, if there is one.
     pub fn mode(&self) -> Option<Mode> {
         self.account.as_ref().map(Account::mode)
     }
@@ -140,6 +143,7 @@
         done.ok()
     }
 
+    /// Whether no request holds a reservation or waits for a grant.
     pub fn is_empty(&self) -> bool {
         self.reservations.is_empty() && self.waiting.is_empty()
     }
--- a/crates/gateway/engine/src/lib.rs
+++ b/crates/gateway/engine/src/lib.rs
@@ -164,6 +164,7 @@
         }
     }
 
+    /// The counts since the last call.
     pub fn take_counts(&mut self) -> EngineCounts {
         std::mem::take(&mut self.counts)
     }
--- a/crates/gateway/forward/src/lib.rs
+++ b/crates/gateway/forward/src/lib.rs
@@ -86,6 +86,7 @@
 
 impl std::error::Error for InvalidGrant {}
 
+/// What requests are charged to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     CoolingDown { until: Time },
@@ -103,6 +104,7 @@
     is_alive: Option<bool>,
 }
 
+/// A forwarder's account of all customers' allowances.
 pub struct Account {
     terms: Terms,
     seat: Seat,
@@ -190,6 +192,7 @@
         }
     }
 
+    /// What tells this run of the account from every other.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
@@ -199,6 +202,7 @@
         self.panics
     }
 
+    /// What requests are charged to now.
     pub fn mode(&self) -> Mode {
         self.mode
     }
@@ -211,6 +215,7 @@
         }
     }
 
+    /// How many customers are remembered.
     pub fn customers(&self) -> usize {
         self.customers.len()
     }
--- a/crates/gateway/forward/src/own.rs
+++ b/crates/gateway/forward/src/own.rs
@@ -34,6 +34,7 @@
 }
 
 impl CustomerAccount {
+    /// A customer without a lease.
     pub fn new(plan: usize) -> Self {
         CustomerAccount { plan, ..CustomerAccount::default() }
     }
@@ -123,6 +124,7 @@
         }
     }
 
+    /// Updates the demand, and returns what is not needed of the lease.
     pub fn tick(&mut self, now: Time, seconds: f64, terms: &Terms) {
         self.demand += (self.requested_units / seconds - self.demand) * EWMA_WEIGHT;
         if self.demand < NEGLIGIBLE_DEMAND {
@@ -191,6 +193,7 @@
             || self.returned != self.reported_returned
     }
 
+    /// The customer's entry of a report.
     pub fn entry(&mut self, customer: &Name) -> Entry {
         self.reported_returned = self.returned;
         Entry {
@@ -204,6 +207,7 @@
         }
     }
 
+    /// Applies a granted lease; one that is older or invalid changes nothing.
     pub fn apply_lease(&mut self, lease: &Lease, until: Time) {
         if !lease.granted.iter().all(|v| v.is_finite() && *v >= 0.0) || lease.lease < self.lease {
             return;
--- a/crates/gateway/handover/src/bans.rs
+++ b/crates/gateway/handover/src/bans.rs
@@ -36,6 +36,7 @@
 
 impl std::error::Error for InvalidBans {}
 
+/// The bans as text for the other process.
 pub fn write(out: &BTreeMap<Name, Time>) -> String {
     let out = out.iter().map(|(name, since)| (name.to_string(), *since)).collect();
     serde_json::to_string(&Text { version: VERSION, out }).unwrap_or_default()
--- a/crates/gateway/handover/src/lib.rs
+++ b/crates/gateway/handover/src/lib.rs
@@ -11,6 +11,7 @@
 
 pub use bans::{read, write, InvalidBans, MAX_BYTES};
 
+/// The role of one of the two processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Alone,
@@ -18,6 +19,7 @@
     Leaving,
 }
 
+/// What changes a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
     /// The process before this one has ended.
@@ -36,6 +38,7 @@
         }
     }
 
+    /// The role after an input.
     #[must_use]
     pub fn after(self, input: Input) -> Self {
         match (self, input) {
--- a/crates/gateway/interface/src/lib.rs
+++ b/crates/gateway/interface/src/lib.rs
@@ -51,6 +51,7 @@
 }
 
 impl Class {
+    /// A class without a key lifetime, with defaults for the rest.
     pub fn new(name: &str, latency_target: Time, deadline: Time, effect: Effect, group: Group) -> Self {
         let name = name.to_string();
         Class {
@@ -82,6 +83,7 @@
 }
 
 impl Plan {
+    /// A plan with a quota and no other limit.
     pub fn new(name: &str, rate: f64, depth: f64) -> Self {
         Plan {
             name: name.to_string(),
@@ -163,6 +165,7 @@
     }
 }
 
+/// Whether a server takes new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
     Up,
@@ -185,11 +188,13 @@
 }
 
 impl Node {
+    /// A server of all pools, with defaults for the rest.
     pub fn new(name: &str, health: Health) -> Self {
         Node { name: name.into(), pools: u32::MAX, zone: 0, cell: 0, health, rating: 1.0, since: 0 }
     }
 }
 
+/// What a server list covers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     Changes,
@@ -234,6 +239,7 @@
 }
 
 impl Request {
+    /// A request of the first pool, with defaults for the rest.
     pub fn new(id: RequestId, class: usize, plan: usize, customer: &str, deadline: Time, units: f64) -> Self {
         let (customer, allowance) = (customer.into(), Allowance::Unknown);
         Request { id, class, plan, customer, deadline, units, spread: 1, repeat: false, pool: 0, allowance }
@@ -280,6 +286,7 @@
     pub load: Option<Load>,
 }
 
+/// What happened, for the decision module.
 #[derive(Clone, Debug)]
 pub enum Event {
     Fleet {
@@ -330,6 +337,7 @@
     },
 }
 
+/// What the decision module wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     Send { id: RequestId, server: Name, not_past: Time },
--- a/crates/gateway/lifecycle/src/connection.rs
+++ b/crates/gateway/lifecycle/src/connection.rs
@@ -14,6 +14,7 @@
 use interface::Time;
 use std::fmt;
 
+/// The state of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
     /// Nothing of a next request has arrived.
@@ -40,6 +41,7 @@
     Evict,
 }
 
+/// What happened on a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
     /// Some bytes arrived.
@@ -57,6 +59,7 @@
     Disconnected,
 }
 
+/// What the owner of the socket must do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
     /// Nothing is to be done.
@@ -134,6 +137,7 @@
 }
 
 impl Connection {
+    /// A connection that was just accepted.
     pub fn new(now: Time, timeouts: Timeouts) -> Self {
         let (last_answer_at, accepted_at, head_started_at, last_byte_at) = (now, now, now, now);
         Connection {
@@ -150,6 +154,7 @@
         }
     }
 
+    /// Its state.
     pub fn state(&self) -> State {
         self.state
     }
--- a/crates/gateway/lifecycle/src/defects.rs
+++ b/crates/gateway/lifecycle/src/defects.rs
@@ -5,6 +5,7 @@
 
 macro_rules! defects {
     ($($name:ident, $text:literal, $what:literal;)*) => {
+        /// A planted defect.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         #[repr(u8)]
         pub enum Defect { $($name),* }
@@ -70,6 +71,7 @@
     ACTIVE.store(defect.map_or(NONE, |d| d as u8), Ordering::Relaxed);
 }
 
+/// Whether this defect is planted in this thread.
 pub fn active(defect: Defect) -> bool {
     ACTIVE.load(Ordering::Relaxed) == defect as u8
 }
--- a/crates/gateway/lifecycle/src/events.rs
+++ b/crates/gateway/lifecycle/src/events.rs
@@ -141,6 +141,7 @@
     Ended { id: RequestId, attempt: u32, server: Name, ending: Ending, last: bool },
 }
 
+/// What must be done for a request or an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
     /// Start an attempt; `Connected` must be reported before a byte is written.
--- a/crates/gateway/lifecycle/src/request.rs
+++ b/crates/gateway/lifecycle/src/request.rs
@@ -49,6 +49,7 @@
     pub cell: u32,
 }
 
+/// What a request waits for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
     Waiting,
@@ -83,6 +84,7 @@
 type HandleResult = Result<(), InvalidInput>;
 
 impl RequestTable {
+    /// An empty table.
     pub fn new(limits: Limits) -> Self {
         RequestTable {
             limits,
@@ -92,10 +94,12 @@
         }
     }
 
+    /// Whether nothing is kept of any request.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty() && self.deadlines.is_empty()
     }
 
+    /// How many requests are not over.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
@@ -105,10 +109,12 @@
         self.deadlines.first().map(|(at, _)| *at)
     }
 
+    /// The state of a request that is not over.
     pub fn get(&self, id: RequestId) -> Option<&RequestState> {
         self.requests.get(&id)
     }
 
+    /// The servers that may be written to.
     pub fn server_list(&self) -> &ServerList {
         &self.server_list
     }
@@ -467,6 +473,7 @@
 }
 
 impl RequestState {
+    /// The request's class.
     pub fn class(&self) -> usize {
         self.arrival.class
     }
--- a/crates/gateway/lifecycle/src/upstream.rs
+++ b/crates/gateway/lifecycle/src/upstream.rs
@@ -48,6 +48,7 @@
     Closed,
 }
 
+/// A connection to a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Upstream {
     number: u64,
@@ -69,6 +70,7 @@
         }
     }
 
+    /// Its number, which no other connection has.
     pub fn number(&self) -> u64 {
         self.number
     }
@@ -78,6 +80,7 @@
         self.is_used
     }
 
+    /// Whether it can carry no further request.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
@@ -161,6 +164,7 @@
         self.narrowed = Some((limit, now));
     }
 
+    /// The limit in force now.
     pub fn limit(&self, now: Time) -> Time {
         let narrowed = self.narrowed.filter(|(_, at)| now < at + self.narrowed_for);
         narrowed.map_or(self.usual, |(limit, _)| limit)
--- a/crates/gateway/maintenance/src/lib.rs
+++ b/crates/gateway/maintenance/src/lib.rs
@@ -95,6 +95,7 @@
         Ok(entered.is_some())
     }
 
+    /// Whether this server is banned.
     pub fn is_banned(&self, name: &Name) -> bool {
         self.banned.contains_key(name)
     }
--- a/crates/gateway/membership/src/defects.rs
+++ b/crates/gateway/membership/src/defects.rs
@@ -2,6 +2,7 @@
 
 use std::cell::Cell;
 
+/// A planted defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     RefutationLeftOut,
@@ -20,6 +21,7 @@
     PlainSwim,
 }
 
+/// All planted defects, described.
 pub const ALL: &[(Defect, &str)] = &[
     (Defect::RefutationLeftOut, "who is suspected does not refute"),
     (Defect::DeadNeverTried, "the dead are never spoken to again"),
@@ -53,6 +55,7 @@
     Defect::SleepNotSeen,
 ];
 
+/// Whether this defect is planted in this thread.
 pub fn active(defect: Defect) -> bool {
     match ACTIVE.get() {
         Some(Defect::PlainSwim) => defect == Defect::PlainSwim || ADDED.contains(&defect),
--- a/crates/gateway/membership/src/record.rs
+++ b/crates/gateway/membership/src/record.rs
@@ -7,10 +7,12 @@
 /// A member's name: 1 to [`MAX_NAME_BYTES`] bytes, one for each process of the fleet.
 pub type Name = Arc<str>;
 
+/// The longest name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 /// The longest zone's name.
 pub const MAX_ZONE_BYTES: usize = 32;
 
+/// What is believed of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum State {
     Alive,
@@ -22,11 +24,13 @@
 }
 
 impl State {
+    /// Whether a member in this state counts as alive.
     pub fn is_alive(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
+/// What a member does in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
     Gateway,
--- a/crates/gateway/membership/src/view/mod.rs
+++ b/crates/gateway/membership/src/view/mod.rs
@@ -50,6 +50,7 @@
 const LEAVE_RECIPIENTS: usize = 8;
 const HELLO_PADDING: usize = 160;
 
+/// Builds a [`View`].
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: Name,
@@ -70,6 +71,7 @@
 }
 
 impl Config {
+    /// A configuration with defaults for all but these.
     pub fn new(name: &str, generation: u64, address: SocketAddr) -> Self {
         Config {
             name: name.into(),
@@ -85,6 +87,7 @@
     }
 }
 
+/// What happened.
 pub enum Input<'a> {
     Datagram(&'a [u8]),
     /// Time has passed: [`View::next_due`], or any other time.
@@ -93,6 +96,7 @@
     Leave,
 }
 
+/// What must be done.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     Send {
@@ -224,6 +228,7 @@
     until: Time,
 }
 
+/// The membership view of one member.
 pub struct View {
     config: Config,
     keys: Keys,
@@ -349,6 +354,7 @@
         sums
     }
 
+    /// This member's own condition.
     pub fn health(&self) -> Health {
         Health {
             health: self.health,
--- a/crates/gateway/membership/src/wire.rs
+++ b/crates/gateway/membership/src/wire.rs
@@ -16,6 +16,7 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 /// The shortest permitted key.
 pub const MIN_KEY_BYTES: usize = 16;
+/// How many buckets members are hashed into for digests.
 pub const BUCKETS: usize = 16;
 const MAGIC: &[u8; 4] = b"GTFV";
 const TAG_BYTES: usize = 16;
@@ -30,6 +31,7 @@
     pub updates: Vec<Record>,
 }
 
+/// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Answered by `Ack` with the same number, if it is meant for this generation.
--- a/crates/gateway/plan/src/defects.rs
+++ b/crates/gateway/plan/src/defects.rs
@@ -56,6 +56,7 @@
     good
 }
 
+/// Whether this defect is planted.
 pub fn active(name: &str) -> bool {
     ACTIVE.lock().is_ok_and(|active| active.contains(&name))
 }
--- a/crates/gateway/plan/src/message.rs
+++ b/crates/gateway/plan/src/message.rs
@@ -84,6 +84,7 @@
     pub leases: Vec<Lease>,
 }
 
+/// A lease of one customer's allowances.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lease {
     pub customer: Name,
--- a/crates/gateway/plan/src/planner.rs
+++ b/crates/gateway/plan/src/planner.rs
@@ -77,6 +77,7 @@
     pub customers: Vec<CustomerState>,
 }
 
+/// The planner: pools of customers, and the seats that lend to it.
 pub struct Planner {
     terms: Terms,
     instance: Instance,
@@ -123,6 +124,7 @@
         self.panics
     }
 
+    /// This run of the planner.
     pub fn instance(&self) -> Instance {
         self.instance
     }
--- a/crates/gateway/plan/src/pool.rs
+++ b/crates/gateway/plan/src/pool.rs
@@ -94,6 +94,7 @@
 const DEMAND_TICKS: f64 = 4.0;
 
 impl Pool {
+    /// A pool that has been filling since each share was lent.
     pub fn new(plan: u16) -> Self {
         // As old as time: it has been filling since each share was lent.
         Pool {
@@ -142,10 +143,12 @@
         held.chain(self.ended_leases.iter().filter(|e| e.holder == Some(whose)).map(|e| e.slots)).sum()
     }
 
+    /// What all leases may yet spend, or hold, of this kind.
     pub fn outstanding(&self, kind: usize) -> f64 {
         self.leases.iter().map(|h| h.outstanding(kind)).sum()
     }
 
+    /// What the pool has left of this kind.
     pub fn level(&self, kind: usize) -> f64 {
         self.level[kind]
     }
--- a/crates/gateway/plan/src/wire.rs
+++ b/crates/gateway/plan/src/wire.rs
@@ -62,12 +62,14 @@
 
 impl std::error::Error for Fault {}
 
+/// A message between a forwarder and a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     Report(Report),
     Grant(Grant),
 }
 
+/// Which side of a connection is meant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
     Forwarder,
--- a/crates/gateway/proxy/src/backends/answer.rs
+++ b/crates/gateway/proxy/src/backends/answer.rs
@@ -40,6 +40,7 @@
 }
 
 impl Outcome {
+    /// The outcome of an attempt that brought no answer.
     pub fn without_answer(ending: Ending) -> Self {
         Outcome {
             ending,
--- a/crates/gateway/proxy/src/backends/mod.rs
+++ b/crates/gateway/proxy/src/backends/mod.rs
@@ -58,6 +58,7 @@
     idle: Vec<Connection>,
 }
 
+/// All backends, and the pool of connections to them.
 pub struct Backends {
     table: RefCell<HashMap<Name, Backend>>,
     /// Connections that are open or being opened, idle ones among them.
@@ -90,6 +91,7 @@
 }
 
 impl Backends {
+    /// A pool without connections that knows no backend.
     pub fn new(limits: &Limits, wire: Box<dyn Wire>) -> Rc<Self> {
         Rc::new(Backends {
             table: RefCell::default(),
--- a/crates/gateway/proxy/src/backends/progress.rs
+++ b/crates/gateway/proxy/src/backends/progress.rs
@@ -39,6 +39,7 @@
 }
 
 impl Progress {
+    /// An attempt that has not begun; `report` is told of each stage.
     pub fn new(report: impl Fn(AttemptStage) -> bool + 'static) -> Self {
         Progress {
             report: Box::new(report),
--- a/crates/gateway/proxy/src/backends/upload.rs
+++ b/crates/gateway/proxy/src/backends/upload.rs
@@ -24,6 +24,7 @@
     Taken,
 }
 
+/// A body that is still arriving.
 pub struct Open {
     pub first: Bytes,
     /// The reservation for `first`.
--- a/crates/gateway/proxy/src/driver.rs
+++ b/crates/gateway/proxy/src/driver.rs
@@ -73,6 +73,7 @@
     outputs: Vec<Output>,
 }
 
+/// Connects one engine to its sockets.
 pub struct Driver {
     state: RefCell<DriverState>,
     wake: Notify,
@@ -153,6 +154,7 @@
         self.max_deadline.get()
     }
 
+    /// Whether some server takes new work.
     pub fn can_serve(&self) -> bool {
         self.state.borrow().engine.can_serve()
     }
@@ -177,6 +179,7 @@
         self.with_engine(|engine, now| engine.unban(now, target))
     }
 
+    /// The servers that are banned by hand, and since when.
     pub fn bans(&self) -> BTreeMap<Name, Time> {
         self.state.borrow().engine.bans()
     }
@@ -197,6 +200,7 @@
         self.with_engine(|engine, now| engine.import_state(now, left))
     }
 
+    /// Counts since the start, and the present state of the server list.
     pub fn totals(&self) -> Totals {
         self.state.borrow().engine.totals()
     }
--- a/crates/gateway/proxy/src/fronts/budget.rs
+++ b/crates/gateway/proxy/src/fronts/budget.rs
@@ -6,12 +6,14 @@
 /// The most that one body may reserve.
 const MAX_RESERVATION: usize = 2 << 20;
 
+/// A budget of bytes for request bodies.
 pub struct Budget {
     max: usize,
     used: Cell<usize>,
 }
 
 impl Budget {
+    /// A budget of this many bytes.
     pub fn new(most: usize) -> Rc<Self> {
         Rc::new(Budget { max: most, used: Cell::new(0) })
     }
--- a/crates/gateway/proxy/src/fronts/http1/mod.rs
+++ b/crates/gateway/proxy/src/fronts/http1/mod.rs
@@ -138,6 +138,7 @@
 }
 
 impl<D: Door> Server<D> {
+    /// A server without clients.
     pub fn new(
         door: D,
         driver: Rc<Driver>,
--- a/crates/gateway/proxy/src/handover.rs
+++ b/crates/gateway/proxy/src/handover.rs
@@ -20,6 +20,7 @@
 const BANS_FILE: &str = "granitethread.bans";
 const STATE_FILE: &str = "granitethread.left";
 
+/// The link to another process of this gateway.
 pub struct Link {
     /// None: no directory is given, or the socket is not inherited, and no process takes over.
     folder: Option<PathBuf>,
@@ -44,6 +45,7 @@
         Rc::new(Link { folder, role: Cell::new(Role::first(other)), alive })
     }
 
+    /// This process's role.
     pub fn role(&self) -> Role {
         self.role.get()
     }
--- a/crates/gateway/proxy/src/list.rs
+++ b/crates/gateway/proxy/src/list.rs
@@ -12,6 +12,7 @@
     pub targets: Vec<Target>,
 }
 
+/// One backend of the list.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Target {
     pub uid: String,
@@ -31,6 +32,7 @@
     pub boot_ms: u64,
 }
 
+/// Whether a backend takes new work.
 #[derive(Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 pub enum State {
     Ready,
@@ -72,6 +74,7 @@
 }
 
 impl ListSnapshot {
+    /// Applies a list, or the changes to it.
     pub fn apply(&mut self, scope: Scope, list: &List) {
         if scope != Scope::Changes {
             self.targets.clear();
@@ -86,6 +89,7 @@
         self.rev = Some(list.rev);
     }
 
+    /// The list as JSON. None before any list.
     pub fn to_json(&self) -> Option<String> {
         let whole = List { rev: self.rev?, all: true, targets: self.targets.values().cloned().collect() };
         serde_json::to_string(&whole).ok()
--- a/crates/gateway/route/src/eject.rs
+++ b/crates/gateway/route/src/eject.rs
@@ -60,6 +60,7 @@
 }
 
 impl Ejector {
+    /// An ejector that knows no server.
     pub fn new(limits: Limits) -> Self {
         Ejector {
             limits,
--- a/crates/gateway/route/src/pool.rs
+++ b/crates/gateway/route/src/pool.rs
@@ -13,6 +13,7 @@
 }
 
 impl Selector {
+    /// Whether a server with these labels belongs to the pool.
     pub fn takes(&self, labels: &Labels) -> bool {
         self.wanted.iter().all(|(name, values)| labels.get(name).is_some_and(|v| values.contains(v)))
     }
--- a/crates/gateway/route/src/subset.rs
+++ b/crates/gateway/route/src/subset.rs
@@ -56,6 +56,7 @@
         self.ring.len()
     }
 
+    /// Whether it holds all servers of the pool.
     pub fn holds_all(&self) -> bool {
         self.size == self.ring.len()
     }
--- a/crates/gateway/route/src/table.rs
+++ b/crates/gateway/route/src/table.rs
@@ -169,10 +169,12 @@
         Ok(Table { routes, hosts })
     }
 
+    /// How many routes it has.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
 
+    /// Whether it has no route.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
--- a/crates/service/snapshot/src/defects.rs
+++ b/crates/service/snapshot/src/defects.rs
@@ -2,6 +2,7 @@
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+/// A planted defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     ChecksumLeftOut,
@@ -19,6 +20,7 @@
     OldListTaken,
 }
 
+/// All planted defects, described.
 pub const ALL: &[Defect] = &[
     Defect::ChecksumLeftOut,
     Defect::RenamedBeforeSync,
@@ -44,6 +46,7 @@
     ACTIVE.store(place.map_or(0, |n| n + 1), Ordering::Relaxed);
 }
 
+/// Whether this defect is planted in this thread.
 pub fn active(defect: Defect) -> bool {
     ALL.get(ACTIVE.load(Ordering::Relaxed).wrapping_sub(1)) == Some(&defect)
 }
--- a/crates/service/snapshot/src/files.rs
+++ b/crates/service/snapshot/src/files.rs
@@ -5,6 +5,7 @@
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
+/// The name of the snapshot's file.
 pub const NAME: &str = "granitethread.snapshot";
 const NEW: &str = "granitethread.snapshot.new";
 /// Under this name while the process that reads it has not yet shown that it lives on with it.
@@ -82,6 +83,7 @@
         Ok(Folder(path.to_path_buf()))
     }
 
+    /// The snapshot's path in a directory.
     pub fn path(&self) -> &Path {
         &self.0
     }
--- a/crates/service/snapshot/src/format.rs
+++ b/crates/service/snapshot/src/format.rs
@@ -35,6 +35,7 @@
     pub at: Time,
 }
 
+/// What a section holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Kind {
     Bans,
@@ -57,6 +58,7 @@
     }
 }
 
+/// One section of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Section {
     pub kind: Kind,
--- a/src/bin/granitethread/admin/mod.rs
+++ b/src/bin/granitethread/admin/mod.rs
@@ -33,6 +33,7 @@
 const HEAD_BYTES: usize = 8 << 10;
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
+/// The operators' HTTP interface.
 pub struct Admin {
     pub driver: Rc<Driver>,
     pub server: Rc<Server<Api>>,
@@ -50,6 +51,7 @@
 type Reply = (StatusCode, String);
 
 impl Admin {
+    /// Serves operators' calls for as long as the process runs.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         // The oldest first. A caller whose call is whole is answered at once, so that who is old has not said any.
         let callers: RefCell<VecDeque<AbortHandle>> = RefCell::default();
--- a/src/bin/granitethread/api.rs
+++ b/src/bin/granitethread/api.rs
@@ -17,6 +17,7 @@
 /// Accounts are numbers below 2^33.
 const MAX_ACCOUNT: u64 = (1 << 33) - 1;
 
+/// What clients' requests mean to the program in service.
 pub struct Api {
     pub driver: Rc<Driver>,
     pub routes: Rc<Routes>,
--- a/src/bin/granitethread/config.rs
+++ b/src/bin/granitethread/config.rs
@@ -22,6 +22,7 @@
     192.0
 }
 
+/// The gateway's own configuration file.
 pub struct Config {
     pub listen: SocketAddr,
     /// The second address, for the operators; none, and nothing listens.
@@ -78,6 +79,7 @@
 /// The environment's word on an address, by its variable's name.
 type Word = fn(&str) -> Option<String>;
 
+/// Reads the configuration file and the environment.
 pub fn load() -> Result<Config, String> {
     load_with(|variable| env::var(variable).ok())
 }
--- a/src/bin/granitethread/fleet.rs
+++ b/src/bin/granitethread/fleet.rs
@@ -21,6 +21,7 @@
 /// A socket that fails at once, for want of a route say, is not asked again sooner.
 const PAUSE: Duration = Duration::from_millis(100);
 
+/// The membership view on its socket.
 pub struct Fleet {
     view: RefCell<View>,
     socket: UdpSocket,
--- a/src/bin/granitethread/routes.rs
+++ b/src/bin/granitethread/routes.rs
@@ -12,6 +12,7 @@
 /// The one path where no route is written.
 const PATH: &str = "/api";
 
+/// The routing table and the pools of the operators' file.
 pub struct Routes {
     table: Table,
     pools: Vec<Selector>,
@@ -76,6 +77,7 @@
         Routes::new(operator, &settings).map(drop)
     }
 
+    /// How many pools there are.
     pub fn pools(&self) -> usize {
         self.pools.len()
     }
--- a/src/bin/granitethread/snapshot.rs
+++ b/src/bin/granitethread/snapshot.rs
@@ -33,6 +33,7 @@
     list: Option<String>,
 }
 
+/// Writes snapshots of what the gateway has learnt, and restores one at the start.
 pub struct Snapshots {
     name: String,
     life: u64,
--- a/src/bin/granitethread/wire.rs
+++ b/src/bin/granitethread/wire.rs
@@ -11,6 +11,7 @@
 const MAX_USE: f64 = 1e3;
 const MAX_LOAD: f64 = 1e6;
 
+/// How requests and answers look between the gateway and its backends.
 pub struct Backward {
     /// The most units that an answer may bill.
     pub most_units: f64,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -103,6 +103,7 @@
     stream: bool,
 }
 
+/// Reads the settings from their JSON.
 pub fn read(env: &Value) -> Result<Settings, String> {
     let env = Env::deserialize(env).map_err(|e| e.to_string())?;
     let classes = env.services.into_iter().map(class).collect::<Result<_, String>>()?;
