--- a/crates/common/sockets/src/lib.rs
+++ b/crates/common/sockets/src/lib.rs
@@ -1,4 +1,5 @@
-//! Sockets that notice when the other side is gone without a word.
+//! Listening sockets, and connections that notice when the other side is gone without a word.
+#![forbid(unsafe_code)]
 
 use displaydoc::Display;
 use socket2::{SockRef, TcpKeepalive};
@@ -8,7 +9,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// A machine without power says nothing: a connection ends when what was written is not acknowledged for so long.
+/// A machine without power is silent: a connection ends when what was written is not acknowledged for this long.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(900);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/control/control-plane/src/connections.rs
+++ b/crates/control/control-plane/src/connections.rs
@@ -5,7 +5,7 @@
 use crate::subscribers::Subscription;
 use crate::{queries, subscribers};
 use messages::{frame, Greeting, MESSAGE_FORMAT};
-use process::sockets::detect_dead_peer;
+use sockets::detect_dead_peer;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/control/control-plane/src/error.rs
+++ b/crates/control/control-plane/src/error.rs
@@ -2,7 +2,7 @@
 
 use crate::storage::StorageError;
 use displaydoc::Display;
-use process::sockets::ListenError;
+use sockets::ListenError;
 use std::io;
 use tokio::task::JoinError;
 
--- a/crates/control/control-plane/src/links.rs
+++ b/crates/control/control-plane/src/links.rs
@@ -5,7 +5,7 @@
 use control_node::HELLO_INTERVAL;
 use messages::frame::{self, FrameReader, FrameWriter};
 use messages::{ControlMessage, Greeting, MESSAGE_FORMAT};
-use process::sockets::connect;
+use sockets::connect;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
--- a/crates/data/data-plane/src/client_requests.rs
+++ b/crates/data/data-plane/src/client_requests.rs
@@ -4,16 +4,15 @@
 use crate::gateway::Gateway;
 use crate::tenant_quota::Admission;
 use configuration::{Route, RouteKind, Tenant};
-use http_body_util::Full;
 use hyper::body::Incoming as IncomingBody;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, EXPECT, HOST, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Request, Response, StatusCode, Uri};
 use interface::{Allowance, Name, Time};
 use lifecycle::connection::Timeouts;
-use proxy::backends::{Content, Outgoing};
+use proxy::backends::Outgoing;
 use proxy::driver::{Answer, Incoming};
-use proxy::fronts::http1::{error_reply, plain, Door, ErrorReply, Payload};
+use proxy::fronts::http1::{error_reply, plain, served_response, Door, ErrorReply, Payload};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -159,15 +158,7 @@
 
     fn reply(&self, answer: Answer) -> Response<Payload> {
         match answer {
-            Answer::Served(served) => {
-                let mut response = Response::new(match served.content {
-                    Content::Complete(bytes) => Payload::Full(Full::new(bytes)),
-                    Content::Stream(stream) => Payload::Stream(stream),
-                });
-                *response.status_mut() = served.status;
-                *response.headers_mut() = served.headers;
-                response
-            }
+            Answer::Served(served) => served_response(served),
             Answer::Refused { retry_after, .. } => *retry_later(StatusCode::SERVICE_UNAVAILABLE, retry_after),
             Answer::Rejected(status) => plain(status, ""),
             Answer::Failed { late: true } => plain(StatusCode::GATEWAY_TIMEOUT, ""),
--- a/crates/data/data-plane/src/control_link.rs
+++ b/crates/data/data-plane/src/control_link.rs
@@ -5,7 +5,7 @@
 use messages::frame;
 use messages::{GatewayMessage, GatewayUpdate};
 use process::settings::{settings_path, Settings};
-use process::sockets::connect;
+use sockets::connect;
 use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::rc::Rc;
--- a/crates/data/data-plane/src/error.rs
+++ b/crates/data/data-plane/src/error.rs
@@ -1,7 +1,7 @@
 //! Why the process ends with a failure.
 
 use displaydoc::Display;
-use process::sockets::ListenError;
+use sockets::ListenError;
 use std::io;
 use std::net::SocketAddr;
 use tokio::task::JoinError;
--- a/crates/data/data-plane/src/relay.rs
+++ b/crates/data/data-plane/src/relay.rs
@@ -2,7 +2,7 @@
 //! not looked at.
 
 use crate::gateway::Gateway;
-use process::sockets::{connect, detect_dead_peer};
+use sockets::{connect, detect_dead_peer};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/gateway/proxy/src/fronts/http1/mod.rs
+++ b/crates/gateway/proxy/src/fronts/http1/mod.rs
@@ -4,7 +4,7 @@
 mod request;
 
 use super::Budget;
-use crate::backends::{Backends, Open, Upload, MAX_BODY};
+use crate::backends::{Backends, Content, Open, Served, Upload, MAX_BODY};
 use crate::driver::{Answer, Driver, Incoming};
 use crate::handover::Link;
 use bytes::Bytes;
@@ -26,12 +26,11 @@
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 use std::future::Future;
-use std::net::SocketAddr;
 use std::pin::pin;
 use std::rc::Rc;
 use std::task::Poll;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
@@ -51,7 +50,6 @@
 /// How often a closing connection is checked for bytes that have already arrived.
 const MAX_PENDING_CHECKS: usize = 8;
 const LIST_POLL_INTERVAL: Duration = Duration::from_millis(5);
-const BACKLOG: u32 = 1024;
 const EMFILE_PAUSE: Duration = Duration::from_millis(5);
 
 type Reply = Response<TrackedBody>;
@@ -114,29 +112,6 @@
     client_removed: Notify,
 }
 
-/// The address cannot be listened on.
-#[derive(Debug, thiserror::Error)]
-#[error("cannot listen on {address}: {reason}")]
-pub struct ListenError {
-    address: SocketAddr,
-    reason: std::io::Error,
-}
-
-/// A listening socket.
-///
-/// # Errors
-/// The address cannot be had.
-pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
-    let open = || {
-        let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-        // After a restart connections of the old process may still linger.
-        socket.set_reuseaddr(true)?;
-        socket.bind(address)?;
-        socket.listen(BACKLOG)
-    };
-    open().map_err(|reason| ListenError { address, reason })
-}
-
 impl<D: Door> Server<D> {
     /// A server without clients.
     pub fn new(
@@ -490,6 +465,17 @@
     Box::new(plain(status, ""))
 }
 
+/// A backend's answer as its client gets it.
+pub fn served_response(served: Served) -> Response<Payload> {
+    let mut response = Response::new(match served.content {
+        Content::Complete(bytes) => Payload::Full(Full::new(bytes)),
+        Content::Stream(stream) => Payload::Stream(stream),
+    });
+    *response.status_mut() = served.status;
+    *response.headers_mut() = served.headers;
+    response
+}
+
 /// An answer of the gateway itself.
 pub fn plain(status: StatusCode, text: &'static str) -> Response<Payload> {
     let mut reply = Response::new(Payload::Full(Full::new(Bytes::from_static(text.as_bytes()))));
--- a/crates/tools/granitethread-ctl/src/configuration_changes.rs
+++ b/crates/tools/granitethread-ctl/src/configuration_changes.rs
@@ -86,8 +86,8 @@
 }
 
 fn version_of(configuration: &Value) -> Result<u32, Error> {
-    let parsed = Configuration::parse(configuration.to_string().as_bytes())
-        .map_err(|error| Error::UnreadableConfiguration(error.to_string()))?;
+    let parsed =
+        Configuration::parse(configuration.to_string().as_bytes()).map_err(Error::UnreadableConfiguration)?;
     Ok(parsed.config_version)
 }
 
--- a/crates/tools/granitethread-ctl/src/control_client.rs
+++ b/crates/tools/granitethread-ctl/src/control_client.rs
@@ -55,7 +55,7 @@
         match status {
             StatusCode::OK => {
                 let parsed = serde_json::from_slice(&body);
-                parsed.map(Some).map_err(|error| Error::UnreadableConfiguration(error.to_string()))
+                parsed.map(Some).map_err(Error::NotJsonAnswer)
             }
             StatusCode::NOT_FOUND => Ok(None),
             _ => Err(Error::UnexpectedAnswer { status, body: String::from_utf8_lossy(&body).into_owned() }),
--- a/crates/tools/granitethread-ctl/src/error.rs
+++ b/crates/tools/granitethread-ctl/src/error.rs
@@ -1,86 +1,177 @@
 //! What can go wrong while a command is carried out.
 
+use displaydoc::Display;
 use hyper::StatusCode;
+use std::error::Error as StdError;
 use std::net::SocketAddr;
 
 /// Why a command has no answer. Its text is all that the operator is shown.
-#[derive(Debug, thiserror::Error)]
+#[derive(Debug, Display)]
 pub enum Error {
-    #[error("{0}; --help says what is known")]
-    Usage(#[from] getopts::Fail),
-    #[error("--{option} {text}: {reason}")]
+    /// {0}; --help says what is known
+    Usage(getopts::Fail),
+    /// --{option} {text}: {reason}
     Address { option: &'static str, text: String, reason: std::net::AddrParseError },
-    #[error("cannot start the event loop: {0}")]
+    /// cannot start the event loop: {0}
     Runtime(std::io::Error),
-    #[error(transparent)]
-    LineEditor(#[from] rustyline::error::ReadlineError),
-    #[error("{0:?} is no query; help names them")]
+    /// {0}
+    LineEditor(rustyline::error::ReadlineError),
+    /// {0:?} is no query; help names them
     UnknownCommand(String),
-    #[error("--{0} IP:PORT is wanted for that")]
+    /// --{0} IP:PORT is wanted for that
     AddressMissing(&'static str),
-    #[error("nobody was reached at {0:?}")]
+    /// nobody was reached at {0:?}
     NobodyReached(Vec<SocketAddr>),
-    #[error("{file}: {reason}")]
+    /// {file}: {reason}
     File { file: String, reason: std::io::Error },
-    #[error("{file}: {reason}")]
+    /// {file}: {reason}
     InvalidFile { file: String, reason: configuration::ConfigurationError },
-    #[error("{file}: {reason}")]
+    /// {file}: {reason}
     NotJson { file: String, reason: serde_json::Error },
-    #[error(transparent)]
-    Call(#[from] CallError),
-    #[error("{0}")]
-    UnreadableConfiguration(String),
-    #[error("{status} {body}")]
+    /// {0}
+    Call(CallError),
+    /// {0}
+    NotJsonAnswer(serde_json::Error),
+    /// {0}
+    UnreadableConfiguration(configuration::ConfigurationError),
+    /// {status} {body}
     UnexpectedAnswer { status: StatusCode, body: String },
-    #[error("overtaken: {0}; read it again")]
+    /// overtaken: {0}; read it again
     Conflict(String),
-    #[error("refused: {status} {reason}")]
+    /// refused: {status} {reason}
     Refused { status: StatusCode, reason: String },
-    #[error("there is no configuration yet")]
+    /// there is no configuration yet
     NoConfiguration,
-    #[error("versions are used up")]
+    /// versions are used up
     VersionsExhausted,
-    #[error("others change it all the time; nothing was changed here")]
+    /// others change it all the time; nothing was changed here
     RetriesExhausted,
-    #[error(transparent)]
-    Trial(#[from] TrialError),
+    /// {0}
+    Trial(TrialError),
+}
+
+impl StdError for Error {
+    fn source(&self) -> Option<&(dyn StdError + 'static)> {
+        match self {
+            Error::Usage(error) => Some(error),
+            Error::Address { reason, .. } => Some(reason),
+            Error::Runtime(error) | Error::File { reason: error, .. } => Some(error),
+            Error::LineEditor(error) => Some(error),
+            Error::InvalidFile { reason, .. } | Error::UnreadableConfiguration(reason) => Some(reason),
+            Error::NotJson { reason, .. } | Error::NotJsonAnswer(reason) => Some(reason),
+            Error::Call(error) => Some(error),
+            Error::Trial(error) => Some(error),
+            Error::UnknownCommand(_)
+            | Error::AddressMissing(_)
+            | Error::NobodyReached(_)
+            | Error::UnexpectedAnswer { .. }
+            | Error::Conflict(_)
+            | Error::Refused { .. }
+            | Error::NoConfiguration
+            | Error::VersionsExhausted
+            | Error::RetriesExhausted => None,
+        }
+    }
+}
+
+impl From<getopts::Fail> for Error {
+    fn from(error: getopts::Fail) -> Self {
+        Error::Usage(error)
+    }
+}
+
+impl From<rustyline::error::ReadlineError> for Error {
+    fn from(error: rustyline::error::ReadlineError) -> Self {
+        Error::LineEditor(error)
+    }
+}
+
+impl From<CallError> for Error {
+    fn from(error: CallError) -> Self {
+        Error::Call(error)
+    }
+}
+
+impl From<TrialError> for Error {
+    fn from(error: TrialError) -> Self {
+        Error::Trial(error)
+    }
 }
 
 /// Why a call to the control interface was given up: what came of the last attempt.
-#[derive(Debug, thiserror::Error)]
+#[derive(Debug, Display)]
 pub enum CallError {
-    #[error("nobody was asked")]
+    /// nobody was asked
     NotAttempted,
-    #[error("{node}: {status} {body}")]
+    /// {node}: {status} {body}
     ServerError { node: SocketAddr, status: StatusCode, body: String },
-    #[error("{node}: {reason}")]
+    /// {node}: {reason}
     Http { node: SocketAddr, reason: HttpError },
-    #[error("{node}: it says nothing")]
+    /// {node}: it says nothing
     TimedOut { node: SocketAddr },
 }
 
+impl StdError for CallError {
+    fn source(&self) -> Option<&(dyn StdError + 'static)> {
+        match self {
+            CallError::Http { reason, .. } => Some(reason),
+            CallError::NotAttempted | CallError::ServerError { .. } | CallError::TimedOut { .. } => None,
+        }
+    }
+}
+
 /// Why an HTTP request has no answer.
-#[derive(Debug, thiserror::Error)]
+#[derive(Debug, Display)]
 pub enum HttpError {
-    #[error(transparent)]
-    Connect(#[from] std::io::Error),
-    #[error(transparent)]
-    Exchange(#[from] hyper::Error),
-    #[error(transparent)]
-    Request(#[from] hyper::http::Error),
+    /// {0}
+    Connect(std::io::Error),
+    /// {0}
+    Exchange(hyper::Error),
+    /// {0}
+    Request(hyper::http::Error),
+}
+
+impl StdError for HttpError {
+    fn source(&self) -> Option<&(dyn StdError + 'static)> {
+        match self {
+            HttpError::Connect(error) => Some(error),
+            HttpError::Exchange(error) => Some(error),
+            HttpError::Request(error) => Some(error),
+        }
+    }
+}
+
+impl From<std::io::Error> for HttpError {
+    fn from(error: std::io::Error) -> Self {
+        HttpError::Connect(error)
+    }
+}
+
+impl From<hyper::Error> for HttpError {
+    fn from(error: hyper::Error) -> Self {
+        HttpError::Exchange(error)
+    }
+}
+
+impl From<hyper::http::Error> for HttpError {
+    fn from(error: hyper::http::Error) -> Self {
+        HttpError::Request(error)
+    }
 }
 
 /// Why a trial cannot be set as it was asked for.
-#[derive(Debug, thiserror::Error)]
+#[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum TrialError {
-    #[error("it names no tenants")]
+    /// it names no tenants
     NoTenants,
-    #[error("no tenant is named {0}")]
+    /// no tenant is named {0}
     UnknownTenant(String),
-    #[error("ends=TIME, pace=N, wait=MS, or off is wanted")]
+    /// ends=TIME, pace=N, wait=MS, or off is wanted
     NothingToSet,
-    #[error("{0:?} is none of ends=, pace=, wait=")]
+    /// {0:?} is none of ends=, pace=, wait=
     UnknownField(String),
-    #[error("{0:?}: no number")]
+    /// {0:?}: no number
     NotANumber(String),
 }
+
+impl StdError for TrialError {}
--- a/crates/tools/granitethread-ctl/src/query_client.rs
+++ b/crates/tools/granitethread-ctl/src/query_client.rs
@@ -1,7 +1,7 @@
 //! Queries to the control nodes over their internal addresses.
 
 use messages::{frame, Greeting, Query, QueryAnswer, QueryResponse, MESSAGE_FORMAT};
-use process::sockets::connect;
+use sockets::connect;
 use std::collections::BTreeSet;
 use std::io::{Error, ErrorKind};
 use std::net::{IpAddr, SocketAddr};
--- a/src/bin/granitethread/api.rs
+++ b/src/bin/granitethread/api.rs
@@ -2,14 +2,13 @@
 
 use crate::routes::Routes;
 use granitehub::{Effect, Settings};
-use http_body_util::Full;
 use hyper::body::Incoming as IncomingBody;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_TYPE, HOST, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use proxy::backends::{Content, Outgoing};
+use proxy::backends::Outgoing;
 use proxy::driver::{Answer, Driver, Incoming};
-use proxy::fronts::http1::{error_reply, plain, Door, ErrorReply, Payload};
+use proxy::fronts::http1::{error_reply, plain, served_response, Door, ErrorReply, Payload};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -120,14 +119,7 @@
 
     fn reply(&self, answer: Answer) -> Response<Payload> {
         match answer {
-            Answer::Served(served) => {
-                let mut reply = Response::new(match served.content {
-                    Content::Complete(bytes) => Payload::Full(Full::new(bytes)),
-                    Content::Stream(stream) => Payload::Stream(stream),
-                });
-                *reply.headers_mut() = served.headers;
-                reply
-            }
+            Answer::Served(served) => served_response(served),
             Answer::Refused { tried, retry_after } => {
                 let status =
                     if tried { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::TOO_MANY_REQUESTS };
--- a/src/bin/granitethread/main.rs
+++ b/src/bin/granitethread/main.rs
@@ -206,7 +206,7 @@
     // Only an inherited socket is shared with a process that comes after.
     let link = Link::new(inherited.and(std::env::var_os("TMPDIR")).map(PathBuf::from));
     let operator_listener =
-        config.operator.map(http1::listen).transpose().map_err(|error| error.to_string())?;
+        config.operator.map(sockets::listen).transpose().map_err(|error| error.to_string())?;
     if let Ok(address) = listener.local_addr() {
         info!(%address, "listening on {address}");
     }
@@ -302,7 +302,7 @@
 /// The inherited socket with this descriptor's number, or one of our own.
 fn listener(address: SocketAddr, inherited: Option<&str>) -> Result<TcpListener, String> {
     match inherited {
-        None => http1::listen(address).map_err(|error| error.to_string()),
+        None => sockets::listen(address).map_err(|error| error.to_string()),
         Some(number) => inherit(number).map_err(|e| format!("LB_INHERITED_FD is {number:?}: {e}")),
     }
 }
