--- a/crates/data/subscription/src/backoff.rs
+++ b/crates/data/subscription/src/backoff.rs
@@ -6,6 +6,8 @@
 
 /// A connection that lasted so long did well.
 const STABLE_CONNECTION: Time = 2000 * MS;
+/// A failure this long after the last back-off ended is not in a row with it: an election each minute says nothing of a node.
+const FAILURE_MEMORY: Time = 10_000 * MS;
 /// How often the time for which a node is not tried is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
@@ -40,12 +42,13 @@
         self.0.get(ip).map(|backoff| backoff.since)
     }
 
-    /// A connection that was begun at `started` has failed. A node that did well for a while begins anew; one that
-    /// fails again and again is left alone for longer.
+    /// A connection that was begun at `started` has failed. A node that did well for a while, or was not tried for long,
+    /// begins anew; one that fails again and again is left alone for longer.
     pub fn on_failure(&mut self, now: Time, ip: IpAddr, started: Time, delay: Time, timed_out: bool) {
         let before = self.0.get(&ip);
         let did_well = now.saturating_sub(started) >= STABLE_CONNECTION;
-        let failures = if did_well { 0 } else { before.map_or(0, |backoff| backoff.failures_in_a_row) };
+        let in_a_row = before.filter(|backoff| !did_well && now < backoff.until + FAILURE_MEMORY);
+        let failures = in_a_row.map_or(0, |backoff| backoff.failures_in_a_row);
         let retried = before.is_some_and(|backoff| backoff.retried);
         let backoff = Backoff {
             since: now,
--- a/crates/data/subscription/tests/subscription.rs
+++ b/crates/data/subscription/tests/subscription.rs
@@ -1,4 +1,5 @@
-//! Which control-plane node a gateway follows, and how far it takes its command. Stories that `simulation` told first.
+//! Which control node a gateway subscribes to, and what it concludes from that node's updates. The seeds are those of
+//! `control-sim` that showed a fault first.
 
 use control_state::{CommittedConfiguration, ConfigurationSender, DeltaHistory, CHUNK_BYTES};
 use messages::{GatewayMessage, GatewayUpdate, Greeting};
@@ -181,3 +182,26 @@
     let effects = f.on_update(now + 5 * MS, pulse(first, 9300, 0), Vec::new);
     assert!(said(&effects).is_some(), "{effects:?}");
 }
+
+/// Seed 700831: elections of two minutes had made each failure the tenth in a row, so that a gateway stayed for 4.8 s with
+/// a leader that was isolated, while the others had elected another.
+#[test]
+fn failures_of_long_ago_do_not_prolong_a_backoff() {
+    let mut f = follow();
+    let without_quorum = |f: &mut Subscription, now: Time, node: IpAddr| {
+        let contact = begin(f, now, node);
+        f.on_update(now + MS, pulse(contact, 1200, 0), Vec::new);
+        f.on_disconnected(now + 2 * MS, node, now, DisconnectReason::NoQuorum);
+    };
+    let mut now = 0;
+    for _ in 0..10 {
+        now += 30_000 * MS;
+        without_quorum(&mut f, now, ip(2));
+        without_quorum(&mut f, now + 3 * MS, ip(3));
+    }
+    let contact = begin(&mut f, now + 6 * MS, ip(1));
+    let effects = f.on_update(now + 10 * MS, pulse(contact, 1300, 0), Vec::new);
+    assert!(said(&effects).is_some(), "both others were just without a quorum: {effects:?}");
+    let effects = f.on_update(now + 700 * MS, pulse(contact, 2000, 0), Vec::new);
+    assert!(matches!(effects[..], [Effect::Disconnect(DisconnectReason::NoQuorum)]), "{effects:?}");
+}
