--- a/crates/control/control-node/src/lib.rs
+++ b/crates/control/control-node/src/lib.rs
@@ -34,7 +34,7 @@
 pub use effect::{Effect, Reply, StorageRequest};
 pub use leadership::Leadership;
 pub use node::{ControlNode, NodeConfig};
-pub use persistence::LONG_RUN_BYTES;
+pub use persistence::MIN_DEDUP_BYTES;
 pub use subscribers::UPDATE_INTERVAL;
 
 /// Nanoseconds on the driver's steady clock.
--- a/crates/control/control-node/src/persistence.rs
+++ b/crates/control/control-node/src/persistence.rs
@@ -22,7 +22,7 @@
 const SNAPSHOT_THRESHOLD_BYTES: usize = 512 << 10;
 /// A run of so many bytes is stored by itself, once, however many entries and snapshots hold it. Shorter ones are stored
 /// where they stand.
-pub const LONG_RUN_BYTES: usize = 4 << 10;
+pub const MIN_DEDUP_BYTES: usize = 4 << 10;
 /// No long command is proposed while long ones of so many bytes are not committed: this bounds what a disk holds.
 const MAX_UNCOMMITTED_LONG_BYTES: usize = 1 << 20;
 /// The same of short commands.
@@ -213,7 +213,7 @@
 
     /// Whether as many bytes are uncommitted as may be, for a command of so many bytes.
     fn exceeds_uncommitted_limit(&self, command_bytes: usize) -> bool {
-        let is_long = |bytes: usize| bytes >= LONG_RUN_BYTES;
+        let is_long = |bytes: usize| bytes >= MIN_DEDUP_BYTES;
         let limit =
             if is_long(command_bytes) { MAX_UNCOMMITTED_LONG_BYTES } else { MAX_UNCOMMITTED_SHORT_BYTES };
         let commit_index = self.raft.commit_index();
--- a/crates/control/control-plane/src/storage/blobs.rs
+++ b/crates/control/control-plane/src/storage/blobs.rs
@@ -3,7 +3,7 @@
 
 use super::directory::Directory;
 use super::StorageError;
-use control_node::LONG_RUN_BYTES;
+use control_node::MIN_DEDUP_BYTES;
 use control_state::{Command, ControlState};
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
@@ -85,7 +85,7 @@
         bytes: &[u8],
         values: &mut Values,
     ) -> Result<Segment, StorageError> {
-        if bytes.len() < LONG_RUN_BYTES {
+        if bytes.len() < MIN_DEDUP_BYTES {
             return Ok(Segment::Inline(bytes.to_vec()));
         }
         let digest: Digest = Sha256::digest(bytes).into();
@@ -198,7 +198,7 @@
 /// What stands before the configuration that a command or a state holds, the configuration, and what stands behind it.
 fn split_body(bytes: &[u8]) -> [&[u8]; 3] {
     let unsplit = [bytes, &[], &[]];
-    if bytes.len() < LONG_RUN_BYTES {
+    if bytes.len() < MIN_DEDUP_BYTES {
         return unsplit;
     }
     let body = match Command::decode(bytes) {
@@ -212,7 +212,7 @@
     let last_offset = bytes.len().saturating_sub(body.len());
     let offset = (0..=last_offset).find(|offset| bytes[*offset..].starts_with(&body));
     match offset {
-        Some(offset) if body.len() >= LONG_RUN_BYTES => {
+        Some(offset) if body.len() >= MIN_DEDUP_BYTES => {
             let end = offset + body.len();
             [&bytes[..offset], &bytes[offset..end], &bytes[end..]]
         }
