--- a/crates/common/quota/src/figures.rs
+++ b/crates/common/quota/src/figures.rs
@@ -21,7 +21,7 @@
 
 /// How a coordinator stands now.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct CoordinatorStanding {
+pub struct CoordinatorStatus {
     /// Gateways that are known.
     pub gateways: usize,
     /// Of these, those whose fallback share is kept back.
@@ -48,10 +48,9 @@
     }
 }
 
-impl fmt::Display for CoordinatorStanding {
+impl fmt::Display for CoordinatorStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let CoordinatorStanding { gateways, silent, recently_silent, kept_back, buckets, empty_buckets } =
-            self;
+        let CoordinatorStatus { gateways, silent, recently_silent, kept_back, buckets, empty_buckets } = self;
         write!(
             f,
             "{silent} of {gateways} gateways silent, {recently_silent} of them lately; {:.0}% of the rates kept back; \
--- a/crates/common/quota/src/initial_fill.rs
+++ b/crates/common/quota/src/initial_fill.rs
@@ -22,7 +22,7 @@
 
 impl PreviousCoordinator {
     /// A coordinator that began so long ago, and had no other between itself and the new one.
-    pub fn began_before(age: Time) -> Self {
+    pub fn from_age(age: Time) -> Self {
         if age >= LIMIT_SPAN {
             PreviousCoordinator::LongAgo
         } else {
--- a/crates/common/quota/src/lib.rs
+++ b/crates/common/quota/src/lib.rs
@@ -33,7 +33,7 @@
 mod turn_assignment;
 mod turn_fairness;
 
-pub use figures::{AdmissionCounts, CoordinatorStanding, GrantCounts};
+pub use figures::{AdmissionCounts, CoordinatorStatus, GrantCounts};
 pub use initial_fill::PreviousCoordinator;
 pub use lease::{LeaseGrant, LeaseRequest, TrialPhase, TurnGrant, TurnRequest, UnitGrant, UnitRequest};
 pub use limit::{Limit, TrialPace};
--- a/crates/common/quota/src/quota_coordinator.rs
+++ b/crates/common/quota/src/quota_coordinator.rs
@@ -2,7 +2,7 @@
 
 use crate::contact::{ContactState, GatewayContacts, Transition};
 use crate::continuation::Continuations;
-use crate::figures::{CoordinatorStanding, GrantCounts};
+use crate::figures::{CoordinatorStatus, GrantCounts};
 use crate::initial_fill::PreviousCoordinator;
 use crate::lease::{LeaseGrant, LeaseRequest};
 use crate::limit::Limit;
@@ -243,12 +243,12 @@
     }
 
     /// How it stands now.
-    pub fn standing(&mut self, now: Time) -> CoordinatorStanding {
+    pub fn status(&mut self, now: Time) -> CoordinatorStatus {
         self.advance(now);
         self.refill_all(now);
         let total_rate: f64 = self.buckets.values().map(|bucket| bucket.limit.rate).sum();
         let continued: f64 = self.buckets.values().map(|bucket| bucket.continued_rate()).sum();
-        CoordinatorStanding {
+        CoordinatorStatus {
             gateways: self.gateways.len(),
             silent: self.gateways.silent(),
             recently_silent: self.continuations.gateways(),
--- a/crates/common/quota/src/trial_throttle.rs
+++ b/crates/common/quota/src/trial_throttle.rs
@@ -17,7 +17,7 @@
     /// How many requests wait there.
     pub waiting: u32,
     /// How long requests that went lately had waited, on average, in microseconds.
-    pub waited_us: u32,
+    pub mean_wait_us: u32,
 }
 
 #[derive(Clone, Debug)]
@@ -79,7 +79,7 @@
             name: gateway.to_string(),
             last_heard: now,
             waiting: request.waiting,
-            waited_us: request.waited_us,
+            mean_wait_us: request.waited_us,
         };
         self.gateways.insert(gateway.to_string(), queue);
     }
--- a/crates/common/quota/tests/overload.rs
+++ b/crates/common/quota/tests/overload.rs
@@ -146,7 +146,7 @@
         let step = now..now + STEP;
         for at in troubles.failovers.iter().filter(|at| step.contains(at)) {
             let age = now.saturating_sub(std::mem::replace(&mut self.coordinator_began, now));
-            let previous = PreviousCoordinator::began_before(age);
+            let previous = PreviousCoordinator::from_age(age);
             let nothing = BTreeSet::new();
             self.coordinator = QuotaCoordinator::new(now, *at, previous, &self.limits, &nothing, &self.names);
             // What waited for the one before is lost.
--- a/crates/common/quota/tests/worst_case.rs
+++ b/crates/common/quota/tests/worst_case.rs
@@ -123,7 +123,7 @@
                 let previous = if was_long {
                     PreviousCoordinator::Unknown
                 } else {
-                    PreviousCoordinator::began_before(now - coordinator_since)
+                    PreviousCoordinator::from_age(now - coordinator_since)
                 };
                 coordinator = QuotaCoordinator::new(now, step + 2, previous, &limits, &nothing, &names);
                 coordinator_since = now;
--- a/crates/control/control-node/src/leader_history.rs
+++ b/crates/control/control-node/src/leader_history.rs
@@ -34,7 +34,7 @@
     pub fn previous_coordinator(&self, now: Time, term: Term) -> PreviousCoordinator {
         match self.previous {
             Some(led) if led.term + 1 == term => {
-                PreviousCoordinator::began_before(now.saturating_sub(led.first_seen))
+                PreviousCoordinator::from_age(now.saturating_sub(led.first_seen))
             }
             Some(_) => PreviousCoordinator::Recent,
             None => PreviousCoordinator::Unknown,
--- a/crates/control/control-node/src/quota_report.rs
+++ b/crates/control/control-node/src/quota_report.rs
@@ -16,7 +16,7 @@
         let current = self.quota.coordinator.as_mut().filter(|current| current.term == term);
         let Some(current) = current else { return };
         let counts = current.coordinator.take_counts();
-        let standing = current.coordinator.standing(self.now);
+        let standing = current.coordinator.status(self.now);
         log::info!("quota: term {term}, {} ms: {counts}; {standing}", REPORT_INTERVAL / MS);
     }
 }
--- a/crates/control/control-plane/src/queries.rs
+++ b/crates/control/control-plane/src/queries.rs
@@ -110,7 +110,7 @@
 
 fn queue_report(now: Time, queue: &GatewayQueue) -> (String, u64, u32, u64) {
     let heard_ms_ago = to_millis(now.saturating_sub(queue.last_heard));
-    (queue.name.clone(), heard_ms_ago, queue.waiting, u64::from(queue.waited_us) / 1000)
+    (queue.name.clone(), heard_ms_ago, queue.waiting, u64::from(queue.mean_wait_us) / 1000)
 }
 
 fn to_millis(time: Time) -> u64 {
