--- a/crates/data/data-plane/src/client_requests.rs
+++ b/crates/data/data-plane/src/client_requests.rs
@@ -124,7 +124,7 @@
             plan: Gateway::plan_for_priority(priority),
             customer: tenant.map_or("", |tenant| &tenant.name).into(),
             timeout: timeout.as_nanos() as Time,
-            open: false,
+            body_pending: false,
             units: Gateway::estimate_units(route),
             spread: 1,
             repeat: false,
--- a/crates/data/data-plane/src/gateway.rs
+++ b/crates/data/data-plane/src/gateway.rs
@@ -265,7 +265,7 @@
         retry_after: true,
         max_retry_after: MAX_RETRY_AFTER_NANOS,
         max_attempts: TRY_LIMIT,
-        most_units: MAX_UNITS,
+        max_units: MAX_UNITS,
         warm_up_time: WARMUP_TIME.as_nanos() as u64,
         initial_warmth: WARMUP_INITIAL_SPEED,
         cross_zone_price: CROSS_ZONE_PRICE,
--- a/crates/gateway/engine/src/events.rs
+++ b/crates/gateway/engine/src/events.rs
@@ -18,7 +18,7 @@
     pub timeout: Time,
     /// Whether its body is still arriving: the timeout then counts from [`Input::BodyCompleted`], and it can be sent
     /// once.
-    pub open: bool,
+    pub body_pending: bool,
     /// 0 or more, no more than the settings' most.
     pub units: f64,
     /// Through how many gateways the customer's requests may arrive.
@@ -64,17 +64,17 @@
     /// An attempt: its end, reported once.
     AttemptEnded { id: RequestId, attempt: u32, ending: Ending, reply: Reply, facts: AttemptFacts },
     /// The allowance of a request that awaited it.
-    Allowed { id: RequestId, allowance: Allowance },
+    AllowanceDecided { id: RequestId, allowance: Allowance },
     /// Discovery: the list, or changes to it. `rev` is its number.
-    List { scope: Scope, rev: u64, entries: Vec<ListEntry> },
+    ServerList { scope: Scope, rev: u64, entries: Vec<ListEntry> },
     /// Discovery: it cannot be reached, or its answer cannot be read.
-    ListFailed,
+    DiscoveryFailed,
     /// A planner: what it grants.
     Grant { planner: usize, grant: Grant },
     /// Membership: the number of gateways believed alive and this one's position among them; 0: as the settings say.
-    Neighbours { me: u32, gateways: u32 },
+    GatewayPosition { position: u32, gateways: u32 },
     /// Membership: which planners are alive, in their order; none: not known.
-    Planners(Vec<Option<bool>>),
+    PlannerLiveness(Vec<Option<bool>>),
     /// A tick of planning has passed: reports are wanted.
     PlanningTick,
     /// Time has passed: due timers fire, and the module is called with what has happened.
@@ -85,7 +85,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Start an attempt; `Connected` must be reported before a byte is written.
-    Start { id: RequestId, attempt: u32, server: Name, address: SocketAddr, not_past: Time },
+    Start { id: RequestId, attempt: u32, server: Name, address: SocketAddr, attempt_deadline: Time },
     /// The attempt may write.
     Write { id: RequestId, attempt: u32 },
     /// The attempt must not write. It ends as one that never ran.
@@ -95,7 +95,7 @@
     /// The final answer. `Served` and `Rejected` carry the bytes of the attempt that just ended.
     Answer { id: RequestId, answer: FinalAnswer },
     /// The request is over: all that is kept for it can be dropped.
-    Over { id: RequestId },
+    RequestEnded { id: RequestId },
     /// A report for a planner.
     Report { planner: usize, report: Report },
     /// Something for the log.
@@ -106,9 +106,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// Discovery answers again.
-    ListBack { rev: u64 },
+    DiscoveryRestored { rev: u64 },
     /// Discovery does not; the old list stands.
-    ListLost,
+    DiscoveryLost,
     /// The module panicked and was replaced: this many requests end.
     ModulePanicked { ended: usize },
     /// The account of allowances panicked and was replaced.
@@ -120,8 +120,8 @@
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Notice::ListBack { rev } => write!(f, "discovery: back, version {rev}"),
-            Notice::ListLost => write!(f, "discovery: lost; the old list stands"),
+            Notice::DiscoveryRestored { rev } => write!(f, "discovery: back, version {rev}"),
+            Notice::DiscoveryLost => write!(f, "discovery: lost; the old list stands"),
             Notice::ModulePanicked { ended } => {
                 write!(f, "the module panicked: a new one begins, {ended} requests end")
             }
--- a/crates/gateway/engine/src/lib.rs
+++ b/crates/gateway/engine/src/lib.rs
@@ -85,7 +85,7 @@
             return Err("no class is named".into());
         }
         let limits = Limits {
-            attempts: settings.max_attempts,
+            max_attempts: settings.max_attempts,
             grace: figures.module_grace,
             key_margin: figures.key_margin,
         };
@@ -226,11 +226,13 @@
                 let input = lifecycle::Input::AttemptEnded { id, attempt, ending, reply };
                 self.feed(now, input, facts, out)?;
             }
-            Input::List { scope, rev, entries } => self.list(now, scope, rev, entries, out),
-            Input::Allowed { id, allowance } => self.events.push(Event::Allowed { id, allowance }),
-            Input::ListFailed => {
+            Input::ServerList { scope, rev, entries } => self.list(now, scope, rev, entries, out),
+            Input::AllowanceDecided { id, allowance } => {
+                self.events.push(Event::AllowanceDecided { id, allowance })
+            }
+            Input::DiscoveryFailed => {
                 if !std::mem::replace(&mut self.list_lost, true) {
-                    out.push(Output::Notice(Notice::ListLost));
+                    out.push(Output::Notice(Notice::DiscoveryLost));
                 }
                 self.events.push(Event::Fleet { seq: 0, scope: Scope::Failed, nodes: Vec::new() });
             }
@@ -240,10 +242,10 @@
                 }
                 self.notice_account(out);
             }
-            Input::Neighbours { me, gateways } => {
-                self.events.push(Event::Neighbours { position: me, gateways })
+            Input::GatewayPosition { position, gateways } => {
+                self.events.push(Event::GatewayPosition { position, gateways })
             }
-            Input::Planners(lives) => self.admission.planners_observed(&lives),
+            Input::PlannerLiveness(lives) => self.admission.planners_observed(&lives),
             Input::PlanningTick => self.planning_tick(now, out),
             Input::Wake => self.wake(now, out),
         }
@@ -256,10 +258,18 @@
         let classes = &self.settings.classes;
         let number = if r.class < classes.len() { r.class } else { 0 };
         let class = &classes[number];
-        let deadline = if r.open { now + MAX_OPEN_REQUEST_TIME } else { self.deadline(now, r.timeout) };
+        let deadline =
+            if r.body_pending { now + MAX_OPEN_REQUEST_TIME } else { self.deadline(now, r.timeout) };
         let (effect, group, key_ttl) = (class.effect, class.group, class.key_ttl);
-        let arrival =
-            Arrival { id: r.id, class: number, effect, group, key_ttl, deadline, has_single_attempt: r.open };
+        let arrival = Arrival {
+            id: r.id,
+            class: number,
+            effect,
+            group,
+            key_ttl,
+            deadline,
+            has_single_attempt: r.body_pending,
+        };
         self.feed(now, lifecycle::Input::Received(arrival), AttemptFacts::default(), out)?;
         let request = Request {
             id: r.id,
@@ -301,7 +311,7 @@
             .filter(|s| (s - self.announced_share).abs() > self.announced_share / 8.0)
         {
             self.announced_share = share;
-            self.events.push(Event::Placement { work_share: share });
+            self.events.push(Event::WorkShare { work_share: share });
         }
         self.consider_again(now);
         self.notice_account(out);
@@ -328,9 +338,9 @@
         let done = self.requests.handle(now, input, &mut orders);
         for order in orders.drain(..) {
             match order {
-                Command::Start { id, attempt, server, address: place, not_past } => {
+                Command::Start { id, attempt, server, address: place, attempt_deadline } => {
                     self.admission.attempt_started(id);
-                    out.push(Output::Start { id, attempt, server, address: place, not_past });
+                    out.push(Output::Start { id, attempt, server, address: place, attempt_deadline });
                 }
                 Command::Write { id, attempt } => out.push(Output::Write { id, attempt }),
                 Command::Withhold { id, attempt } => out.push(Output::Withhold { id, attempt }),
@@ -371,7 +381,7 @@
     fn request_ended(&mut self, now: Time, id: RequestId, out: &mut Vec<Output>) {
         if self.requests.get(id).is_none() {
             self.admission.request_ended(id, now);
-            out.push(Output::Over { id });
+            out.push(Output::RequestEnded { id });
         }
     }
 
@@ -405,7 +415,7 @@
 
     fn list(&mut self, now: Time, scope: Scope, rev: u64, entries: Vec<ListEntry>, out: &mut Vec<Output>) {
         if scope != Scope::Cached && std::mem::take(&mut self.list_lost) {
-            out.push(Output::Notice(Notice::ListBack { rev }));
+            out.push(Output::Notice(Notice::DiscoveryRestored { rev }));
         }
         if scope != Scope::Changes {
             self.nodes.clear();
@@ -522,7 +532,9 @@
         }
         for action in actions.drain(..) {
             let input = match action {
-                Action::Send { id, server, not_past } => lifecycle::Input::Send { id, server, not_past },
+                Action::Send { id, server, attempt_deadline } => {
+                    lifecycle::Input::Send { id, server, attempt_deadline }
+                }
                 Action::Reject { id, advice } => lifecycle::Input::Refuse { id, advice },
                 Action::Fail { id } => lifecycle::Input::Fail { id },
                 Action::Cancel { id, attempt } => lifecycle::Input::Cancel { id, attempt },
--- a/crates/gateway/engine/tests/engine.rs
+++ b/crates/gateway/engine/tests/engine.rs
@@ -64,17 +64,17 @@
         repeat: false,
         pool: 0,
         allowance: interface::Allowance::Unknown,
-        open: false,
+        body_pending: false,
     }
 }
 
 fn list(health: Health) -> Input {
     let place = Some(([127, 0, 0, 1], 9).into());
-    Input::List { scope: Scope::Full, rev: 1, entries: vec![(Node::new("s-1", health), place)] }
+    Input::ServerList { scope: Scope::Full, rev: 1, entries: vec![(Node::new("s-1", health), place)] }
 }
 
 fn send(id: RequestId) -> Option<Action> {
-    Some(Action::Send { id, server: "s-1".into(), not_past: 0 })
+    Some(Action::Send { id, server: "s-1".into(), attempt_deadline: 0 })
 }
 
 trait Handled {
@@ -115,8 +115,8 @@
         out,
         [
             Output::Answer { id: 1, answer: FinalAnswer::Served },
-            Output::Over { id: 1 },
-            Output::Over { id: 1 }
+            Output::RequestEnded { id: 1 },
+            Output::RequestEnded { id: 1 }
         ]
     );
     engine.give(START + 21 * MS, Input::Wake);
@@ -175,7 +175,7 @@
     let (mut engine, module) = written();
     let says = [Action::Reject { id: 1, advice: 0 }, Action::Fail { id: 1 }];
     module.says.borrow_mut().extend(says.map(Some));
-    engine.give(START + 4 * MS, Input::ListFailed);
+    engine.give(START + 4 * MS, Input::DiscoveryFailed);
     let out = engine.give(START + 5 * MS, Input::Wake);
     let answers: Vec<_> = out.iter().filter(|o| matches!(o, Output::Answer { .. })).collect();
     assert_eq!(answers, [&Output::Answer { id: 1, answer: FinalAnswer::Failed { late: false } }]);
@@ -190,7 +190,7 @@
     engine.give(START + MS, Input::Wake);
     let place = None;
     let entries = vec![(Node::new("s-1", Health::Draining), place)];
-    engine.give(START + 2 * MS, Input::List { scope: Scope::Changes, rev: 2, entries });
+    engine.give(START + 2 * MS, Input::ServerList { scope: Scope::Changes, rev: 2, entries });
     assert!(!engine.can_serve());
     let out = engine.give(START + 3 * MS, Input::Connected { id: 1, attempt: 0 });
     assert_eq!(out, [Output::Withhold { id: 1, attempt: 0 }]);
@@ -213,9 +213,9 @@
 #[test]
 fn discovery_that_is_lost_is_told_once_and_so_is_its_return() {
     let (mut engine, module) = played();
-    assert_eq!(engine.give(START, Input::ListFailed), [Output::Notice(Notice::ListLost)]);
-    assert_eq!(engine.give(START, Input::ListFailed), []);
-    assert_eq!(engine.give(START, list(Health::Up)), [Output::Notice(Notice::ListBack { rev: 1 })]);
+    assert_eq!(engine.give(START, Input::DiscoveryFailed), [Output::Notice(Notice::DiscoveryLost)]);
+    assert_eq!(engine.give(START, Input::DiscoveryFailed), []);
+    assert_eq!(engine.give(START, list(Health::Up)), [Output::Notice(Notice::DiscoveryRestored { rev: 1 })]);
     assert_eq!(engine.give(START, list(Health::Up)), []);
     engine.give(START + MS, Input::Wake);
     let failed = |e: &Event| matches!(e, Event::Fleet { scope: Scope::Failed, .. });
@@ -231,7 +231,7 @@
     engine.give(START, list(Health::Up));
     engine.give(START, Input::Wake);
     assert_eq!((engine.next_due(), engine.wants_wake()), (Some(START + 50 * MS), false));
-    engine.give(START + tick / 2, Input::ListFailed);
+    engine.give(START + tick / 2, Input::DiscoveryFailed);
     assert_eq!((engine.next_due(), engine.wants_wake()), (Some(START + tick), true));
     engine.give(START + tick, Input::Wake);
     module.heard.borrow_mut().clear();
--- a/crates/gateway/handover/src/lib.rs
+++ b/crates/gateway/handover/src/lib.rs
@@ -30,7 +30,7 @@
 
 impl Role {
     /// As it stands at the start.
-    pub fn first(other_lives: bool) -> Self {
+    pub fn initial(other_lives: bool) -> Self {
         if other_lives {
             Role::Joining
         } else {
@@ -56,7 +56,7 @@
     }
 
     /// Whether its state is kept for a next process: of two processes the earlier one's is.
-    pub fn remembers(self) -> bool {
+    pub fn saves_state(self) -> bool {
         self != Role::Joining
     }
 
--- a/crates/gateway/handover/tests/handover.rs
+++ b/crates/gateway/handover/tests/handover.rs
@@ -4,7 +4,7 @@
 #[test]
 fn two_processes_never_have_more_than_one_gateway_may() {
     for whole in [1, 344, 984] {
-        let (old, new) = (Role::first(false).after(Input::ShutdownRequested), Role::first(true));
+        let (old, new) = (Role::initial(false).after(Input::ShutdownRequested), Role::initial(true));
         assert!(old.share_of(whole) + new.share_of(whole) <= whole);
         assert_eq!(new.after(Input::OtherEnded).share_of(whole), whole, "alone again");
     }
--- a/crates/gateway/interface/src/lib.rs
+++ b/crates/gateway/interface/src/lib.rs
@@ -121,13 +121,13 @@
     pub max_attempts: u32,
     /// Whether answers settle the guessed units of a request; the most units of one request.
     pub settles_cost: bool,
-    pub most_units: f64,
+    pub max_units: f64,
     /// The meter's period; 0 for no meter.
     pub meter_period: Time,
     pub warm_up_time: Time,
     pub initial_warmth: f64,
-    pub fall: Time,
-    pub fall_multiple: f64,
+    pub collapse_window: Time,
+    pub collapse_multiple: f64,
     pub answer_slack: Time,
     pub cross_zone_price: f64,
     /// The shortest time between two calls.
@@ -152,12 +152,12 @@
             max_retry_after: 0,
             max_attempts: 3,
             settles_cost: false,
-            most_units: 1.0,
+            max_units: 1.0,
             meter_period: 0,
             warm_up_time: 0,
             initial_warmth: 1.0,
-            fall: 1_000_000_000,
-            fall_multiple: 3.0,
+            collapse_window: 1_000_000_000,
+            collapse_multiple: 3.0,
             answer_slack: 0,
             cross_zone_price: 0.0,
             tick: 1_000_000,
@@ -215,7 +215,7 @@
     Granted,
     /// None are to be had; more may be after so long.
     Refused { advice: Time },
-    /// They are granted one after another: it waits in its queue until [`Event::Allowed`] says so, until then at the
+    /// They are granted one after another: it waits in its queue until [`Event::AllowanceDecided`] says so, until then at the
     /// latest.
     Awaited { until: Time },
 }
@@ -300,7 +300,7 @@
     },
     AttemptEnd(AttemptEnd),
     /// What is known by now of a request's allowance that was awaited.
-    Allowed {
+    AllowanceDecided {
         id: RequestId,
         allowance: Allowance,
     },
@@ -326,12 +326,12 @@
         bytes: String,
     },
     /// This gateway's part of all work, 0 to 1, where a planner tells it: so much of each server's room is its.
-    Placement {
+    WorkShare {
         work_share: f64,
     },
     /// A belief: so many gateways live, and this is the `me`th of them; 0 gateways: what the settings say. It may make
     /// work cheaper, by which servers are kept connections to. No ceiling, cap or budget may rest on it.
-    Neighbours {
+    GatewayPosition {
         position: u32,
         gateways: u32,
     },
@@ -340,7 +340,7 @@
 /// What the decision module wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Send { id: RequestId, server: Name, not_past: Time },
+    Send { id: RequestId, server: Name, attempt_deadline: Time },
     Reject { id: RequestId, advice: Time },
     Fail { id: RequestId },
     Cancel { id: RequestId, attempt: u32 },
--- a/crates/gateway/lifecycle/benches/life.rs
+++ b/crates/gateway/lifecycle/benches/life.rs
@@ -5,7 +5,7 @@
 use lifecycle::{Arrival, Command, Input, Limits, ListedServer, Reply, RequestTable, Step};
 
 fn lives(held: RequestId) -> RequestTable {
-    let mut lives = RequestTable::new(Limits { attempts: 3, grace: 5, key_margin: 1 });
+    let mut lives = RequestTable::new(Limits { max_attempts: 3, grace: 5, key_margin: 1 });
     let listed = |n: u16| ListedServer {
         name: format!("server-{n}").into(),
         zone: 0,
@@ -39,7 +39,7 @@
     let attempt = 0;
     receive(lives, id, out);
     for input in [
-        Input::Send { id, server: "server-3".into(), not_past: 0 },
+        Input::Send { id, server: "server-3".into(), attempt_deadline: 0 },
         Input::Connected { id, attempt },
         Input::Progress { id, attempt, step: Step::Written },
         Input::Progress { id, attempt, step: Step::Answering },
--- a/crates/gateway/lifecycle/src/events.rs
+++ b/crates/gateway/lifecycle/src/events.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
     /// The most attempts for one request, 1 or more.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// How long after its deadline the module may still answer a request.
     pub grace: Time,
     /// How long before the servers forget a key its last repeat may be written: transmission takes time.
@@ -74,7 +74,7 @@
     Send {
         id: RequestId,
         server: Name,
-        not_past: Time,
+        attempt_deadline: Time,
     },
     Refuse {
         id: RequestId,
@@ -150,7 +150,7 @@
         attempt: u32,
         server: Name,
         address: SocketAddr,
-        not_past: Time,
+        attempt_deadline: Time,
     },
     /// The attempt may write.
     Write {
--- a/crates/gateway/lifecycle/src/lib.rs
+++ b/crates/gateway/lifecycle/src/lib.rs
@@ -16,7 +16,7 @@
 //! use interface::{Effect, Group};
 //! use lifecycle::{Arrival, Command, FinalAnswer, Input, Limits, RequestTable};
 //!
-//! let mut requests = RequestTable::new(Limits { attempts: 3, grace: 5, key_margin: 1 });
+//! let mut requests = RequestTable::new(Limits { max_attempts: 3, grace: 5, key_margin: 1 });
 //! let mut commands = Vec::new();
 //! let arrival = Arrival { id: 7, class: 0, effect: Effect::Unsafe, group: Group::All, key_ttl: 0, deadline: 100, has_single_attempt: false };
 //! requests.handle(0, Input::Received(arrival), &mut commands).expect("its id is free");
--- a/crates/gateway/lifecycle/src/request.rs
+++ b/crates/gateway/lifecycle/src/request.rs
@@ -129,7 +129,7 @@
             Input::Received(arrival) => return self.received(arrival),
             Input::BodyCompleted { id, deadline } => self.body_completed(id, deadline),
             Input::ClientLeft { id } => self.client_left(id, out),
-            Input::Send { id, server, not_past } => self.send(now, id, server, not_past, out),
+            Input::Send { id, server, attempt_deadline } => self.send(now, id, server, attempt_deadline, out),
             Input::Refuse { id, advice } => self.finish(id, true, advice, false, out),
             Input::Fail { id } => self.finish(id, false, 0, false, out),
             Input::Cancel { id, attempt } => self.cancel(id, attempt, out),
@@ -212,7 +212,14 @@
 
     // ---- The decision module ----
 
-    fn send(&mut self, now: Time, id: RequestId, server: Name, not_past: Time, out: &mut Vec<Command>) {
+    fn send(
+        &mut self,
+        now: Time,
+        id: RequestId,
+        server: Name,
+        attempt_deadline: Time,
+        out: &mut Vec<Command>,
+    ) {
         let never = |attempt, server, ending| {
             Command::NotifyModule(ModuleEvent::Ended { id, attempt, server, ending, last: false })
         };
@@ -229,8 +236,8 @@
         };
         let idle = matches!(life.phase, Phase::Waiting)
             || planted!(SendWhileOut) && matches!(life.phase, Phase::InFlight(_));
-        let more = life.attempts < limits.attempts
-            || planted!(OneAttemptTooMany) && life.attempts == limits.attempts;
+        let more = life.attempts < limits.max_attempts
+            || planted!(OneAttemptTooMany) && life.attempts == limits.max_attempts;
         if !idle || !more || now >= life.arrival.deadline {
             return out.push(never(life.attempts, server, Ending::Stale));
         }
@@ -244,8 +251,11 @@
         }
         let attempt = life.attempts;
         life.attempts += 1;
-        let not_past =
-            if not_past == 0 { life.arrival.deadline } else { not_past.min(life.arrival.deadline) };
+        let attempt_deadline = if attempt_deadline == 0 {
+            life.arrival.deadline
+        } else {
+            attempt_deadline.min(life.arrival.deadline)
+        };
         life.phase = Phase::InFlight(Attempt {
             number: attempt,
             server: server.clone(),
@@ -256,7 +266,7 @@
             cell: listed.cell,
             since: now,
         });
-        out.push(Command::Start { id, attempt, server, address: place, not_past });
+        out.push(Command::Start { id, attempt, server, address: place, attempt_deadline });
     }
 
     fn cancel(&mut self, id: RequestId, attempt: u32, out: &mut Vec<Command>) {
--- a/crates/gateway/lifecycle/tests/hard_cases.rs
+++ b/crates/gateway/lifecycle/tests/hard_cases.rs
@@ -40,7 +40,7 @@
 impl Story {
     /// Two servers, and a request of this kind in hand.
     fn new(effect: Effect) -> Self {
-        let limits = Limits { attempts: 3, grace: GRACE, key_margin: 10 };
+        let limits = Limits { max_attempts: 3, grace: GRACE, key_margin: 10 };
         let mut story = Story { lives: RequestTable::new(limits), now: 0 };
         let servers = vec![listed(1, Some(9001)), listed(2, Some(9002))];
         story.happens(Input::ServerList { is_full: true, servers });
@@ -59,7 +59,7 @@
     }
 
     fn send(&mut self, n: u16) -> Vec<Command> {
-        self.happens(Input::Send { id: ID, server: server(n), not_past: 0 })
+        self.happens(Input::Send { id: ID, server: server(n), attempt_deadline: 0 })
     }
 
     fn connected(&mut self, attempt: u32) -> Vec<Command> {
--- a/crates/gateway/proxy/src/driver.rs
+++ b/crates/gateway/proxy/src/driver.rs
@@ -262,13 +262,13 @@
         let mut may_write = false;
         for output in outputs.drain(..) {
             match output {
-                Output::Start { id, attempt, server, address: place, not_past } => {
-                    let not_past = self.clock.instant(not_past);
+                Output::Start { id, attempt, server, address: place, attempt_deadline } => {
+                    let attempt_deadline = self.clock.instant(attempt_deadline);
                     if let Some(ends) = state.handles.get_mut(&id) {
                         let driver = self.clone();
                         let request = ends.outgoing.clone();
                         let run = Attempt { driver, id, number: attempt, sent: now, request, done: false };
-                        ends.attempt = Some(run.start(server, place, not_past));
+                        ends.attempt = Some(run.start(server, place, attempt_deadline));
                     }
                 }
                 Output::Write { .. } => may_write = true,
@@ -285,9 +285,9 @@
                         let _ = client.send(answer);
                     }
                 }
-                Output::Over { id } => drop(state.handles.remove(&id)),
+                Output::RequestEnded { id } => drop(state.handles.remove(&id)),
                 Output::Report { planner, report } => brought.reports.push((planner, report)),
-                Output::Notice(Notice::ListLost) => {
+                Output::Notice(Notice::DiscoveryLost) => {
                     let why = brought.discovery_failure.as_deref().unwrap_or("lost");
                     warn!(cause = why, "discovery: {why}; the old list stands");
                 }
--- a/crates/gateway/proxy/src/driver/allowances.rs
+++ b/crates/gateway/proxy/src/driver/allowances.rs
@@ -17,7 +17,7 @@
             self.handle_or_warn(
                 &mut state,
                 Instant::now(),
-                Input::Allowed { id, allowance },
+                Input::AllowanceDecided { id, allowance },
                 InputContext::default(),
             );
         }
--- a/crates/gateway/proxy/src/driver/discovery.rs
+++ b/crates/gateway/proxy/src/driver/discovery.rs
@@ -16,20 +16,20 @@
     /// This gateway's position among the gateways believed alive, and their number; none: as the settings say.
     pub fn neighbours(self: &Rc<Self>, seen: Option<(u32, u32)>) {
         let (me, gateways) = seen.unwrap_or_default();
-        let input = Input::Neighbours { me, gateways };
+        let input = Input::GatewayPosition { position: me, gateways };
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
     /// Which planners the membership view believes alive.
     pub fn planners(self: &Rc<Self>, lives: Vec<Option<bool>>) {
-        let input = Input::Planners(lives);
+        let input = Input::PlannerLiveness(lives);
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
     /// Discovery failed; the old list stays in force.
     pub fn list_failed(self: &Rc<Self>, what: String) {
         let brought = InputContext { discovery_failure: Some(what), ..InputContext::default() };
-        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), Input::ListFailed, brought);
+        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), Input::DiscoveryFailed, brought);
     }
 
     /// From now on the list is kept for a next process.
@@ -61,7 +61,7 @@
         };
         let mut entries: Vec<ListEntry> = list.targets.into_iter().map(placed).collect();
         entries.extend(replaced.iter().map(|name| (Node::new(name, Health::Removed), None)));
-        let input = Input::List { scope, rev: list.rev, entries };
+        let input = Input::ServerList { scope, rev: list.rev, entries };
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 }
--- a/crates/gateway/proxy/src/fronts/http1/mod.rs
+++ b/crates/gateway/proxy/src/fronts/http1/mod.rs
@@ -411,7 +411,7 @@
         let (id, timeout) = (incoming.request.id, incoming.request.timeout);
         let (send, rest) = mpsc::channel(1);
         let length = body.length();
-        incoming.request.open = true;
+        incoming.request.body_pending = true;
         incoming.outgoing.timeout = Some(Duration::from_nanos(timeout));
         incoming.outgoing.body =
             RefCell::new(Upload::Open(Open { first, part: Some(reservation), rest, length }));
--- a/crates/gateway/proxy/src/handover.rs
+++ b/crates/gateway/proxy/src/handover.rs
@@ -42,7 +42,7 @@
         if let Some(folder) = &folder {
             let _ = fs::remove_file(folder.join(STATE_FILE));
         }
-        Rc::new(Link { folder, role: Cell::new(Role::first(other)), alive })
+        Rc::new(Link { folder, role: Cell::new(Role::initial(other)), alive })
     }
 
     /// This process's role.
--- a/crates/gateway/proxy/tests/answers.rs
+++ b/crates/gateway/proxy/tests/answers.rs
@@ -46,7 +46,7 @@
             let sends = self.0.entry(id).or_default();
             *sends += 1;
             out.push(match *sends {
-                1..=3 => Action::Send { id, server: "s-1".into(), not_past: 0 },
+                1..=3 => Action::Send { id, server: "s-1".into(), attempt_deadline: 0 },
                 _ => Action::Reject { id, advice: 0 },
             });
         }
@@ -145,7 +145,7 @@
             plan: 0,
             customer: "c".into(),
             timeout: wait,
-            open: false,
+            body_pending: false,
             units: 1.0,
             spread: 1,
             repeat: false,
--- a/crates/testing/fleet-sim/src/mind.rs
+++ b/crates/testing/fleet-sim/src/mind.rs
@@ -190,7 +190,7 @@
 
     fn send(&mut self, now: Time, id: RequestId) -> Action {
         let server = format!("s-{:04}", self.rng.usize(0..self.servers)).into();
-        let not_past = if self.rng.bool() { 0 } else { now + self.rng.u64(1..500_000_000) };
-        Action::Send { id, server, not_past }
+        let attempt_deadline = if self.rng.bool() { 0 } else { now + self.rng.u64(1..500_000_000) };
+        Action::Send { id, server, attempt_deadline }
     }
 }
--- a/crates/testing/fleet-sim/src/world/clients.rs
+++ b/crates/testing/fleet-sim/src/world/clients.rs
@@ -77,7 +77,7 @@
         let class = &settings.classes[ask.class];
         let timeout = (class.deadline as f64 * (0.5 + 0.5 * rng.f64())) as Time;
         let incoming = Incoming {
-            open: false,
+            body_pending: false,
             id,
             class: ask.class,
             plan: plan_of(ask.customer),
--- a/crates/testing/fleet-sim/src/world/faults.rs
+++ b/crates/testing/fleet-sim/src/world/faults.rs
@@ -78,7 +78,7 @@
         let me = self.chance.u32(..);
         self.trace.tell(self.now, || format!("gateway {g} believes to be number {me} of {gateways}"));
         if self.processes[g].up {
-            self.give(g, Input::Neighbours { me, gateways });
+            self.give(g, Input::GatewayPosition { position: me, gateways });
         }
     }
 
@@ -222,7 +222,7 @@
         p.out.clear();
         (p.wake_at, p.rev) = (None, 0);
         let (life, entries) = (p.life, list(p));
-        self.give(g, Input::List { scope: Scope::Cached, rev: 0, entries });
+        self.give(g, Input::ServerList { scope: Scope::Cached, rev: 0, entries });
         if self.spec.snapshots.is_some() {
             self.remember(g);
         }
--- a/crates/testing/fleet-sim/src/world/gateways.rs
+++ b/crates/testing/fleet-sim/src/world/gateways.rs
@@ -110,7 +110,7 @@
     pub(super) fn carry(&mut self, gateway: usize, output: Output, begun: &mut Vec<(u64, u32)>) {
         let (now, life) = (self.now, self.processes[gateway].life);
         match output {
-            Output::Start { id, attempt, server, not_past, .. } => {
+            Output::Start { id, attempt, server, attempt_deadline, .. } => {
                 let server = server_number(&server);
                 self.trace.note(&[1, id, u64::from(attempt), server as u64]);
                 self.trace.tell(now, || {
@@ -120,7 +120,7 @@
                 self.observer.started(now, id, attempt);
                 let p = &mut self.processes[gateway];
                 p.out.insert(id, Out { attempt, server, written: false, since: now });
-                let limit = p.world(not_past);
+                let limit = p.world(attempt_deadline);
                 self.at(limit, Event::To { gateway, life, what: Inward::Limit { id, attempt } });
                 let at = now + self.net.u64(200_000..1_500_000);
                 let what = if self.servers[server].up {
@@ -165,7 +165,7 @@
                 self.trace.note(&[2, id, u64::from(answer == FinalAnswer::Served)]);
                 self.answered(id, answer);
             }
-            Output::Over { .. } => {}
+            Output::RequestEnded { .. } => {}
             Output::Report { planner, report } => self.report(gateway, planner, report),
             Output::Notice(notice @ (Notice::ModulePanicked { .. } | Notice::AccountPanicked))
                 if !self.spec.mischief =>
--- a/crates/testing/fleet-sim/src/world/planning.rs
+++ b/crates/testing/fleet-sim/src/world/planning.rs
@@ -30,7 +30,7 @@
             self.observer.told(self.now, gateway, *n, *listed == Listed::Up);
         }
         let entries = list(p);
-        self.give(gateway, Input::List { scope: Scope::Full, rev, entries });
+        self.give(gateway, Input::ServerList { scope: Scope::Full, rev, entries });
     }
 
     /// Whether a message gets through, and after how long.
--- a/crates/testing/model-check/src/mind.rs
+++ b/crates/testing/model-check/src/mind.rs
@@ -136,7 +136,7 @@
         let mut said = Vec::new();
         for action in actions {
             said.push(match action {
-                Action::Send { id, server, not_past } => Input::Send { id, server, not_past },
+                Action::Send { id, server, attempt_deadline } => Input::Send { id, server, attempt_deadline },
                 Action::Reject { id, advice } => Input::Refuse { id, advice },
                 Action::Fail { id } => Input::Fail { id },
                 Action::Cancel { id, attempt } => Input::Cancel { id, attempt },
--- a/crates/testing/model-check/src/upstreams.rs
+++ b/crates/testing/model-check/src/upstreams.rs
@@ -291,7 +291,7 @@
     type Action = Happens;
 
     fn init_states(&self) -> Vec<State> {
-        let mut lives = RequestTable::new(Limits { attempts: ATTEMPTS, grace: 1, key_margin: 0 });
+        let mut lives = RequestTable::new(Limits { max_attempts: ATTEMPTS, grace: 1, key_margin: 0 });
         let place = Some(([127, 0, 0, 1], 9000).into());
         let servers =
             vec![ListedServer { name: "s-1".into(), zone: 0, cell: 0, address: place, is_removed: false }];
@@ -372,7 +372,7 @@
                 };
                 s.handle(Input::Received(arrival));
             }
-            Happens::Send(id) => s.handle(Input::Send { id, server: "s-1".into(), not_past: 0 }),
+            Happens::Send(id) => s.handle(Input::Send { id, server: "s-1".into(), attempt_deadline: 0 }),
             Happens::Refuse(id) => s.handle(Input::Refuse { id, advice: 0 }),
             Happens::Write(n) => {
                 let line = &mut s.lines[n];
--- a/crates/testing/model-check/src/world.rs
+++ b/crates/testing/model-check/src/world.rs
@@ -334,7 +334,7 @@
 
     fn init_states(&self) -> Vec<State> {
         let limits = Limits {
-            attempts: self.most_attempts,
+            max_attempts: self.most_attempts,
             grace: self.time(GRACE),
             key_margin: self.time(KEY_MARGIN),
         };
@@ -463,7 +463,7 @@
                 done = self.handle(&mut s, Input::ClientLeft { id });
             }
             Happens::Send { id, server: n } => {
-                done = self.handle(&mut s, Input::Send { id, server: server(n), not_past: 0 });
+                done = self.handle(&mut s, Input::Send { id, server: server(n), attempt_deadline: 0 });
             }
             Happens::Refuse { id } => done = self.handle(&mut s, Input::Refuse { id, advice: 0 }),
             Happens::Fail { id } => done = self.handle(&mut s, Input::Fail { id }),
--- a/src/bin/granitehub-adapter/wire.rs
+++ b/src/bin/granitehub-adapter/wire.rs
@@ -180,9 +180,9 @@
 /// Writes one action for one instance.
 pub fn action(instance: u64, action: &Action, to: &mut String) {
     let done = match action {
-        Action::Send { id, server, not_past } => {
+        Action::Send { id, server, attempt_deadline } => {
             let server = Value::from(server.as_ref());
-            write!(to, "[\"Send\",{instance},\"{id:016x}\",{server},{not_past}]")
+            write!(to, "[\"Send\",{instance},\"{id:016x}\",{server},{attempt_deadline}]")
         }
         Action::Reject { id, advice } => write!(to, "[\"Reject\",{instance},\"{id:016x}\",{advice}]"),
         Action::Fail { id } => write!(to, "[\"Fail\",{instance},\"{id:016x}\"]"),
--- a/src/bin/granitethread/allowance/mod.rs
+++ b/src/bin/granitethread/allowance/mod.rs
@@ -31,7 +31,7 @@
     terms.loan = allowances.loan.as_nanos() as u64;
     terms.drift = f64::from(allowances.drift_permille) / 1000.0;
     terms.max_attempt = s.classes.iter().map(|c| c.deadline).max().unwrap_or(terms.max_attempt);
-    terms.most_units = s.most_units.max(1.0);
+    terms.most_units = s.max_units.max(1.0);
     terms.check()?;
     Ok(terms)
 }
--- a/src/bin/granitethread/api.rs
+++ b/src/bin/granitethread/api.rs
@@ -31,7 +31,7 @@
         let classes = s.classes.iter();
         let classes = classes.map(|c| (c.name.clone(), c.effect, Duration::from_nanos(c.deadline))).collect();
         let plans = s.plans.iter().map(|p| p.name.clone()).collect();
-        Api { driver, routes, classes, plans, gateways: s.gateways, most_units: s.most_units.max(1.0) }
+        Api { driver, routes, classes, plans, gateways: s.gateways, most_units: s.max_units.max(1.0) }
     }
 
     /// None if a header is missing or malformed, a figure is out of the range that the settings allow, or the
@@ -77,7 +77,7 @@
             repeat: h.get("client-retry").is_some_and(|v| v == "1"),
             pool: 0,
             allowance: interface::Allowance::Unknown,
-            open: false,
+            body_pending: false,
         })
     }
 }
--- a/src/bin/granitethread/main.rs
+++ b/src/bin/granitethread/main.rs
@@ -256,7 +256,7 @@
         unacknowledged_timeout: None,
         relay_overtime: None,
     };
-    let wire = wire::Backward { most_units: settings.most_units.max(1.0) };
+    let wire = wire::Backward { most_units: settings.max_units.max(1.0) };
     Backends::new(&limits, Box::new(wire))
 }
 
--- a/src/bin/granitethread/snapshot.rs
+++ b/src/bin/granitethread/snapshot.rs
@@ -56,7 +56,7 @@
             .inspect_err(|e| warn!(cause = %e, "snapshot: {folder}: {e}; nothing is kept for a next process"))
             .ok()?;
         // What lies there while another process of this gateway lives is that one's, and it will leave the rest.
-        if role.remembers() {
+        if role.saves_state() {
             match load(&mut disk) {
                 Ok(None) => {}
                 Ok(Some(bytes)) => go_on(&bytes, table, settings, driver, rev),
@@ -86,7 +86,7 @@
                 () = driver.list_changed() => {}
             }
             // A disk that is slow gets fewer, not older ones; and a list that changes all the time is not written each time.
-            while role().remembers() {
+            while role().saves_state() {
                 match hand_over(&sender, &driver) {
                     Handed::Gone => return,
                     Handed::Taken => break,
--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -116,7 +116,7 @@
         let h = self.pending.get_mut(&id).expect("a pending request");
         let s = self.servers.get_mut(&server).expect("a known server");
         // No early time-out: what takes long is mostly heavy, not hung, and takes as long elsewhere.
-        let not_past = h.deadline;
+        let attempt_deadline = h.deadline;
         if s.own == 0 {
             s.heard_at = now;
         }
@@ -138,6 +138,6 @@
         self.schedulers[base + 1].in_flight += h.units;
         self.sent_rate = self.sent_rate * (-secs(now - self.sent_at) / memory).exp() + 1.0 / memory;
         self.sent_at = now;
-        out.push(Action::Send { id, server, not_past });
+        out.push(Action::Send { id, server, attempt_deadline });
     }
 }
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -268,7 +268,7 @@
                 Event::Request(r) => self.admit(r, out),
                 Event::ClientLeft { id } => self.client_left(id, out),
                 Event::AttemptEnd(e) => self.attempt_ended(e, out),
-                Event::Allowed { id, allowance } => self.allowed(id, allowance, out),
+                Event::AllowanceDecided { id, allowance } => self.allowed(id, allowance, out),
                 Event::Streaming { id, attempt } => {
                     if let Some(request) = self.pending.get_mut(&id) {
                         request.streaming |= request.attempt.as_ref().is_some_and(|a| a.attempt == attempt);
@@ -277,8 +277,8 @@
                 Event::Timer { token: TIMER_PUMP } => self.pump_timer = false,
                 Event::Timer { token: TIMER_DISCOVERY } => out.push(Action::Subscribe { on: true }),
                 Event::Timer { token } => self.request_timer_fired(token, out),
-                Event::Placement { work_share } => self.set_work_share(work_share),
-                Event::Neighbours { position, gateways } => self.neighbours(position, gateways),
+                Event::WorkShare { work_share } => self.set_work_share(work_share),
+                Event::GatewayPosition { position, gateways } => self.neighbours(position, gateways),
                 Event::Probed { .. } | Event::Counted { .. } | Event::Peer { .. } => {}
             }
         }
--- a/src/decide/queues.rs
+++ b/src/decide/queues.rs
@@ -104,7 +104,7 @@
         if self.has_waiting() && !self.pump_timer {
             // What blocks the queue may pass with time alone: budgets, limits, ejections.
             self.pump_timer = true;
-            let at = self.now + (self.settings.fall / 50).max(self.settings.tick);
+            let at = self.now + (self.settings.collapse_window / 50).max(self.settings.tick);
             out.push(Action::Timer { token: TIMER_PUMP, at });
         }
     }
@@ -174,7 +174,7 @@
         let plans = &self.settings.plans;
         let least = plans.iter().map(|p| p.value_factor).fold(f64::INFINITY, f64::min).max(1e-9);
         let weight = (plans[plan].value_factor / least).max(1.0);
-        weight * if res == 0 { 1.0 } else { self.settings.most_units.max(self.mean_units) }
+        weight * if res == 0 { 1.0 } else { self.settings.max_units.max(self.mean_units) }
     }
 
     /// The first request of a queue that every availability counter covers and that may be sent now, its
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -139,12 +139,12 @@
         max_retry_after: env.limits.max_retry_after,
         max_attempts: env.limits.try_limit,
         settles_cost: env.extra.cost_after,
-        most_units: env.extra.most_units,
+        max_units: env.extra.most_units,
         meter_period: env.extra.meter_period,
         warm_up_time: env.obligations.cold,
         initial_warmth: env.obligations.cold_from,
-        fall: env.obligations.fall,
-        fall_multiple: env.obligations.fall_multiple,
+        collapse_window: env.obligations.fall,
+        collapse_multiple: env.obligations.fall_multiple,
         answer_slack: env.obligations.answer_slack,
         cross_zone_price: env.prices.cross_zone,
         tick: env.tick,
@@ -182,8 +182,8 @@
     let mut figures = Vec::new();
     let mut add =
         |of: &str, all: &[(&str, f64)]| figures.extend(all.iter().map(|(n, v)| (format!("{of}{n}"), *v)));
-    add("", &[("cold_from", s.initial_warmth), ("fall_multiple", s.fall_multiple)]);
-    add("", &[("most_units", s.most_units), ("cross_zone_price", s.cross_zone_price)]);
+    add("", &[("cold_from", s.initial_warmth), ("fall_multiple", s.collapse_multiple)]);
+    add("", &[("most_units", s.max_units), ("cross_zone_price", s.cross_zone_price)]);
     for p in &s.plans {
         let of = format!("plan {}: ", p.name);
         add(&of, &[("rate", p.rate), ("depth", p.depth), ("ceiling_rate", p.hard_limit_rate)]);
--- a/tests/legacy.rs
+++ b/tests/legacy.rs
@@ -12,7 +12,7 @@
         classes: vec![Class::new("quote", SEC, 4 * SEC, Effect::Safe, Group::All)],
         plans: vec![plan],
         meter_period: SEC,
-        most_units: 8.0,
+        max_units: 8.0,
         ..Settings::default()
     }
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -19,10 +19,10 @@
             Plan { value_factor: 2.0, ..Plan::new("gold", 10.0, 20.0) },
         ],
         meter_period: SEC,
-        most_units: 8.0,
+        max_units: 8.0,
         warm_up_time: 10 * SEC,
         initial_warmth: 0.2,
-        fall: 2 * SEC,
+        collapse_window: 2 * SEC,
         max_attempts: 3,
         tick: MS,
         ..Settings::default()
@@ -725,11 +725,16 @@
     assert_eq!(sends(&sent), [other], "behind them in the same queue");
     rig.now += SEC;
     // The second is let go first; past its aim by now, it has a new one's time.
-    let sent = rig.tell(Event::Allowed { id: 902, allowance: Allowance::Granted });
+    let sent = rig.tell(Event::AllowanceDecided { id: 902, allowance: Allowance::Granted });
     assert_eq!(sends(&sent), [902]);
-    let refused = rig.tell(Event::Allowed { id: 903, allowance: Allowance::Refused { advice: 300 * MS } });
+    let refused =
+        rig.tell(Event::AllowanceDecided { id: 903, allowance: Allowance::Refused { advice: 300 * MS } });
     assert!(refused.contains(&Action::Reject { id: 903, advice: 300 * MS }), "{refused:?}");
-    assert_eq!(rig.tell(Event::Allowed { id: 903, allowance: Allowance::Granted }), [], "it is gone");
+    assert_eq!(
+        rig.tell(Event::AllowanceDecided { id: 903, allowance: Allowance::Granted }),
+        [],
+        "it is gone"
+    );
     rig.now = until;
     let late = rig.tell(Event::Timer { token: timer(&first).0 });
     assert!(rejected(&late, 901), "nobody said anything until then: {late:?}");
@@ -922,17 +927,17 @@
     let mut rig = Rig::new(Settings { gateways: 100, gateway_index: 7, ..settings() }, 60);
     let few = used(&mut rig, "a");
     assert!(few.len() <= 8, "{few:?}");
-    rig.tell(Event::Neighbours { position: 50, gateways: 100 });
+    rig.tell(Event::GatewayPosition { position: 50, gateways: 100 });
     let others = used(&mut rig, "b");
     assert!(others.len() <= 8 && others != few, "another place, other servers: {others:?}");
-    rig.tell(Event::Neighbours { position: 0, gateways: 3 });
+    rig.tell(Event::GatewayPosition { position: 0, gateways: 3 });
     assert!(used(&mut rig, "c").len() > 20, "three serve all sixty");
-    rig.tell(Event::Neighbours { position: 0, gateways: 0 });
+    rig.tell(Event::GatewayPosition { position: 0, gateways: 0 });
     assert_eq!(used(&mut rig, "d"), few, "as the settings say");
     // So many fit at one server at once, whatever is believed.
     let room = |gateways| {
         let mut rig = Rig::new(Settings { gateways: 100, gateway_index: 7, ..settings() }, 60);
-        rig.tell(Event::Neighbours { position: 7, gateways });
+        rig.tell(Event::GatewayPosition { position: 7, gateways });
         let mut count = std::collections::BTreeMap::<String, usize>::new();
         for i in 0..1000 {
             let (_, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
