--- a/crates/control/consensus/src/bootstrap.rs
+++ b/crates/control/consensus/src/bootstrap.rs
@@ -1,70 +1,70 @@
-//! The first start of all: the seeds agree on the first voters before any node has a log.
+//! Cluster bootstrap: at the first start the seeds agree on the initial voters, before any node has a log.
 //!
-//! Single-decree Paxos (Lamport, 2001) among the seeds, which all nodes know. It lives in memory alone: a process that
-//! restarts is not at its first start any more and takes no part, so that none forgets what it has promised. No I/O and no
-//! clock.
+//! Single-decree Paxos (Lamport, 2001) among the seeds, which all nodes know. The state is kept in memory only: a
+//! restarted process is no longer at its first start and does not take part, so that no participant forgets its
+//! promises. No I/O and no clock.
 
 use crate::types::{NodeId, VoterSet};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The number of a proposal: unique to its proposer, and ordered.
+/// Ballot number of a proposal: unique to its proposer and totally ordered.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// One more than the highest that the proposer knows of.
+    /// One more than the highest round known to the proposer.
     pub round: u64,
-    /// The seed that proposes.
+    /// Name of the proposing seed.
     pub proposer: String,
 }
 
-/// What a seed has accepted.
+/// The proposal that a seed has accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptedProposal {
-    /// In this ballot.
+    /// Ballot in which it was accepted.
     pub ballot: Ballot,
-    /// These voters.
+    /// The accepted voters.
     pub voters: VoterSet,
 }
 
 /// A message between seeds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum BootstrapMessage {
-    /// Phase 1a: promise to accept nothing in an earlier ballot.
+    /// Phase 1a: asks for a promise to accept nothing in an earlier ballot.
     Prepare {
-        /// The proposal's.
+        /// Ballot of the proposal.
         ballot: Ballot,
     },
-    /// Phase 1b.
+    /// Phase 1b: promises to accept nothing in an earlier ballot.
     Promise {
-        /// The one that is promised.
+        /// The promised ballot.
         ballot: Ballot,
-        /// What was accepted in the latest ballot before, if anything.
+        /// The proposal accepted in the latest earlier ballot, if any.
         accepted: Option<AcceptedProposal>,
     },
-    /// Phase 2a.
+    /// Phase 2a: asks to accept a proposal.
     Accept {
-        /// The proposal's.
+        /// Ballot of the proposal.
         ballot: Ballot,
-        /// What is proposed.
+        /// The proposed voters.
         voters: VoterSet,
     },
-    /// Phase 2b.
+    /// Phase 2b: the proposal was accepted.
     Accepted {
-        /// The proposal's.
+        /// Ballot of the proposal.
         ballot: Ballot,
     },
-    /// A later ballot was promised.
+    /// Rejects a ballot because a later one was promised.
     #[serde(rename = "Late")]
     Rejected {
-        /// That one.
+        /// The later ballot.
         promised: Ballot,
     },
 }
 
-/// A message and the seed that it is for.
+/// Name of the recipient seed, and the message.
 pub(crate) type Outgoing = (String, BootstrapMessage);
 
-/// A seed at the first start.
+/// State of one seed during bootstrap, both as proposer and as acceptor.
 #[derive(Clone, Debug, Default)]
 pub struct Bootstrap {
     name: String,
@@ -74,7 +74,7 @@
     proposal: Option<Proposal>,
 }
 
-/// What this seed proposes.
+/// State of this seed's own proposal.
 #[derive(Clone, Debug)]
 struct Proposal {
     ballot: Ballot,
@@ -84,12 +84,12 @@
 }
 
 impl Bootstrap {
-    /// This seed, and all of them.
+    /// Creates the state of the seed `name`; `seeds` contains all seeds.
     pub fn new(name: &str, seeds: impl IntoIterator<Item = String>) -> Self {
         Bootstrap { name: name.into(), seeds: seeds.into_iter().collect(), ..Bootstrap::default() }
     }
 
-    /// Proposes these voters, or whatever was accepted before; what to send to whom.
+    /// Starts a proposal of these voters, or of those accepted in an earlier ballot. Returns the messages to send.
     pub fn propose(&mut self, voters: VoterSet) -> Vec<Outgoing> {
         let ballot = Ballot { round: self.promised.round + 1, proposer: self.name.clone() };
         self.proposal = Some(Proposal {
@@ -99,30 +99,30 @@
             accepted_by: BTreeSet::new(),
         });
         let messages = self.to_all_seeds(&BootstrapMessage::Prepare { ballot });
-        self.deliver_own(messages)
+        self.handle_own(messages)
     }
 
-    /// The voters that were chosen, if this seed's proposal was.
+    /// Returns the voters of this seed's proposal if it was chosen.
     pub fn chosen(&self) -> Option<&VoterSet> {
         let proposal = self.proposal.as_ref()?;
         (2 * proposal.accepted_by.len() > self.seeds.len()).then_some(&proposal.voters)
     }
 
-    /// Another seed's message; what to send to whom.
+    /// Handles a message from another seed. Returns the messages to send.
     pub fn on_message(&mut self, from: &NodeId, message: BootstrapMessage) -> Vec<Outgoing> {
         if !self.seeds.contains(&from.name) {
             return Vec::new();
         }
-        let answers = self.handle(&from.name, message);
-        self.deliver_own(answers)
+        let replies = self.handle(&from.name, message);
+        self.handle_own(replies)
     }
 
     fn to_all_seeds(&self, message: &BootstrapMessage) -> Vec<Outgoing> {
         self.seeds.iter().map(|seed| (seed.clone(), message.clone())).collect()
     }
 
-    /// Handles at once what is for this seed itself; the rest is to be sent.
-    fn deliver_own(&mut self, mut messages: Vec<Outgoing>) -> Vec<Outgoing> {
+    /// Handles messages to this seed itself immediately. Returns the others.
+    fn handle_own(&mut self, mut messages: Vec<Outgoing>) -> Vec<Outgoing> {
         let mut to_send = Vec::new();
         while let Some((to, message)) = messages.pop() {
             if to == self.name {
@@ -135,21 +135,21 @@
     }
 
     fn handle(&mut self, from: &str, message: BootstrapMessage) -> Vec<Outgoing> {
-        let answer = |message| vec![(from.to_string(), message)];
+        let reply = |message| vec![(from.to_string(), message)];
         match message {
             BootstrapMessage::Prepare { ballot } | BootstrapMessage::Accept { ballot, .. }
                 if ballot < self.promised =>
             {
-                answer(BootstrapMessage::Rejected { promised: self.promised.clone() })
+                reply(BootstrapMessage::Rejected { promised: self.promised.clone() })
             }
             BootstrapMessage::Prepare { ballot } => {
                 self.promised = ballot.clone();
-                answer(BootstrapMessage::Promise { ballot, accepted: self.accepted.clone() })
+                reply(BootstrapMessage::Promise { ballot, accepted: self.accepted.clone() })
             }
             BootstrapMessage::Accept { ballot, voters } => {
                 self.promised = ballot.clone();
                 self.accepted = Some(AcceptedProposal { ballot: ballot.clone(), voters });
-                answer(BootstrapMessage::Accepted { ballot })
+                reply(BootstrapMessage::Accepted { ballot })
             }
             BootstrapMessage::Promise { ballot, accepted } => self.on_promise(from, &ballot, accepted),
             BootstrapMessage::Accepted { ballot } => {
@@ -159,14 +159,15 @@
                 Vec::new()
             }
             BootstrapMessage::Rejected { promised } => {
-                // The next proposal goes beyond it.
+                // The next proposal uses a higher round.
                 self.promised = self.promised.clone().max(promised);
                 Vec::new()
             }
         }
     }
 
-    /// With a majority of promises, the latest proposal that any of them accepted is the one to go on with.
+    /// Records a promise. With a majority of promises, proceeds to phase 2 with the latest proposal accepted
+    /// by any of these seeds, or otherwise with this seed's own voters.
     fn on_promise(
         &mut self,
         from: &str,
--- a/crates/control/consensus/src/defect.rs
+++ b/crates/control/consensus/src/defect.rs
@@ -1,20 +1,20 @@
-//! Defects that tests plant, each of which some small world must find.
+//! Defects that tests plant on purpose: exhaustive exploration of small clusters must find each of them.
 
-/// A way to get a change of voters wrong.
+/// A defect in voter changes or elections that tests can plant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// A voter is exchanged in one entry, without both majorities.
+    /// A voter is replaced by a single configuration entry, without majorities of both sets.
     SkipJointConsensus,
-    /// The old voters are forgotten before a majority of them has agreed to it.
+    /// The leader leaves the joint configuration before it is committed.
     JointConfigurationLeftEarly,
-    /// While the voters change, a majority of the new ones elects alone.
+    /// During joint consensus a majority of the new voters alone can elect a leader.
     NewMajorityElectsAlone,
-    /// A learner becomes a voter before it has what is committed.
+    /// A learner becomes a voter before it has all committed entries.
     LearnerVotesTooSoon,
 }
 
 impl Defect {
-    /// All of them.
+    /// All defects.
     pub const ALL: [Defect; 4] = [
         Defect::SkipJointConsensus,
         Defect::JointConfigurationLeftEarly,
@@ -22,7 +22,7 @@
         Defect::LearnerVotesTooSoon,
     ];
 
-    /// Its name on a command line.
+    /// Returns the defect's name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Defect::SkipJointConsensus => "skip-joint-consensus",
--- a/crates/control/consensus/src/entry.rs
+++ b/crates/control/consensus/src/entry.rs
@@ -1,29 +1,29 @@
-//! Entries of the replicated log, and the snapshot that stands in place of its beginning.
+//! Entries of the replicated log, and the snapshot that replaces its compacted prefix.
 
 use crate::types::{LogIndex, Term, VoterSet};
 use serde::{Deserialize, Serialize};
 
-/// What an entry of the log holds.
+/// Payload of a log entry.
 ///
-/// Variants are stored and sent under the names of form 2 of the store and form 4 of the messages.
+/// The serialized variant names are those of store format 2 and message format 4.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// The first entry of a new leader.
+    /// The empty entry that a new leader appends first.
     #[serde(rename = "Nothing")]
     Noop,
-    /// These are the voters from here on.
+    /// The voters from this entry on.
     #[serde(rename = "Members")]
     Configuration(VoterSet),
-    /// A command of the replicated state machine, opaque here.
+    /// A command for the replicated state machine, opaque to this crate.
     #[serde(rename = "Word")]
     Command(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// From here on a majority of each set is needed; [`EntryPayload::Configuration`] of the new one ends that (joint
-    /// consensus, Ongaro's thesis, 4.3).
+    /// Starts joint consensus (4.3): from this entry on, decisions need a majority of both sets, until an
+    /// [`EntryPayload::Configuration`] with the new set follows.
     #[serde(rename = "Joint")]
     JointConfiguration {
-        /// The voters so far.
+        /// The voters before the change.
         old: VoterSet,
-        /// The voters to come.
+        /// The voters after the change.
         new: VoterSet,
     },
 }
@@ -31,42 +31,42 @@
 /// An entry of the replicated log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term in which a leader appended it.
+    /// Term in which a leader created the entry.
     pub term: Term,
-    /// What it holds.
+    /// Payload of the entry.
     pub payload: EntryPayload,
 }
 
 impl Entry {
-    /// About how many bytes it takes in a message.
+    /// Returns the approximate size of the entry in a message, in bytes.
     pub(crate) fn size(&self) -> usize {
-        const OVERHEAD: usize = 16;
-        const BYTES_A_VOTER: usize = 32;
-        OVERHEAD
+        const OVERHEAD_BYTES: usize = 16;
+        const BYTES_PER_VOTER: usize = 32;
+        OVERHEAD_BYTES
             + match &self.payload {
                 EntryPayload::Command(command) => command.len(),
-                EntryPayload::Configuration(voters) => BYTES_A_VOTER * voters.len(),
-                EntryPayload::JointConfiguration { old, new } => BYTES_A_VOTER * (old.len() + new.len()),
+                EntryPayload::Configuration(voters) => BYTES_PER_VOTER * voters.len(),
+                EntryPayload::JointConfiguration { old, new } => BYTES_PER_VOTER * (old.len() + new.len()),
                 EntryPayload::Noop => 0,
             }
     }
 
-    /// Whether it holds a command: only these are sent in chunks.
+    /// Returns whether the entry holds a command. Only commands are sent in chunks.
     pub(crate) fn is_command(&self) -> bool {
         matches!(self.payload, EntryPayload::Command(_))
     }
 }
 
-/// The state up to an index, in place of the log up to there.
+/// A snapshot of the replicated state, which replaces the log up to its index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The last index that it covers.
+    /// Index of the last entry that the snapshot includes.
     pub index: LogIndex,
-    /// The term of the entry there.
+    /// Term of the last entry that the snapshot includes.
     pub term: Term,
-    /// The voters as of that index.
+    /// The voters in effect at that index.
     pub voters: VoterSet,
-    /// The replicated state, opaque here.
+    /// The replicated state, opaque to this crate.
     #[serde(with = "serde_bytes")]
     pub state: Vec<u8>,
 }
--- a/crates/control/consensus/src/event.rs
+++ b/crates/control/consensus/src/event.rs
@@ -1,137 +1,138 @@
-//! What goes into a [`crate::RaftNode`], what comes out of it, and what is on its disk.
+//! Inputs and outputs of a [`crate::RaftNode`], and its persisted state.
 
 use crate::entry::{Entry, Snapshot};
 use crate::message::Message;
 use crate::types::{LogIndex, NodeId, Term, VoterSet};
 
-/// What happened.
+/// An event for a [`crate::RaftNode`] to handle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Another node's message.
+    /// A message from another node.
     Message(Message),
-    /// A local caller wants this committed.
+    /// Proposes a command on behalf of a local caller.
     Propose {
-        /// Repeated in [`Output::Proposed`] or [`Output::NotLeader`].
+        /// Identifies the proposal in [`Output::Proposed`] or [`Output::NotLeader`].
         tag: u64,
-        /// Opaque here.
+        /// The command, opaque to this crate.
         command: Vec<u8>,
     },
-    /// A local caller wants to read a state that holds all that is committed by now (Ongaro's thesis, 6.4).
+    /// Requests a linearizable read on behalf of a local caller: the state read must include everything committed
+    /// so far (6.4).
     ReadIndex {
-        /// Repeated in [`Output::ReadReady`] or [`Output::NotLeader`].
+        /// Identifies the read in [`Output::ReadReady`] or [`Output::NotLeader`].
         tag: u64,
     },
-    /// This node is there and is no voter: it is replicated to as a learner.
+    /// Join request of a node. A node that is not a voter is added as a learner.
     Join {
-        /// Who it is.
+        /// Identity of the joining node.
         id: NodeId,
-        /// It has a disk, and may be given a voter's place.
+        /// Whether the node may become a voter; it has a disk then.
         wants_vote: bool,
     },
-    /// The first start of all: these are the voters. A node with a log ignores it. All are told the same set
-    /// ([`crate::Bootstrap`]).
+    /// Initializes the log at the first start of the cluster. Every node receives the same set, chosen by
+    /// [`crate::Bootstrap`]. Ignored if the node already has a log.
     Bootstrap {
-        /// The first voters.
+        /// The initial voters.
         voters: VoterSet,
     },
-    /// This process is to end, for a moment or for good: leadership goes to another node, and so does its voter's place if
-    /// one waits for it.
+    /// This process is about to exit, for a restart or permanently. A leader transfers leadership, and a voter is
+    /// replaced if another node waits to become one.
     Shutdown,
-    /// Whether what is to be persisted reaches the disk, as it does at first.
+    /// Reports whether writes reach the disk. Storage is assumed to be healthy at first.
     ///
-    /// While it does not, this node does not lead, campaign, vote, or acknowledge entries; it goes on applying what is
-    /// committed. What it wanted persisted meanwhile need not be: with `healthy` the disk holds
-    /// [`crate::RaftNode::persisted_state`] as it is.
+    /// While storage is unhealthy, the node does not lead, campaign, vote, or acknowledge entries, but continues to
+    /// apply committed entries. The caller may skip [`Output::Persist`] meanwhile: before it reports `healthy`, it
+    /// saves all of [`crate::RaftNode::persisted_state`].
     StorageHealth {
-        /// Whether it does.
+        /// Whether writes reach the disk.
         healthy: bool,
     },
-    /// Time has passed.
+    /// Time has passed; see [`crate::RaftNode::next_due`].
     Tick,
 }
 
-/// What the caller is to do, in order.
+/// An action for the caller. Outputs are carried out in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Must be durable before any output behind it is carried out.
+    /// Persist a change. It must be durable before any later output is carried out.
     Persist(Persist),
-    /// Send a message; it may be lost.
+    /// Send a message. Messages may be lost.
     Send(Message),
-    /// The proposal of this tag was appended, and is not committed yet. If another entry is committed at its index, it
-    /// never will be.
+    /// The proposal was appended to the leader's log but is not committed yet. If a different entry is committed at
+    /// this index, the proposal will never be committed.
     Proposed {
-        /// [`Input::Propose`]'s.
+        /// Tag of the [`Input::Propose`].
         tag: u64,
-        /// Where it stands.
+        /// Index of the entry.
         index: LogIndex,
-        /// The leader's term.
+        /// Term of the leader.
         term: Term,
     },
-    /// This command is committed.
+    /// Apply a committed command to the state machine.
     Apply {
-        /// Where it stands.
+        /// Index of the entry.
         index: LogIndex,
-        /// The term in which it was appended.
+        /// Term in which a leader created the entry.
         term: Term,
-        /// Opaque here.
+        /// The command, opaque to this crate.
         command: Vec<u8>,
     },
-    /// The replicated state is this, whatever was applied before.
+    /// Replace the state machine's state by that of a snapshot, whatever was applied before.
     InstallSnapshot {
-        /// The last index that it covers.
+        /// Index of the last entry that the snapshot includes.
         index: LogIndex,
-        /// Opaque here.
+        /// The replicated state, opaque to this crate.
         state: Vec<u8>,
     },
-    /// All that was committed when the read was asked for has been applied.
+    /// Everything committed at the time of the read request has been applied.
     ReadReady {
-        /// [`Input::ReadIndex`]'s.
+        /// Tag of the [`Input::ReadIndex`].
         tag: u64,
     },
-    /// This node does not lead, or leads no more: what becomes of the proposal or read is unknown.
+    /// This node is not the leader, or is no longer: the outcome of the proposal or read is unknown.
     NotLeader {
-        /// The proposal's or the read's.
+        /// Tag of the proposal or read.
         tag: u64,
     },
 }
 
-/// A change of what is on the disk.
+/// A change to the persisted state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Persist {
-    /// The term and the vote in it.
+    /// The current term and the vote cast in it.
     HardState {
-        /// The current term.
+        /// Current term.
         term: Term,
-        /// Whom this node voted for in it.
+        /// Candidate that received this node's vote in the current term.
         vote: Option<NodeId>,
     },
-    /// The log holds these entries from an index on, and nothing behind them.
+    /// Replaces the log from an index on by these entries.
     Entries {
-        /// Index of the first.
+        /// Index of the first entry.
         from: LogIndex,
-        /// In order of their indexes.
+        /// The entries, in index order.
         entries: Vec<Entry>,
     },
-    /// The log up to the snapshot's index is obsolete.
+    /// Replaces the log up to the snapshot's index.
     Snapshot {
-        /// What stands in its place.
+        /// The snapshot.
         snapshot: Snapshot,
-        /// The log behind that index is obsolete, too.
+        /// Whether the entries after that index are discarded too.
         replaces_log: bool,
     },
 }
 
-/// All that is on a disk.
+/// The complete persisted state of a node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct PersistedState {
-    /// The current term.
+    /// Current term.
     pub term: Term,
-    /// Whom this node voted for in it.
+    /// Candidate that received this node's vote in the current term.
     pub vote: Option<NodeId>,
-    /// In place of the log up to its index.
+    /// Latest snapshot, which replaces the log up to its index.
     pub snapshot: Snapshot,
-    /// From the index behind the snapshot on.
+    /// Log entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// How far the log was known to be committed; it may be old, since nothing waits for it to be saved.
+    /// Last known commit index. It may be stale, since no output waits until it is saved.
     pub commit_index: LogIndex,
 }
--- a/crates/control/consensus/src/lib.rs
+++ b/crates/control/consensus/src/lib.rs
@@ -1,14 +1,15 @@
 //! Raft consensus among the control nodes, as a state machine without I/O and without a clock.
 //!
-//! After Raft (Ongaro and Ousterhout, 2014) and Ongaro's thesis of the same year: pre-votes (9.6), membership changes by
-//! joint consensus (4.3), leadership transfer (3.10), reads by heartbeat rounds (6.4). Sections in comments are the thesis'.
-//! Beyond it, a voter is a name *and* the id of its disk, so that a disk that was lost is no voter, and voters that fail
-//! for good are replaced by nodes that wait ([`Input::Join`]).
+//! Implements Raft (Ongaro and Ousterhout, 2014) with the extensions of Ongaro's thesis (2014): pre-vote (9.6),
+//! membership changes by joint consensus (4.3), leadership transfer (3.10) and linearizable reads by heartbeat
+//! rounds (6.4). Section numbers in comments refer to the thesis. Two additions go beyond it: a voter is identified
+//! by its name *and* its disk id, so that a node that lost its disk is no longer a voter, and a voter that fails
+//! permanently is replaced by a waiting node ([`Input::Join`]).
 //!
-//! Whatever is lost, late, duplicated or cut, and whichever node dies, freezes or loses a disk, as long as no more disks
-//! are lost at once than a minority of the voters:
-//! - what was applied anywhere is applied everywhere at the same index, and never undone;
-//! - [`Output::ReadReady`] comes only behind all that was committed before the read was asked for.
+//! Safety guarantees under message loss, delay, duplication and partitions, and under crashes, pauses and disk
+//! losses of nodes, provided that at most a minority of the voters' disks is lost at the same time:
+//! - a command applied on any node is applied on every node at the same index and is never undone;
+//! - [`Output::ReadReady`] is emitted only after everything committed before the read request was applied.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -35,12 +36,13 @@
 
 use types::MS;
 
-/// The leader sends to each other node at least this often.
+/// Maximum interval between two messages from the leader to each other node.
 pub const HEARTBEAT_INTERVAL: Time = 100 * MS;
-/// No node votes for another within so long of having heard the leader; followers campaign after up to twice that.
+/// Minimum election timeout: a node votes for no other candidate until this long after its last contact with the
+/// leader. Followers campaign after one to two times this duration, chosen at random.
 pub const MIN_ELECTION_TIMEOUT: Time = 500 * MS;
-/// Quota is granted while a majority was heard within so long: less than [`MIN_ELECTION_TIMEOUT`] by what clocks may
-/// differ.
+/// Duration of the leader lease: the leader grants quota only while its last contact with a quorum is more recent
+/// than this. Shorter than [`MIN_ELECTION_TIMEOUT`] by the tolerated clock drift.
 pub const LEADER_LEASE: Time = 400 * MS;
-/// A voter that has not answered for so long may be replaced by a node that waits for a voter's place.
+/// A voter that has not responded for this long may be replaced by a node that waits to become a voter.
 pub const VOTER_REPLACEMENT_TIMEOUT: Time = 2_000 * MS;
--- a/crates/control/consensus/src/message.rs
+++ b/crates/control/consensus/src/message.rs
@@ -1,6 +1,6 @@
 //! Messages between nodes.
 //!
-//! Variants are sent under the names of message form 4, so that a node of the version before understands them.
+//! The serialized variant names are those of message format 4, so that nodes of the previous version understand them.
 
 use crate::entry::Entry;
 use crate::types::{LogIndex, LogPosition, NodeId, PreviousEntry, Term, VoterSet};
@@ -9,100 +9,101 @@
 /// A message from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// Who sends it.
+    /// Sender.
     pub from: NodeId,
-    /// Whom it is for; a node whose disk id differs ignores it.
+    /// Recipient. A node with a different disk id ignores the message.
     pub to: NodeId,
-    /// The sender's term; of a pre-vote, the term that would be campaigned in.
+    /// Term of the sender; for a pre-vote request, the term in which the sender would campaign.
     pub term: Term,
-    /// What it says.
+    /// Payload of the message.
     pub body: MessageBody,
 }
 
-/// What a message says.
+/// Payload of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// A candidate asks for a vote in the message's term.
+    /// RequestVote (3.4): a candidate requests a vote in the message's term.
     #[serde(rename = "Ask")]
     RequestVote {
-        /// It only asks whether the vote would be granted (Ongaro's thesis, 9.6).
+        /// Pre-vote (9.6): only asks whether the vote would be granted.
         pre_vote: bool,
-        /// The leader asked it to campaign, so that followers need not have lost the leader (3.10).
+        /// The leader asked the candidate to campaign (3.10): voters that are in contact with the leader may
+        /// vote too.
         leadership_transfer: bool,
-        /// The last entry of the candidate's log.
+        /// Term and index of the last entry of the candidate's log.
         last_entry: LogPosition,
     },
-    /// The answer to [`MessageBody::RequestVote`].
+    /// Response to [`MessageBody::RequestVote`].
     #[serde(rename = "Vote")]
     VoteResponse {
-        /// It answers a pre-vote.
+        /// Whether it responds to a pre-vote request.
         pre_vote: bool,
-        /// Whether the vote is granted, or would be.
+        /// Whether the vote is granted; for a pre-vote, whether it would be.
         granted: bool,
     },
-    /// The leader's entries; none as a heartbeat.
+    /// AppendEntries (3.5): log entries from the leader, or none as a heartbeat.
     #[serde(rename = "Append")]
     AppendEntries {
-        /// The entry that must precede them.
+        /// The entry that must precede the sent entries.
         previous: PreviousEntry,
-        /// In order of their indexes.
+        /// The entries, in index order.
         entries: Vec<Entry>,
-        /// How far the log is committed.
+        /// Commit index of the leader.
         commit_index: LogIndex,
-        /// The heartbeat round, which the answer repeats.
+        /// Number of the heartbeat round, which the response repeats.
         round: u64,
     },
-    /// The follower's log is the leader's up to `match_index`, and on its disk.
+    /// The follower's log matches the leader's up to `match_index` and is persisted up to there.
     #[serde(rename = "Took")]
     AppendAccepted {
-        /// Of the heartbeat that it answers.
+        /// Number of the heartbeat round that this responds to.
         round: u64,
-        /// The last index that is known to match; 0 if the answer only proves contact.
+        /// Last index known to match; 0 if the response only confirms contact.
         match_index: LogIndex,
     },
-    /// The previous entry does not match, or the follower's storage does not save.
+    /// The previous entry does not match, or the follower's storage is unhealthy.
     #[serde(rename = "Missed")]
     AppendRejected {
-        /// Of the heartbeat that it answers.
+        /// Number of the heartbeat round that this responds to.
         round: u64,
-        /// Where the logs may match.
+        /// Index up to which the logs may match.
         hint: LogIndex,
     },
-    /// A chunk of something that does not fit into one message.
+    /// A chunk of a snapshot or command that does not fit into one message.
     #[serde(rename = "Part")]
     Chunk {
-        /// What it belongs to.
+        /// What the chunk is part of.
         content: TransferContent,
-        /// Bytes of the whole.
+        /// Total size of the transfer in bytes.
         size: u64,
-        /// Where in the whole the chunk begins.
+        /// Byte offset of the chunk within the transfer.
         offset: u64,
-        /// The chunk.
+        /// Bytes of the chunk.
         #[serde(with = "serde_bytes")]
         bytes: Vec<u8>,
-        /// The heartbeat round, which the answer repeats.
+        /// Number of the heartbeat round, which the response repeats.
         round: u64,
     },
-    /// So many bytes of the transfer to `index` have arrived, from its start on.
+    /// Acknowledges the contiguous bytes received so far of the transfer to `index`.
     #[serde(rename = "Got")]
     ChunkReceived {
         /// [`TransferContent::index`].
         index: LogIndex,
-        /// Bytes from the start on.
+        /// Contiguous bytes received from the start of the transfer.
         received: u64,
-        /// Of the chunk that it answers.
+        /// Number of the heartbeat round of the chunk that this responds to.
         round: u64,
     },
-    /// To the leader: this voter shuts down, and gives its place to another that waits for one.
+    /// To the leader: the sender, a voter, is shutting down and may be replaced by a waiting node.
     #[serde(rename = "Leave")]
     LeaveRequest,
-    /// The leader asks this voter to campaign at once (Ongaro's thesis, 3.10).
+    /// TimeoutNow (3.10): the leader asks a voter to campaign immediately.
     #[serde(rename = "Named")]
     TimeoutNow,
 }
 
 impl MessageBody {
-    /// Whether the message's term is one that is only campaigned for so far, so that nobody adopts it.
+    /// Returns whether the message carries the prospective term of a pre-vote, which recipients must not adopt.
     pub(crate) fn is_pre_vote(&self) -> bool {
         matches!(
             self,
@@ -111,7 +112,7 @@
         )
     }
 
-    /// Whether only a leader sends it.
+    /// Returns whether only a leader sends this message.
     pub(crate) fn is_from_leader(&self) -> bool {
         matches!(
             self,
@@ -120,30 +121,30 @@
     }
 }
 
-/// What is sent in chunks.
+/// Content of a transfer in chunks.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum TransferContent {
-    /// The state up to an index, in place of entries that the leader does not have any more.
+    /// A snapshot, in place of entries that the leader has already compacted.
     Snapshot {
-        /// The last index that it covers.
+        /// Index of the last entry that the snapshot includes.
         index: LogIndex,
-        /// The term of the entry there.
+        /// Term of the last entry that the snapshot includes.
         term: Term,
-        /// The voters as of that index.
+        /// The voters in effect at that index.
         voters: VoterSet,
     },
-    /// The command of the entry behind `previous`.
+    /// The command of the entry after `previous`.
     #[serde(rename = "Word")]
     Entry {
-        /// The entry that must precede it.
+        /// The entry that must precede it in the log.
         previous: PreviousEntry,
-        /// The entry's term.
+        /// Term of the entry.
         term: Term,
     },
 }
 
 impl TransferContent {
-    /// The index that the follower's log reaches once all of it has arrived.
+    /// Returns the log index that the follower reaches when the transfer completes.
     pub fn index(&self) -> LogIndex {
         match self {
             TransferContent::Snapshot { index, .. } => *index,
--- a/crates/control/consensus/src/node.rs
+++ b/crates/control/consensus/src/node.rs
@@ -1,4 +1,4 @@
-//! One node of the consensus group: inputs and the time go in, outputs come out.
+//! One node of the consensus group, a state machine from inputs and the current time to outputs.
 
 #[cfg(feature = "defects")]
 mod digest;
@@ -27,7 +27,7 @@
     Follower,
     Candidate {
         pre_vote: bool,
-        /// Those who granted their vote, this node among them.
+        /// Nodes that granted their vote, including this node.
         granted: BTreeSet<NodeId>,
     },
     Leader(Box<LeaderState>),
@@ -38,19 +38,20 @@
 pub struct RaftNode {
     id: NodeId,
     term: Term,
-    /// Whom it voted for in this term.
+    /// Candidate that received this node's vote in the current term.
     vote: Option<NodeId>,
     log: RaftLog,
     commit_index: LogIndex,
     role: Role,
-    /// Whom it believes to lead.
+    /// Leader of the current term, if known.
     leader: Option<NodeId>,
-    leader_heard_at: Option<Time>,
-    /// It campaigns then, unless it hears the leader before.
+    last_leader_contact: Option<Time>,
+    /// When this node campaigns, unless the leader contacts it earlier.
     election_deadline: Time,
-    /// When a pre-vote that was not granted is asked for again.
+    /// When requests for pre-votes that were not granted are sent again.
     pre_vote_resend_at: Time,
-    /// It may have heard a leader just before it was restarted, and must not vote for another so soon.
+    /// End of the period after a restart in which the node ignores vote requests, since a leader may have
+    /// contacted it just before the restart.
     vote_grant_blocked_until: Time,
     incoming_transfer: Option<IncomingTransfer>,
     shutting_down: bool,
@@ -61,12 +62,12 @@
 }
 
 impl RaftNode {
-    /// Goes on from what is on the disk. `seed`: of the random part of election time-outs.
+    /// Creates a node from its persisted state. `seed` initializes the generator of random election timeouts.
     pub fn new(id: NodeId, persisted: PersistedState, seed: u64, now: Time) -> Self {
         let log = RaftLog::new(persisted.snapshot, persisted.entries);
-        // What was committed once stays so.
+        // Committed entries stay committed across restarts.
         let commit_index = persisted.commit_index.clamp(log.snapshot_index(), log.last_index());
-        let may_have_promised = persisted.term > 0;
+        let may_have_followed_leader = persisted.term > 0;
         let mut node = RaftNode {
             id,
             term: persisted.term,
@@ -75,10 +76,10 @@
             commit_index,
             role: Role::Follower,
             leader: None,
-            leader_heard_at: None,
+            last_leader_contact: None,
             election_deadline: 0,
             pre_vote_resend_at: 0,
-            vote_grant_blocked_until: if may_have_promised { now + MIN_ELECTION_TIMEOUT } else { 0 },
+            vote_grant_blocked_until: if may_have_followed_leader { now + MIN_ELECTION_TIMEOUT } else { 0 },
             incoming_transfer: None,
             shutting_down: false,
             storage_healthy: true,
@@ -90,27 +91,28 @@
         node
     }
 
-    /// This node.
+    /// Returns the id of this node.
     pub fn id(&self) -> &NodeId {
         &self.id
     }
 
-    /// The current term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// How far the log is committed, as far as this node knows.
+    /// Returns the commit index known to this node.
     pub fn commit_index(&self) -> LogIndex {
         self.commit_index
     }
 
-    /// The state at the beginning of the log.
+    /// Returns the snapshot at the beginning of the log.
     pub fn snapshot(&self) -> &Snapshot {
         self.log.snapshot()
     }
 
-    /// [`Output::Apply`] for each command behind the snapshot that was known to be committed when this node started.
+    /// Returns [`Output::Apply`] for each command after the snapshot that is known to be committed. After a
+    /// restart, the caller rebuilds the state machine from these.
     pub fn committed_outputs(&self) -> Vec<Output> {
         let apply = |index| match &self.log.get(index)?.payload {
             EntryPayload::Command(command) => {
@@ -121,7 +123,7 @@
         (self.log.snapshot_index() + 1..=self.commit_index).filter_map(apply).collect()
     }
 
-    /// All that is to be on the disk.
+    /// Returns the complete state that must be persisted.
     pub fn persisted_state(&self) -> PersistedState {
         PersistedState {
             term: self.term,
@@ -132,63 +134,65 @@
         }
     }
 
-    /// The index of each entry behind the snapshot, and about how many bytes it takes.
+    /// Returns the index and approximate size in bytes of each entry after the snapshot.
     pub fn entry_sizes(&self) -> impl Iterator<Item = (LogIndex, usize)> + '_ {
         self.log.entry_sizes()
     }
 
-    /// How many entries the log holds behind the snapshot.
+    /// Returns the number of log entries after the snapshot.
     pub fn entry_count(&self) -> usize {
         self.log.len()
     }
 
-    /// The voters, as this node knows them; empty before it knows any. During a change, those to come.
+    /// Returns the voters in this node's log; empty before it knows any. During joint consensus, returns the
+    /// new voters.
     pub fn voters(&self) -> &VoterSet {
         self.log.voters().target()
     }
 
-    /// Whether the voters are being changed, so that two majorities are needed.
+    /// Returns whether joint consensus is in effect, so that decisions need two majorities.
     pub fn is_reconfiguring(&self) -> bool {
         self.log.voters().is_joint()
     }
 
-    /// Whether this node is a voter, by all that it knows to be committed.
+    /// Returns whether this node is a voter of a committed configuration outside of joint consensus.
     pub fn is_voter(&self) -> bool {
         self.log.voters_index() <= self.commit_index && !self.is_reconfiguring() && self.is_voter_in_log()
     }
 
-    /// Whether its vote counts by its own log, committed or not.
+    /// Returns whether this node is a voter of the latest configuration in its log, committed or not.
     fn is_voter_in_log(&self) -> bool {
         self.log.voters().contains(&self.id)
     }
 
-    /// Whom this node believes to lead.
+    /// Returns the leader of the current term, if known.
     pub fn leader(&self) -> Option<&NodeId> {
         self.leader.as_ref()
     }
 
-    /// Whether this node leads in its term.
+    /// Returns whether this node is the leader of its term.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// Until when no other node can have been elected, if this one leads and has committed an entry of its term.
+    /// Returns the end of the leader lease, until which no other node can have been elected. `None` unless this node
+    /// leads, has committed an entry of its term, and has not started a leadership transfer.
     pub fn lease_until(&self) -> Option<Time> {
         let Role::Leader(leader) = &self.role else { return None };
-        let is_sure = self.commit_index >= leader.first_index && !leader.transfer_started;
-        is_sure.then(|| self.quorum_contact(leader).saturating_add(LEADER_LEASE))
+        let holds_lease = self.commit_index >= leader.first_index && !leader.transfer_started;
+        holds_lease.then(|| self.quorum_contact(leader).saturating_add(LEADER_LEASE))
     }
 
-    /// When this node last knew of a majority: when it heard the leader, or, as the leader, began a heartbeat round that a
-    /// majority answered.
+    /// Returns when this node last had contact with a quorum: for the leader, the start of the latest
+    /// heartbeat round that a majority responded to; for other nodes, the last contact with the leader.
     pub fn last_quorum_contact(&self) -> Option<Time> {
         match &self.role {
             Role::Leader(leader) => Some(self.quorum_contact(leader)),
-            _ => self.leader_heard_at,
+            _ => self.last_leader_contact,
         }
     }
 
-    /// When [`Input::Tick`] is next due.
+    /// Returns when the next [`Input::Tick`] is due.
     pub fn next_due(&self) -> Time {
         match &self.role {
             Role::Leader(leader) => leader.next_heartbeat,
@@ -198,22 +202,23 @@
         }
     }
 
-    /// Takes an input, and appends what is to be done about it, in order.
-    pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) {
+    /// Handles an input, and appends the resulting actions to `outputs` in order.
+    pub fn handle(&mut self, now: Time, input: Input, outputs: &mut Vec<Output>) {
         match input {
-            Input::Message(message) => self.on_message(now, message, out),
-            Input::Propose { tag, command } => self.propose(now, tag, command, out),
-            Input::ReadIndex { tag } => self.read_index(now, tag, out),
+            Input::Message(message) => self.on_message(now, message, outputs),
+            Input::Propose { tag, command } => self.propose(now, tag, command, outputs),
+            Input::ReadIndex { tag } => self.read_index(now, tag, outputs),
             Input::Join { id, wants_vote } => self.join(now, &id, wants_vote),
-            Input::Bootstrap { voters } => self.bootstrap(now, voters, out),
-            Input::Shutdown => self.shut_down(out),
-            Input::StorageHealth { healthy } => self.set_storage_health(now, healthy, out),
-            Input::Tick => self.tick(now, out),
+            Input::Bootstrap { voters } => self.bootstrap(now, voters, outputs),
+            Input::Shutdown => self.shut_down(outputs),
+            Input::StorageHealth { healthy } => self.set_storage_health(now, healthy, outputs),
+            Input::Tick => self.tick(now, outputs),
         }
-        self.advance_commit_index(now, out);
+        self.advance_commit_index(now, outputs);
     }
 
-    /// Replaces the log up to `index`, which must be committed, by this state. What is to be persisted, if it did.
+    /// Compacts the log: replaces it up to `index`, which must be committed, by a snapshot of this state. Returns the
+    /// change to persist, or `None` if the log was not compacted.
     pub fn compact(&mut self, index: LogIndex, state: Vec<u8>) -> Option<Persist> {
         if index > self.commit_index || !self.log.compact(index, state) {
             return None;
@@ -221,18 +226,19 @@
         Some(Persist::Snapshot { snapshot: (**self.log.snapshot()).clone(), replaces_log: false })
     }
 
-    fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
+    fn tick(&mut self, now: Time, outputs: &mut Vec<Output>) {
         if self.is_leader() {
-            self.tick_as_leader(now, out);
+            self.tick_as_leader(now, outputs);
         } else if now >= self.election_deadline && self.is_voter_in_log() && self.storage_healthy {
-            self.campaign(now, CampaignKind::PreVote, out);
+            self.campaign(now, CampaignKind::PreVote, outputs);
         } else {
-            self.resend_pre_vote(now, out);
+            self.resend_pre_vote(now, outputs);
         }
     }
 
-    /// Begins a log with these voters, unless there is one. Its term may be higher already: what it voted there stands.
-    fn bootstrap(&mut self, now: Time, voters: VoterSet, out: &mut Vec<Output>) {
+    /// Initializes the log with these voters if it is empty. The term may already be higher; the term and the
+    /// vote cast in it are kept.
+    fn bootstrap(&mut self, now: Time, voters: VoterSet, outputs: &mut Vec<Output>) {
         let is_empty = self.log.last_index() == 0;
         if !is_empty || !self.storage_healthy || voters.get(&self.id.name) != Some(&self.id.disk_id) {
             return;
@@ -241,30 +247,30 @@
         self.term = self.term.max(1);
         self.log = RaftLog::new(snapshot.clone(), Vec::new());
         self.commit_index = 1;
-        out.push(Output::Persist(Persist::Snapshot { snapshot, replaces_log: true }));
-        self.persist_hard_state(out);
-        // All bootstrap at once: the first by name campaigns, so that they do not split the vote.
+        outputs.push(Output::Persist(Persist::Snapshot { snapshot, replaces_log: true }));
+        self.persist_hard_state(outputs);
+        // All nodes bootstrap at the same time: only the first by name campaigns at once, to avoid a split vote.
         if self.log.voters().ids().first() == Some(&self.id) {
-            self.campaign(now, CampaignKind::PreVote, out);
+            self.campaign(now, CampaignKind::PreVote, outputs);
         } else {
             self.reset_election_timer(now);
         }
     }
 
-    fn on_message(&mut self, now: Time, message: Message, out: &mut Vec<Output>) {
-        // What is meant for a disk that was lost is for nobody.
+    fn on_message(&mut self, now: Time, message: Message, outputs: &mut Vec<Output>) {
+        // A message to another disk id was meant for a disk that was lost.
         if message.to != self.id || self.ignores_vote_request(now, &message) {
             return;
         }
         let Message { from, term, body, .. } = message;
         if term > self.term && !body.is_pre_vote() {
-            self.adopt_term(now, term, out);
+            self.adopt_term(now, term, outputs);
         }
         if term < self.term && body.is_from_leader() {
-            // So that a leader of an earlier term learns the current one.
-            return self.send(from, self.term, MessageBody::AppendRejected { round: 0, hint: 0 }, out);
+            // Tells a leader of an earlier term the current term.
+            return self.send(from, self.term, MessageBody::AppendRejected { round: 0, hint: 0 }, outputs);
         }
-        self.on_current_message(now, from, term, body, out);
+        self.on_current_message(now, from, term, body, outputs);
     }
 
     fn on_current_message(
@@ -273,43 +279,44 @@
         from: NodeId,
         term: Term,
         body: MessageBody,
-        out: &mut Vec<Output>,
+        outputs: &mut Vec<Output>,
     ) {
         match body {
             MessageBody::RequestVote { pre_vote, last_entry, .. } => {
-                self.on_request_vote(now, from, term, pre_vote, last_entry, out);
+                self.on_request_vote(now, from, term, pre_vote, last_entry, outputs);
             }
             MessageBody::VoteResponse { pre_vote, granted } => {
-                self.on_vote_response(now, from, term, pre_vote, granted, out);
+                self.on_vote_response(now, from, term, pre_vote, granted, outputs);
             }
             MessageBody::AppendEntries { previous, entries, commit_index, round } => {
                 self.follow_leader(now, &from);
-                self.on_append_entries(from, previous, entries, commit_index, round, out);
+                self.on_append_entries(from, previous, entries, commit_index, round, outputs);
             }
             MessageBody::Chunk { content, size, offset, bytes, round } => {
                 self.follow_leader(now, &from);
                 let chunk = crate::transfer::ReceivedChunk { content, size, offset, bytes };
-                self.on_chunk(from, chunk, round, out);
+                self.on_chunk(from, chunk, round, outputs);
             }
             MessageBody::TimeoutNow if self.is_voter_in_log() && self.storage_healthy => {
-                self.campaign(now, CampaignKind::Transfer, out);
+                self.campaign(now, CampaignKind::Transfer, outputs);
             }
             MessageBody::AppendAccepted { round, match_index } if term == self.term => {
                 let last_index = self.log.last_index();
-                let note = |p: &mut crate::progress::Progress| p.on_accepted(match_index, last_index);
-                self.on_append_response(now, &from, round, note, out);
+                let update_progress =
+                    |p: &mut crate::progress::Progress| p.on_accepted(match_index, last_index);
+                self.on_append_response(now, &from, round, update_progress, outputs);
             }
             MessageBody::AppendRejected { round, hint } if term == self.term => {
                 let last_index = self.log.last_index();
-                self.on_append_response(now, &from, round, |p| p.on_rejected(hint, last_index), out);
+                self.on_append_response(now, &from, round, |p| p.on_rejected(hint, last_index), outputs);
             }
             MessageBody::ChunkReceived { index, received, round } if term == self.term => {
-                let note =
+                let update_progress =
                     |p: &mut crate::progress::Progress| p.on_chunk_received(now, index, received, round);
-                self.on_append_response(now, &from, round, note, out);
+                self.on_append_response(now, &from, round, update_progress, outputs);
             }
             MessageBody::LeaveRequest => self.on_leave_request(now, from),
-            // Of an earlier term, or not for this node to act on.
+            // Responses of an earlier term, and TimeoutNow when this node cannot campaign.
             MessageBody::TimeoutNow
             | MessageBody::AppendAccepted { .. }
             | MessageBody::AppendRejected { .. }
@@ -317,14 +324,14 @@
         }
     }
 
-    /// The voters without this node.
+    /// Returns the voters other than this node.
     fn other_voters(&self) -> BTreeSet<NodeId> {
         let mut others = self.log.voters().ids();
         others.remove(&self.id);
         others
     }
 
-    /// Whether this defect was planted; never in what ships.
+    /// Returns whether this defect was planted. Always false in release builds, which lack the feature `defects`.
     fn has_defect(&self, _defect: Defect) -> bool {
         #[cfg(feature = "defects")]
         return self.defect == Some(_defect);
@@ -332,11 +339,11 @@
         false
     }
 
-    fn persist_hard_state(&self, out: &mut Vec<Output>) {
-        out.push(Output::Persist(Persist::HardState { term: self.term, vote: self.vote.clone() }));
+    fn persist_hard_state(&self, outputs: &mut Vec<Output>) {
+        outputs.push(Output::Persist(Persist::HardState { term: self.term, vote: self.vote.clone() }));
     }
 
-    fn send(&self, to: NodeId, term: Term, body: MessageBody, out: &mut Vec<Output>) {
-        out.push(Output::Send(Message { from: self.id.clone(), to, term, body }));
+    fn send(&self, to: NodeId, term: Term, body: MessageBody, outputs: &mut Vec<Output>) {
+        outputs.push(Output::Send(Message { from: self.id.clone(), to, term, body }));
     }
 }
--- a/crates/control/consensus/src/node/digest.rs
+++ b/crates/control/consensus/src/node/digest.rs
@@ -1,4 +1,4 @@
-//! What tests see of a node: planted defects, its log, and a digest by which equal states are found.
+//! Access for tests: planted defects, the log, and a digest of the state that identifies equal nodes.
 
 use super::{RaftNode, Role};
 use crate::defect::Defect;
@@ -8,21 +8,22 @@
 use std::hash::{Hash, Hasher};
 
 impl RaftNode {
-    /// Plants a defect, or none.
+    /// Plants a defect, or removes it.
     pub fn plant(&mut self, defect: Option<Defect>) {
         self.defect = defect;
     }
 
-    /// The log: the snapshot's index and the entries behind it.
+    /// Returns the snapshot's index and the log entries after it.
     pub fn log(&self) -> (LogIndex, &[Entry]) {
         (self.log.snapshot_index(), self.log.entries())
     }
 
-    /// Hashes what the next steps depend on, except clocks and random numbers: equal for nodes that go on alike.
+    /// Hashes the state that future behavior depends on, except clocks and random numbers. Nodes that behave
+    /// alike have equal digests.
     pub fn digest(&self, now: Time, hasher: &mut impl Hasher) {
         let is_recent = |at: Time| now.saturating_sub(at) < MIN_ELECTION_TIMEOUT;
         (&self.id, self.term, &self.vote, self.commit_index, &self.leader, self.shutting_down).hash(hasher);
-        (self.leader_heard_at.is_some_and(is_recent), now < self.vote_grant_blocked_until).hash(hasher);
+        (self.last_leader_contact.is_some_and(is_recent), now < self.vote_grant_blocked_until).hash(hasher);
         self.log.hash(hasher);
         match &self.role {
             Role::Follower => 0.hash(hasher),
@@ -30,8 +31,8 @@
             Role::Leader(leader) => {
                 (2, leader.first_index, leader.transfer_started, &leader.pending_reads).hash(hasher);
                 for (id, progress) in &leader.progress {
-                    let contact = is_recent(progress.contact);
-                    (id, progress.match_index, progress.next_index, contact).hash(hasher);
+                    let in_contact = is_recent(progress.last_contact);
+                    (id, progress.match_index, progress.next_index, in_contact).hash(hasher);
                     progress.transfer_state().hash(hasher);
                 }
                 for (name, learner) in &leader.learners {
--- a/crates/control/consensus/src/node/reconfiguration.rs
+++ b/crates/control/consensus/src/node/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Changes of the voters, by joint consensus (Ongaro's thesis, 4.3). [`improved_voter_set`] says which.
+//! Reconfiguration of the voters by joint consensus (4.3). [`improved_voter_set`] selects the new voters.
 
 use super::leader_state::LeaderState;
 use super::{RaftNode, Role};
@@ -10,11 +10,11 @@
 use crate::voter_selection::{improved_voter_set, Health};
 use crate::{MIN_ELECTION_TIMEOUT, VOTER_REPLACEMENT_TIMEOUT};
 
-/// A learner that has not joined again for so long is forgotten.
+/// A learner is removed when it has not repeated its join request for this long.
 const LEARNER_TIMEOUT: Time = 10 * MIN_ELECTION_TIMEOUT;
 
 impl RaftNode {
-    /// A node is there and may be no voter: it is replicated to from now on.
+    /// Handles a join request: a node that is not a voter becomes a learner, which receives the log.
     pub(super) fn join(&mut self, now: Time, id: &NodeId, wants_vote: bool) {
         let is_voter = self.log.voters().contains(id);
         let Role::Leader(leader) = &mut self.role else { return };
@@ -23,21 +23,22 @@
         }
     }
 
-    /// Takes the next step of a change of voters, begins one that improves matters, or gives up leadership if this node is
-    /// no voter any more. Only once the step before is committed, and an entry of this term.
-    pub(super) fn reconfigure(&mut self, now: Time, out: &mut Vec<Output>) {
+    /// Takes the next step of a reconfiguration: leaves joint consensus, transfers leadership if this node is
+    /// no longer a voter, or starts a change to a better set of voters. Requires that the previous step and
+    /// an entry of this term are committed; the caller checks the latter.
+    pub(super) fn reconfigure(&mut self, now: Time, outputs: &mut Vec<Output>) {
         let voters = self.log.voters();
         let step_committed = self.log.voters_index() <= self.commit_index;
         if !step_committed && !self.has_defect(Defect::JointConfigurationLeftEarly) {
             return;
         }
         if voters.is_joint() {
-            self.append(EntryPayload::Configuration(voters.target().clone()), out);
-            return self.broadcast_append(now, out);
+            self.append(EntryPayload::Configuration(voters.target().clone()), outputs);
+            return self.broadcast_append(now, outputs);
         }
         if !voters.contains(&self.id) {
-            self.transfer_leadership(self.log.last_index(), out);
-            return self.become_follower(now, out);
+            self.transfer_leadership(self.log.last_index(), outputs);
+            return self.become_follower(now, outputs);
         }
         self.update_learners(now);
         let Role::Leader(leader) = &self.role else { return };
@@ -50,21 +51,21 @@
         } else {
             EntryPayload::JointConfiguration { old, new }
         };
-        self.append(change, out);
-        self.broadcast_append(now, out);
+        self.append(change, outputs);
+        self.broadcast_append(now, outputs);
     }
 
-    /// Forgets learners and leave requests that are old, and replicates to voters and learners alone.
+    /// Removes expired learners and leave requests, and restricts replication to voters and learners.
     fn update_learners(&mut self, now: Time) {
         let (voters, next_index) = (self.log.voters().clone(), self.log.last_index() + 1);
         let Role::Leader(leader) = &mut self.role else { return };
         leader.learners.retain(|name, learner| {
             let is_voter = voters.target().get(name) == Some(&learner.disk_id);
-            !is_voter && now.saturating_sub(learner.last_joined) < LEARNER_TIMEOUT
+            !is_voter && now.saturating_sub(learner.last_join_at) < LEARNER_TIMEOUT
+        });
+        leader.leaving.retain(|id, last_request| {
+            voters.contains(id) && now.saturating_sub(*last_request) < VOTER_REPLACEMENT_TIMEOUT
         });
-        leader
-            .leaving
-            .retain(|id, at| voters.contains(id) && now.saturating_sub(*at) < VOTER_REPLACEMENT_TIMEOUT);
         let learner_ids: Vec<NodeId> = leader.learner_ids().collect();
         leader.progress.retain(|id, _| voters.contains(id) || learner_ids.contains(id));
         for id in learner_ids {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The voters as they should be, if that is better.
+    /// Returns a better set of voters than the current one, if there is one.
     fn improved_voters(&self, now: Time, leader: &LeaderState) -> Option<VoterSet> {
         let waiting = leader.learners.iter().filter(|(_, learner)| learner.wants_vote);
         let waiting = waiting.filter(|(name, learner)| {
@@ -83,27 +84,27 @@
         improved_voter_set(self.log.voters().target(), &waiting, |id| self.voter_health(now, leader, id))
     }
 
-    /// Whether a learner has all that is committed, and answers.
+    /// Returns whether a learner has all committed entries and responds.
     fn is_caught_up(&self, now: Time, leader: &LeaderState, id: &NodeId) -> bool {
         let Some(progress) = leader.progress.get(id) else { return false };
-        let has_all =
+        let has_committed_log =
             progress.match_index >= self.commit_index || self.has_defect(Defect::LearnerVotesTooSoon);
-        has_all && now.saturating_sub(progress.contact) < MIN_ELECTION_TIMEOUT
+        has_committed_log && now.saturating_sub(progress.last_contact) < MIN_ELECTION_TIMEOUT
     }
 
     fn voter_health(&self, now: Time, leader: &LeaderState, id: &NodeId) -> Health {
         if *id == self.id {
             return if self.shutting_down { Health::Leaving } else { Health::Responding };
         }
-        let contact = self.contact_with(leader, id);
-        let silent_for = now.saturating_sub(contact.max(leader.elected_at));
-        if silent_for >= VOTER_REPLACEMENT_TIMEOUT {
+        let last_contact = self.last_contact_with(leader, id);
+        let unresponsive_for = now.saturating_sub(last_contact.max(leader.elected_at));
+        if unresponsive_for >= VOTER_REPLACEMENT_TIMEOUT {
             Health::Failed
         } else if leader.leaving.contains_key(id) {
             Health::Leaving
-        } else if silent_for >= MIN_ELECTION_TIMEOUT {
+        } else if unresponsive_for >= MIN_ELECTION_TIMEOUT {
             Health::Unresponsive
-        } else if contact == 0 {
+        } else if last_contact == 0 {
             Health::New
         } else {
             Health::Responding
--- a/crates/control/consensus/src/progress.rs
+++ b/crates/control/consensus/src/progress.rs
@@ -1,7 +1,8 @@
-//! What a leader knows of one other node, and what it sends to it.
+//! A leader's replication progress for one other node.
 //!
-//! Entries go as far as they fit into a message, and what does not fit goes in chunks. Unanswered bytes are bounded by a
-//! window, so that a heartbeat behind them still arrives in time.
+//! Entries are batched up to the message size limit; a snapshot, or a command over the limit, is transferred
+//! in chunks. A window bounds the unacknowledged bytes, so that a heartbeat queued after them still arrives
+//! in time.
 
 use crate::message::{MessageBody, TransferContent};
 use crate::raft_log::RaftLog;
@@ -9,46 +10,46 @@
 use crate::types::{LogIndex, PreviousEntry, Time};
 use crate::{Entry, HEARTBEAT_INTERVAL};
 
-/// Unanswered bytes to one node, at first.
+/// Initial window: limit of unacknowledged bytes to one node.
 const INITIAL_WINDOW_BYTES: usize = 4 * CHUNK_BYTES;
-/// Unanswered bytes to one node, at most.
+/// Maximum window: limit of unacknowledged bytes to one node.
 const MAX_WINDOW_BYTES: usize = 64 * CHUNK_BYTES;
 
-/// Where the leader is with one other node.
+/// Replication progress of one other node, as known by the leader.
 #[derive(Clone, Debug)]
 pub(crate) struct Progress {
-    /// Its log is known to match the leader's up to there.
+    /// Last index up to which the node's log is known to match the leader's.
     pub match_index: LogIndex,
-    /// What is sent next.
+    /// Index of the next entry to send.
     pub next_index: LogIndex,
-    /// Entries sent before this one do not count as in flight: they were given up.
+    /// Entries before this index do not count as in flight: they were given up after a rejection.
     in_flight_from: LogIndex,
-    /// The start of the latest heartbeat round that it answered.
-    pub contact: Time,
+    /// Start of the latest heartbeat round that the node responded to; 0 before its first response.
+    pub last_contact: Time,
     window_bytes: usize,
     transfer: Option<OutgoingTransfer>,
 }
 
 impl Progress {
-    /// A node of which nothing is known: entries are sent from there on.
+    /// Creates the progress of a node of which nothing is known. Entries are sent from `next_index` on.
     pub fn new(next_index: LogIndex) -> Self {
         Progress {
             match_index: 0,
             next_index,
             in_flight_from: next_index,
-            contact: 0,
+            last_contact: 0,
             window_bytes: INITIAL_WINDOW_BYTES,
             transfer: None,
         }
     }
 
-    /// The index that a transfer in progress leads to, and how many of its bytes have arrived.
+    /// Returns the index of the transfer in progress and its acknowledged bytes.
     #[cfg(feature = "defects")]
     pub fn transfer_state(&self) -> Option<(LogIndex, u64)> {
-        self.transfer.as_ref().map(|transfer| (transfer.index(), transfer.acknowledged()))
+        self.transfer.as_ref().map(|transfer| (transfer.index(), transfer.acknowledged_bytes()))
     }
 
-    /// What to send now. With `is_heartbeat` there is at least one message.
+    /// Returns the messages to send now; at least one if `is_heartbeat`.
     pub fn messages_to_send(
         &mut self,
         now: Time,
@@ -58,7 +59,7 @@
         is_heartbeat: bool,
     ) -> Vec<MessageBody> {
         let mut messages = Vec::new();
-        self.review_transfer(now, log);
+        self.finish_or_rewind_transfer(now, log);
         loop {
             if let Some(transfer) = &mut self.transfer {
                 transfer.send_chunks(now, log, round, self.window_bytes, &mut messages);
@@ -70,7 +71,7 @@
             };
             let entries = self.entries_to_send(log);
             if entries.is_empty() {
-                if let Some(content) = self.long_entry(log, previous) {
+                if let Some(content) = self.large_entry(log, previous) {
                     self.transfer = Some(OutgoingTransfer::of_entry(now, content));
                     continue;
                 }
@@ -83,45 +84,48 @@
             messages.push(MessageBody::AppendEntries { previous, entries, commit_index, round });
         }
         if is_heartbeat && messages.is_empty() {
-            messages.push(contact_only(round));
+            messages.push(contact_only_heartbeat(round));
         }
         messages
     }
 
-    /// The entry before the next one, unless the log does not hold it any more.
+    /// Returns the entry before the next one to send, unless the leader has already compacted it.
     fn previous_entry(&self, log: &RaftLog) -> Option<PreviousEntry> {
         let index = self.next_index - 1;
         let term = log.term(index).filter(|_| self.next_index > log.snapshot_index())?;
         Some(PreviousEntry { index, term })
     }
 
-    /// The next entries that fit into a message and into the window.
+    /// Returns the next entries that fit into a message and the window.
     fn entries_to_send(&self, log: &RaftLog) -> Vec<Entry> {
-        let in_flight = log.bytes_between(self.in_flight_from.max(self.match_index + 1), self.next_index);
-        let room = CHUNK_BYTES.min(self.window_bytes.saturating_sub(in_flight));
-        let mut entries = log.entries_within(self.next_index, room);
-        if entries.is_empty() && in_flight == 0 {
-            // What is no command is not sent in chunks, however long it is.
+        let in_flight_bytes =
+            log.bytes_between(self.in_flight_from.max(self.match_index + 1), self.next_index);
+        let available_bytes = CHUNK_BYTES.min(self.window_bytes.saturating_sub(in_flight_bytes));
+        let mut entries = log.entries_within(self.next_index, available_bytes);
+        if entries.is_empty() && in_flight_bytes == 0 {
+            // Only commands are sent in chunks: any other entry is sent whole, whatever its size.
             entries.extend(log.get(self.next_index).filter(|entry| !entry.is_command()).cloned());
         }
         entries
     }
 
-    /// The next entry, if it does not fit into a message and all before it has arrived.
-    fn long_entry(&self, log: &RaftLog, previous: PreviousEntry) -> Option<TransferContent> {
-        let all_before_arrived = self.match_index + 1 == self.next_index;
-        let is_long = |entry: &&Entry| entry.size() > CHUNK_BYTES && entry.is_command();
-        let entry = log.get(self.next_index).filter(is_long).filter(|_| all_before_arrived)?;
+    /// Returns the next entry as a transfer, if it is a command that does not fit into a message and the node has all
+    /// entries before it.
+    fn large_entry(&self, log: &RaftLog, previous: PreviousEntry) -> Option<TransferContent> {
+        let all_before_matched = self.match_index + 1 == self.next_index;
+        let is_large = |entry: &&Entry| entry.size() > CHUNK_BYTES && entry.is_command();
+        let entry = log.get(self.next_index).filter(is_large).filter(|_| all_before_matched)?;
         Some(TransferContent::Entry { previous, term: entry.term })
     }
 
-    /// Its log matches the leader's up to there.
+    /// Handles an acknowledgment: the node's log matches the leader's up to `match_index`.
     pub fn on_accepted(&mut self, match_index: LogIndex, last_index: LogIndex) {
         self.match_index = self.match_index.max(match_index.min(last_index));
         self.next_index = self.next_index.max(self.match_index + 1);
     }
 
-    /// Its log does not match where the leader took it to, or is not on its disk; it may match up to `hint`.
+    /// Handles a rejection: the node's log does not match at the previous entry, or the node could not
+    /// persist its log. It may match up to `hint`.
     pub fn on_rejected(&mut self, hint: LogIndex, last_index: LogIndex) {
         if self.transfer.as_ref().is_some_and(|t| t.is_snapshot() && hint < t.index()) {
             return;
@@ -131,30 +135,31 @@
         self.in_flight_from = self.next_index;
     }
 
-    /// Whether there is more to send than a heartbeat.
+    /// Returns whether there is more to send than a heartbeat.
     pub fn has_pending(&self, last_index: LogIndex) -> bool {
         self.transfer.is_some() || self.next_index <= last_index
     }
 
-    /// Gives a transfer up that is not needed any more, and goes back to what has arrived if an answer is overdue.
-    fn review_transfer(&mut self, now: Time, log: &RaftLog) {
+    /// Ends a transfer that is no longer needed, or rewinds it to the acknowledged bytes if a response is overdue.
+    fn finish_or_rewind_transfer(&mut self, now: Time, log: &RaftLog) {
         let Some(transfer) = &mut self.transfer else { return };
         let is_compacted = !transfer.is_snapshot() && transfer.index() <= log.snapshot_index();
         if self.match_index >= transfer.index() || is_compacted {
             self.next_index = self.match_index + 1;
             self.transfer = None;
-        } else if transfer.restart_if_overdue(now) {
+        } else if transfer.rewind_if_overdue(now) {
             self.shrink_window();
         }
     }
 
-    /// So many bytes of the transfer to `index` have arrived, as of this round.
+    /// Handles an acknowledgment of `received` bytes of the transfer to `index`, and adapts the window to the
+    /// latency.
     pub fn on_chunk_received(&mut self, now: Time, index: LogIndex, received: u64, round: u64) {
         let Some(transfer) = self.transfer.as_mut().filter(|t| t.index() == index) else { return };
-        let Some(took) = transfer.on_received(now, received, round) else { return };
-        if took < HEARTBEAT_INTERVAL {
+        let Some(chunk_latency) = transfer.on_received(now, received, round) else { return };
+        if chunk_latency < HEARTBEAT_INTERVAL {
             self.window_bytes = (self.window_bytes + CHUNK_BYTES).min(MAX_WINDOW_BYTES);
-        } else if took > 2 * HEARTBEAT_INTERVAL && transfer.may_shrink_window(received) {
+        } else if chunk_latency > 2 * HEARTBEAT_INTERVAL && transfer.may_shrink_window(received) {
             self.shrink_window();
         }
     }
@@ -164,8 +169,8 @@
     }
 }
 
-/// A message that proves contact and says nothing of the log.
-fn contact_only(round: u64) -> MessageBody {
+/// Returns a heartbeat that only checks contact and makes no statement about the log.
+fn contact_only_heartbeat(round: u64) -> MessageBody {
     let previous = PreviousEntry::default();
     MessageBody::AppendEntries { previous, entries: Vec::new(), commit_index: 0, round }
 }
--- a/crates/control/consensus/src/raft_log.rs
+++ b/crates/control/consensus/src/raft_log.rs
@@ -1,4 +1,4 @@
-//! A node's replicated log: a snapshot, the entries behind it, and the voters that they name.
+//! The replicated log of a node: a snapshot, the entries after it, and the voter configuration in effect.
 
 use crate::entry::{Entry, Snapshot};
 use crate::types::{LogIndex, LogPosition, PreviousEntry, Term};
@@ -12,24 +12,24 @@
     voters: EffectiveVoters,
 }
 
-/// The latest voters that the entries name, committed or not; else the snapshot's.
+/// The voter configuration of the latest entry that has one, committed or not; otherwise the snapshot's.
 #[derive(Clone, Debug, Hash)]
 struct EffectiveVoters {
-    /// The entry that names them, or the snapshot's index.
+    /// Index of the entry with the configuration, or of the snapshot.
     index: LogIndex,
     configuration: VoterConfiguration,
 }
 
-/// What [`RaftLog::append`] has changed.
+/// The change made by [`RaftLog::append`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct AppendedEntries {
-    /// Index of the first entry that was not there; whatever stood from there on is gone.
+    /// Index of the first new entry. Conflicting entries from there on were removed.
     pub from: LogIndex,
     pub entries: Vec<Entry>,
 }
 
 impl RaftLog {
-    /// A log of this snapshot and the entries behind it.
+    /// Creates a log from a snapshot and the entries after it.
     pub fn new(snapshot: Snapshot, entries: Vec<Entry>) -> Self {
         let voters = EffectiveVoters { index: 0, configuration: VoterConfiguration::default() };
         let mut log = RaftLog { snapshot: Arc::new(snapshot), entries, voters };
@@ -40,69 +40,69 @@
     fn update_voters(&mut self) {
         let first_index = self.snapshot_index() + 1;
         let mut latest_first = self.entries.iter().enumerate().rev();
-        let named = latest_first.find_map(|(n, entry)| {
+        let latest = latest_first.find_map(|(n, entry)| {
             let configuration = VoterConfiguration::from_payload(&entry.payload)?;
             Some(EffectiveVoters { index: first_index + n as LogIndex, configuration })
         });
-        self.voters = named.unwrap_or_else(|| EffectiveVoters {
+        self.voters = latest.unwrap_or_else(|| EffectiveVoters {
             index: self.snapshot_index(),
             configuration: VoterConfiguration::simple(self.snapshot.voters.clone()),
         });
     }
 
-    /// The voters in effect: the latest that an entry names, committed or not.
+    /// Returns the voter configuration in effect: the latest in the log, committed or not.
     pub fn voters(&self) -> &VoterConfiguration {
         &self.voters.configuration
     }
 
-    /// The index of the entry that names the voters.
+    /// Returns the index of the entry with the configuration in effect, or of the snapshot.
     pub fn voters_index(&self) -> LogIndex {
         self.voters.index
     }
 
-    /// What stands in place of the log's beginning.
+    /// Returns the snapshot, which replaces the compacted prefix of the log.
     pub fn snapshot(&self) -> &Arc<Snapshot> {
         &self.snapshot
     }
 
-    /// The last index that the snapshot covers.
+    /// Returns the index of the last entry that the snapshot includes.
     pub fn snapshot_index(&self) -> LogIndex {
         self.snapshot.index
     }
 
-    /// How many entries stand behind the snapshot.
+    /// Returns the number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// The entries behind the snapshot.
+    /// Returns the entries after the snapshot.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// The indexes of the entries and about how many bytes each takes in a message.
+    /// Returns the index of each entry and its approximate size in a message, in bytes.
     pub fn entry_sizes(&self) -> impl Iterator<Item = (LogIndex, usize)> + '_ {
         (self.snapshot_index() + 1..).zip(self.entries.iter().map(Entry::size))
     }
 
-    /// The term and index of the last entry.
+    /// Returns the term and index of the last entry.
     pub fn last_position(&self) -> LogPosition {
         let index = self.snapshot_index() + self.entries.len() as LogIndex;
         LogPosition { term: self.entries.last().map_or(self.snapshot.term, |entry| entry.term), index }
     }
 
-    /// The index of the last entry.
+    /// Returns the index of the last entry.
     pub fn last_index(&self) -> LogIndex {
         self.last_position().index
     }
 
-    /// The entry at an index behind the snapshot.
+    /// Returns the entry at an index after the snapshot.
     pub fn get(&self, index: LogIndex) -> Option<&Entry> {
         let offset = index.checked_sub(self.snapshot_index() + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// The term of an entry; none before the snapshot and behind the end.
+    /// Returns the term of the entry at an index; `None` before the snapshot and after the last entry.
     pub fn term(&self, index: LogIndex) -> Option<Term> {
         if index == self.snapshot_index() {
             return Some(self.snapshot.term);
@@ -110,12 +110,13 @@
         self.get(index).map(|entry| entry.term)
     }
 
-    /// Whether it holds this entry. What the snapshot covers is committed, and so the same everywhere.
+    /// Returns whether the log contains this entry. Entries included in the snapshot are committed and thus
+    /// the same on every node.
     pub fn contains(&self, entry: PreviousEntry) -> bool {
         entry.index < self.snapshot_index() || self.term(entry.index) == Some(entry.term)
     }
 
-    /// Entries from an index on that take at most so many bytes together.
+    /// Returns the entries from an index on whose total size is at most `max_bytes`.
     pub fn entries_within(&self, from: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let offset = (from - self.snapshot_index() - 1) as usize;
         let mut bytes = 0;
@@ -126,53 +127,55 @@
         self.entries.get(offset..).unwrap_or_default().iter().take_while(fits).cloned().collect()
     }
 
-    /// The bytes of the entries from the first index up to before the second.
+    /// Returns the total size of the entries in `from..to`, in bytes.
     pub fn bytes_between(&self, from: LogIndex, to: LogIndex) -> usize {
         let indexes = from.max(self.snapshot_index() + 1)..to;
         indexes.filter_map(|index| self.get(index)).map(Entry::size).sum()
     }
 
-    /// Takes entries behind an index that matches. Entries that are there already stay; from the first that differs on
-    /// all are replaced.
+    /// Appends the leader's entries after an index that matches. Entries that are already in the log stay;
+    /// from the first conflicting entry on, the log is replaced.
     pub fn append(&mut self, previous_index: LogIndex, entries: Vec<Entry>) -> Option<AppendedEntries> {
         let is_known = |(n, entry): &(usize, &Entry)| {
             self.contains(PreviousEntry { index: previous_index + 1 + *n as LogIndex, term: entry.term })
         };
-        let known = entries.iter().enumerate().take_while(is_known).count();
-        let new = &entries[known..];
+        let known_count = entries.iter().enumerate().take_while(is_known).count();
+        let new = &entries[known_count..];
         if new.is_empty() {
             return None;
         }
-        let from = previous_index + 1 + known as LogIndex;
+        let from = previous_index + 1 + known_count as LogIndex;
         self.entries.truncate((from - self.snapshot_index() - 1) as usize);
         self.entries.extend_from_slice(new);
         self.update_voters();
         Some(AppendedEntries { from, entries: new.to_vec() })
     }
 
-    /// Replaces the entries up to `index` by this state, unless the voters are being changed there. Whether it did.
+    /// Replaces the entries up to `index` by this state, unless joint consensus is in effect at that index. Returns
+    /// whether the log was compacted.
     pub fn compact(&mut self, index: LogIndex, state: Vec<u8>) -> bool {
         let Some(term) = self.term(index).filter(|_| index > self.snapshot_index()) else { return false };
-        let covered = (index - self.snapshot_index()) as usize;
-        let mut latest_first = self.entries[..covered].iter().rev();
-        let named = latest_first.find_map(|entry| VoterConfiguration::from_payload(&entry.payload));
-        let voters = named.unwrap_or_else(|| VoterConfiguration::simple(self.snapshot.voters.clone()));
+        let covered_count = (index - self.snapshot_index()) as usize;
+        let mut latest_first = self.entries[..covered_count].iter().rev();
+        let latest = latest_first.find_map(|entry| VoterConfiguration::from_payload(&entry.payload));
+        let voters = latest.unwrap_or_else(|| VoterConfiguration::simple(self.snapshot.voters.clone()));
         if voters.is_joint() {
             return false;
         }
-        self.entries.drain(..covered);
+        self.entries.drain(..covered_count);
         self.snapshot = Arc::new(Snapshot { index, term, voters: voters.target().clone(), state });
         self.update_voters();
         true
     }
 
-    /// Takes the leader's snapshot. `replaces_log`: the entries behind it here do not continue it.
+    /// Installs the leader's snapshot. With `replaces_log`, the entries after it are discarded because they do not
+    /// continue it.
     pub fn install_snapshot(&mut self, snapshot: Snapshot, replaces_log: bool) {
         if replaces_log {
             self.entries.clear();
         } else {
-            let covered = (snapshot.index - self.snapshot_index()) as usize;
-            self.entries.drain(..covered);
+            let covered_count = (snapshot.index - self.snapshot_index()) as usize;
+            self.entries.drain(..covered_count);
         }
         self.snapshot = Arc::new(snapshot);
         self.update_voters();
--- a/crates/control/consensus/src/transfer.rs
+++ b/crates/control/consensus/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers in chunks: a snapshot or a long command, sent by the leader and put together by the follower.
+//! Chunked transfers of a snapshot or a large command, sent by the leader and reassembled by the follower.
 
 use crate::entry::{EntryPayload, Snapshot};
 use crate::message::{MessageBody, TransferContent};
@@ -8,39 +8,40 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// The most bytes of entries or of a state in one message: 66 ms on a link of 2 Mbit/s.
+/// Maximum bytes of entries or of a snapshot in one message: 66 ms on a link of 2 Mbit/s.
 pub(crate) const CHUNK_BYTES: usize = 16 << 10;
-/// A link is taken to carry at least so many bytes a second, when it is judged whether an answer is overdue.
+/// Assumed minimum throughput of a link, by which a response is judged to be overdue.
 const MIN_LINK_BYTES_PER_SECOND: u64 = 64 << 10;
-/// The most bytes of a state or a command that a follower takes in.
+/// Maximum size of a snapshot or command that a follower accepts.
 const MAX_TRANSFER_BYTES: u64 = 24 << 20;
 
 /// The leader's side of a transfer to one node.
 #[derive(Clone, Debug)]
 pub(crate) struct OutgoingTransfer {
     content: TransferContent,
-    /// The state, if that is sent: it is kept until it has arrived, since the log may be compacted meanwhile.
+    /// The snapshot, unless an entry is sent. It is kept until the transfer ends, since the log may be compacted
+    /// meanwhile.
     snapshot: Option<Arc<Snapshot>>,
-    sent: u64,
-    acknowledged: u64,
-    /// The latest round that was answered with more bytes than before.
+    sent_bytes: u64,
+    acknowledged_bytes: u64,
+    /// Latest heartbeat round whose response acknowledged additional bytes.
     last_progress_round: u64,
-    /// When the latest such answer came, or the transfer began.
+    /// When the latest such response arrived, or the transfer started or was rewound.
     last_progress_at: Time,
     in_flight: VecDeque<ChunkInFlight>,
-    /// The window was shrunk for what was sent up to here, and is not shrunk again for it.
-    window_shrunk_at: u64,
+    /// Offset up to which bytes were sent when the window was last shrunk. It is not shrunk again for these bytes.
+    window_shrunk_offset: u64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct ChunkInFlight {
-    /// Where in the whole it ends.
-    end: u64,
+    /// Byte offset of the end of the chunk within the transfer.
+    end_offset: u64,
     sent_at: Time,
 }
 
 impl OutgoingTransfer {
-    /// The snapshot, in place of entries that the log does not hold any more.
+    /// Starts a transfer of the snapshot, in place of entries that the log no longer contains.
     pub fn of_snapshot(now: Time, snapshot: Arc<Snapshot>) -> Self {
         let content = TransferContent::Snapshot {
             index: snapshot.index,
@@ -50,7 +51,7 @@
         OutgoingTransfer::new(now, content, Some(snapshot))
     }
 
-    /// A long entry.
+    /// Starts a transfer of a large entry.
     pub fn of_entry(now: Time, content: TransferContent) -> Self {
         OutgoingTransfer::new(now, content, None)
     }
@@ -59,29 +60,29 @@
         OutgoingTransfer {
             content,
             snapshot,
-            sent: 0,
-            acknowledged: 0,
+            sent_bytes: 0,
+            acknowledged_bytes: 0,
             last_progress_round: 0,
             last_progress_at: now,
             in_flight: VecDeque::new(),
-            window_shrunk_at: 0,
+            window_shrunk_offset: 0,
         }
     }
 
-    /// The index that the node's log reaches with it.
+    /// Returns the log index that the node reaches when the transfer completes.
     pub fn index(&self) -> LogIndex {
         self.content.index()
     }
 
-    /// Whether a snapshot is sent, and no entry.
+    /// Returns whether a snapshot is transferred, rather than an entry.
     pub fn is_snapshot(&self) -> bool {
         self.snapshot.is_some()
     }
 
-    /// Bytes that have arrived.
+    /// Returns the number of acknowledged bytes.
     #[cfg(feature = "defects")]
-    pub fn acknowledged(&self) -> u64 {
-        self.acknowledged
+    pub fn acknowledged_bytes(&self) -> u64 {
+        self.acknowledged_bytes
     }
 
     /// Sends chunks as far as the window allows.
@@ -93,80 +94,82 @@
         window_bytes: usize,
         messages: &mut Vec<MessageBody>,
     ) {
-        let whole: &[u8] = match (&self.snapshot, log.get(self.index()).map(|entry| &entry.payload)) {
+        let data: &[u8] = match (&self.snapshot, log.get(self.index()).map(|entry| &entry.payload)) {
             (Some(snapshot), _) => &snapshot.state,
             (None, Some(EntryPayload::Command(command))) => command,
             (None, _) => return,
         };
-        let size = whole.len() as u64;
-        // An empty state is sent as one empty chunk.
-        while self.sent < size || (size == 0 && self.in_flight.is_empty()) {
-            if (self.sent - self.acknowledged) as usize + CHUNK_BYTES > window_bytes {
+        let size = data.len() as u64;
+        // An empty snapshot is sent as one empty chunk.
+        while self.sent_bytes < size || (size == 0 && self.in_flight.is_empty()) {
+            if (self.sent_bytes - self.acknowledged_bytes) as usize + CHUNK_BYTES > window_bytes {
                 break;
             }
-            let offset = self.sent;
-            let bytes = whole[offset as usize..(offset as usize + CHUNK_BYTES).min(whole.len())].to_vec();
-            self.sent += bytes.len() as u64;
-            self.in_flight.push_back(ChunkInFlight { end: self.sent, sent_at: now });
+            let offset = self.sent_bytes;
+            let bytes = data[offset as usize..(offset as usize + CHUNK_BYTES).min(data.len())].to_vec();
+            self.sent_bytes += bytes.len() as u64;
+            self.in_flight.push_back(ChunkInFlight { end_offset: self.sent_bytes, sent_at: now });
             let content = self.content.clone();
             messages.push(MessageBody::Chunk { content, size, offset, bytes, round });
         }
     }
 
-    /// Goes back to what has arrived if no answer came for too long. Whether it did.
-    pub fn restart_if_overdue(&mut self, now: Time) -> bool {
-        let unanswered = self.sent - self.acknowledged;
-        let longest = MIN_ELECTION_TIMEOUT + unanswered * 1000 * MS / MIN_LINK_BYTES_PER_SECOND;
-        if self.in_flight.is_empty() || now.saturating_sub(self.last_progress_at) <= longest {
+    /// Rewinds to the acknowledged bytes if a response is overdue. Returns whether it did.
+    pub fn rewind_if_overdue(&mut self, now: Time) -> bool {
+        let unacknowledged_bytes = self.sent_bytes - self.acknowledged_bytes;
+        let max_wait = MIN_ELECTION_TIMEOUT + unacknowledged_bytes * 1000 * MS / MIN_LINK_BYTES_PER_SECOND;
+        if self.in_flight.is_empty() || now.saturating_sub(self.last_progress_at) <= max_wait {
             return false;
         }
-        (self.sent, self.last_progress_at) = (self.acknowledged, now);
+        (self.sent_bytes, self.last_progress_at) = (self.acknowledged_bytes, now);
         self.in_flight.clear();
         true
     }
 
-    /// So many bytes have arrived, as of this round. How long the last chunk took, if that is news.
+    /// Handles an acknowledgment of `received` bytes in a heartbeat round. If it acknowledges additional
+    /// bytes, returns the latency of the last acknowledged chunk, or [`HEARTBEAT_INTERVAL`] if that is
+    /// unknown.
     pub fn on_received(&mut self, now: Time, received: u64, round: u64) -> Option<Time> {
-        if received < self.acknowledged && round > self.last_progress_round {
+        if received < self.acknowledged_bytes && round > self.last_progress_round {
             self.restart_from(now, received, round);
             return None;
         }
-        if received <= self.acknowledged {
+        if received <= self.acknowledged_bytes {
             return None;
         }
-        self.acknowledged = received;
+        self.acknowledged_bytes = received;
         self.last_progress_round = self.last_progress_round.max(round);
         self.last_progress_at = now;
-        self.sent = self.sent.max(received);
+        self.sent_bytes = self.sent_bytes.max(received);
         let mut sent_at = None;
-        while let Some(chunk) = self.in_flight.front().copied().filter(|chunk| chunk.end <= received) {
-            sent_at = (chunk.end == received).then_some(chunk.sent_at);
+        while let Some(chunk) = self.in_flight.front().copied().filter(|chunk| chunk.end_offset <= received) {
+            sent_at = (chunk.end_offset == received).then_some(chunk.sent_at);
             self.in_flight.pop_front();
         }
         Some(sent_at.map_or(HEARTBEAT_INTERVAL, |at| now.saturating_sub(at)))
     }
 
-    /// The node has restarted: what it had received before is gone.
+    /// Continues the transfer after the node restarted and lost the bytes it had received.
     fn restart_from(&mut self, now: Time, received: u64, round: u64) {
-        self.sent = received;
-        self.acknowledged = received;
+        self.sent_bytes = received;
+        self.acknowledged_bytes = received;
         self.last_progress_round = round;
         self.last_progress_at = now;
-        self.window_shrunk_at = 0;
+        self.window_shrunk_offset = 0;
         self.in_flight.clear();
     }
 
-    /// Whether a slow answer may shrink the window: once for what was in flight at a time.
+    /// Returns whether a slow response may shrink the window: once for the bytes that were in flight together.
     pub fn may_shrink_window(&mut self, received: u64) -> bool {
-        let may = received > self.window_shrunk_at;
-        if may {
-            self.window_shrunk_at = self.sent;
+        let may_shrink = received > self.window_shrunk_offset;
+        if may_shrink {
+            self.window_shrunk_offset = self.sent_bytes;
         }
-        may
+        may_shrink
     }
 }
 
-/// One chunk as it arrives.
+/// A received chunk.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedChunk {
     pub content: TransferContent,
@@ -178,26 +181,26 @@
 /// The follower's side of a transfer.
 #[derive(Clone, Debug)]
 pub(crate) struct IncomingTransfer {
-    /// The leader's term: another leader may have encoded the same state otherwise.
+    /// Term of the leader: another leader may have encoded the same state differently.
     term: Term,
     content: TransferContent,
     size: u64,
     bytes: Vec<u8>,
 }
 
-/// What has come of a chunk.
+/// Result of accepting a chunk.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ChunkOutcome {
-    /// So many bytes from the start on are here.
+    /// The transfer is incomplete; holds the number of contiguous bytes received.
     Partial(u64),
-    /// All bytes are here.
+    /// The transfer is complete.
     Complete(TransferContent, Vec<u8>),
-    /// The chunk contradicts itself, or the whole is too long.
+    /// The chunk is inconsistent, or the transfer is too large.
     Invalid,
 }
 
 impl IncomingTransfer {
-    /// Takes a chunk; what has arrived of another transfer is dropped.
+    /// Accepts a chunk. Bytes received of any other transfer are discarded.
     pub fn accept(current: &mut Option<IncomingTransfer>, term: Term, chunk: ReceivedChunk) -> ChunkOutcome {
         let ReceivedChunk { content, size, offset, bytes } = chunk;
         if size > MAX_TRANSFER_BYTES || offset.saturating_add(bytes.len() as u64) > size {
--- a/crates/control/consensus/src/types.rs
+++ b/crates/control/consensus/src/types.rs
@@ -1,28 +1,28 @@
-//! Identifiers and positions that every module uses.
+//! Identifiers, terms and log positions shared by all modules.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Nanoseconds on the caller's steady clock.
+/// A point in time or a duration in nanoseconds of the caller's monotonic clock.
 pub type Time = u64;
-/// An election term, from 1.
+/// An election term. The first term is 1.
 pub type Term = u64;
-/// An index of the replicated log, from 1; 0 is before the first entry.
+/// An index into the replicated log. The first entry has index 1; 0 denotes the position before it.
 pub type LogIndex = u64;
-/// Voters: the disk id of each, by name.
+/// A set of voters: node name to disk id.
 pub type VoterSet = BTreeMap<String, u64>;
 
 pub(crate) const MS: Time = 1_000_000;
 
-/// A node: its name, which is an address, and the id that its disk bears.
+/// Identity of a node: its name, which is an address, and the id of its disk.
 ///
-/// A disk that was lost comes back with another id, so that nobody takes the machine for the voter that it was.
+/// A node that lost its disk returns with a new disk id, so that it is not mistaken for the voter it was before.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId {
-    /// The node's address, the same over all its lives.
+    /// The node's address, which stays the same across restarts and disk losses.
     pub name: String,
-    /// Drawn when the disk is first written to.
+    /// Random id, generated when the disk is first written.
     pub disk_id: u64,
 }
 
@@ -32,22 +32,22 @@
     }
 }
 
-/// The term and index of an entry, ordered as elections compare logs (Ongaro's thesis, 3.6.1).
+/// Term and index of a log entry. The order is the one by which elections compare logs (3.6.1).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LogPosition {
-    /// The term in which the entry was appended.
+    /// Term in which a leader created the entry.
     pub term: Term,
-    /// Where it stands.
+    /// Index of the entry.
     pub index: LogIndex,
 }
 
-/// The entry that must precede what is sent, as the consistency check names it (Ongaro's thesis, 3.5).
+/// Index and term of the entry that must precede the sent entries, for the consistency check of AppendEntries (3.5).
 ///
-/// It is stored and sent index first, unlike [`LogPosition`].
+/// Encoded with the index first, unlike [`LogPosition`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PreviousEntry {
-    /// Where it stands; 0 is before the first entry.
+    /// Index of the entry; 0 denotes the position before the first entry.
     pub index: LogIndex,
-    /// The term in which it was appended.
+    /// Term in which a leader created the entry.
     pub term: Term,
 }
--- a/crates/control/consensus/src/voter_configuration.rs
+++ b/crates/control/consensus/src/voter_configuration.rs
@@ -1,13 +1,14 @@
-//! Which voters make up a majority, also while they are being changed.
+//! Voter configurations, simple or joint, and their quorums.
 //!
-//! A change takes two entries (joint consensus, Ongaro's thesis, 4.3): while the first is in effect, every decision needs a
-//! majority of the old and one of the new voters, so that no two disjoint majorities exist, whatever the change is.
+//! A change takes two log entries (joint consensus, 4.3). While the first is in effect, every decision needs
+//! a majority of the old and a majority of the new voters, so that no two disjoint majorities exist, whatever
+//! the change is.
 
 use crate::entry::EntryPayload;
 use crate::types::{NodeId, VoterSet};
 use std::collections::BTreeSet;
 
-/// One set of voters, or two during a change.
+/// One set of voters, or two during joint consensus.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct VoterConfiguration {
     current: VoterSet,
@@ -15,12 +16,12 @@
 }
 
 impl VoterConfiguration {
-    /// One set, not being changed.
+    /// Returns a configuration of one set, outside of joint consensus.
     pub fn simple(voters: VoterSet) -> Self {
         VoterConfiguration { current: voters, next: None }
     }
 
-    /// The voters that an entry names, if it names any.
+    /// Returns the configuration that an entry contains, if any.
     pub fn from_payload(payload: &EntryPayload) -> Option<Self> {
         match payload {
             EntryPayload::Configuration(voters) => Some(VoterConfiguration::simple(voters.clone())),
@@ -31,12 +32,12 @@
         }
     }
 
-    /// The voters; during a change, those to come.
+    /// Returns the voters; during joint consensus, the new ones.
     pub fn target(&self) -> &VoterSet {
         self.next.as_ref().unwrap_or(&self.current)
     }
 
-    /// Whether the voters are being changed.
+    /// Returns whether joint consensus is in effect.
     pub fn is_joint(&self) -> bool {
         self.next.is_some()
     }
@@ -45,22 +46,22 @@
         std::iter::once(&self.current).chain(&self.next)
     }
 
-    /// Whether a node is a voter of either set.
+    /// Returns whether a node is a voter in either set.
     pub fn contains(&self, id: &NodeId) -> bool {
         self.sets().any(|set| set.get(&id.name) == Some(&id.disk_id))
     }
 
-    /// All voters of either set.
+    /// Returns the ids of the voters of both sets.
     pub fn ids(&self) -> BTreeSet<NodeId> {
         self.sets().flat_map(node_ids).collect()
     }
 
-    /// Whether these nodes are a majority of each set.
+    /// Returns whether these nodes include a majority of each set.
     pub fn has_quorum(&self, nodes: &BTreeSet<NodeId>) -> bool {
         self.sets().all(|set| 2 * node_ids(set).filter(|id| nodes.contains(id)).count() > set.len())
     }
 
-    /// The greatest value that a majority of each set has reached.
+    /// Returns the greatest value that a majority of each set has reached, or `None` if a set is empty.
     pub fn quorum_value<T: Ord + Copy>(&self, value: impl Fn(&NodeId) -> T) -> Option<T> {
         let reached_by_majority = |set: &VoterSet| {
             let mut values: Vec<T> = node_ids(set).map(|id| value(&id)).collect();
@@ -71,7 +72,7 @@
     }
 }
 
-/// The ids of a set's voters, in the order of their names.
+/// Returns the ids of a set's voters, ordered by name.
 pub(crate) fn node_ids(set: &VoterSet) -> impl Iterator<Item = NodeId> + '_ {
     set.iter().map(|(name, disk_id)| NodeId { name: name.clone(), disk_id: *disk_id })
 }
--- a/crates/testing/test-harness/tests/scenarios.rs
+++ b/crates/testing/test-harness/tests/scenarios.rs
@@ -53,7 +53,8 @@
 
 #[test]
 fn every_scenario_holds() {
-    let scenarios: Vec<&Scenario> = ALL.iter().filter(|scenario| scenario.name != UNSTEADY_SCENARIO).collect();
+    let scenarios: Vec<&Scenario> =
+        ALL.iter().filter(|scenario| scenario.name != UNSTEADY_SCENARIO).collect();
     let failures = broken_plays(&scenarios);
     assert!(failures.is_empty(), "{failures:#?}");
 }
@@ -61,7 +62,8 @@
 /// Apart from the other scenarios, since it fails now and then: KNOWN-RED.txt, TRIAL.
 #[test]
 fn trial_scenario_holds() {
-    let scenarios: Vec<&Scenario> = ALL.iter().filter(|scenario| scenario.name == UNSTEADY_SCENARIO).collect();
+    let scenarios: Vec<&Scenario> =
+        ALL.iter().filter(|scenario| scenario.name == UNSTEADY_SCENARIO).collect();
     assert_eq!(scenarios.len(), 1, "there is one scenario named {UNSTEADY_SCENARIO}");
     let failures = broken_plays(&scenarios);
     assert!(failures.is_empty(), "{failures:#?}");
