--- a/crates/common/quota/src/contact.rs
+++ b/crates/common/quota/src/contact.rs
@@ -1,5 +1,5 @@
-//! Which gateways the coordinator hears. A gateway's state changes at moments that are known ahead, so that no request looks
-//! at any gateway but its own.
+//! Contact state of each gateway, as seen by the coordinator. Every state change has a deadline that is known in
+//! advance, so that a request only touches the state of its own gateway.
 
 use crate::decaying_rate::DecayingRate;
 use crate::time::Time;
@@ -9,184 +9,186 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A gateway that was heard so long ago has its fallback share alone.
-const CONTINUATION_ENDS: Time = ISOLATION_TIMEOUT + CONTINUATION_PERIOD;
-/// A tenant of which a gateway was granted fewer units a second than this may be forgotten.
-const MIN_GRANT_RATE: f64 = 0.1;
-/// So many tenants of a gateway are remembered before any is forgotten.
-const MIN_REMEMBERED_TENANTS: usize = 32;
+/// Time since its last request after which a gateway has only its fallback share.
+const CONTINUATION_DEADLINE: Time = ISOLATION_TIMEOUT + CONTINUATION_PERIOD;
+/// Units per second below which the grant rate of a tenant may be pruned.
+const MIN_TRACKED_GRANT_RATE: f64 = 0.1;
+/// Number of tenants tracked per gateway before any is pruned.
+const MIN_TRACKED_TENANTS: usize = 32;
 
-/// How a gateway stands with this coordinator.
+/// Contact state of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ContactState {
-    /// Never heard; it may go on with what the coordinator before granted.
-    Unheard,
-    /// Heard lately: it reports what it uses.
-    Heard,
-    /// It may go on at the rate of its last grants.
+    /// The gateway has not contacted this coordinator; it may continue at the rate granted by the predecessor.
+    Unseen,
+    /// The gateway sent a request recently, so its usage is reported.
+    Active,
+    /// The gateway may continue at the rate of its last grants.
     RecentlySilent,
-    /// It has its fallback share alone.
+    /// The gateway has only its fallback share.
     Silent,
 }
 
-/// A gateway's state has changed.
+/// Change of a gateway's contact state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Transition {
-    pub at: Time,
+    pub occurred_at: Time,
     pub gateway: String,
     pub from: ContactState,
     pub to: ContactState,
 }
 
-/// What is known of one gateway's contact with this coordinator.
+/// Contact of one gateway with this coordinator.
 #[derive(Clone, Debug)]
 struct Contact {
-    /// When this coordinator began, or learnt of the gateway.
+    /// When this coordinator started, or when the gateway was added.
     known_since: Time,
-    /// When it was last heard, if it ever was.
-    heard_at: Option<Time>,
+    /// When the gateway's last request arrived, if any has.
+    last_request_at: Option<Time>,
     state: ContactState,
-    /// When its state may change next, if nothing is heard of it until then.
+    /// When the state may change next if no further request arrives.
     deadline: Option<Time>,
-    /// Units a second that it was granted lately, by tenant.
+    /// Units per second that the gateway was granted recently, by tenant.
     grant_rates: BTreeMap<String, DecayingRate>,
-    /// At so many tenants those of long ago are forgotten: twice as many as there were when that was last done, so that it
-    /// costs each grant the same.
-    max_tenants: usize,
+    /// Number of tenants at which old grant rates are pruned: twice the number left by the previous pruning, so that
+    /// the amortized cost per grant is constant.
+    prune_threshold: usize,
 }
 
 impl Contact {
     fn new(now: Time) -> Self {
         Contact {
             known_since: now,
-            heard_at: None,
-            state: ContactState::Unheard,
-            deadline: Some(now + CONTINUATION_ENDS),
+            last_request_at: None,
+            state: ContactState::Unseen,
+            deadline: Some(now + CONTINUATION_DEADLINE),
             grant_rates: BTreeMap::new(),
-            max_tenants: MIN_REMEMBERED_TENANTS,
+            prune_threshold: MIN_TRACKED_TENANTS,
         }
     }
 
-    fn forget_old_grants(&mut self, now: Time) {
-        self.grant_rates.retain(|_, rate| rate.at(now) >= MIN_GRANT_RATE);
-        self.max_tenants = (2 * self.grant_rates.len()).max(MIN_REMEMBERED_TENANTS);
+    fn prune_grant_rates(&mut self, now: Time) {
+        self.grant_rates.retain(|_, rate| rate.at(now) >= MIN_TRACKED_GRANT_RATE);
+        self.prune_threshold = (2 * self.grant_rates.len()).max(MIN_TRACKED_TENANTS);
     }
 
     fn silence(&self, now: Time) -> Time {
-        now.saturating_sub(self.heard_at.unwrap_or(self.known_since))
+        now.saturating_sub(self.last_request_at.unwrap_or(self.known_since))
     }
 
-    /// The state at its deadline, and the next deadline.
+    /// Returns the state after a deadline has passed, and the next deadline.
     fn after_deadline(&self, deadline: Time) -> (ContactState, Option<Time>) {
-        let Some(heard_at) = self.heard_at else { return (ContactState::Silent, None) };
-        let falls_silent_at = heard_at + FALLBACK_RESERVE_TIMEOUT;
-        if deadline < falls_silent_at {
-            (ContactState::Heard, Some(falls_silent_at))
-        } else if deadline < heard_at + CONTINUATION_ENDS {
-            (ContactState::RecentlySilent, Some(heard_at + CONTINUATION_ENDS))
+        let Some(last_request_at) = self.last_request_at else { return (ContactState::Silent, None) };
+        let silent_at = last_request_at + FALLBACK_RESERVE_TIMEOUT;
+        if deadline < silent_at {
+            (ContactState::Active, Some(silent_at))
+        } else if deadline < last_request_at + CONTINUATION_DEADLINE {
+            (ContactState::RecentlySilent, Some(last_request_at + CONTINUATION_DEADLINE))
         } else {
             (ContactState::Silent, None)
         }
     }
 }
 
-/// The gateways, and when each was last heard.
+/// Contact states of all gateways.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewayContacts {
     contacts: BTreeMap<String, Contact>,
-    /// The deadline of each gateway that has one.
+    /// Pending deadlines, at most one per gateway.
     deadlines: BTreeSet<(Time, String)>,
-    /// Gateways that are not heard.
+    /// Number of gateways that are not active.
     silent: usize,
-    /// Of these, those that were never heard and may go on.
-    unheard: usize,
-    /// When a gateway was last heard.
-    last_heard: Option<Time>,
-    /// What is kept back for gateways that were never heard, as a part of any rate.
-    unheard_reserve: f64,
-    /// Gateways that were removed so lately that a new process of the name may not know it, and when.
-    removed: BTreeMap<String, Time>,
-    /// When the first of them is known to all, if there are any.
+    /// Number of silent gateways that have not contacted this coordinator and may continue.
+    unseen: usize,
+    /// When the latest request of any gateway arrived.
+    latest_request_at: Option<Time>,
+    /// Fraction of each rate that is reserved for unseen gateways.
+    unseen_reserve: f64,
+    /// Gateways removed so recently that a new process of the same name may not know of the removal yet, with the time
+    /// of removal.
+    recently_removed: BTreeMap<String, Time>,
+    /// When the earliest entry of `recently_removed` expires, if there is one.
     next_removed_expiry: Option<Time>,
-    /// Gateways that are being removed: they are not answered until they are added again.
-    leaving: BTreeSet<String>,
+    /// Gateways pending removal. They are not answered until they are removed and added again.
+    pending_removal: BTreeSet<String>,
 }
 
 impl GatewayContacts {
-    /// None has been heard yet; `unheard_reserve`: what is kept back for them, as a part of any rate.
-    pub fn new(now: Time, unheard_reserve: f64, names: &BTreeSet<String>) -> Self {
-        let mut all = GatewayContacts {
+    /// Creates the contacts with all gateways unseen. `unseen_reserve` is the fraction of each rate reserved for them.
+    pub fn new(now: Time, unseen_reserve: f64, names: &BTreeSet<String>) -> Self {
+        let mut contacts = GatewayContacts {
             contacts: BTreeMap::new(),
             deadlines: BTreeSet::new(),
             silent: 0,
-            unheard: 0,
-            last_heard: None,
-            unheard_reserve,
-            removed: BTreeMap::new(),
+            unseen: 0,
+            latest_request_at: None,
+            unseen_reserve,
+            recently_removed: BTreeMap::new(),
             next_removed_expiry: None,
-            leaving: BTreeSet::new(),
+            pending_removal: BTreeSet::new(),
         };
-        all.set_names(now, names);
-        all
+        contacts.set_names(now, names);
+        contacts
     }
 
-    /// These gateways exist, and no others. Transitions up to now were taken before.
+    /// Replaces the set of gateways. Transitions up to `now` must have been taken.
     pub fn set_names(&mut self, now: Time, names: &BTreeSet<String>) {
-        let gone = self.contacts.keys().filter(|name| !names.contains(*name));
-        self.removed.extend(gone.map(|name| (name.clone(), now)));
-        self.forget_removed(now);
+        let removed_names = self.contacts.keys().filter(|name| !names.contains(*name));
+        self.recently_removed.extend(removed_names.map(|name| (name.clone(), now)));
+        self.prune_removed(now);
         self.contacts.retain(|name, _| names.contains(name));
-        self.leaving.retain(|name| names.contains(name));
+        self.pending_removal.retain(|name| names.contains(name));
         for name in names {
             self.contacts.entry(name.clone()).or_insert_with(|| Contact::new(now));
         }
-        let is_in = |state: ContactState| move |contact: &&Contact| contact.state == state;
-        let heard = self.contacts.values().filter(is_in(ContactState::Heard)).count();
-        self.silent = self.contacts.len() - heard;
-        self.unheard = self.contacts.values().filter(is_in(ContactState::Unheard)).count();
-        self.last_heard = self.contacts.values().filter_map(|contact| contact.heard_at).max();
+        let has_state = |state: ContactState| move |contact: &&Contact| contact.state == state;
+        let active = self.contacts.values().filter(has_state(ContactState::Active)).count();
+        self.silent = self.contacts.len() - active;
+        self.unseen = self.contacts.values().filter(has_state(ContactState::Unseen)).count();
+        self.latest_request_at = self.contacts.values().filter_map(|contact| contact.last_request_at).max();
         let deadlines = self.contacts.iter();
         self.deadlines =
             deadlines.filter_map(|(name, contact)| Some((contact.deadline?, name.clone()))).collect();
     }
 
-    /// How many gateways are known.
+    /// Returns the number of known gateways.
     pub fn len(&self) -> usize {
         self.contacts.len()
     }
 
-    /// How many are not heard.
+    /// Returns the number of gateways that are not active.
     pub fn silent(&self) -> usize {
         self.silent
     }
 
-    /// Whether a gateway is known, and is to be answered.
-    pub fn answers(&self, name: &str) -> bool {
-        self.contacts.contains_key(name) && !self.leaving.contains(name)
+    /// Whether a gateway is known and not pending removal, so that its requests are answered.
+    pub fn accepts(&self, name: &str) -> bool {
+        self.contacts.contains_key(name) && !self.pending_removal.contains(name)
     }
 
-    /// The next change of a gateway's state that was due by now.
+    /// Returns the next state change that was due by `now`.
     pub fn next_transition(&mut self, now: Time) -> Option<Transition> {
-        while self.deadlines.first().is_some_and(|(at, _)| *at <= now) {
-            let (at, gateway) = self.deadlines.pop_first()?;
+        while self.deadlines.first().is_some_and(|(due_at, _)| *due_at <= now) {
+            let (due_at, gateway) = self.deadlines.pop_first()?;
             let Some(contact) = self.contacts.get_mut(&gateway) else { continue };
-            let (to, deadline) = contact.after_deadline(at);
+            let (to, deadline) = contact.after_deadline(due_at);
             contact.deadline = deadline;
             self.deadlines.extend(deadline.map(|next| (next, gateway.clone())));
             if to != contact.state {
-                return Some(self.change_state(at, gateway, to));
+                return Some(self.change_state(due_at, gateway, to));
             }
         }
         None
     }
 
-    /// A gateway is heard now: the change of its state, if there is one. Transitions up to now were taken before.
-    pub fn record(&mut self, now: Time, name: &str) -> Option<Transition> {
+    /// Records a request of a gateway and returns the resulting state change, if any. Transitions up to `now` must have
+    /// been taken.
+    pub fn record_request(&mut self, now: Time, name: &str) -> Option<Transition> {
         let contact = self.contacts.get_mut(name)?;
-        contact.heard_at = Some(now);
-        self.last_heard = self.last_heard.max(Some(now));
-        if contact.state == ContactState::Heard {
-            // Its deadline is looked at when it comes.
+        contact.last_request_at = Some(now);
+        self.latest_request_at = self.latest_request_at.max(Some(now));
+        if contact.state == ContactState::Active {
+            // The deadline is not moved here; it is re-evaluated when it is due.
             return None;
         }
         let deadline = now + FALLBACK_RESERVE_TIMEOUT;
@@ -194,99 +196,101 @@
             self.deadlines.remove(&(earlier, name.to_string()));
         }
         self.deadlines.insert((deadline, name.to_string()));
-        Some(self.change_state(now, name.to_string(), ContactState::Heard))
+        Some(self.change_state(now, name.to_string(), ContactState::Active))
     }
 
-    fn change_state(&mut self, at: Time, gateway: String, to: ContactState) -> Transition {
+    fn change_state(&mut self, occurred_at: Time, gateway: String, to: ContactState) -> Transition {
         let from = match self.contacts.get_mut(&gateway) {
             Some(contact) => std::mem::replace(&mut contact.state, to),
             None => to,
         };
         match (from, to) {
-            (ContactState::Heard, _) => self.silent += 1,
-            (_, ContactState::Heard) => self.silent -= 1,
+            (ContactState::Active, _) => self.silent += 1,
+            (_, ContactState::Active) => self.silent -= 1,
             _ => {}
         }
-        if from == ContactState::Unheard {
-            self.unheard -= 1;
+        if from == ContactState::Unseen {
+            self.unseen -= 1;
         }
-        Transition { at, gateway, from, to }
+        Transition { occurred_at, gateway, from, to }
     }
 
-    /// A gateway was granted units of a tenant.
+    /// Records units of a tenant that were granted to a gateway.
     pub fn record_grant(&mut self, now: Time, gateway: &str, tenant: &str, units: u32) {
         let Some(contact) = self.contacts.get_mut(gateway) else { return };
         if let Some(rate) = contact.grant_rates.get_mut(tenant) {
             rate.record(now, units);
             return;
         }
-        if contact.grant_rates.len() >= contact.max_tenants {
-            contact.forget_old_grants(now);
+        if contact.grant_rates.len() >= contact.prune_threshold {
+            contact.prune_grant_rates(now);
         }
         let mut rate = DecayingRate::new(now, GRANT_RATE_WINDOW_S);
         rate.record(now, units);
         contact.grant_rates.insert(tenant.to_string(), rate);
     }
 
-    /// Units a second that a gateway was granted of each tenant when it was last heard.
-    pub fn granted_when_heard(&self, gateway: &str) -> impl Iterator<Item = (&str, f64)> {
+    /// Returns the grant rate per tenant, in units per second, at the time of the gateway's last request.
+    pub fn grant_rates_at_last_request(&self, gateway: &str) -> impl Iterator<Item = (&str, f64)> {
         let contact = self.contacts.get(gateway);
-        let heard_at = contact.and_then(|contact| contact.heard_at).unwrap_or_default();
+        let last_request_at = contact.and_then(|contact| contact.last_request_at).unwrap_or_default();
         let rates = contact.into_iter().flat_map(|contact| &contact.grant_rates);
-        rates.map(move |(tenant, rate)| (tenant.as_str(), rate.at(heard_at)))
+        rates.map(move |(tenant, rate)| (tenant.as_str(), rate.at(last_request_at)))
     }
 
-    /// Gateways that may go on at the rate of their last grants.
+    /// Returns the gateways that may continue at the rate of their last grants.
     pub fn recently_silent(&self) -> impl Iterator<Item = &str> {
         let is_recent = |contact: &Contact| contact.state == ContactState::RecentlySilent;
         self.contacts.iter().filter(move |(_, contact)| is_recent(contact)).map(|(name, _)| name.as_str())
     }
 
-    /// The gateways that were silent for so long, and all that were named here before: from now on they are not answered
-    /// until they are removed, and added again.
-    pub fn begin_removals(&mut self, now: Time, silence: Time) -> &BTreeSet<String> {
-        let silent = self.contacts.iter().filter(|(_, contact)| contact.silence(now) >= silence);
-        self.leaving.extend(silent.map(|(name, _)| name.clone()));
-        &self.leaving
+    /// Marks the gateways that have been silent for `min_silence` as pending removal, and returns all that are pending.
+    /// They are not answered until they are removed and added again.
+    pub fn begin_removals(&mut self, now: Time, min_silence: Time) -> &BTreeSet<String> {
+        let silent = self.contacts.iter().filter(|(_, contact)| contact.silence(now) >= min_silence);
+        self.pending_removal.extend(silent.map(|(name, _)| name.clone()));
+        &self.pending_removal
     }
 
-    /// Whether no gateway has been heard for so long.
+    /// Whether no gateway has sent a request for `silence`.
     pub fn all_silent_for(&self, now: Time, silence: Time) -> bool {
-        self.last_heard.is_none_or(|at| now.saturating_sub(at) >= silence)
+        self.latest_request_at.is_none_or(|at| now.saturating_sub(at) >= silence)
     }
 
-    /// Forgets gateways that were removed long enough ago. Whether there were any.
+    /// Drops gateways that were removed long enough ago, and returns whether any were due.
     pub fn expire_removed(&mut self, now: Time) -> bool {
         let is_due = self.next_removed_expiry.is_some_and(|at| at <= now);
         if is_due {
-            self.forget_removed(now);
+            self.prune_removed(now);
         }
         is_due
     }
 
-    fn forget_removed(&mut self, now: Time) {
-        self.removed.retain(|_, at| now.saturating_sub(*at) < NEW_PROCESS_FALLBACK_LIFETIME);
-        self.next_removed_expiry = self.removed.values().min().map(|at| at + NEW_PROCESS_FALLBACK_LIFETIME);
+    fn prune_removed(&mut self, now: Time) {
+        self.recently_removed.retain(|_, at| now.saturating_sub(*at) < NEW_PROCESS_FALLBACK_LIFETIME);
+        self.next_removed_expiry =
+            self.recently_removed.values().min().map(|at| at + NEW_PROCESS_FALLBACK_LIFETIME);
     }
 
-    /// The fallback share of one gateway, as a part of any rate.
+    /// Returns the fallback share of one gateway, as a fraction of any rate.
     pub fn fallback_share(&self) -> f64 {
-        1.0 / (self.contacts.len() + self.removed.len()).max(1) as f64
+        1.0 / (self.contacts.len() + self.recently_removed.len()).max(1) as f64
     }
 
-    /// The fallback shares of all gateways that are not heard.
-    fn silent_share(&self) -> f64 {
-        self.fallback_share() * (self.silent + self.removed.len()) as f64
+    /// Returns the total fallback share of all gateways that are not active.
+    fn silent_fallback_share(&self) -> f64 {
+        self.fallback_share() * (self.silent + self.recently_removed.len()) as f64
     }
 
-    /// The part of all rates that is no silent gateway's fallback share.
+    /// Returns the fraction of all rates outside the fallback shares of gateways that are not active.
     pub fn share_without_fallback(&self) -> f64 {
-        1.0 - self.silent_share()
+        1.0 - self.silent_fallback_share()
     }
 
-    /// The part of all rates that fills the buckets: what is kept back for unheard gateways covers their fallback shares.
+    /// Returns the fraction of all rates that refills the buckets. The reserve for unseen gateways covers their
+    /// fallback shares.
     pub fn refill_share(&self) -> f64 {
-        let unheard = if self.unheard > 0 { self.unheard_reserve } else { 0.0 };
-        1.0 - self.silent_share().max(unheard)
+        let unseen = if self.unseen > 0 { self.unseen_reserve } else { 0.0 };
+        1.0 - self.silent_fallback_share().max(unseen)
     }
 }
--- a/crates/common/quota/src/continuation.rs
+++ b/crates/common/quota/src/continuation.rs
@@ -1,5 +1,5 @@
-//! What gateways that fell silent lately may go on with, beyond their fallback shares: kept back from the refill of the
-//! buckets that are concerned, and of no other.
+//! Continuations: the rates, beyond their fallback shares, at which recently silent gateways may continue. They are
+//! deducted from the refill of the affected buckets only.
 
 use crate::contact::GatewayContacts;
 use crate::refill_clock::RefillTime;
@@ -7,22 +7,22 @@
 use crate::CONTINUATION_RATIO;
 use std::collections::BTreeMap;
 
-/// A tenant's units that one gateway may go on with.
+/// Rate at which one gateway may continue for one tenant.
 #[derive(Clone, Debug, PartialEq)]
 struct Continuation {
     tenant: String,
-    /// Units a second.
+    /// Units per second, beyond the fallback share.
     rate: f64,
 }
 
-/// The continuations of all gateways that fell silent lately.
+/// Continuations of all recently silent gateways.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Continuations {
     by_gateway: BTreeMap<String, Vec<Continuation>>,
 }
 
 impl Continuations {
-    /// A gateway has fallen silent.
+    /// Starts the continuations of a gateway that has become silent.
     pub fn begin(
         &mut self,
         time: RefillTime,
@@ -31,9 +31,9 @@
         buckets: &mut BTreeMap<String, TokenBucket>,
     ) {
         let mut continuations = Vec::new();
-        for (tenant, granted) in contacts.granted_when_heard(gateway) {
+        for (tenant, grant_rate) in contacts.grant_rates_at_last_request(gateway) {
             let Some(bucket) = buckets.get_mut(tenant) else { continue };
-            let rate = CONTINUATION_RATIO * granted - bucket.limit.rate * contacts.fallback_share();
+            let rate = CONTINUATION_RATIO * grant_rate - bucket.limit.rate * contacts.fallback_share();
             if rate > 0.0 {
                 bucket.refill(time);
                 bucket.begin_continuation(rate);
@@ -43,7 +43,7 @@
         self.by_gateway.insert(gateway.to_string(), continuations);
     }
 
-    /// A gateway is heard again, or has its fallback share alone from now on.
+    /// Ends the continuations of a gateway that is active again or has only its fallback share from now on.
     pub fn end(&mut self, time: RefillTime, gateway: &str, buckets: &mut BTreeMap<String, TokenBucket>) {
         for Continuation { tenant, rate } in self.by_gateway.remove(gateway).unwrap_or_default() {
             if let Some(bucket) = buckets.get_mut(&tenant) {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Limits or gateways have changed, and with them all of it. The buckets were filled until now.
+    /// Recomputes all continuations after a change of limits or gateways. The buckets must be refilled up to `time`.
     pub fn rebuild(
         &mut self,
         time: RefillTime,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// How many gateways may go on.
+    /// Returns the number of gateways that may continue.
     pub fn gateways(&self) -> usize {
         self.by_gateway.len()
     }
--- a/crates/common/quota/src/decaying_rate.rs
+++ b/crates/common/quota/src/decaying_rate.rs
@@ -1,8 +1,8 @@
-//! A rate per second that forgets: each event counts for less the longer ago it was.
+//! Exponentially decaying event rate.
 
 use crate::time::{to_seconds, Time};
 
-/// Events a second, averaged over a window by exponential decay.
+/// Events per second, averaged over a window by exponential decay.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DecayingRate {
     window_s: f64,
@@ -11,18 +11,18 @@
 }
 
 impl DecayingRate {
-    /// Nothing has happened yet.
+    /// Creates a rate of 0.
     pub fn new(now: Time, window_s: f64) -> Self {
         DecayingRate { window_s, per_second: 0.0, updated: now }
     }
 
-    /// The rate at a moment, if nothing has happened since the last event.
+    /// Returns the rate at `now`, decayed since the last recorded events.
     pub fn at(&self, now: Time) -> f64 {
         let elapsed = to_seconds(now.saturating_sub(self.updated));
         self.per_second * (-elapsed / self.window_s).exp()
     }
 
-    /// So many events happen now.
+    /// Records `events` events at `now`.
     pub fn record(&mut self, now: Time, events: u32) {
         self.per_second = self.at(now) + f64::from(events) / self.window_s;
         self.updated = self.updated.max(now);
--- a/crates/common/quota/src/initial_fill.rs
+++ b/crates/common/quota/src/initial_fill.rs
@@ -1,36 +1,39 @@
-//! How a new coordinator begins: it knows neither what the one before left in the buckets, nor which gateways that it has not
-//! heard yet go on at the rates of that one's grants.
+//! Initial state of a new coordinator. A new coordinator does not know how full its predecessor left the buckets, nor
+//! which of the gateways that have not contacted it yet continue at the rates of the predecessor's grants.
 
 use crate::limit::Limit;
 use crate::time::{Time, MS};
 use crate::CONTINUATION_RATIO;
 
-/// The limit counts over five seconds, and a unit may be used as long after it was granted as
-/// [`crate::GRANT_LIFETIME`] says: two changes of the coordinator that lie further apart fall into no span together.
-const LIMIT_SPAN: Time = 5000 * MS + crate::GRANT_LIFETIME;
+/// Window over which two coordinator changes may affect the same limit: a limit applies over five seconds, and a unit
+/// may be used up to [`crate::GRANT_LIFETIME`] after it was requested. No span contains two changes that are further
+/// apart.
+const LIMIT_WINDOW: Time = 5000 * MS + crate::GRANT_LIFETIME;
 
-/// What is known of the coordinator before a new one.
+/// What a new coordinator knows about its predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PreviousCoordinator {
-    /// It began longer ago than the span over which a limit counts.
+    /// The predecessor started longer ago than the window over which a limit applies.
     LongAgo,
-    /// It began within that span, or there may have been one that nobody here heard: it may have begun in the same way.
+    /// The predecessor started within that window, or there may have been one that this node did not observe; it may
+    /// itself have started from this state.
     Recent,
-    /// This process has seen none since its start: it waited for a whole election time-out, in which nobody coordinated.
+    /// This process has observed no coordinator since its start. It has waited for a full election timeout, during
+    /// which there was no coordinator.
     Unknown,
 }
 
 impl PreviousCoordinator {
-    /// A coordinator that began so long ago, and had no other between itself and the new one.
+    /// Classifies a predecessor that started `age` ago and was followed directly by the new coordinator.
     pub fn from_age(age: Time) -> Self {
-        if age >= LIMIT_SPAN {
+        if age >= LIMIT_WINDOW {
             PreviousCoordinator::LongAgo
         } else {
             PreviousCoordinator::Recent
         }
     }
 
-    /// What a tenant's bucket holds at first.
+    /// Returns the initial level of a tenant's bucket.
     pub(crate) fn initial_level(self, limit: &Limit) -> f64 {
         let seconds = match self {
             PreviousCoordinator::LongAgo => 0.25,
@@ -40,9 +43,10 @@
         seconds * limit.burst.min(limit.rate)
     }
 
-    /// The part of each rate that is kept back for the gateways that this coordinator has not heard, as long as they may go on.
-    /// All of what they may use where there was a change lately; else less, by what the limit leaves.
-    pub(crate) fn unheard_reserve(self) -> f64 {
+    /// Returns the fraction of each rate that is reserved for the gateways that have not contacted this coordinator
+    /// yet, for as long as they may continue. After a recent change that is all that they may use; otherwise it is
+    /// less, by the headroom that the limit leaves.
+    pub(crate) fn unseen_reserve(self) -> f64 {
         match self {
             PreviousCoordinator::LongAgo => 0.5,
             PreviousCoordinator::Unknown => 0.4,
--- a/crates/common/quota/src/lease.rs
+++ b/crates/common/quota/src/lease.rs
@@ -1,31 +1,32 @@
-//! Messages between a gateway and the coordinator. Fields are sent in this order.
+//! Messages between a gateway and the coordinator. Fields are encoded in declaration order.
 
 use serde::{Deserialize, Serialize};
 
-/// A gateway's request. Its number is repeated in the answer.
+/// Request from a gateway to the coordinator.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Rises with each request of a gateway.
+    /// Request number, increasing per gateway; repeated in the answer.
     pub number: u64,
-    /// For tenants within their limits.
+    /// Units for tenants that are not throttled.
     pub units: Vec<UnitRequest>,
-    /// For tenants that are throttled here.
+    /// Turns for tenants that are throttled on this gateway.
     pub turns: Vec<TurnRequest>,
 }
 
-/// What a gateway wants of one tenant's units.
+/// A gateway's request for units of one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnitRequest {
-    /// Whose.
+    /// Name of the tenant.
     pub tenant: String,
-    /// How many.
+    /// Number of units requested.
     pub units: u32,
-    /// Requests that came past the refusal probability since the gateway last asked.
+    /// Requests not refused by probability since the gateway's previous lease request.
     pub arrivals: u32,
-    /// Units that expired unused.
+    /// Granted units that expired unused.
     pub returned: u32,
-    /// Units of the fallback share that were used since the gateway last asked: it did not hear the coordinator, which may
-    /// have heard it and kept nothing back. Absent if 0, as in the messages of versions that do not know the field.
+    /// Units of the fallback share used since the gateway's previous lease request. The gateway had no answer from the
+    /// coordinator, but the coordinator may have received its requests and so reserved nothing for it. Omitted if 0, as
+    /// in messages of versions without this field.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub spent_fallback: u32,
 }
@@ -34,78 +35,78 @@
     *count == 0
 }
 
-/// What a gateway wants of a throttled tenant's turns.
+/// A gateway's request for turns of one throttled tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnRequest {
-    /// Whose.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Turns for reads.
+    /// Number of turns for reads.
     pub reads: u32,
-    /// Turns for work that would miss its target latency if it waited for longer than `slack_us`.
+    /// Number of turns for work that would miss its target latency if it waited longer than `slack_us`.
     pub urgent: u32,
-    /// In microseconds.
+    /// Time within which urgent work needs its turn, in microseconds.
     pub slack_us: u32,
-    /// Turns that nobody needs any more.
+    /// Granted turns that are no longer needed.
     pub returned: u32,
-    /// How many requests wait here.
+    /// Number of requests queued on this gateway.
     pub waiting: u32,
-    /// How long requests that went lately had waited, on average, in microseconds.
+    /// Mean time that recently dequeued requests waited, in microseconds.
     pub waited_us: u32,
 }
 
-/// The coordinator's answer.
+/// The coordinator's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Of the request.
+    /// Number of the request.
     pub number: u64,
-    /// Tells coordinators apart: turns of one at a time count.
+    /// Id of the coordinator. A gateway holds turns of one coordinator at a time.
     pub coordinator: u64,
-    /// For each tenant that was asked for.
+    /// Units granted, one entry per tenant in the request.
     pub units: Vec<UnitGrant>,
-    /// Each tenant with a trial, whether it was asked for or not.
+    /// Phase of each tenant with a trial, whether or not it is in the request.
     pub phases: Vec<TrialPhase>,
-    /// For each throttled tenant that was asked for.
+    /// Turns granted, one entry per throttled tenant in the request.
     pub turns: Vec<TurnGrant>,
 }
 
-/// What the coordinator grants of one tenant's units, and what it knows of the tenant.
+/// Units granted of one tenant, and the state of its bucket.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UnitGrant {
-    /// Whose.
+    /// Name of the tenant.
     pub tenant: String,
-    /// How many.
+    /// Number of units granted.
     pub units: u32,
-    /// What is left in the bucket.
+    /// Units left in the bucket.
     pub remaining: f32,
-    /// Requests a second that came past the refusal probability over all gateways.
+    /// Requests per second not refused by probability, over all gateways.
     pub arrival_rate: f32,
 }
 
-/// Whether a tenant with a trial is throttled, and in how long that changes, if that is announced.
+/// Whether a tenant with a trial is throttled, and when the next announced change takes effect.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TrialPhase {
-    /// Whose.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Now.
+    /// Whether the tenant is throttled now.
     pub throttled: bool,
-    /// In microseconds.
+    /// Time until the announced change, in microseconds; `None` if no change is announced.
     pub changes_in_us: Option<u32>,
-    /// [`crate::TrialPace::rate`], for a gateway that does not know of the trial yet.
+    /// [`crate::TrialPace::rate`], for a gateway whose configuration lacks the trial so far.
     pub rate: f64,
     /// [`crate::TrialPace::max_wait`], in microseconds.
     pub max_wait_us: u32,
 }
 
-/// A throttled tenant's turns that a gateway is granted.
+/// Turns of a throttled tenant granted to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TurnGrant {
-    /// Whose.
+    /// Name of the tenant.
     pub tenant: String,
-    /// In how many microseconds each is, the soonest first.
+    /// Time until each regular turn, in microseconds, in ascending order.
     pub after_us: Vec<u32>,
-    /// Of these, those for urgent work.
+    /// Time until each turn for urgent work, in microseconds, in ascending order.
     pub urgent_us: Vec<u32>,
-    /// There is none within the maximum wait for the rest: when to come back, in microseconds. None: nothing is known of them
-    /// yet.
+    /// When to retry, in microseconds, for the requests that have no turn within the maximum wait. `None` if that has
+    /// not been determined.
     pub retry_after_us: Option<u32>,
 }
--- a/crates/common/quota/src/limit.rs
+++ b/crates/common/quota/src/limit.rs
@@ -1,30 +1,30 @@
-//! A tenant's limit.
+//! Rate limit of a tenant.
 
 use crate::time::Time;
 
-/// A tenant's limit over all gateways.
+/// A tenant's rate limit over all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Units a second; 0: no limit.
+    /// Units per second; 0 means unlimited.
     pub rate: f64,
-    /// Units that may be used at once.
+    /// Capacity of the token bucket, in units.
     pub burst: f64,
-    /// The tenant is on trial: what it is throttled to once that has expired.
+    /// Pace that applies once the tenant's trial has expired; `None` if the tenant has no trial.
     pub after_trial: Option<TrialPace>,
 }
 
 impl Limit {
-    /// A limit without a trial.
+    /// Creates a limit for a tenant without a trial.
     pub fn new(rate: f64, burst: f64) -> Self {
         Limit { rate, burst, after_trial: None }
     }
 }
 
-/// What a tenant has whose trial has expired.
+/// Pace of a tenant whose trial has expired.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TrialPace {
-    /// Turns a second over all gateways, more than 0.
+    /// Turns per second over all gateways, greater than 0.
     pub rate: f64,
-    /// How long a request waits for its turn at most.
+    /// Longest time that a request waits for its turn.
     pub max_wait: Time,
 }
--- a/crates/common/quota/src/refill_clock.rs
+++ b/crates/common/quota/src/refill_clock.rs
@@ -1,38 +1,38 @@
-//! How much of its rate each bucket could have been filled with so far, whenever that is asked.
+//! Cumulative refill time shared by all buckets, so that each bucket can be refilled lazily.
 
 use crate::time::{to_seconds, Time};
 
-/// The integral over time of the part of all rates that fills the buckets.
+/// Integral over time of the share of all rates that refills the buckets.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RefillClock {
     updated: Time,
-    /// The part of all rates from then on.
+    /// Share of all rates from `updated` on.
     share: f64,
-    /// Seconds of the whole rate until then.
+    /// Cumulative seconds at the whole rate, up to `updated`.
     seconds: f64,
 }
 
-/// A moment, and what the clock showed.
+/// A reading of the [`RefillClock`].
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RefillTime {
     pub now: Time,
-    /// Seconds of the whole rate since the clock began.
+    /// Cumulative seconds at the whole rate since the clock was created.
     pub seconds: f64,
 }
 
 impl RefillClock {
-    /// A clock that begins at this share.
+    /// Creates a clock that starts with this share.
     pub fn new(now: Time, share: f64) -> Self {
         RefillClock { updated: now, share, seconds: 0.0 }
     }
 
-    /// What it shows now.
+    /// Returns the reading at `now`.
     pub fn at(&self, now: Time) -> RefillTime {
         let elapsed = to_seconds(now.saturating_sub(self.updated));
         RefillTime { now: now.max(self.updated), seconds: self.seconds + elapsed * self.share }
     }
 
-    /// The share is this from now on.
+    /// Changes the share from `now` on.
     pub fn set_share(&mut self, now: Time, share: f64) {
         let RefillTime { now, seconds } = self.at(now);
         *self = RefillClock { updated: now, share, seconds };
--- a/crates/common/quota/src/figures.rs
+++ b/crates/common/quota/src/stats.rs
@@ -1,38 +1,38 @@
-//! What the coordinator and a gateway's client did lately, for the log: enough to tell why a request within its limit was
+//! Counters of the coordinator and of a gateway's client. They are logged to explain why a request within its limit was
 //! refused.
 
 use crate::time::{Time, MS};
 use std::fmt;
 
-/// What a coordinator was asked for and gave since its figures were last taken.
+/// Lease requests and grants of a coordinator since its counters were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct GrantCounts {
-    /// Requests of gateways that were answered.
+    /// Lease requests answered.
     pub requests: u64,
-    /// Requests of gateways that it does not know, or that are being removed.
+    /// Lease requests left unanswered because the gateway is unknown or pending removal.
     pub unanswered: u64,
-    /// Units that were asked for.
+    /// Units requested.
     pub units_requested: u64,
-    /// Units that were granted.
+    /// Units granted.
     pub units_granted: u64,
-    /// Fallback units that gateways said they had used.
+    /// Fallback units that gateways reported as used.
     pub fallback_units_charged: u64,
 }
 
-/// How a coordinator stands now.
+/// Current state of a coordinator.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct CoordinatorStatus {
-    /// Gateways that are known.
+    /// Known gateways.
     pub gateways: usize,
-    /// Of these, those whose fallback share is kept back.
+    /// Known gateways whose fallback share is reserved.
     pub silent: usize,
-    /// Of these, those that may go on at the rate of their last grants.
+    /// Silent gateways that may continue at the rate of their last grants.
     pub recently_silent: usize,
-    /// The part of all rates that is kept back, fallback shares and continuations together.
-    pub kept_back: f64,
-    /// Buckets.
+    /// Fraction of the total rate that is reserved, for fallback shares and continuations together.
+    pub reserved_share: f64,
+    /// Buckets, one per limited tenant.
     pub buckets: usize,
-    /// Buckets without a whole unit.
+    /// Buckets with less than one unit.
     pub empty_buckets: usize,
 }
 
@@ -50,41 +50,42 @@
 
 impl fmt::Display for CoordinatorStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let CoordinatorStatus { gateways, silent, recently_silent, kept_back, buckets, empty_buckets } = self;
+        let CoordinatorStatus { gateways, silent, recently_silent, reserved_share, buckets, empty_buckets } =
+            self;
         write!(
             f,
-            "{silent} of {gateways} gateways silent, {recently_silent} of them lately; {:.0}% of the rates kept back; \
+            "{silent} of {gateways} gateways silent, {recently_silent} of them recently; {:.0}% of the rates kept back; \
              {empty_buckets} of {buckets} buckets empty",
-            kept_back * 100.0
+            reserved_share * 100.0
         )
     }
 }
 
-/// What became of a gateway's requests, and how the coordinator answered it, since its figures were last taken.
+/// Admission decisions of a gateway, and its exchange with the coordinator, since its counters were last taken.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionCounts {
-    /// Requests that had a granted unit.
+    /// Requests admitted by a granted unit.
     pub granted: u64,
-    /// Requests that had a unit of the fallback share.
+    /// Requests admitted by a unit of the fallback share.
     pub fallback: u64,
     /// Requests refused by the refusal probability.
     pub refused_by_probability: u64,
-    /// Requests for which no unit came in time, though the coordinator answered.
+    /// Requests refused because no unit arrived in time, while the coordinator was answering.
     pub refused_without_unit: u64,
-    /// Requests for which no unit came in time while the gateway was isolated.
+    /// Requests refused because no unit arrived in time, while the gateway was isolated.
     pub refused_isolated: u64,
-    /// Requests to the coordinator.
+    /// Requests sent to the coordinator.
     pub lease_requests: u64,
-    /// Its answers.
+    /// Answers received from the coordinator.
     pub lease_grants: u64,
-    /// Answers that came so late that the gateway counted as isolated by then.
+    /// Answers that took so long that the gateway counted as isolated in the meantime.
     pub late_grants: u64,
-    /// The longest time to an answer.
+    /// Longest round trip to the coordinator.
     pub slowest_grant: Time,
 }
 
 impl AdmissionCounts {
-    /// Requests that were decided on.
+    /// Returns the number of requests admitted or refused.
     pub fn decisions(&self) -> u64 {
         self.granted + self.fallback + self.refusals()
     }
@@ -98,7 +99,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} by granted units, {} by the fallback share; refused: {} by probability, {} for want of a unit, {} while \
+            "{} by granted units, {} by the fallback share; refused: {} by probability, {} without a unit, {} while \
              isolated; lease requests: {} of {} answered, {} late, the slowest after {} ms",
             self.granted,
             self.fallback,
--- a/crates/common/quota/src/throttle_queue.rs
+++ b/crates/common/quota/src/throttle_queue.rs
@@ -1,6 +1,6 @@
-//! A throttled tenant's requests at one gateway: they wait in the order in which they came, for turns that the coordinator
-//! grants. Work that would miss its target latency by that order goes ahead of reads. `docs/design/trials.md` says what is
-//! promised and why it holds.
+//! Queue of a throttled tenant's requests on one gateway. Requests wait in order of arrival for turns granted by the
+//! coordinator. Work that would miss its target latency in that order goes ahead of reads. See `docs/design/trials.md`
+//! for the guarantees and why they hold.
 
 use crate::lease::{TrialPhase, TurnGrant, TurnRequest};
 use crate::limit::TrialPace;
@@ -9,63 +9,63 @@
 use crate::{GRANT_LIFETIME, ISOLATION_TIMEOUT, PHASE_NOTICE};
 use std::collections::VecDeque;
 
-/// Requests that wait at one gateway, at most.
-const MAX_QUEUED: usize = 1024;
-/// A request for turns that was not answered for so long was lost.
+/// Maximum number of requests queued on one gateway.
+const MAX_QUEUED_REQUESTS: usize = 1024;
+/// Time after which an unanswered request for turns counts as lost.
 const TURN_REQUEST_TIMEOUT: Time = 150 * MS;
-/// An isolated gateway refuses nobody for so long: the coordinator may be changing.
-const ISOLATION_GRACE: Time = 2000 * MS;
-/// Turns of the coordinator are good for so long in an isolated gateway: as long as a granted unit is, so that the
-/// coordinator does not count on this gateway so soon.
-const TURNS_GOOD_WHEN_ISOLATED: Time = GRANT_LIFETIME - ISOLATION_TIMEOUT;
-/// Weight of one more wait in the mean.
+/// Time for which an isolated gateway refuses no queued request, because the coordinator may be changing.
+const ISOLATION_REFUSAL_GRACE: Time = 2000 * MS;
+/// Time for which an isolated gateway may use the coordinator's turns. They last as long as a granted unit, so that the
+/// coordinator does not count on this gateway too soon.
+const ISOLATED_TURN_LIFETIME: Time = GRANT_LIFETIME - ISOLATION_TIMEOUT;
+/// Weight of a new sample in the mean wait.
 const WAIT_SMOOTHING: f64 = 0.2;
 
-/// A request that waits for its turn.
+/// A request waiting for its turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedRequest {
-    /// The gateway's.
+    /// Id assigned by the gateway.
     pub id: u64,
-    /// When it began to wait.
+    /// When the request was queued.
     pub enqueued_at: Time,
-    /// It does not wait for longer.
+    /// When the request stops waiting.
     pub deadline: Time,
-    /// Work that misses its target latency if it does not go on by then; none: a read.
+    /// When urgent work must proceed in order to meet its target latency; `None` for a read.
     pub urgent_by: Option<Time>,
 }
 
-/// What becomes of a request that waited.
+/// Outcome of a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueOutcome {
-    /// It goes on.
+    /// The request may proceed.
     Proceed,
-    /// Its turn would come too late.
+    /// The request's turn would come too late.
     Refused {
-        /// When to come back.
+        /// Delay after which the client should retry.
         retry_after: Time,
     },
 }
 
-/// Where the turns that are held come from.
+/// Source of the turns held by the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TurnSource {
     Unassigned,
-    /// The coordinator of this id.
+    /// Granted by the coordinator with this id.
     Coordinator(u64),
-    /// The gateway's own fallback share.
+    /// Taken from the gateway's own fallback share.
     Fallback,
 }
 
-/// How this gateway stands to the coordinator.
+/// State of this gateway's contact with the coordinator.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CoordinatorContact {
-    /// It has heard nothing for too long, since then.
+    /// When the gateway became isolated; `None` if it is not.
     pub isolated_since: Option<Time>,
-    /// How many gateways share the pace if it is isolated; 0: that is not known.
+    /// Number of gateways that share the pace while this one is isolated; 0 if that is unknown.
     pub gateway_count: u32,
 }
 
-/// A request for turns that is not answered.
+/// A request for turns that has not been answered.
 #[derive(Clone, Copy, Debug)]
 struct OutstandingRequest {
     number: u64,
@@ -74,7 +74,7 @@
     sent_at: Time,
 }
 
-/// Requests that are to be refused, since no turn comes in time.
+/// Queued requests to refuse because no turn comes in time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Overflow {
     count: u32,
@@ -84,39 +84,39 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ThrottleQueue {
     pub pace: TrialPace,
-    /// The configuration names no trial any more: the queue stays until the coordinator says that the tenant is at full
-    /// speed.
+    /// Whether the configuration no longer contains the trial. The queue remains until the coordinator announces that
+    /// the tenant is unthrottled.
     pub trial_removed: bool,
-    full_speed_from: Time,
-    full_speed_until: Time,
-    /// When the last time at full speed ended, here or, as far as can be known, elsewhere.
-    full_speed_ended: Time,
-    /// When the request was sent that was answered last.
+    unthrottled_from: Time,
+    unthrottled_until: Time,
+    /// End of the last unthrottled period, on this gateway or, as far as is known here, on another.
+    last_unthrottled_end: Time,
+    /// When the latest answered request was sent.
     last_contact: Time,
     requests: Vec<QueuedRequest>,
-    /// Regular turns, the soonest first.
+    /// Regular turns, in ascending order.
     turns: VecDeque<Time>,
-    /// Turns that were granted for urgent work, the soonest first.
+    /// Turns granted for urgent work, in ascending order.
     urgent_turns: VecDeque<Time>,
     source: TurnSource,
     outstanding: VecDeque<OutstandingRequest>,
-    /// Turns to be returned with the next request.
+    /// Number of turns to return with the next request.
     returned: u32,
-    /// When the next turn of the fallback share is.
+    /// Time of the next turn of the fallback share.
     next_fallback_turn: Time,
     overflow: Overflow,
     mean_wait_s: f64,
 }
 
 impl ThrottleQueue {
-    /// An empty queue; `trial_removed`: the configuration names no trial.
+    /// Creates an empty queue. `trial_removed` is set if the configuration does not contain the trial.
     pub fn new(pace: TrialPace, trial_removed: bool) -> Self {
         ThrottleQueue {
             pace,
             trial_removed,
-            full_speed_from: 0,
-            full_speed_until: 0,
-            full_speed_ended: 0,
+            unthrottled_from: 0,
+            unthrottled_until: 0,
+            last_unthrottled_end: 0,
             last_contact: 0,
             requests: Vec::new(),
             turns: VecDeque::new(),
@@ -130,50 +130,51 @@
         }
     }
 
-    /// Whether requests wait for a turn now.
+    /// Whether requests must wait for a turn now.
     pub fn is_throttled(&self, now: Time) -> bool {
-        now < self.full_speed_from || now >= self.full_speed_until
+        now < self.unthrottled_from || now >= self.unthrottled_until
     }
 
-    /// Whether no request waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// How many requests wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> u32 {
         self.requests.len() as u32
     }
 
     fn throttled_since(&self, now: Time) -> Time {
-        if now >= self.full_speed_until {
-            self.full_speed_ended.max(self.full_speed_until)
+        if now >= self.unthrottled_until {
+            self.last_unthrottled_end.max(self.unthrottled_until)
         } else {
-            self.full_speed_ended
+            self.last_unthrottled_end
         }
     }
 
-    /// Whether a request may be refused for the pace: no gateway is at full speed then.
+    /// Whether a request may be refused for the pace: only while no gateway is unthrottled.
     fn may_refuse(&self, now: Time, contact: CoordinatorContact) -> bool {
         match contact.isolated_since {
-            Some(since) => now >= since + ISOLATION_GRACE,
-            None => now >= self.throttled_since(now) + PHASE_NOTICE && now >= self.full_speed_from,
+            Some(since) => now >= since + ISOLATION_REFUSAL_GRACE,
+            None => now >= self.throttled_since(now) + PHASE_NOTICE && now >= self.unthrottled_from,
         }
     }
 
-    /// Adds a request. Whether there is room for it.
+    /// Adds a request. Returns `false` if the queue is full.
     pub fn enqueue(&mut self, request: QueuedRequest) -> bool {
-        let has_room = self.requests.len() < MAX_QUEUED;
+        let has_room = self.requests.len() < MAX_QUEUED_REQUESTS;
         if has_room {
             self.requests.push(request);
         }
         has_room
     }
 
-    // ---- What the coordinator says ----
+    // ---- Messages to and from the coordinator ----
 
-    /// The coordinator's phase, in answer to a request that was sent then; none: it knows of no trial. If it has taken over
-    /// lately it did not announce that, and the one before may have told others that the tenant is throttled.
+    /// Applies the phase in the answer to the request sent at `sent_at`; `None` if the coordinator knows of no trial. A
+    /// coordinator that took over recently has not announced an end of throttling, and its predecessor may have
+    /// announced to other gateways that the tenant is throttled.
     pub fn on_phase(
         &mut self,
         now: Time,
@@ -181,58 +182,60 @@
         phase: Option<&TrialPhase>,
         coordinator_since: Time,
     ) {
-        if now >= self.full_speed_until {
-            self.full_speed_ended = self.full_speed_ended.max(self.full_speed_until);
+        if now >= self.unthrottled_until {
+            self.last_unthrottled_end = self.last_unthrottled_end.max(self.unthrottled_until);
         }
-        // A time at full speed lasts longer than that; a gateway that heard nothing for so long may have missed one. What counts
-        // is when answers are heard: those to requests of short intervals may have been held up together.
+        // Unthrottled periods last longer than `ISOLATION_TIMEOUT`, so a gateway without an answer for longer than that
+        // may have missed one. The check uses the arrival time of answers, because answers to requests sent at short
+        // intervals may have been delayed together.
         if now > self.last_contact + ISOLATION_TIMEOUT {
-            self.full_speed_ended = self.full_speed_ended.max(now);
+            self.last_unthrottled_end = self.last_unthrottled_end.max(now);
         }
         self.last_contact = sent_at;
         let valid_until = sent_at + ISOLATION_TIMEOUT;
         match phase.map(|phase| (phase.throttled, phase.changes_in_us)) {
-            // It counts from when the request was sent, so that throttling rather begins early.
+            // Counted from when the request was sent, so that throttling starts early rather than late.
             Some((false, Some(us))) => {
-                self.set_full_speed(now, valid_until.min(sent_at + from_micros(us)));
+                self.set_unthrottled(now, valid_until.min(sent_at + from_micros(us)));
             }
             None if now < coordinator_since + PHASE_NOTICE => {
                 self.set_throttled(now, coordinator_since + PHASE_NOTICE, valid_until);
             }
-            None | Some((false, None)) => self.set_full_speed(now, valid_until),
-            // And full speed rather begins late.
+            None | Some((false, None)) => self.set_unthrottled(now, valid_until),
+            // Counted from when the answer arrived, so that the unthrottled phase starts late rather than early.
             Some((true, Some(us))) => self.set_throttled(now, now + from_micros(us), valid_until),
             Some((true, None)) => self.set_throttled(now, 0, 0),
         }
     }
 
-    /// At full speed until then; other gateways may be, if this was heard too late.
-    fn set_full_speed(&mut self, now: Time, until: Time) {
+    /// Marks the tenant as unthrottled until `until`. If that has already passed, the answer was late and other
+    /// gateways may have been unthrottled until then.
+    fn set_unthrottled(&mut self, now: Time, until: Time) {
         if until > now {
-            self.full_speed_from = self.full_speed_from.min(now);
-            self.full_speed_until = until;
+            self.unthrottled_from = self.unthrottled_from.min(now);
+            self.unthrottled_until = until;
         } else {
-            self.full_speed_ended = self.full_speed_ended.max(until);
-            self.full_speed_from = 0;
-            self.full_speed_until = self.full_speed_ended;
+            self.last_unthrottled_end = self.last_unthrottled_end.max(until);
+            self.unthrottled_from = 0;
+            self.unthrottled_until = self.last_unthrottled_end;
         }
     }
 
-    /// Throttled, and at full speed between `from` and `until`, if there is such a time.
+    /// Marks the tenant as throttled except between `from` and `until`, if that span is not empty.
     fn set_throttled(&mut self, now: Time, from: Time, until: Time) {
         if !self.is_throttled(now) {
-            self.full_speed_ended = now;
+            self.last_unthrottled_end = now;
         }
-        self.full_speed_from = from;
-        self.full_speed_until = if from < until { until } else { self.full_speed_ended };
+        self.unthrottled_from = from;
+        self.unthrottled_until = if from < until { until } else { self.last_unthrottled_end };
     }
 
-    /// What to ask the coordinator for, if anything is to be said.
+    /// Returns the request to send to the coordinator, or `None` if there is nothing to request, return or report.
     pub fn turn_request(&mut self, now: Time, number: u64, tenant: &str) -> Option<TurnRequest> {
         self.outstanding.retain(|request| now.saturating_sub(request.sent_at) < TURN_REQUEST_TIMEOUT);
         self.return_surplus_turns();
         let assigned = self.assign_turns();
-        // Urgent work wants a turn of its own, as long as one can still help it.
+        // Urgent work whose turn is too late needs another one while it can still meet its target latency.
         let lacks_turn = |(request, at): &(&QueuedRequest, &Option<Time>)| match request.urgent_by {
             Some(by) => at.is_none_or(|at| at > by && now < by),
             None => at.is_none(),
@@ -240,18 +243,18 @@
         let lacking = self.requests.iter().zip(&assigned).filter(lacks_turn).map(|(request, _)| request);
         let (urgent, reads): (Vec<&QueuedRequest>, Vec<&QueuedRequest>) =
             lacking.partition(|request| request.urgent_by.is_some());
-        let most_urgent = urgent.iter().filter_map(|request| request.urgent_by).min();
-        let slack = most_urgent.unwrap_or(now).saturating_sub(now);
-        let asked_reads: u32 = self.outstanding.iter().map(|request| request.reads).sum();
-        let asked_urgent: u32 = self.outstanding.iter().map(|request| request.urgent).sum();
-        let reads = (reads.len() as u32).saturating_sub(asked_reads);
-        let urgent = (urgent.len() as u32).saturating_sub(asked_urgent);
+        let earliest_urgent_by = urgent.iter().filter_map(|request| request.urgent_by).min();
+        let slack = earliest_urgent_by.unwrap_or(now).saturating_sub(now);
+        let requested_reads: u32 = self.outstanding.iter().map(|request| request.reads).sum();
+        let requested_urgent: u32 = self.outstanding.iter().map(|request| request.urgent).sum();
+        let reads = (reads.len() as u32).saturating_sub(requested_reads);
+        let urgent = (urgent.len() as u32).saturating_sub(requested_urgent);
         let returned = std::mem::take(&mut self.returned);
         if reads + urgent > 0 {
             self.outstanding.push_back(OutstandingRequest { number, reads, urgent, sent_at: now });
         }
-        let has_news = reads + urgent + returned > 0 || !self.requests.is_empty();
-        has_news.then(|| TurnRequest {
+        let has_changes = reads + urgent + returned > 0 || !self.requests.is_empty();
+        has_changes.then(|| TurnRequest {
             tenant: tenant.into(),
             reads,
             urgent,
@@ -272,20 +275,20 @@
         }
     }
 
-    /// Whether turns have yet to be asked for.
+    /// Whether there are queued requests for which no turn has been requested yet.
     pub fn needs_turns(&self) -> bool {
-        let asked: u32 = self.outstanding.iter().map(|request| request.reads + request.urgent).sum();
-        self.requests.len() > self.turns.len() + self.urgent_turns.len() + asked as usize
+        let requested: u32 = self.outstanding.iter().map(|request| request.reads + request.urgent).sum();
+        self.requests.len() > self.turns.len() + self.urgent_turns.len() + requested as usize
     }
 
-    /// The coordinator's turns, in answer to the request of this number.
+    /// Takes the coordinator's turns in the answer to the request with this number.
     pub fn on_turns(&mut self, now: Time, number: u64, coordinator: u64, grant: &TurnGrant) {
         let answered = self.outstanding.iter().position(|request| request.number == number);
         let answered = answered.and_then(|n| self.outstanding.remove(n));
         self.set_source(TurnSource::Coordinator(coordinator));
         let granted = (grant.after_us.len() + grant.urgent_us.len()) as u32;
         let Some(OutstandingRequest { reads, urgent, .. }) = answered else {
-            // The request is not remembered: nobody needs them.
+            // The request is no longer tracked, so its turns are not needed.
             self.returned += granted;
             return;
         };
@@ -300,7 +303,7 @@
         }
     }
 
-    /// Turns of another source than the one so far do not count.
+    /// Sets the source of turns. Turns from a different source are discarded.
     fn set_source(&mut self, source: TurnSource) {
         if std::mem::replace(&mut self.source, source) != source {
             self.turns.clear();
@@ -319,10 +322,11 @@
         assign_turns(&self.requests, &held)
     }
 
-    /// What becomes of the next request, if anything does now. While the tenant is throttled.
+    /// Returns the id and outcome of the next request whose outcome is known at `now`. To be called while the tenant is
+    /// throttled.
     pub fn next_outcome(&mut self, now: Time, contact: CoordinatorContact) -> Option<(u64, QueueOutcome)> {
         self.drop_expired(now);
-        self.follow_contact(now, contact);
+        self.update_turn_source(now, contact);
         let assigned = self.assign_turns();
         if self.may_refuse(now, contact) {
             if let Some(refused) = self.refuse_one(now, &assigned, contact) {
@@ -341,24 +345,24 @@
         None
     }
 
-    /// An isolated gateway goes over to its fallback share once the coordinator's turns are good no longer; one that hears
-    /// the coordinator again drops the turns of its fallback share.
-    fn follow_contact(&mut self, now: Time, contact: CoordinatorContact) {
+    /// Switches an isolated gateway to its fallback share once the coordinator's turns have expired, and discards turns
+    /// of the fallback share once the gateway has contact again.
+    fn update_turn_source(&mut self, now: Time, contact: CoordinatorContact) {
         match (contact.isolated_since, self.source) {
-            (Some(since), TurnSource::Coordinator(_)) if now < since + TURNS_GOOD_WHEN_ISOLATED => {}
+            (Some(since), TurnSource::Coordinator(_)) if now < since + ISOLATED_TURN_LIFETIME => {}
             (Some(since), source) => {
                 if source != TurnSource::Fallback {
                     self.set_source(TurnSource::Fallback);
                     self.next_fallback_turn = since.max(now);
                 }
-                self.mint_fallback_turns(now, contact.gateway_count);
+                self.add_fallback_turns(now, contact.gateway_count);
             }
             (None, TurnSource::Fallback) => self.set_source(TurnSource::Unassigned),
             (None, _) => {}
         }
     }
 
-    /// Refuses one request that cannot go on within its wait, if there is one.
+    /// Refuses one request that cannot proceed within its maximum wait, if there is one.
     fn refuse_one(
         &mut self,
         now: Time,
@@ -374,10 +378,10 @@
         }
         if contact.isolated_since.is_some() {
             let turns = self.turns.len() + self.urgent_turns.len();
-            let too_late_by = (self.next_fallback_turn + 1).saturating_sub(now + self.pace.max_wait);
+            let excess_wait = (self.next_fallback_turn + 1).saturating_sub(now + self.pace.max_wait);
             self.overflow = Overflow {
                 count: self.requests.len().saturating_sub(turns) as u32,
-                retry_after: too_late_by.max(from_seconds(1.0 / self.pace.rate)),
+                retry_after: excess_wait.max(from_seconds(1.0 / self.pace.rate)),
             };
         }
         let Overflow { count, retry_after } = self.overflow;
@@ -385,15 +389,15 @@
             return None;
         }
         self.overflow.count -= 1;
-        // The youngest read without a turn, else whichever request is the youngest without one.
-        let mut youngest_first = (0..assigned.len()).rev().filter(|n| assigned[*n].is_none());
-        let youngest = youngest_first.clone().next();
-        let youngest_read = youngest_first.find(|n| self.requests[*n].urgent_by.is_none());
-        let refused = youngest_read.or(youngest)?;
+        // Prefer the newest read without a turn over the newest request of any kind without a turn.
+        let mut newest_first = (0..assigned.len()).rev().filter(|n| assigned[*n].is_none());
+        let newest = newest_first.clone().next();
+        let newest_read = newest_first.find(|n| self.requests[*n].urgent_by.is_none());
+        let refused = newest_read.or(newest)?;
         Some((self.requests.remove(refused).id, QueueOutcome::Refused { retry_after }))
     }
 
-    /// The first request goes on, without a turn. While the tenant is at full speed.
+    /// Releases the first request without a turn. To be called while the tenant is unthrottled.
     pub fn release_first(&mut self, now: Time) -> Option<u64> {
         self.drop_expired(now);
         (!self.requests.is_empty()).then(|| self.remove_request(now, 0))
@@ -406,20 +410,20 @@
         request.id
     }
 
-    /// The request that was to go on is gone: its turn is the next one's.
+    /// Gives the turn of a request that was cancelled after [`QueueOutcome::Proceed`] to the next request.
     pub fn return_turn(&mut self, now: Time) {
         if self.source != TurnSource::Unassigned {
             self.turns.push_front(now);
         }
     }
 
-    /// Drops requests whose time is up: they have been answered elsewhere.
+    /// Drops requests whose deadline has passed; they have been answered elsewhere.
     pub fn drop_expired(&mut self, now: Time) {
         self.requests.retain(|request| request.deadline > now);
     }
 
-    /// Turns of the gateway's own, of the fallback share of the pace.
-    fn mint_fallback_turns(&mut self, now: Time, gateway_count: u32) {
+    /// Adds turns from the gateway's fallback share of the pace, one for each request without a turn.
+    fn add_fallback_turns(&mut self, now: Time, gateway_count: u32) {
         let interval = from_seconds(f64::from(gateway_count) / self.pace.rate);
         while gateway_count > 0 && self.turns.len() + self.urgent_turns.len() < self.requests.len() {
             let at = self.next_fallback_turn.max(now);
@@ -431,19 +435,19 @@
         }
     }
 
-    /// When [`ThrottleQueue::next_outcome`] has something new to say, if nothing arrives.
+    /// Returns when [`ThrottleQueue::next_outcome`] should next be called if nothing arrives before.
     pub fn next_due(&self, now: Time, isolated_at: Time) -> Option<Time> {
         if self.requests.is_empty() {
             return None;
         }
-        // A turn that nobody needs is returned with the next request.
+        // Surplus turns are not considered here; they are returned with the next request.
         let next_turn = self.assign_turns().into_iter().flatten().min();
         let changes = [
-            self.full_speed_from,
-            self.full_speed_until,
+            self.unthrottled_from,
+            self.unthrottled_until,
             isolated_at,
-            isolated_at + TURNS_GOOD_WHEN_ISOLATED,
-            isolated_at + ISOLATION_GRACE,
+            isolated_at + ISOLATED_TURN_LIFETIME,
+            isolated_at + ISOLATION_REFUSAL_GRACE,
             self.throttled_since(now) + PHASE_NOTICE,
         ];
         let next_change = changes.into_iter().filter(|at| *at > now).min();
--- a/crates/common/quota/src/time.rs
+++ b/crates/common/quota/src/time.rs
@@ -1,6 +1,6 @@
-//! Time on the caller's steady clock, and its conversions.
+//! Monotonic time, as supplied by the caller, and its conversions.
 
-/// Nanoseconds on the caller's steady clock.
+/// Nanoseconds on the caller's monotonic clock.
 pub type Time = u64;
 
 pub(crate) const MS: Time = 1_000_000;
@@ -13,7 +13,7 @@
     (seconds.max(0.0) * 1e9) as Time
 }
 
-/// In microseconds, as messages say it; at most some 71 minutes.
+/// Converts to microseconds, the unit of messages. Saturates at about 71 minutes.
 pub(crate) fn to_micros(time: Time) -> u32 {
     u32::try_from(time / 1000).unwrap_or(u32::MAX)
 }
--- a/crates/common/quota/src/token_bucket.rs
+++ b/crates/common/quota/src/token_bucket.rs
@@ -1,4 +1,4 @@
-//! A tenant's bucket at the coordinator.
+//! A tenant's token bucket at the coordinator.
 
 use crate::decaying_rate::DecayingRate;
 use crate::lease::{TurnGrant, TurnRequest, UnitGrant, UnitRequest};
@@ -7,35 +7,35 @@
 use crate::time::{from_micros, from_seconds, to_micros, to_seconds, Time};
 use crate::trial_throttle::TrialThrottle;
 
-/// How long the meter remembers arrivals, in seconds.
+/// Averaging window of the arrival meter, in seconds.
 const ARRIVAL_WINDOW_S: f64 = 0.7;
-/// The most turns that are taken back at once.
+/// Maximum number of returned turns accepted per request.
 const MAX_RETURNED_TURNS: u32 = 1024;
-/// So many seconds' turns are granted at once, and one at least: who wants more asks again, 25 times a second, so that what
-/// many gateways ask for at the same moment is dealt out in turn.
+/// Turns granted per request, in seconds of the pace, but at least one turn. A gateway that needs more asks again, 25
+/// times per second, so that simultaneous requests of many gateways are served in turn.
 const TURN_BATCH_S: f64 = 0.06;
-/// The most that gateways may use beyond what the bucket holds, in seconds of the rate.
+/// Maximum use by gateways beyond the content of the bucket, in seconds of the rate.
 const MAX_DEBT_S: f64 = 1.0;
 
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     pub limit: Limit,
-    /// Below 0: silent gateways may have used more than the bucket held.
+    /// Units in the bucket. Negative if silent gateways may have used more than it held.
     pub level: f64,
-    /// Up to when it is filled.
+    /// When the bucket was last refilled.
     refilled: RefillTime,
-    /// Units a second that gateways which fell silent lately may go on with, beyond their fallback shares.
+    /// Units per second, beyond their fallback shares, at which recently silent gateways may continue.
     continued_rate: f64,
-    /// How many gateways these are.
+    /// Number of gateways that contribute to `continued_rate`.
     continuing_gateways: usize,
-    /// Requests a second that came past the refusal probability.
+    /// Requests per second not refused by probability.
     arrivals: DecayingRate,
-    /// Of a tenant with a trial.
+    /// Throttle of a tenant with a trial.
     pub throttle: Option<TrialThrottle>,
 }
 
 impl TokenBucket {
-    /// A bucket that holds `level` units.
+    /// Creates a bucket that holds `level` units.
     pub fn new(time: RefillTime, limit: Limit, level: f64) -> Self {
         TokenBucket {
             limit,
@@ -48,14 +48,15 @@
         }
     }
 
-    /// Whether the tenant's trial has expired, by the configuration and what is replicated.
-    pub fn is_trial_over(&self, is_expired: bool) -> bool {
+    /// Whether the tenant should be throttled: the configuration gives it a trial, and `is_expired`, which is
+    /// replicated.
+    pub fn should_throttle(&self, is_expired: bool) -> bool {
         self.limit.after_trial.is_some() && is_expired
     }
 
-    /// Fills the bucket with what no silent gateway may have been using until then. Since its last refill neither the limit
-    /// nor what is continued has changed; the part that fills it may have, so that it counts as filled first and used
-    /// afterwards, which never leaves more in it than any other order.
+    /// Refills the bucket with the units that no silent gateway may have used. Neither the limit nor the continued rate
+    /// has changed since the last refill, but the refill share may have. Therefore the whole refill is added before the
+    /// use is deducted, which never yields a higher level than any other order.
     pub fn refill(&mut self, time: RefillTime) {
         let elapsed = to_seconds(time.now.saturating_sub(self.refilled.now));
         let filled = self.limit.rate * (time.seconds - self.refilled.seconds);
@@ -64,35 +65,36 @@
         self.level = level.max(-self.max_debt());
     }
 
-    /// Units a second that gateways which fell silent lately may go on with, beyond their fallback shares.
+    /// Returns the units per second, beyond their fallback shares, at which recently silent gateways may continue.
     pub fn continued_rate(&self) -> f64 {
         self.continued_rate
     }
 
-    /// A gateway may go on with so many units a second from now on. The bucket is filled.
+    /// Adds a gateway that continues at `rate`. The bucket must be refilled.
     pub fn begin_continuation(&mut self, rate: f64) {
         self.continued_rate += rate;
         self.continuing_gateways += 1;
     }
 
-    /// A gateway does not go on with these units a second any more. The bucket is filled.
+    /// Removes a gateway that continued at `rate`. The bucket must be refilled.
     pub fn end_continuation(&mut self, rate: f64) {
         self.continuing_gateways = self.continuing_gateways.saturating_sub(1);
-        let rest = (self.continued_rate - rate).max(0.0);
-        self.continued_rate = if self.continuing_gateways > 0 { rest } else { 0.0 };
+        let remaining_rate = (self.continued_rate - rate).max(0.0);
+        self.continued_rate = if self.continuing_gateways > 0 { remaining_rate } else { 0.0 };
     }
 
-    /// No gateway goes on. The bucket is filled.
+    /// Removes all continuing gateways. The bucket must be refilled.
     pub fn end_all_continuations(&mut self) {
         (self.continued_rate, self.continuing_gateways) = (0.0, 0);
     }
 
-    /// How far below 0 the level may go.
+    /// Returns how far below 0 the level may fall.
     fn max_debt(&self) -> f64 {
         self.limit.burst.max(self.limit.rate * MAX_DEBT_S)
     }
 
-    /// Grants as many units as are there; none to a throttled tenant, whose requests need turns. The bucket is filled.
+    /// Grants the available units, up to the number requested. A throttled tenant gets none, because its requests need
+    /// turns. The bucket must be refilled.
     pub fn grant_units(&mut self, now: Time, request: &UnitRequest) -> UnitGrant {
         self.arrivals.record(now, request.arrivals);
         self.level = (self.level + f64::from(request.returned)).min(self.limit.burst);
@@ -108,8 +110,8 @@
         }
     }
 
-    /// Grants the next turns, as many as are wanted and come within the maximum wait, of the available share of the pace. The
-    /// bucket is filled.
+    /// Grants the next turns, up to the number requested, that fall within the maximum wait. `share` is the available
+    /// fraction of the pace. The bucket must be refilled.
     pub fn grant_turns(
         &mut self,
         now: Time,
@@ -134,31 +136,35 @@
         self.level = (self.level + f64::from(returned)).min(self.limit.burst);
         let max_turns = (pace.rate * TURN_BATCH_S).ceil() as usize;
         throttle.fairness.record_demand(now, gateway, request.urgent + request.reads);
-        // Urgent work first.
-        let urgent_first = (0..request.urgent).map(|_| true).chain((0..request.reads).map(|_| false));
-        for is_urgent in urgent_first.take(max_turns) {
-            let next = throttle.next_turn.max(now);
-            let goes_ahead = is_urgent && next - now > from_micros(request.slack_us);
-            let mut at = if goes_ahead { throttle.next_urgent_turn.max(now) } else { next };
-            // A turn is charged to the bucket like a unit; one that is not there yet is waited for.
+        // Urgent work comes first.
+        let urgency_order = (0..request.urgent).map(|_| true).chain((0..request.reads).map(|_| false));
+        for is_urgent in urgency_order.take(max_turns) {
+            let next_regular_turn = throttle.next_turn.max(now);
+            let is_expedited = is_urgent && next_regular_turn - now > from_micros(request.slack_us);
+            let mut turn_at =
+                if is_expedited { throttle.next_urgent_turn.max(now) } else { next_regular_turn };
+            // Each turn is charged to the bucket like a unit. If the bucket has none, the turn is delayed until it
+            // does.
             if self.limit.rate > 0.0 && self.level < 1.0 {
-                at = at.max(now + from_seconds((1.0 - self.level) / (self.limit.rate * share)));
+                turn_at = turn_at.max(now + from_seconds((1.0 - self.level) / (self.limit.rate * share)));
             }
-            let furthest = now + 2 * pace.max_wait;
-            let is_anothers = !goes_ahead && !throttle.fairness.is_next(now, gateway);
-            if is_anothers || at > now + pace.max_wait || next > furthest {
-                let too_late_by = at.saturating_sub(now + pace.max_wait).max(next.saturating_sub(furthest));
-                grant.retry_after_us = Some(to_micros(too_late_by.max(interval)));
+            let max_next_turn = now + 2 * pace.max_wait;
+            let yields_to_other = !is_expedited && !throttle.fairness.is_next(now, gateway);
+            if yields_to_other || turn_at > now + pace.max_wait || next_regular_turn > max_next_turn {
+                let excess_wait = turn_at
+                    .saturating_sub(now + pace.max_wait)
+                    .max(next_regular_turn.saturating_sub(max_next_turn));
+                grant.retry_after_us = Some(to_micros(excess_wait.max(interval)));
                 break;
             }
-            if goes_ahead {
-                throttle.next_urgent_turn = at + interval;
+            if is_expedited {
+                throttle.next_urgent_turn = turn_at + interval;
             }
-            throttle.next_turn = next + interval;
+            throttle.next_turn = next_regular_turn + interval;
             throttle.fairness.on_granted(now, gateway);
             self.level -= 1.0;
             let turns = if is_urgent { &mut grant.urgent_us } else { &mut grant.after_us };
-            turns.push(to_micros(at - now));
+            turns.push(to_micros(turn_at - now));
         }
         throttle.fairness.on_answered(now, gateway, grant.retry_after_us.is_some());
         grant.urgent_us.sort_unstable();
--- a/crates/common/quota/src/trial_throttle.rs
+++ b/crates/common/quota/src/trial_throttle.rs
@@ -1,4 +1,5 @@
-//! A tenant with a trial at the coordinator: whether it is throttled, and the one sequence of turns over all gateways.
+//! Throttle of a tenant with a trial, at the coordinator: its phase, and the single sequence of turns over all
+//! gateways.
 
 use crate::lease::{TrialPhase, TurnRequest};
 use crate::limit::TrialPace;
@@ -7,16 +8,16 @@
 use crate::PHASE_NOTICE;
 use std::collections::BTreeMap;
 
-/// What a gateway said last of a throttled tenant.
+/// A gateway's latest report on its queue of a throttled tenant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayQueue {
-    /// The gateway's name.
+    /// Name of the gateway.
     pub name: String,
-    /// When it said so.
+    /// When the report was received.
     pub last_heard: Time,
-    /// How many requests wait there.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// How long requests that went lately had waited, on average, in microseconds.
+    /// Mean time that recently dequeued requests waited, in microseconds.
     pub mean_wait_us: u32,
 }
 
@@ -24,25 +25,25 @@
 pub(crate) struct TrialThrottle {
     pub pace: TrialPace,
     pub throttled: bool,
-    /// When that changes, once it is announced.
-    pub changes_at: Option<Time>,
-    /// When the next turn is free.
+    /// When `throttled` changes, if a change has been announced.
+    pub phase_change_at: Option<Time>,
+    /// Earliest time of the next turn.
     pub next_turn: Time,
-    /// When the next turn for urgent work is free.
+    /// Earliest time of the next turn for urgent work.
     pub next_urgent_turn: Time,
-    /// Whose turn is next when there are too few.
+    /// Selects the next gateway when there are too few turns.
     pub fairness: TurnFairness,
-    /// By gateway.
+    /// Latest queue report of each gateway.
     pub gateways: BTreeMap<String, GatewayQueue>,
 }
 
 impl TrialThrottle {
-    /// A throttle without a change announced.
+    /// Creates a throttle without an announced change.
     pub fn new(now: Time, pace: TrialPace, throttled: bool) -> Self {
         TrialThrottle {
             pace,
             throttled,
-            changes_at: None,
+            phase_change_at: None,
             next_turn: now,
             next_urgent_turn: now,
             fairness: TurnFairness::default(),
@@ -50,30 +51,31 @@
         }
     }
 
-    /// Makes a change that was announced, whatever came since; the way back follows behind it. Both count from when they
-    /// were due: where no gateway has asked since, none has been told anything either.
-    pub fn advance(&mut self, now: Time, is_over: bool) {
-        while let Some(at) = self.changes_at.filter(|at| now >= *at) {
+    /// Applies an announced change that is due, even if the target state has changed since; the change back is
+    /// announced to follow it. Both are timed from when they were due: if no gateway has sent a request since, none has
+    /// received an announcement either.
+    pub fn advance(&mut self, now: Time, should_throttle: bool) {
+        while let Some(at) = self.phase_change_at.filter(|at| now >= *at) {
             self.throttled = !self.throttled;
-            self.changes_at = (self.throttled != is_over).then_some(at + PHASE_NOTICE);
+            self.phase_change_at = (self.throttled != should_throttle).then_some(at + PHASE_NOTICE);
         }
-        if self.throttled != is_over && self.changes_at.is_none() {
-            self.changes_at = Some(now + PHASE_NOTICE);
+        if self.throttled != should_throttle && self.phase_change_at.is_none() {
+            self.phase_change_at = Some(now + PHASE_NOTICE);
         }
     }
 
-    /// What gateways are told.
+    /// Returns the phase to send to gateways.
     pub fn announcement(&self, now: Time, tenant: &str) -> TrialPhase {
         TrialPhase {
             tenant: tenant.into(),
             throttled: self.throttled,
-            changes_in_us: self.changes_at.map(|at| to_micros(at.saturating_sub(now))),
+            changes_in_us: self.phase_change_at.map(|at| to_micros(at.saturating_sub(now))),
             rate: self.pace.rate,
             max_wait_us: to_micros(self.pace.max_wait),
         }
     }
 
-    /// A gateway says how many requests wait there.
+    /// Records a gateway's queue report.
     pub fn record_queue(&mut self, now: Time, gateway: &str, request: &TurnRequest) {
         let queue = GatewayQueue {
             name: gateway.to_string(),
--- a/crates/common/quota/src/turn_fairness.rs
+++ b/crates/common/quota/src/turn_fairness.rs
@@ -1,23 +1,23 @@
-//! Which gateway gets the next turn when there are fewer turns than requests: start-time fair queueing over gateways, each
-//! weighted by how many of its requests ask for turns. Without it whichever gateway asks first behind each turn that becomes
-//! free gets all of them, since gateways ask at regular intervals.
+//! Start-time fair queueing of turns over gateways, used when there are fewer turns than requests. Each gateway is
+//! weighted by the number of its requests that need turns. Without it, the first gateway to ask after each turn becomes
+//! free would get all of them, because gateways ask at regular intervals.
 
 use crate::decaying_rate::DecayingRate;
 use crate::time::{Time, MS};
 use std::collections::BTreeMap;
 
-/// How long a gateway's demand for turns is remembered, in seconds.
+/// Averaging window of a gateway's demand for turns, in seconds.
 const DEMAND_WINDOW_S: f64 = 1.0;
-/// A gateway that was denied a turn counts as waiting for one for so long: three of its intervals between requests.
+/// Time for which a gateway that was denied a turn counts as waiting for one: three of its request intervals.
 const DENIED_TIMEOUT: Time = 120 * MS;
-/// So that a turn is divided by safely; a gateway with less demand is forgotten.
+/// Lower bound, in requests per second, for demand used as a divisor. Gateways with less demand are dropped.
 const MIN_DEMAND: f64 = 0.1;
 
 #[derive(Clone, Debug)]
 struct GatewayDemand {
-    /// Requests a second that ask for turns.
+    /// Requests per second that need turns.
     demand: DecayingRate,
-    /// Rises by 1 ÷ demand with each turn: the gateway with the lowest is the next.
+    /// Advances by 1 ÷ demand with each turn. The gateway with the lowest virtual time is next.
     virtual_time: f64,
     denied_at: Option<Time>,
 }
@@ -28,16 +28,16 @@
     }
 }
 
-/// A throttled tenant's turns, dealt out to gateways by their demand.
+/// Distributes a throttled tenant's turns over gateways by their demand.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TurnFairness {
     gateways: BTreeMap<String, GatewayDemand>,
 }
 
 impl TurnFairness {
-    /// So many requests of a gateway ask for turns.
+    /// Records that `requests` requests of a gateway need turns.
     pub fn record_demand(&mut self, now: Time, gateway: &str, requests: u32) {
-        let least_waiting = self.least_waiting(now, gateway);
+        let min_waiting_virtual_time = self.min_waiting_virtual_time(now, gateway);
         if !self.gateways.contains_key(gateway) {
             self.gateways.retain(|_, other| other.demand.at(now) >= MIN_DEMAND);
         }
@@ -47,32 +47,33 @@
             denied_at: None,
         });
         demand.demand.record(now, requests);
-        if let Some(least) = least_waiting.filter(|_| !demand.is_waiting(now)) {
-            // What it did not ask for meanwhile is not made up for.
-            demand.virtual_time = demand.virtual_time.max(least);
+        if let Some(min_virtual_time) = min_waiting_virtual_time.filter(|_| !demand.is_waiting(now)) {
+            // A gateway gets no credit for the time in which it did not ask.
+            demand.virtual_time = demand.virtual_time.max(min_virtual_time);
         }
     }
 
-    /// The lowest virtual time of the other gateways that wait for a turn.
-    fn least_waiting(&self, now: Time, gateway: &str) -> Option<f64> {
+    /// Returns the lowest virtual time of the other gateways waiting for a turn.
+    fn min_waiting_virtual_time(&self, now: Time, gateway: &str) -> Option<f64> {
         let others = self.gateways.iter().filter(|(name, other)| *name != gateway && other.is_waiting(now));
         others.map(|(_, other)| other.virtual_time).reduce(f64::min)
     }
 
-    /// Whether no other gateway that waits for a turn comes before this one.
+    /// Whether no other gateway waiting for a turn precedes this one.
     pub fn is_next(&self, now: Time, gateway: &str) -> bool {
-        let own = self.gateways.get(gateway).map_or(0.0, |demand| demand.virtual_time);
-        self.least_waiting(now, gateway).is_none_or(|least| own <= least)
+        let own_virtual_time = self.gateways.get(gateway).map_or(0.0, |demand| demand.virtual_time);
+        self.min_waiting_virtual_time(now, gateway)
+            .is_none_or(|min_virtual_time| own_virtual_time <= min_virtual_time)
     }
 
-    /// A gateway is granted a turn.
+    /// Records a turn granted to a gateway.
     pub fn on_granted(&mut self, now: Time, gateway: &str) {
         if let Some(demand) = self.gateways.get_mut(gateway) {
             demand.virtual_time += 1.0 / demand.demand.at(now).max(MIN_DEMAND);
         }
     }
 
-    /// There was no turn for some of a gateway's requests, or there was one for each.
+    /// Records whether some of a gateway's requests were denied a turn.
     pub fn on_answered(&mut self, now: Time, gateway: &str, was_denied: bool) {
         if let Some(demand) = self.gateways.get_mut(gateway) {
             demand.denied_at = was_denied.then_some(now);
