--- a/crates/common/quota/src/quota_client.rs
+++ b/crates/common/quota/src/quota_client.rs
@@ -54,7 +54,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct SentRequest {
+struct InFlightRequest {
     number: u64,
     sent_at: Time,
 }
@@ -71,13 +71,13 @@
     /// When the latest answered request was sent.
     last_contact: Option<Time>,
     coordinator: CurrentCoordinator,
-    last_request: u64,
+    last_request_number: u64,
     /// Number of the latest answered request.
-    last_answered: u64,
+    last_answered_number: u64,
     last_sent_at: Option<Time>,
-    sent: VecDeque<SentRequest>,
+    in_flight: VecDeque<InFlightRequest>,
     next_request_at: Time,
-    request_pending: bool,
+    send_immediately: bool,
     counts: AdmissionCounts,
 }
 
@@ -91,12 +91,12 @@
             fallback_lifetime: FALLBACK_LIFETIME,
             last_contact: None,
             coordinator: CurrentCoordinator::default(),
-            last_request: 0,
-            last_answered: 0,
+            last_request_number: 0,
+            last_answered_number: 0,
             last_sent_at: None,
-            sent: VecDeque::new(),
+            in_flight: VecDeque::new(),
             next_request_at: now,
-            request_pending: false,
+            send_immediately: false,
             counts: AdmissionCounts::default(),
         }
     }
@@ -206,7 +206,7 @@
             return Decision::Refused { retry_after: retry_after(&quota.limit, 0.0) };
         }
         quota.waiting += 1;
-        self.request_pending = !is_isolated;
+        self.send_immediately = !is_isolated;
         let retry_at = if is_isolated { now + ISOLATED_RETRY_INTERVAL } else { isolated_at.max(now + MS) };
         Decision::Wait { until: retry_at.min(deadline) }
     }
@@ -228,7 +228,7 @@
         if !queue.enqueue(request) {
             return Err(queue.pace.max_wait);
         }
-        self.request_pending = true;
+        self.send_immediately = true;
         Ok(())
     }
 
@@ -270,14 +270,14 @@
 
     /// Returns when [`QuotaClient::next_request`] is next due.
     pub fn next_due(&self) -> Time {
-        let wanted_at = if self.request_pending { 0 } else { self.next_request_at };
+        let wanted_at = if self.send_immediately { 0 } else { self.next_request_at };
         wanted_at.max(self.earliest_request_at())
     }
 
     /// Returns the earliest time of the next request. While the coordinator is late, it gets no more requests than from
     /// an idle gateway.
     fn earliest_request_at(&self) -> Time {
-        let interval = match self.last_request - self.last_answered {
+        let interval = match self.last_request_number - self.last_answered_number {
             0 => 0,
             1 => URGENT_REQUEST_INTERVAL,
             _ => REQUEST_INTERVAL,
@@ -290,7 +290,7 @@
         if now < self.next_due() {
             return None;
         }
-        let number = self.last_request + 1;
+        let number = self.last_request_number + 1;
         let mut request = LeaseRequest { number, ..LeaseRequest::default() };
         let mut has_waiting_requests = false;
         for (tenant, quota) in &mut self.tenants {
@@ -306,13 +306,13 @@
             request.units.extend(quota.unit_request(now, tenant, waiting));
         }
         self.counts.lease_requests += 1;
-        self.last_request = number;
+        self.last_request_number = number;
         self.last_sent_at = Some(now);
-        self.sent.push_back(SentRequest { number, sent_at: now });
-        if self.sent.len() > MAX_TRACKED_REQUESTS {
-            self.sent.pop_front();
+        self.in_flight.push_back(InFlightRequest { number, sent_at: now });
+        if self.in_flight.len() > MAX_TRACKED_REQUESTS {
+            self.in_flight.pop_front();
         }
-        self.request_pending = false;
+        self.send_immediately = false;
         self.next_request_at =
             now + if has_waiting_requests { URGENT_REQUEST_INTERVAL } else { REQUEST_INTERVAL };
         Some(request)
@@ -321,9 +321,11 @@
     /// Applies the coordinator's answer. Returns whether a waiting request may proceed.
     pub fn on_grant(&mut self, now: Time, grant: &LeaseGrant) -> bool {
         // If the request is no longer tracked, the grant in its answer has expired.
-        let Some(n) = self.sent.iter().position(|sent| sent.number == grant.number) else { return false };
-        let Some(SentRequest { sent_at, .. }) = self.sent.remove(n) else { return false };
-        self.last_answered = self.last_answered.max(grant.number);
+        let Some(index) = self.in_flight.iter().position(|request| request.number == grant.number) else {
+            return false;
+        };
+        let Some(InFlightRequest { sent_at, .. }) = self.in_flight.remove(index) else { return false };
+        self.last_answered_number = self.last_answered_number.max(grant.number);
         let round_trip = now.saturating_sub(sent_at);
         self.counts.lease_grants += 1;
         self.counts.late_grants += u64::from(round_trip >= ISOLATION_TIMEOUT);
--- a/crates/common/quota/src/throttle_queue.rs
+++ b/crates/common/quota/src/throttle_queue.rs
@@ -240,9 +240,10 @@
             Some(by) => at.is_none_or(|at| at > by && now < by),
             None => at.is_none(),
         };
-        let lacking = self.requests.iter().zip(&assigned).filter(lacks_turn).map(|(request, _)| request);
+        let requests_without_turn =
+            self.requests.iter().zip(&assigned).filter(lacks_turn).map(|(request, _)| request);
         let (urgent, reads): (Vec<&QueuedRequest>, Vec<&QueuedRequest>) =
-            lacking.partition(|request| request.urgent_by.is_some());
+            requests_without_turn.partition(|request| request.urgent_by.is_some());
         let earliest_urgent_by = urgent.iter().filter_map(|request| request.urgent_by).min();
         let slack = earliest_urgent_by.unwrap_or(now).saturating_sub(now);
         let requested_reads: u32 = self.outstanding.iter().map(|request| request.reads).sum();
@@ -292,10 +293,10 @@
             self.returned += granted;
             return;
         };
-        let by_kind = [(&mut self.turns, &grant.after_us), (&mut self.urgent_turns, &grant.urgent_us)];
-        for (held, granted) in by_kind {
-            held.extend(granted.iter().map(|us| now + from_micros(*us)));
-            held.make_contiguous().sort_unstable();
+        let turns_by_kind = [(&mut self.turns, &grant.after_us), (&mut self.urgent_turns, &grant.urgent_us)];
+        for (turns, granted) in turns_by_kind {
+            turns.extend(granted.iter().map(|us| now + from_micros(*us)));
+            turns.make_contiguous().sort_unstable();
         }
         if let Some(us) = grant.retry_after_us {
             let count = (reads + urgent).saturating_sub(granted);
@@ -334,11 +335,11 @@
             }
         }
         for is_urgent in [true, false] {
-            let held = if is_urgent { &mut self.urgent_turns } else { &mut self.turns };
-            let due = held.front().copied().filter(|at| *at <= now);
+            let turns = if is_urgent { &mut self.urgent_turns } else { &mut self.turns };
+            let due = turns.front().copied().filter(|at| *at <= now);
             let request = due.and_then(|at| assigned.iter().position(|assigned| *assigned == Some(at)));
             if let Some(request) = request {
-                held.pop_front();
+                turns.pop_front();
                 return Some((self.remove_request(now, request), QueueOutcome::Proceed));
             }
         }
--- a/crates/common/quota/src/turn_assignment.rs
+++ b/crates/common/quota/src/turn_assignment.rs
@@ -17,10 +17,10 @@
 /// of reads if that lets it meet the target.
 pub(crate) fn assign_turns(requests: &[QueuedRequest], held: &HeldTurns<'_>) -> Vec<Option<Time>> {
     let mut assigned = vec![None; requests.len()];
-    let is_urgent = |n: &usize| requests[*n].urgent_by.is_some();
+    let is_urgent = |index: &usize| requests[*index].urgent_by.is_some();
     let (urgent, mut remaining): (Vec<usize>, Vec<usize>) = (0..requests.len()).partition(is_urgent);
-    for (n, turn_at) in urgent.iter().zip(held.urgent) {
-        assigned[*n] = Some(*turn_at);
+    for (index, turn_at) in urgent.iter().zip(held.urgent) {
+        assigned[*index] = Some(*turn_at);
     }
     let urgent_without_turn = urgent.iter().skip(held.urgent.len());
     let surplus_urgent_turns = held.urgent.iter().skip(urgent.len());
@@ -32,21 +32,21 @@
     turns.sort_unstable();
     // Common case: no request goes ahead of another, so that even a queue of a thousand requests is scanned only once.
     if !remaining.iter().any(is_urgent) {
-        remaining.iter().zip(turns).for_each(|(n, turn_at)| assigned[*n] = Some(turn_at));
+        remaining.iter().zip(turns).for_each(|(index, turn_at)| assigned[*index] = Some(turn_at));
         return assigned;
     }
-    for (turn, turn_at) in turns.iter().enumerate() {
+    for (turn_index, turn_at) in turns.iter().enumerate() {
         // The request would be late in order of arrival but not with this turn.
-        let should_expedite = |(position, n): (usize, &usize)| {
-            let fifo_turn = turns.get(turn + position);
-            let urgent_by = requests[*n].urgent_by;
+        let should_expedite = |(position, index): (usize, &usize)| {
+            let fifo_turn = turns.get(turn_index + position);
+            let urgent_by = requests[*index].urgent_by;
             urgent_by.is_some_and(|urgent_by| {
                 *turn_at <= urgent_by && fifo_turn.is_none_or(|fifo_turn| *fifo_turn > urgent_by)
             })
         };
-        let next = remaining.iter().enumerate().position(should_expedite).unwrap_or(0);
-        if next < remaining.len() {
-            assigned[remaining.remove(next)] = Some(*turn_at);
+        let next_position = remaining.iter().enumerate().position(should_expedite).unwrap_or(0);
+        if next_position < remaining.len() {
+            assigned[remaining.remove(next_position)] = Some(*turn_at);
         }
     }
     assigned
--- a/crates/common/quota/src/turn_fairness.rs
+++ b/crates/common/quota/src/turn_fairness.rs
@@ -41,15 +41,15 @@
         if !self.gateways.contains_key(gateway) {
             self.gateways.retain(|_, other| other.demand.at(now) >= MIN_DEMAND);
         }
-        let demand = self.gateways.entry(gateway.to_string()).or_insert_with(|| GatewayDemand {
+        let state = self.gateways.entry(gateway.to_string()).or_insert_with(|| GatewayDemand {
             demand: DecayingRate::new(now, DEMAND_WINDOW_S),
             virtual_time: 0.0,
             denied_at: None,
         });
-        demand.demand.record(now, requests);
-        if let Some(min_virtual_time) = min_waiting_virtual_time.filter(|_| !demand.is_waiting(now)) {
+        state.demand.record(now, requests);
+        if let Some(min_virtual_time) = min_waiting_virtual_time.filter(|_| !state.is_waiting(now)) {
             // A gateway gets no credit for the time in which it did not ask.
-            demand.virtual_time = demand.virtual_time.max(min_virtual_time);
+            state.virtual_time = state.virtual_time.max(min_virtual_time);
         }
     }
 
@@ -61,22 +61,22 @@
 
     /// Whether no other gateway waiting for a turn precedes this one.
     pub fn is_next(&self, now: Time, gateway: &str) -> bool {
-        let own_virtual_time = self.gateways.get(gateway).map_or(0.0, |demand| demand.virtual_time);
+        let own_virtual_time = self.gateways.get(gateway).map_or(0.0, |state| state.virtual_time);
         self.min_waiting_virtual_time(now, gateway)
             .is_none_or(|min_virtual_time| own_virtual_time <= min_virtual_time)
     }
 
     /// Records a turn granted to a gateway.
     pub fn on_granted(&mut self, now: Time, gateway: &str) {
-        if let Some(demand) = self.gateways.get_mut(gateway) {
-            demand.virtual_time += 1.0 / demand.demand.at(now).max(MIN_DEMAND);
+        if let Some(state) = self.gateways.get_mut(gateway) {
+            state.virtual_time += 1.0 / state.demand.at(now).max(MIN_DEMAND);
         }
     }
 
     /// Records whether some of a gateway's requests were denied a turn.
     pub fn on_answered(&mut self, now: Time, gateway: &str, was_denied: bool) {
-        if let Some(demand) = self.gateways.get_mut(gateway) {
-            demand.denied_at = was_denied.then_some(now);
+        if let Some(state) = self.gateways.get_mut(gateway) {
+            state.denied_at = was_denied.then_some(now);
         }
     }
 }
