--- a/crates/common/quota/tests/worst_case.rs
+++ b/crates/common/quota/tests/worst_case.rs
@@ -1,6 +1,6 @@
-//! The hard bound on a tenant's requests, `(rate × 5 s + burst) × 1.1` in any five seconds, against drawn worst cases: a
-//! flood on a full bucket, through few gateways, while gateways are cut off one way or both and coordinators change. The
-//! operators bear 20 requests more, which are left out here.
+//! Hard bound on a tenant's requests, `(rate × 5 s + burst) × 1.1` in any five seconds, against randomized worst cases:
+//! a flood on a full bucket through few gateways, while gateways are cut off in one or both directions and coordinators
+//! change. The operators tolerate 20 more requests; this test does not.
 
 use fastrand::Rng;
 use quota::{Decision, Limit, PreviousCoordinator, QuotaClient, QuotaCoordinator, Time};
@@ -9,37 +9,37 @@
 
 const STEP: Time = 10_000_000;
 const STEPS_PER_SECOND: u64 = 100;
-/// A leader that is handed over to by name follows the one before at once.
+/// After a leadership transfer to a named node, the new leader follows the previous one immediately.
 const MIN_FAILOVER_STEPS: u64 = 1;
-/// A process that has just started, and has seen no leader, is elected no sooner.
+/// A process that has just started and has seen no leader is not elected before this time.
 const ELECTION_TIMEOUT_STEPS: u64 = 50;
 const WINDOW_STEPS: usize = 5 * STEPS_PER_SECOND as usize;
 const RATE: f64 = 100.0;
-/// The flood, as a multiple of the rate.
-const FLOOD: f64 = 8.0;
-/// Schedules drawn.
+/// Rate of the flood, as a multiple of the tenant's rate.
+const FLOOD_RATIO: f64 = 8.0;
+/// Number of random schedules.
 const SEEDS: u64 = 300;
 
-/// One drawn schedule, in steps.
+/// A random schedule, in steps.
 #[derive(Debug)]
 struct Schedule {
     burst: f64,
     gateways: usize,
     flood_from: u64,
-    /// The gateway that the flood comes through, from each of these moments on.
+    /// Gateways that receive the flood, each from the given step on.
     flood_moves: Vec<(u64, usize)>,
     /// Gateways that cannot reach the coordinator.
     cuts: Vec<(usize, Range<u64>)>,
-    /// Gateways that reach the coordinator and do not hear it.
+    /// Gateways whose requests reach the coordinator but whose answers are lost.
     lost_answers: Vec<(usize, Range<u64>)>,
-    /// Requests come through all gateways alike, and not beyond each one's fallback share.
+    /// Whether the other gateways also receive requests, evenly and within their fallback shares.
     is_spread: bool,
-    /// Times without a coordinator, each ended by a new one.
+    /// Spans without a coordinator, each ended by a new one.
     failovers: Vec<Range<u64>>,
 }
 
 impl Schedule {
-    fn draw(rng: &mut Rng) -> Schedule {
+    fn random(rng: &mut Rng) -> Schedule {
         let gateways = [2, 6, 12][rng.usize(..3)];
         let flood_from = 250 + rng.u64(..50);
         let mut at = flood_from;
@@ -48,7 +48,7 @@
         for _ in 0..rng.usize(..5) {
             at += rng.u64(10..200);
             let current = flood_moves.last().map_or(0, |(_, gateway)| *gateway);
-            // The gateway that serves the flood loses the coordinator, and the flood goes to another one as well.
+            // The gateway that receives the flood loses the coordinator, and the flood also moves to another gateway.
             cuts.push((current, at..at + rng.u64(30..400)));
             flood_moves.push((at, rng.usize(..gateways)));
         }
@@ -73,11 +73,12 @@
     }
 
     fn serves_flood(&self, step: u64, gateway: usize) -> bool {
-        // Clients of a gateway that is cut off stay with it: whoever served the flood before goes on being asked.
-        self.flood_moves.iter().any(|(from, hot)| *from <= step && *hot == gateway)
+        // Clients stay with a gateway that is cut off, so gateways that received the flood earlier continue to receive
+        // it.
+        self.flood_moves.iter().any(|(from, flooded)| *from <= step && *flooded == gateway)
     }
 
-    /// Requests that arrive at a gateway in one step.
+    /// Returns the number of requests that arrive at a gateway in one step.
     fn arrivals(&self, rng: &mut Rng, step: u64, gateway: usize) -> usize {
         let mut per_step = |rate: f64| {
             let whole = rate / STEPS_PER_SECOND as f64;
@@ -86,7 +87,7 @@
         if step < self.flood_from {
             0
         } else if self.serves_flood(step, gateway) {
-            per_step(RATE * FLOOD)
+            per_step(RATE * FLOOD_RATIO)
         } else if self.is_spread {
             per_step(RATE / self.gateways as f64)
         } else {
@@ -98,13 +99,13 @@
         spans.iter().any(|(affected, span)| *affected == gateway && span.contains(&step))
     }
 
-    /// How many requests pass in each step.
-    fn play(&self, rng: &mut Rng) -> Vec<u32> {
+    /// Returns the number of requests admitted in each step.
+    fn run(&self, rng: &mut Rng) -> Vec<u32> {
         let names: BTreeSet<String> = (0..self.gateways).map(|gateway| format!("g{gateway}")).collect();
         let limits = BTreeMap::from([("t".to_string(), Limit::new(RATE, self.burst))]);
-        let nothing = BTreeSet::new();
+        let no_expired_trials = BTreeSet::new();
         let mut coordinator =
-            QuotaCoordinator::new(0, 1, PreviousCoordinator::LongAgo, &limits, &nothing, &names);
+            QuotaCoordinator::new(0, 1, PreviousCoordinator::LongAgo, &limits, &no_expired_trials, &names);
         let mut coordinator_since = 0;
         let mut clients: Vec<QuotaClient> = (0..self.gateways).map(|_| QuotaClient::new(0)).collect();
         for client in &mut clients {
@@ -125,7 +126,8 @@
                 } else {
                     PreviousCoordinator::from_age(now - coordinator_since)
                 };
-                coordinator = QuotaCoordinator::new(now, step + 2, previous, &limits, &nothing, &names);
+                coordinator =
+                    QuotaCoordinator::new(now, step + 2, previous, &limits, &no_expired_trials, &names);
                 coordinator_since = now;
             }
             let has_coordinator = !self.failovers.iter().any(|span| span.contains(&step));
@@ -133,20 +135,20 @@
             for (gateway, client) in clients.iter_mut().enumerate() {
                 let mut attempts: Vec<Option<Time>> = waiting[gateway].drain(..).map(Some).collect();
                 attempts.extend((0..self.arrivals(rng, step, gateway)).map(|_| None));
-                for since in attempts {
-                    match client.acquire(now, "t", rng.f64(), since) {
+                for waiting_since in attempts {
+                    match client.acquire(now, "t", rng.f64(), waiting_since) {
                         Decision::Granted => passed_now += 1,
                         Decision::Refused { .. } => {}
-                        Decision::Wait { .. } => waiting[gateway].push(since.unwrap_or(now)),
+                        Decision::Wait { .. } => waiting[gateway].push(waiting_since.unwrap_or(now)),
                         Decision::Throttled { .. } => unreachable!("the tenant has no trial"),
                     }
                 }
-                let is_reached = has_coordinator && !Self::covers(&self.cuts, step, gateway);
-                let hears = !Self::covers(&self.lost_answers, step, gateway);
-                if let Some(request) = client.next_request(now).filter(|_| is_reached) {
+                let reaches_coordinator = has_coordinator && !Self::covers(&self.cuts, step, gateway);
+                let receives_answers = !Self::covers(&self.lost_answers, step, gateway);
+                if let Some(request) = client.next_request(now).filter(|_| reaches_coordinator) {
                     let grant = coordinator.grant(now, &format!("g{gateway}"), &request);
                     let grant = grant.expect("the gateway is known");
-                    let _ = hears && client.on_grant(now, &grant);
+                    let _ = receives_answers && client.on_grant(now, &grant);
                 }
             }
             passed.push(passed_now);
@@ -155,7 +157,7 @@
     }
 }
 
-fn most_in_a_window(passed: &[u32]) -> f64 {
+fn max_in_window(passed: &[u32]) -> f64 {
     passed.windows(WINDOW_STEPS).map(|window| f64::from(window.iter().sum::<u32>())).fold(0.0, f64::max)
 }
 
@@ -164,11 +166,11 @@
     let mut worst = (0.0, 0);
     for seed in 0..SEEDS {
         let mut rng = Rng::with_seed(seed);
-        let schedule = Schedule::draw(&mut rng);
-        let most = most_in_a_window(&schedule.play(&mut rng));
+        let schedule = Schedule::random(&mut rng);
+        let max_admitted = max_in_window(&schedule.run(&mut rng));
         let bound = (RATE * 5.0 + schedule.burst) * 1.1;
-        if most / bound > worst.0 {
-            worst = (most / bound, seed);
+        if max_admitted / bound > worst.0 {
+            worst = (max_admitted / bound, seed);
         }
     }
     assert!(worst.0 <= 1.0, "seed {}: {:.3} of the bound", worst.1, worst.0);
