--- a/crates/common/quota/src/quota_client.rs
+++ b/crates/common/quota/src/quota_client.rs
@@ -321,10 +321,10 @@
     /// Applies the coordinator's answer. Returns whether a waiting request may proceed.
     pub fn on_grant(&mut self, now: Time, grant: &LeaseGrant) -> bool {
         // If the request is no longer tracked, the grant in its answer has expired.
-        let Some(n) = self.in_flight.iter().position(|sent| sent.number == grant.number) else {
+        let Some(index) = self.in_flight.iter().position(|sent| sent.number == grant.number) else {
             return false;
         };
-        let Some(InFlightRequest { sent_at, .. }) = self.in_flight.remove(n) else { return false };
+        let Some(InFlightRequest { sent_at, .. }) = self.in_flight.remove(index) else { return false };
         self.last_answered_number = self.last_answered_number.max(grant.number);
         let round_trip = now.saturating_sub(sent_at);
         self.counts.lease_grants += 1;
