--- a/crates/common/quota/src/stats.rs
+++ b/crates/common/quota/src/stats.rs
@@ -54,7 +54,7 @@
             self;
         write!(
             f,
-            "{silent} of {gateways} gateways silent, {recently_silent} of them recently; {:.0}% of the rates kept back; \
+            "{silent} of {gateways} gateways silent, {recently_silent} of them lately; {:.0}% of the rates kept back; \
              {empty_buckets} of {buckets} buckets empty",
             reserved_share * 100.0
         )
@@ -99,7 +99,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} by granted units, {} by the fallback share; refused: {} by probability, {} without a unit, {} while \
+            "{} by granted units, {} by the fallback share; refused: {} by probability, {} for want of a unit, {} while \
              isolated; lease requests: {} of {} answered, {} late, the slowest after {} ms",
             self.granted,
             self.fallback,
