--- a/crates/control/control-node/src/change_feed.rs
+++ b/crates/control/control-node/src/change_feed.rs
@@ -1,4 +1,4 @@
-//! What subscribers are sent: changes of the fleet by offset, and deltas between configurations.
+//! The change feed for subscribers: fleet changes by offset, and deltas between configurations.
 
 use crate::effect::Effect;
 use crate::{ControlNode, Defect};
@@ -8,54 +8,54 @@
 use messages::{FleetChange, FleetSnapshot, GatewayUpdate};
 use std::sync::Arc;
 
-/// Changes that a subscriber may be behind without a snapshot.
-const MAX_CHANGES: usize = 1024;
+/// Number of retained changes; a subscriber further behind needs a snapshot.
+const MAX_RETAINED_CHANGES: usize = 1024;
 
-/// What subscribers are sent from.
+/// Log of fleet changes and configuration deltas.
 #[derive(Debug)]
 pub(crate) struct ChangeFeed {
     log: ChangeLog<FleetChange>,
-    /// Of the log: it begins anew when the replicated state is replaced.
+    /// Incarnation of the log, which restarts when the replicated state is replaced.
     incarnation: u64,
-    /// How subscribers come from one configuration to the next.
+    /// Deltas from each configuration to the next.
     pub deltas: DeltaHistory,
 }
 
 impl ChangeFeed {
-    /// An empty feed.
+    /// Creates an empty feed.
     pub fn new(incarnation: u64) -> Self {
-        let log = ChangeLog::new(incarnation, MAX_CHANGES);
+        let log = ChangeLog::new(incarnation, MAX_RETAINED_CHANGES);
         ChangeFeed { log, incarnation, deltas: DeltaHistory::default() }
     }
 
-    /// The offset behind the latest change.
+    /// Returns the offset after the latest change.
     pub fn end(&self) -> Offset {
         self.log.end()
     }
 
-    /// The changes since an offset; none if a snapshot is needed.
+    /// Returns the changes since an offset, or `None` if a snapshot is needed.
     pub fn since(&self, offset: Offset) -> Option<Vec<FleetChange>> {
         self.log.since(offset).map(|changes| changes.cloned().collect())
     }
 
     fn restart_log(&mut self) {
         self.incarnation = self.incarnation.wrapping_add(1);
-        self.log = ChangeLog::new(self.incarnation, MAX_CHANGES);
+        self.log = ChangeLog::new(self.incarnation, MAX_RETAINED_CHANGES);
     }
 }
 
 impl ControlNode {
-    /// All subscribers are to hear of a change.
+    /// Appends a change to the feed and notifies all subscribers.
     pub(crate) fn publish(&mut self, change: FleetChange) {
         self.change_feed.log.append(change);
         self.effects.push(Effect::NotifySubscribers);
     }
 
-    /// Applies a committed command, and publishes what it changes.
+    /// Applies a committed command to the replicated state and publishes the resulting change.
     pub(crate) fn apply_command(&mut self, index: LogIndex, term: Term, bytes: &[u8]) -> Applied {
         self.quorum_contact.on_applied(index);
         let Some(mut command) = Command::decode(bytes) else {
-            log::error!("state: the entry at {index} is no command; it changes nothing");
+            log::error!("state: the entry at {index} does not decode as a command; ignoring it");
             return Applied::Unchanged;
         };
         if !command.is_valid_in(term) && !self.has_defect(Defect::RemovalOfAnyTerm) {
@@ -90,17 +90,17 @@
             Command::Drain { instance } => self.publish(FleetChange::BackendDraining(instance)),
             Command::AddGateway { .. } | Command::RemoveGateway { .. } => {
                 self.quota.gateways_generation += 1;
-                let all = self.state.gateways().iter().cloned().collect();
-                self.publish(FleetChange::Gateways(all));
+                let names = self.state.gateways().iter().cloned().collect();
+                self.publish(FleetChange::Gateways(names));
             }
-            // Gateways hear of it with their quota.
+            // Gateways learn of the expiry from their quota grants.
             Command::ExpireTrial { tenant, ends_at } => {
                 log::info!("state: the trial of {tenant} that ended at {ends_at} has expired");
             }
         }
     }
 
-    /// Subscribers go from the old configuration to the one in force.
+    /// Records the delta from the old configuration to the one in force.
     fn record_delta(&mut self, old: Option<Arc<CommittedConfiguration>>) {
         let new = self.state.configuration();
         if let Some((old, new)) = old.zip(new).filter(|(old, new)| old.index != new.index) {
@@ -108,10 +108,10 @@
         }
     }
 
-    /// The replicated state is this, as of an index; subscribers get it as a snapshot.
+    /// Replaces the replicated state by the state at `index`; subscribers receive a snapshot.
     pub(crate) fn replace_state(&mut self, index: LogIndex, bytes: &[u8]) {
         let Some(state) = ControlState::decode(bytes) else {
-            log::error!("state: a snapshot that is no state of ours; the old one stands");
+            log::error!("state: a snapshot does not decode as a state; the old one stands");
             return;
         };
         let old = std::mem::replace(&mut self.state, state);
@@ -123,9 +123,9 @@
         self.complete_committed_drains();
     }
 
-    /// All that is known, and the offset behind it.
+    /// Returns a snapshot of the fleet and the offset after the changes that it includes.
     pub(crate) fn snapshot(&self) -> (Offset, GatewayUpdate) {
-        // Also of backends that have ended: a gateway may know of one from elsewhere.
+        // Includes drains of removed backends: a gateway may know such a backend from another source.
         let draining = self.state.draining().filter(|_| !self.has_defect(Defect::SnapshotForgetsDrains));
         let snapshot = FleetSnapshot {
             backends: self.registry.heartbeats().cloned().collect(),
--- a/crates/control/control-node/src/commit.rs
+++ b/crates/control/control-node/src/commit.rs
@@ -1,4 +1,5 @@
-//! What consensus puts out: messages, and what is committed, applied to the replicated state.
+//! Performs the outputs of consensus: sends messages, applies committed entries and snapshots to the replicated
+//! state, and reports outcomes to requesters.
 
 use crate::configuration_changes::Outcome;
 use crate::persistence::{Proposal, Requester};
@@ -11,7 +12,7 @@
     pub(crate) fn perform(&mut self, outputs: Vec<Output>) {
         for output in outputs {
             match output {
-                // Nothing rests on it: it comes with the next full save.
+                // No output here depends on this change; the next full save includes it.
                 Output::Persist(_) => self.persistence.storage.on_save_skipped(),
                 Output::Send(message) => {
                     let to = message.to.name.clone();
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Applies a committed command.
+    /// Applies the committed command at `index`.
     pub(crate) fn apply_committed(&mut self, index: LogIndex, term: Term, command: &[u8]) -> Applied {
         self.persistence.applied_index = index;
         #[cfg(feature = "simulation")]
@@ -42,7 +43,7 @@
         self.apply_command(index, term, command)
     }
 
-    /// The replicated state is this, as of an index.
+    /// Replaces the replicated state by a snapshot that covers the log up to `index`.
     pub(crate) fn install_snapshot(&mut self, index: LogIndex, state: &[u8]) {
         self.persistence.applied_index = index;
         #[cfg(feature = "simulation")]
@@ -50,7 +51,7 @@
         self.replace_state(index, state);
     }
 
-    /// The state as a snapshot holds it.
+    /// Returns the encoded state for a new snapshot.
     pub(crate) fn snapshot_bytes(&self) -> Vec<u8> {
         if self.has_defect(Defect::StaleSnapshotState) {
             return self.raft.snapshot().state.clone();
@@ -58,22 +59,22 @@
         if !self.has_defect(Defect::SnapshotForgetsVersions) {
             return self.state.encode();
         }
-        let mut newest_alone = ControlState::new();
+        let mut newest_only = ControlState::new();
         if let Some(current) = self.state.configuration() {
             let (version, body) = (current.version, current.body.clone());
             let command = Command::ReplaceConfiguration { base: 0, version, body };
-            newest_alone.apply(current.index, &command);
+            newest_only.apply(current.index, &command);
         }
-        newest_alone.encode()
+        newest_only.encode()
     }
 
-    /// Tells requesters what came of their proposals, now that the entry at `index` is committed.
+    /// Resolves the proposals at or below `index`, whose entry has been committed and applied.
     fn resolve_proposals(&mut self, index: LogIndex, term: Term, applied: Applied) {
         while let Some(first) = self.persistence.proposals.first_entry().filter(|p| *p.key() <= index) {
             let is_this_entry = *first.key() == index && first.get().term == term;
             let tag = first.remove().tag;
             let outcome = match applied {
-                // Another entry was committed at its index: the proposal never will be.
+                // Another entry was committed at the proposal's index, so the proposal never will be.
                 _ if !is_this_entry => Outcome::NotLeader,
                 Applied::Conflict => Outcome::Conflict,
                 Applied::Changed | Applied::Unchanged => Outcome::Committed,
--- a/crates/control/control-node/src/configuration_changes.rs
+++ b/crates/control/control-node/src/configuration_changes.rs
@@ -1,5 +1,5 @@
-//! Operators' changes and reads of the configuration. Each change is in progress once, whoever asks for it and how often;
-//! what becomes of it is decided by [`control_state::decide_change`].
+//! Changes and reads of the configuration by operators. Identical changes from several calls are processed once;
+//! [`control_state::decide_change`] decides their outcome.
 
 use crate::effect::{Effect, Reply};
 use crate::persistence::Requester;
@@ -10,38 +10,40 @@
 use control_state::{body_digest, decide_change, BodyDigest, Command, Decision, DeclaredVersions};
 use std::collections::{BTreeMap, VecDeque};
 
-/// A caller goes elsewhere after a second of silence: each call is answered within so long.
+/// Every call is answered within this time, because callers go to another node after one second without an answer.
 pub(crate) const CALL_TIMEOUT: Time = 850 * MS;
-/// The outcome of a proposal is waited for so long, whoever still asks: a large one takes its time on a slow link.
+/// Maximum time to wait for the outcome of a proposal, even if no call still waits for it: a large proposal takes
+/// long on a slow link.
 const PROPOSAL_TIMEOUT: Time = 15_000 * MS;
-/// Calls that wait at once, at most, also for callers that are gone. One more is told to come later.
+/// Maximum number of pending calls, including those of callers that have disconnected. Further calls are answered
+/// [`Reply::Unavailable`].
 pub(crate) const MAX_PENDING_CALLS: usize = 1024;
-/// Changes in progress at once, at most.
+/// Maximum number of changes in progress.
 const MAX_CHANGES_IN_PROGRESS: usize = 32;
 
-/// What came of an input to consensus.
+/// Outcome of an input to consensus.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// It was committed and is applied.
+    /// The proposal was committed and is applied.
     Committed,
-    /// It was committed, and another change came first.
+    /// The proposal was committed, but another change was applied before it.
     Conflict,
-    /// All that was committed before is applied here.
+    /// Everything committed before the read is applied here.
     ReadReady,
-    /// This node does not lead, or leads no more: nothing is known.
+    /// This node does not lead, or no longer leads; the outcome is unknown.
     NotLeader,
 }
 
-/// What a change waits for.
+/// What a change waits for; logged by its variant name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// A heartbeat round that began after it came.
+    /// A heartbeat round that started after the change arrived.
     ReadIndex,
-    /// Its turn.
+    /// Completion of the changes queued before it.
     Queued,
-    /// Whether it is sound.
+    /// The result of validation.
     Validating,
-    /// The outcome of the proposal.
+    /// The outcome of its proposal.
     Proposed,
 }
 
@@ -52,33 +54,33 @@
     digest: BodyDigest,
     stage: Stage,
     deadline: Time,
-    /// In which it was proposed.
+    /// Term in which it was proposed; 0 before.
     term: Term,
-    /// The calls that wait for it.
+    /// Calls that wait for its outcome.
     calls: Vec<u64>,
 }
 
-/// Changes in progress, and calls that wait.
+/// Changes in progress and pending calls.
 #[derive(Debug, Default)]
 pub(crate) struct Changes {
-    /// Calls, each with its deadline.
+    /// Deadlines of pending calls, by call number.
     calls: BTreeMap<u64, Time>,
     in_progress: BTreeMap<u64, Change>,
     last_id: u64,
-    /// One change is validated and proposed at a time, until it is known what came of it: of two on one base the second
-    /// would be replicated in vain.
-    active: Option<u64>,
+    /// The one change that is being validated or proposed. Only one is processed until its outcome is known, because
+    /// of two changes with the same base the second would be replicated in vain.
+    active_change: Option<u64>,
     queue: VecDeque<u64>,
 }
 
 impl Changes {
-    /// When the next call or change has waited for too long.
+    /// Returns the earliest deadline of a call or change.
     pub fn next_due(&self) -> Time {
         let changes = self.in_progress.values().map(|change| change.deadline);
         self.calls.values().copied().chain(changes).min().unwrap_or(Time::MAX)
     }
 
-    /// Whether somebody still waits for what consensus is to tell.
+    /// Returns whether the requester's call or change is still pending.
     pub fn is_waiting(&self, requester: Requester) -> bool {
         match requester {
             Requester::Read(call) => self.calls.contains_key(&call),
@@ -88,13 +90,13 @@
 }
 
 impl ControlNode {
-    /// Bytes of the changes in progress.
+    /// Returns the total size of the bodies of the changes in progress, in bytes.
     pub fn change_body_bytes(&self) -> usize {
         self.changes.in_progress.values().map(|change| change.body.len()).sum()
     }
 
-    /// An operator's change. One that is in progress already is not begun again: whoever sends it once more hears what
-    /// becomes of the first.
+    /// Handles an operator's change. A change identical to one in progress is not started again: the call waits for
+    /// the outcome of the existing one.
     pub fn replace_configuration(&mut self, now: Time, call: u64, body: Bytes) {
         self.now = now;
         if let Some(reply) = self.redirect().or_else(|| self.reject_if_full()) {
@@ -103,8 +105,8 @@
         let deadline = now + CALL_TIMEOUT;
         self.changes.calls.insert(call, deadline);
         let digest = body_digest(&body);
-        if let Some(same) = self.changes.in_progress.values_mut().find(|change| change.digest == digest) {
-            return same.calls.push(call);
+        if let Some(existing) = self.changes.in_progress.values_mut().find(|change| change.digest == digest) {
+            return existing.calls.push(call);
         }
         if self.changes.in_progress.len() >= MAX_CHANGES_IN_PROGRESS {
             return self.reply(call, Reply::Unavailable);
@@ -114,7 +116,7 @@
         let stage = Stage::ReadIndex;
         let change = Change { body, digest, stage, deadline, term: 0, calls: vec![call] };
         self.changes.in_progress.insert(id, change);
-        // All that was committed when it came is known once a majority has said that no other node leads.
+        // A majority must confirm that no other node leads before everything committed so far is known here.
         if self.has_defect(Defect::DecideWithoutQuorum) {
             self.on_change_outcome(id, Outcome::ReadReady);
         } else {
@@ -122,7 +124,7 @@
         }
     }
 
-    /// An operator reads the configuration in force.
+    /// Handles an operator's read of the configuration in force.
     pub fn read_configuration(&mut self, now: Time, call: u64) {
         self.now = now;
         if let Some(reply) = self.redirect().or_else(|| self.reject_if_full()) {
@@ -136,7 +138,7 @@
         }
     }
 
-    /// The reply of a node that does not lead.
+    /// Returns the reply to a call if this node does not lead.
     fn redirect(&mut self) -> Option<Reply> {
         if self.leadership.is_leader || self.has_defect(Defect::DecideWithoutQuorum) {
             return None;
@@ -146,13 +148,13 @@
         Some(leader.map_or(Reply::Unavailable, |leader| Reply::Redirect(leader.name.clone())))
     }
 
-    /// The reply when as many calls wait as may.
+    /// Returns the reply to a call if the maximum number of calls is pending.
     fn reject_if_full(&self) -> Option<Reply> {
         (self.changes.calls.len() >= MAX_PENDING_CALLS).then_some(Reply::Unavailable)
     }
 
-    /// The answer to [`Effect::Validate`]: what the configuration declares, or what is wrong with it; none: it could not be
-    /// validated.
+    /// Handles the result of [`Effect::Validate`]: the declared versions or a validation error; `None` if validation
+    /// could not be done.
     pub fn on_validated(
         &mut self,
         now: Time,
@@ -164,15 +166,15 @@
         let Some(change) = change else { return };
         let Some(validated) = validated else { return self.finish_change(id, Reply::Unavailable) };
         let body = change.body.clone();
-        let decision = match self.decision_of_defect(&body, &validated) {
+        let decision = match self.defective_decision(&body, &validated) {
             Some(decision) => decision,
             None => decide_change(&self.state, &body, |_| validated),
         };
         self.on_decision(id, decision);
     }
 
-    /// What a planted defect makes of a change.
-    fn decision_of_defect(
+    /// Returns the wrong decision of a planted defect, if one applies to the change.
+    fn defective_decision(
         &self,
         body: &[u8],
         validated: &Result<DeclaredVersions, ConfigurationError>,
@@ -214,7 +216,7 @@
         self.enqueue_for(Requester::Change(id), Input::Propose { tag: 0, command });
     }
 
-    /// What came of what a change waited for.
+    /// Handles the outcome of a change's read index or proposal.
     pub(crate) fn on_change_outcome(&mut self, id: u64, outcome: Outcome) {
         match outcome {
             Outcome::ReadReady => self.enqueue_change(id),
@@ -235,23 +237,23 @@
         self.reply(call, reply);
     }
 
-    /// All that was committed when the change came is known here: it waits for its turn.
+    /// Queues a change for validation, now that everything committed before its arrival is applied here.
     fn enqueue_change(&mut self, id: u64) {
         let change = self.changes.in_progress.get_mut(&id);
         let Some(change) = change.filter(|change| change.stage == Stage::ReadIndex) else { return };
         change.stage = Stage::Queued;
         change.deadline = self.now + CALL_TIMEOUT;
         self.changes.queue.push_back(id);
-        if self.changes.active.is_none() {
+        if self.changes.active_change.is_none() {
             self.start_next_change();
         }
     }
 
     fn start_next_change(&mut self) {
-        self.changes.active = self.changes.queue.pop_front();
-        let Some(id) = self.changes.active else { return };
+        self.changes.active_change = self.changes.queue.pop_front();
+        let Some(id) = self.changes.active_change else { return };
         let Some(change) = self.changes.in_progress.get_mut(&id) else { return };
-        // How long validation takes is bounded by the body's length.
+        // No deadline: the body's length bounds the duration of validation.
         change.stage = Stage::Validating;
         change.deadline = Time::MAX;
         let body = change.body.clone();
@@ -262,12 +264,12 @@
         self.effects.push(Effect::Validate { change: id, body });
     }
 
-    /// It is known what came of a change, or that this is not known.
+    /// Ends a change and answers its calls; the reply may say that the outcome is unknown.
     fn finish_change(&mut self, id: u64, reply: Reply) {
         let Some(change) = self.changes.in_progress.remove(&id) else { return };
         change.calls.into_iter().for_each(|call| self.reply(call, reply.clone()));
         self.changes.queue.retain(|queued| *queued != id);
-        if self.changes.active == Some(id) {
+        if self.changes.active_change == Some(id) {
             self.start_next_change();
         }
     }
@@ -278,7 +280,7 @@
         }
     }
 
-    /// Ends calls and changes that have waited for too long.
+    /// Ends calls and changes whose deadline has passed.
     pub(crate) fn expire_calls_and_changes(&mut self) {
         let now = self.now;
         let calls = self.changes.calls.iter().filter(|(_, deadline)| **deadline <= now);
@@ -294,7 +296,7 @@
         }
     }
 
-    /// A node that has lost leadership does not know what comes of its proposals.
+    /// Ends proposed changes after leadership is lost or the term has changed: their outcome is unknown to this node.
     pub(crate) fn abandon_lost_proposals(&mut self) {
         let (is_leader, term) = (self.leadership.is_leader, self.leadership.term);
         let is_lost =
--- a/crates/control/control-node/src/control_messages.rs
+++ b/crates/control/control-node/src/control_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other control nodes, and which control nodes there are.
+//! Messages from other control nodes, and discovery of control nodes.
 
 use crate::effect::Effect;
 use crate::{ControlNode, Defect, Time, MS};
@@ -7,13 +7,13 @@
 use std::net::IpAddr;
 use trial::UnixMillis;
 
-/// Other control nodes are told this often who this one is.
+/// Interval at which this node announces itself to the other control nodes.
 pub const HELLO_INTERVAL: Time = 500 * MS;
-/// Control nodes that are known, at most; no fleet has so many.
+/// Maximum number of known control nodes; no fleet has that many.
 const MAX_KNOWN_NODES: usize = 64;
 
 impl ControlNode {
-    /// Who this node is, which others are told each [`HELLO_INTERVAL`].
+    /// Returns the announcement of this node, sent to the others every [`HELLO_INTERVAL`].
     pub fn hello(&self, unix_ms: UnixMillis) -> ControlMessage {
         ControlMessage::Hello {
             id: self.config.id.clone(),
@@ -25,7 +25,8 @@
         }
     }
 
-    /// Somebody has named a control node.
+    /// Adds a control node, or updates its zone. Ignores names that are not IP addresses, and new nodes beyond
+    /// `MAX_KNOWN_NODES`.
     pub fn learn_node(&mut self, name: &str, zone: &str) {
         let has_room = self.known_nodes.len() < MAX_KNOWN_NODES || self.known_nodes.contains_key(name);
         if name.parse::<IpAddr>().is_err() || !has_room {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Another control node's message.
+    /// Handles another control node's message.
     pub fn on_control_message(&mut self, now: Time, from: &NodeId, message: ControlMessage) {
         self.now = now;
         match message {
@@ -73,7 +74,7 @@
                 }
             }
             ControlMessage::LeaseGrant { gateway, term, grant } => {
-                // A former leader's grants do not count.
+                // Grants of a former leader are dropped.
                 if term >= self.leadership.term {
                     let update = GatewayUpdate::LeaseGrant(grant);
                     self.effects.push(Effect::SendToGateway { gateway, update });
--- a/crates/control/control-node/src/defect.rs
+++ b/crates/control/control-node/src/defect.rs
@@ -1,67 +1,67 @@
-//! Defects that the simulation plants, each of which some simulated world must find.
+//! Defects that the simulation plants. At least one simulated world must detect each of them.
 
-/// A way to get a control node wrong.
+/// A deliberate fault in the control node's logic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Messages are sent before what they rest on is durable.
+    /// Messages are sent before the state they depend on is durable.
     SendBeforeSync,
-    /// The leader answers reads without a heartbeat round.
+    /// The leader answers reads without a heartbeat round to a majority.
     ReadWithoutQuorum,
     /// A change is acknowledged when it is proposed.
     AcknowledgeBeforeCommit,
-    /// The leader grants quota for a second beyond its lease.
+    /// The leader grants quota for one second after its lease has expired.
     LeasePastItsEnd,
-    /// Two changes on one base are both applied.
+    /// Two changes with the same base version are both applied.
     BaseIgnored,
     /// A drain is acknowledged before it is committed.
     DrainForgotten,
-    /// A restarted node votes at once, though it may have heard a leader just before.
+    /// A restarted node votes at once, although it may have heard from a leader just before the restart.
     VoteRightAfterRestart,
-    /// The coordinator grants the fallback shares of gateways that it does not hear.
+    /// The coordinator grants the fallback shares of gateways from which it receives no requests.
     FallbackSharesGranted,
-    /// A trial expires when the leader's own clock says so.
+    /// A trial expires by the leader's clock alone, without the clocks of a majority.
     LeadersClockAlone,
-    /// A new coordinator does not know whose trial has expired.
+    /// A coordinator ignores which tenants' trials have expired.
     ExpiredTrialsForgotten,
-    /// A node that has lost the majority goes on telling gateways that it is in contact.
+    /// A node that has lost contact with the quorum keeps reporting contact to gateways.
     ClaimsQuorumContact,
-    /// A heartbeat of the leader counts as contact with a majority.
+    /// A heartbeat from the leader counts as proof of quorum contact.
     HeartbeatCountsAsContact,
-    /// What rests on a save is sent though the save failed.
+    /// Messages that depend on a save are sent although the save failed.
     SendWithoutStorage,
-    /// Any node decides on a change by what it knows itself, without asking a majority.
+    /// Any node decides on a change from its local state, without confirmation from a majority.
     DecideWithoutQuorum,
-    /// Only the newest change is recognised when it is sent again.
+    /// Only the newest applied change is recognised when it is resent.
     AppliedChangeForgotten,
-    /// A change of an applied version is acknowledged, whatever its bytes.
+    /// A change with the version in force is acknowledged, whatever its bytes.
     VersionAloneAcknowledged,
-    /// The base is checked before whether that very change was applied.
+    /// The base version is checked before checking whether the same change was already applied.
     BaseCheckedFirst,
-    /// A snapshot holds the newest applied version alone.
+    /// A snapshot contains only the newest applied version.
     SnapshotForgetsVersions,
-    /// The log is compacted, and the snapshot holds the old state.
+    /// Log compaction stores the state of the previous snapshot instead of the current state.
     StaleSnapshotState,
-    /// A node that was isolated expires the backends that it did not hear.
+    /// A node that was isolated expires the backends whose heartbeats it missed.
     IsolatedNodeExpiresBackends,
-    /// Heartbeats of unknown backends that others name by id alone are not asked for.
+    /// Full heartbeats are not requested for unknown backends that other nodes forward by id only.
     UnknownInstancesIgnored,
-    /// A snapshot for gateways does not name draining backends.
+    /// A snapshot for gateways omits the draining backends.
     SnapshotForgetsDrains,
-    /// A heartbeat to gateways does not say that a newer configuration is on its way.
+    /// Heartbeats to gateways do not announce the index of the newest configuration.
     HeartbeatHidesNewest,
-    /// No node but the first voters ever becomes one.
+    /// Learners never become voters; only the initial voters ever vote.
     LearnerNeverVotes,
-    /// A silent gateway is removed after a tenth of the time.
+    /// A silent gateway is removed as if its fallback share expired after a tenth of the actual time.
     RemovedTooSoon,
-    /// A gateway is answered while its removal is on its way.
+    /// A gateway still receives grants while its removal is being committed.
     AnsweredWhileRemoved,
-    /// A leader of long ago goes on removing gateways, and the removals count.
+    /// A former leader keeps proposing gateway removals, and entries of any term apply them.
     RemovalOfAnyTerm,
 }
 
 #[cfg(feature = "simulation")]
 impl Defect {
-    /// All of them.
+    /// All defects.
     pub const ALL: [Defect; 27] = [
         Defect::SendBeforeSync,
         Defect::ReadWithoutQuorum,
--- a/crates/control/control-node/src/drains.rs
+++ b/crates/control/control-node/src/drains.rs
@@ -1,4 +1,4 @@
-//! Backends that drain: told to one node, committed before it is acknowledged.
+//! Drains of backends: requested from any node, and committed before they are acknowledged.
 
 use crate::configuration_changes::{CALL_TIMEOUT, MAX_PENDING_CALLS};
 use crate::effect::{Effect, Reply};
@@ -7,28 +7,29 @@
 use control_state::Command;
 use messages::ControlMessage;
 
-/// What was passed on to the leader is passed on again after so long.
+/// Interval at which an uncommitted drain is proposed again.
 const RETRY_INTERVAL: Time = 150 * MS;
 
-/// A call that waits until it is committed that its backend drains.
+/// A call that waits for the drain of its backend to be committed.
 #[derive(Debug)]
 pub(crate) struct PendingDrain {
     call: u64,
     instance: String,
-    /// The backend ends with it.
+    /// Whether the backend deregisters.
     deregisters: bool,
     deadline: Time,
     next_attempt: Time,
 }
 
 impl ControlNode {
-    /// A backend ends.
+    /// Handles a backend's deregistration: drains it, then removes it.
     pub fn deregister(&mut self, now: Time, call: u64, instance: &str) {
         self.now = now;
         self.start_drain(call, instance, true);
     }
 
-    /// Has it committed that this backend drains, and replies then, or in time that this node cannot say.
+    /// Proposes the drain of a backend and replies once it is committed, or [`Reply::Unavailable`] when the call
+    /// times out.
     pub(crate) fn start_drain(&mut self, call: u64, instance: &str, deregisters: bool) {
         let drain = PendingDrain {
             call,
@@ -40,7 +41,7 @@
         if self.state.is_draining(instance) || self.has_defect(Defect::DrainForgotten) {
             return self.complete_drain(drain);
         }
-        // A node that is isolated can have nothing committed: the backend calls another gateway at once.
+        // An isolated node cannot get anything committed; an immediate reply lets the backend call another gateway.
         if !self.has_quorum_contact() || self.drains.len() >= MAX_PENDING_CALLS {
             return self.effects.push(Effect::Reply { call, reply: Reply::Unavailable });
         }
@@ -62,12 +63,12 @@
         due.min().unwrap_or(Time::MAX)
     }
 
-    /// Passes drains on to the leader, again and again; ends calls that have waited for too long.
+    /// Proposes pending drains again when their next attempt is due, and ends calls whose deadline has passed.
     pub(crate) fn retry_drains(&mut self) {
         let now = self.now;
-        let (late, mut drains): (Vec<PendingDrain>, Vec<PendingDrain>) =
+        let (overdue, mut drains): (Vec<PendingDrain>, Vec<PendingDrain>) =
             std::mem::take(&mut self.drains).into_iter().partition(|drain| drain.deadline <= now);
-        for drain in late {
+        for drain in overdue {
             self.effects.push(Effect::Reply { call: drain.call, reply: Reply::Unavailable });
         }
         for drain in drains.iter_mut().filter(|drain| drain.next_attempt <= now) {
@@ -77,16 +78,17 @@
         self.drains = drains;
     }
 
-    /// Replies to calls whose drains are committed.
+    /// Completes the calls whose drains are committed.
     pub(crate) fn complete_committed_drains(&mut self) {
         let state = &self.state;
-        let (committed, drains): (Vec<PendingDrain>, Vec<PendingDrain>) =
-            std::mem::take(&mut self.drains).into_iter().partition(|d| state.is_draining(&d.instance));
+        let (committed, drains): (Vec<PendingDrain>, Vec<PendingDrain>) = std::mem::take(&mut self.drains)
+            .into_iter()
+            .partition(|drain| state.is_draining(&drain.instance));
         self.drains = drains;
         committed.into_iter().for_each(|drain| self.complete_drain(drain));
     }
 
-    /// Has the leader propose a command. It may be lost.
+    /// Proposes a command if this node leads, and otherwise forwards it to the leader. It may be lost.
     pub(crate) fn propose_to_leader(&mut self, command: &Command) {
         let command = command.encode();
         if self.leadership.is_leader {
--- a/crates/control/control-node/src/effect.rs
+++ b/crates/control/control-node/src/effect.rs
@@ -1,4 +1,4 @@
-//! What the driver of a control node is to do.
+//! Effects: the actions that a control node requests from its driver.
 
 use bytes::Bytes;
 use consensus::{LogIndex, Persist, PersistedState};
@@ -6,98 +6,99 @@
 use messages::{ControlMessage, GatewayUpdate};
 use std::sync::Arc;
 
-/// What the driver is to do, in order.
+/// An action for the driver. Effects must be carried out in order.
 #[derive(Debug)]
 pub enum Effect {
-    /// Send to another control node, if there is a link and room on it: it may be lost.
+    /// Send a message to another control node, best effort: it is dropped if there is no link or no room on it.
     SendToNode {
-        /// The node's name.
+        /// Name of the receiving node.
         to: String,
-        /// What to send.
+        /// The message.
         message: ControlMessage,
     },
-    /// The same to each control node that there is a link to.
+    /// Send a message to every control node with a link.
     Broadcast {
-        /// What to send.
+        /// The message.
         message: ControlMessage,
     },
-    /// Send to a gateway that subscribes, if there is room: it may be lost.
+    /// Send an update to a subscribed gateway, best effort: it is dropped if there is no room.
     SendToGateway {
-        /// The gateway's name.
+        /// Name of the gateway.
         gateway: String,
-        /// What to send.
+        /// The update.
         update: GatewayUpdate,
     },
-    /// There may be a chunk for this gateway: [`crate::ControlNode::next_chunk`].
+    /// [`crate::ControlNode::next_chunk`] may return a chunk for this gateway.
     ChunkWindowOpened {
-        /// The gateway's name.
+        /// Name of the gateway.
         gateway: String,
     },
-    /// There may be something for each subscriber: [`crate::ControlNode::next_update`].
+    /// [`crate::ControlNode::next_update`] may return an update for every subscriber.
     NotifySubscribers,
-    /// Write to storage, if there is any; [`crate::ControlNode::on_persisted`] tells what came of it. One at a time.
+    /// Write to storage, if there is any, and report the result to [`crate::ControlNode::on_persisted`]. At most one
+    /// request is outstanding.
     Persist {
-        /// Repeated in the answer.
+        /// Request number, passed back with the result.
         number: u64,
-        /// What to write.
+        /// The write.
         request: StorageRequest,
     },
-    /// Validate a configuration; [`crate::ControlNode::on_validated`] tells what came of it.
+    /// Validate a configuration and report the result to [`crate::ControlNode::on_validated`].
     Validate {
-        /// Repeated in the answer.
+        /// Id of the change, passed back with the result.
         change: u64,
-        /// The configuration.
+        /// Bytes of the configuration.
         body: Bytes,
     },
-    /// Answer a call.
+    /// Reply to a call.
     Reply {
-        /// The call's number.
+        /// Number of the call.
         call: u64,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
 }
 
-/// What storage is to do.
+/// A write to storage.
 #[derive(Clone, Debug)]
 pub enum StorageRequest {
-    /// Make all of this durable, in order, with one sync.
+    /// Append changes in order and make them durable with one sync.
     Append {
-        /// In order.
+        /// The changes, in order.
         changes: Vec<Persist>,
-        /// How far the log is committed.
+        /// Commit index of the log.
         commit_index: LogIndex,
     },
-    /// Make this durable in place of whatever is there.
+    /// Replace the whole stored state and make it durable.
     Full(Box<PersistedState>),
 }
 
-/// What a call is answered.
+/// Reply to a call from an operator or a backend.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// It was applied, now or earlier.
+    /// The request is done, now or earlier.
     Acknowledged,
-    /// Another version is in force.
+    /// The change does not apply to the version in force.
     Conflict {
-        /// That one.
+        /// Version in force.
         current: u32,
     },
-    /// It is not sound.
+    /// The change is invalid.
     Invalid(InvalidChange),
-    /// The configuration in force.
+    /// The configuration in force, if there is one.
     Current(Option<Arc<CommittedConfiguration>>),
-    /// The control node of this name leads.
+    /// Another node leads; the caller should retry at the control node of this name.
     Redirect(String),
-    /// This node cannot say now; another may.
+    /// This node cannot answer now; another node may.
     Unavailable,
 }
 
-/// What was applied, for the simulation's rules.
+/// An applied command or snapshot, recorded for the simulation's invariant checks.
 #[cfg(feature = "simulation")]
 #[derive(Clone, Debug, PartialEq)]
 pub enum AppliedRecord {
-    /// A command, at its index.
+    /// A command and its log index.
     Command(control_state::LogIndex, Vec<u8>),
-    /// The whole state, as of an index.
+    /// A snapshot that replaced the state, with its log index.
     Snapshot(control_state::LogIndex),
 }
--- a/crates/control/control-node/src/heartbeats.rs
+++ b/crates/control/control-node/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of backends, first-hand and forwarded, and which backends are silent.
+//! Heartbeats of backends, received directly or forwarded by other control nodes, and expiry of silent backends.
 
 use crate::effect::{Effect, Reply};
 use crate::{ControlNode, Defect, Time, MS};
@@ -6,40 +6,40 @@
 use registry::{Heartbeat, HeartbeatOutcome};
 use std::collections::BTreeSet;
 
-/// Heartbeats are forwarded to the other control nodes this often.
+/// Interval at which heartbeats are forwarded to the other control nodes.
 const FORWARD_INTERVAL: Time = 400 * MS;
-/// A node that was out of contact with a majority, or stood still, for so long expires nobody: a backend that others
-/// last heard shortly before may have been silent here for one heartbeat interval and a half by then, and expires after
-/// three and a half.
+/// A node that had no quorum contact, or did not run, for this long expires no backends. A backend that other nodes
+/// heard until shortly before may have been silent here for 1.5 heartbeat intervals by then, and backends expire
+/// after 3.5.
 const ISOLATION_LIMIT: Time = 1500 * MS;
 
-/// First-hand heartbeats that have yet to be forwarded.
+/// Directly received heartbeats that have not been forwarded yet.
 #[derive(Debug, Default)]
 pub(crate) struct PendingHeartbeats {
-    /// Those that say something new.
+    /// Heartbeats with new information.
     changed: Vec<Heartbeat>,
-    /// Of the others, the backend's id and the sequence number.
+    /// Backend id and sequence number of the other heartbeats.
     unchanged: Vec<(String, u64)>,
 }
 
 impl ControlNode {
-    /// A backend's heartbeat, by which it may ask to drain.
+    /// Handles a backend's heartbeat, which may request a drain.
     pub fn heartbeat(&mut self, now: Time, call: u64, mut heartbeat: Heartbeat) {
         self.now = now;
-        let (id, asks_to_drain) = (heartbeat.instance.clone(), heartbeat.draining);
+        let (id, requests_drain) = (heartbeat.instance.clone(), heartbeat.draining);
         heartbeat.draining |= self.state.is_draining(&id);
         self.record_heartbeat(heartbeat, true);
-        // A node that is isolated from the majority would keep this backend from all others.
+        // The other nodes would not learn of a backend that sends its heartbeats to a node without quorum contact.
         if !self.has_quorum_contact() {
             self.effects.push(Effect::Reply { call, reply: Reply::Unavailable });
-        } else if asks_to_drain {
+        } else if requests_drain {
             self.start_drain(call, &id, false);
         } else {
             self.effects.push(Effect::Reply { call, reply: Reply::Acknowledged });
         }
     }
 
-    /// `is_first_hand`: from the backend itself, so that the other nodes have yet to hear of it.
+    /// Records a heartbeat. If it came directly from the backend, queues it for the other nodes.
     fn record_heartbeat(&mut self, heartbeat: Heartbeat, is_first_hand: bool) {
         let outcome = self.registry.on_heartbeat(self.now, heartbeat.clone());
         if matches!(outcome, HeartbeatOutcome::New | HeartbeatOutcome::Changed) {
@@ -60,15 +60,16 @@
         }
     }
 
-    /// A backend has ended.
+    /// Removes a backend that has deregistered.
     pub(crate) fn remove_backend(&mut self, instance: &str) {
         if self.registry.remove(instance) {
             self.publish(FleetChange::BackendRemoved(instance.into()));
         }
     }
 
-    /// Heartbeats that another node forwards. Those of backends that are not known here are asked for whole: this node
-    /// may have heard the last one a little sooner than the others, and expired the backend alone.
+    /// Handles heartbeats forwarded by another node, and requests the full heartbeats of backends unknown here: this
+    /// node may have received the last heartbeat slightly earlier than the others, and so be the only one that
+    /// expired the backend.
     pub(crate) fn on_forwarded_heartbeats(
         &mut self,
         from: &str,
@@ -86,25 +87,25 @@
         }
     }
 
-    /// Another node does not know these backends, or has not heard them for long. One that was not heard here lately either
-    /// is not named: the other node would believe it alive for longer.
+    /// Sends another node the heartbeats of backends that it does not know or has not heard from for long. Backends
+    /// without a recent heartbeat here are left out, because the other node would keep them for longer.
     pub(crate) fn on_unknown_instances(&mut self, from: &str, instances: &[String]) {
-        let named: BTreeSet<&String> = instances.iter().collect();
+        let requested_ids: BTreeSet<&String> = instances.iter().collect();
         let recently_alive = self.registry.recently_alive(self.now);
         let changed: Vec<Heartbeat> =
-            recently_alive.filter(|heartbeat| named.contains(&heartbeat.instance)).cloned().collect();
+            recently_alive.filter(|heartbeat| requested_ids.contains(&heartbeat.instance)).cloned().collect();
         if !changed.is_empty() {
             self.send_to(from, ControlMessage::Heartbeats { changed, unchanged: Vec::new() });
         }
     }
 
-    /// All backends that live, for a node that a link has just been made to.
+    /// Returns the heartbeats of all recently active backends, to be sent over a new link to another node.
     pub fn all_heartbeats(&self, now: Time) -> ControlMessage {
         let changed = self.registry.recently_alive(now).cloned().collect();
         ControlMessage::Heartbeats { changed, unchanged: Vec::new() }
     }
 
-    /// The backends that do not drain, and a number that changes with them.
+    /// Returns the backends that are not draining, and a number that changes when they change.
     pub fn serving_backends(&self) -> (u64, Vec<Heartbeat>) {
         let is_serving =
             |backend: &&Heartbeat| !backend.draining && !self.state.is_draining(&backend.instance);
@@ -112,7 +113,7 @@
         (self.change_feed.end().position.wrapping_add(1), backends)
     }
 
-    /// Forwards heartbeats and expires silent backends, a few times a second.
+    /// Forwards heartbeats and expires silent backends every [`FORWARD_INTERVAL`].
     pub(crate) fn forward_heartbeats(&mut self) {
         if self.next_sweep > self.now {
             return;
@@ -126,9 +127,9 @@
         self.expire_backends();
     }
 
-    /// A backend that has long been silent here may be heard by a node whose link to this one is cut, though both are in
-    /// contact with the others: these are asked, who have its heartbeats from that one.
-    fn ask_for_suspects(&mut self) {
+    /// Requests from all nodes the heartbeats of backends that have long been silent here. A node whose link to this
+    /// one is cut may still hear such a backend and forward its heartbeats to the other nodes, which both can reach.
+    fn query_suspects(&mut self) {
         let instances = self.registry.take_suspects(self.now);
         if !instances.is_empty() {
             let message = ControlMessage::UnknownInstances { instances };
@@ -138,13 +139,13 @@
 
     fn expire_backends(&mut self) {
         let last_sweep = std::mem::replace(&mut self.last_sweep, self.now);
-        let stood_still = self.now.saturating_sub(last_sweep) > ISOLATION_LIMIT;
-        let was_isolated = stood_still || self.quorum_contact_age(self.now) >= ISOLATION_LIMIT;
+        let was_paused = self.now.saturating_sub(last_sweep) > ISOLATION_LIMIT;
+        let was_isolated = was_paused || self.quorum_contact_age(self.now) >= ISOLATION_LIMIT;
         if was_isolated && !self.has_defect(Defect::IsolatedNodeExpiresBackends) {
-            // Other nodes may have heard them meanwhile.
+            // Other nodes may have received heartbeats in the meantime.
             return self.registry.restart_expiry_timers(self.now);
         }
-        self.ask_for_suspects();
+        self.query_suspects();
         let expired = self.registry.expire_stale(self.now);
         if !expired.is_empty() {
             log::info!("backends: {} silent ones have expired", expired.len());
--- a/crates/control/control-node/src/leader_history.rs
+++ b/crates/control/control-node/src/leader_history.rs
@@ -1,4 +1,5 @@
-//! How long ago the leader before this one began, as this node saw it.
+//! The latest terms in which this node observed a leader. A new quota coordinator derives from them how long ago its
+//! predecessor began.
 
 #[cfg(test)]
 mod tests;
@@ -7,34 +8,35 @@
 use consensus::Term;
 use quota::PreviousCoordinator;
 
-/// A term in which somebody leads.
+/// A term in which this node knew a leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct LedTerm {
+struct ObservedTerm {
     term: Term,
-    first_seen: Time,
+    first_seen_at: Time,
 }
 
 /// The latest two terms in which this node knew a leader.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LeaderHistory {
-    current: Option<LedTerm>,
-    previous: Option<LedTerm>,
+    current: Option<ObservedTerm>,
+    previous: Option<ObservedTerm>,
 }
 
 impl LeaderHistory {
-    /// Somebody leads in this term.
+    /// Records that a leader of this term is known.
     pub fn record(&mut self, now: Time, term: Term) {
-        if self.current.is_none_or(|led| led.term != term) {
-            self.previous = self.current.replace(LedTerm { term, first_seen: now });
+        if self.current.is_none_or(|observed| observed.term != term) {
+            self.previous = self.current.replace(ObservedTerm { term, first_seen_at: now });
         }
     }
 
-    /// What is known of the quota coordinator before the one of this term. In a term that this node knows nothing of there
-    /// may have been another one, which this node did not hear.
+    /// Returns what is known of the quota coordinator that preceded the coordinator of `term`. A term in which this
+    /// node observed no leader may have had a coordinator of its own, so a gap between the terms counts as a recent
+    /// one.
     pub fn previous_coordinator(&self, now: Time, term: Term) -> PreviousCoordinator {
         match self.previous {
-            Some(led) if led.term + 1 == term => {
-                PreviousCoordinator::began_before(now.saturating_sub(led.first_seen))
+            Some(observed) if observed.term + 1 == term => {
+                PreviousCoordinator::began_before(now.saturating_sub(observed.first_seen_at))
             }
             Some(_) => PreviousCoordinator::Recent,
             None => PreviousCoordinator::Unknown,
--- a/crates/control/control-node/src/leader_history/tests.rs
+++ b/crates/control/control-node/src/leader_history/tests.rs
@@ -1,4 +1,4 @@
-//! What a new leader knows of the quota coordinator before it.
+//! Tests of what a new leader knows of the previous quota coordinator.
 
 use super::*;
 use crate::MS;
--- a/crates/control/control-node/src/leadership.rs
+++ b/crates/control/control-node/src/leadership.rs
@@ -1,25 +1,26 @@
-//! Who leads, as consensus said last.
+//! The node's view of the Raft leadership, as last copied from consensus.
 
 use crate::effect::Effect;
 use crate::leader_history::LeaderHistory;
 use crate::{ControlNode, Time, MS};
 use consensus::{NodeId, Term, VoterSet};
 
-/// A node that shuts down asks to leave this often.
+/// Interval at which a node that is shutting down repeats its request to leave.
 pub(crate) const LEAVE_INTERVAL: Time = 100 * MS;
 
-/// Who leads.
+/// Leadership as of the latest update from consensus.
 #[derive(Clone, Debug, Default)]
 pub struct Leadership {
-    /// Whom this node believes to lead.
+    /// The leader known to this node.
     pub leader: Option<NodeId>,
-    /// It is this node.
+    /// Whether this node is the leader.
     pub is_leader: bool,
     /// The current term.
     pub term: Term,
-    /// Until when no other node can have been elected, if this one leads.
+    /// End of the leader lease, until which no other node can have been elected, if this node leads.
     pub lease_until: Option<Time>,
-    /// When a majority answered this node, if it leads; when it heard the leader, if not, which proves nothing.
+    /// On the leader: start of the latest heartbeat round that a majority answered. On other nodes: when the leader
+    /// was last heard, which does not prove quorum contact.
     pub(crate) quorum_contact: Option<Time>,
     /// The voters, as this node knows them.
     pub voters: VoterSet,
@@ -27,12 +28,12 @@
 }
 
 impl ControlNode {
-    /// Takes over what consensus says now.
+    /// Updates voters and leadership from consensus; logs and announces a change of leader.
     pub(crate) fn update_leadership(&mut self) {
         self.update_voters();
         let (raft, leadership) = (&self.raft, &mut self.leadership);
-        let before = (leadership.is_leader, leadership.leader.as_ref());
-        let has_changed = before != (raft.is_leader(), raft.leader());
+        let previous = (leadership.is_leader, leadership.leader.as_ref());
+        let has_changed = previous != (raft.is_leader(), raft.leader());
         leadership.quorum_contact = raft.last_quorum_contact();
         leadership.is_leader = raft.is_leader();
         leadership.term = raft.term();
@@ -49,15 +50,17 @@
         self.abandon_lost_proposals();
     }
 
-    /// Voters are control nodes: a node that restarts may have been told of seeds alone that are gone by now.
+    /// Updates the voters and adds them to the known control nodes: after a restart the configured seeds may all be
+    /// gone.
     fn update_voters(&mut self) {
         if self.leadership.voters == *self.raft.voters() {
             return;
         }
         self.leadership.voters = self.raft.voters().clone();
         let voters = self.leadership.voters.iter();
-        let ids = voters.map(|(name, disk_id)| NodeId { name: name.clone(), disk_id: *disk_id }.to_string());
-        log::info!("voters: {}", ids.collect::<Vec<_>>().join(" "));
+        let voter_ids =
+            voters.map(|(name, disk_id)| NodeId { name: name.clone(), disk_id: *disk_id }.to_string());
+        log::info!("voters: {}", voter_ids.collect::<Vec<_>>().join(" "));
         let names: Vec<String> = self.leadership.voters.keys().cloned().collect();
         names.iter().for_each(|name| self.learn_node(name, ""));
     }
--- a/crates/control/control-node/src/lib.rs
+++ b/crates/control/control-node/src/lib.rs
@@ -1,8 +1,9 @@
-//! One control node as a state machine: consensus and its storage, the replicated state, calls of operators and backends,
-//! gateways that subscribe, quota, the first start. No I/O and no clock of its own.
+//! One control node as a state machine: consensus and its storage, the replicated state, calls from operators and
+//! backends, subscribed gateways, quota grants, and the bootstrap. It performs no I/O and has no clock of its own.
 //!
-//! Whoever drives it hands in what arrives, when, and what storage did, and carries out the [`Effect`]s: the process with
-//! sockets, a disk and a clock, the simulation with its own. `docs/design/control-node.md`.
+//! A driver passes in messages, calls, storage results and the current time, and carries out the returned [`Effect`]s.
+//! The process drives it with sockets, a disk and a clock; the simulation drives it with its own.
+//! See `docs/design/control-node.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -37,7 +38,7 @@
 pub use persistence::MIN_DEDUP_BYTES;
 pub use subscribers::UPDATE_INTERVAL;
 
-/// Nanoseconds on the driver's steady clock.
+/// Nanoseconds on the driver's monotonic clock.
 pub type Time = consensus::Time;
 
 const MS: Time = 1_000_000;
--- a/crates/control/control-node/src/node.rs
+++ b/crates/control/control-node/src/node.rs
@@ -1,4 +1,4 @@
-//! The node itself: what it knows, and what is due.
+//! The control node: its state, construction, timers and accessors.
 
 use crate::bootstrapper::Bootstrapper;
 use crate::change_feed::ChangeFeed;
@@ -21,76 +21,77 @@
 use std::collections::BTreeMap;
 use trial::{TenantTerms, UnixMillis};
 
-/// What a control node is told at its start.
+/// Start parameters of a control node.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// Who it is.
+    /// Name and disk id of this node.
     pub id: NodeId,
-    /// Its zone.
+    /// Zone of this node.
     pub zone: String,
-    /// It has a disk, and so may vote.
+    /// Whether this node has a disk and so may become a voter.
     pub can_vote: bool,
-    /// This is the first start of the whole system.
+    /// Whether this is the first start of the whole system.
     pub initial_start: bool,
-    /// Names of control nodes.
+    /// Names of the seed control nodes.
     pub seeds: Vec<String>,
-    /// Between two heartbeats of a backend.
+    /// Interval between two heartbeats of a backend.
     pub heartbeat_interval: Time,
-    /// Reads what a configuration says of tenants.
+    /// Extracts the tenants' terms from the bytes of a configuration.
     pub read_terms: fn(&[u8]) -> TenantTerms,
-    /// How long a gateway's fallback share lasts without an answer: [`quota::FALLBACK_LIFETIME`], or less in a simulation.
+    /// How long a gateway may use its fallback share without an answer: [`quota::FALLBACK_LIFETIME`], or less in a
+    /// simulation.
     pub fallback_lifetime: Time,
-    /// Random: of election time-outs, and of this process's change log.
+    /// Random seed of the election timeouts, and the first incarnation of this process's change log.
     pub seed: u64,
 }
 
-/// One control node.
+/// A control node: a state machine that turns inputs into [`Effect`]s.
 pub struct ControlNode {
     pub(crate) config: NodeConfig,
-    /// As of the latest call.
+    /// Time of the latest call.
     pub(crate) now: Time,
-    /// This machine's time of day, as of the latest [`ControlNode::advance`].
+    /// This machine's wall-clock time at the latest [`ControlNode::advance`].
     pub(crate) unix_ms: UnixMillis,
     pub(crate) raft: RaftNode,
     pub(crate) persistence: PersistenceQueue,
     pub(crate) leadership: Leadership,
     pub(crate) quorum_contact: QuorumContact,
-    /// When the leader is next asked for proof of contact.
+    /// When the next [`ControlMessage::ContactRequest`] is due.
     pub(crate) next_contact_request: Time,
     pub(crate) state: ControlState,
     pub(crate) change_feed: ChangeFeed,
     pub(crate) registry: ZoneRegistry,
-    /// When silent backends were last looked for.
+    /// When backends were last checked for expiry.
     pub(crate) last_sweep: Time,
     pub(crate) next_sweep: Time,
-    /// To be forwarded to the other control nodes.
+    /// Heartbeats to forward to the other control nodes.
     pub(crate) pending_heartbeats: PendingHeartbeats,
     pub(crate) quota: QuotaState,
-    /// Control nodes that were ever heard of, each with its zone as far as that is known.
+    /// All control nodes learned so far, by name; the value is the zone, empty while unknown.
     pub(crate) known_nodes: BTreeMap<String, String>,
-    /// At the first start alone.
+    /// Present only at the first start of the system.
     pub(crate) bootstrapper: Option<Bootstrapper>,
     pub(crate) changes: Changes,
     pub(crate) drains: Vec<PendingDrain>,
     pub(crate) subscribers: BTreeMap<String, Subscriber>,
-    pub(crate) last_link: u64,
-    /// At shutdown: when the leader is next asked to let this node leave.
+    pub(crate) last_connection_id: u64,
+    /// During shutdown: when [`Input::Shutdown`] is next repeated.
     pub(crate) next_leave_request: Option<Time>,
     pub(crate) effects: Vec<Effect>,
     #[cfg(feature = "simulation")]
     pub(crate) defect: Option<Defect>,
-    /// What was applied, in order, since this was last taken.
+    /// Records of applied commands and snapshots, in order, since the simulation last took them.
     #[cfg(feature = "simulation")]
     pub applied_records: Vec<crate::AppliedRecord>,
 }
 
 impl ControlNode {
-    /// A node with what its disk held, and with backends as they were known before this process started.
+    /// Creates a node from its persisted state and from the backends known before this process started.
     pub fn new(config: NodeConfig, stored: PersistedState, backends: Vec<Heartbeat>, now: Time) -> Self {
         ControlNode::build(config, stored, backends, now, None)
     }
 
-    /// The same with a defect planted from the start.
+    /// Creates a node as [`ControlNode::new`] does, with a defect planted from the start.
     #[cfg(feature = "simulation")]
     pub fn with_defect(
         config: NodeConfig,
@@ -114,7 +115,8 @@
         #[cfg(not(feature = "simulation"))]
         let raft_start = now;
         let mut raft = RaftNode::new(config.id.clone(), stored, config.seed, raft_start);
-        // What was read from the disk is written once before anything rests on it.
+        // Storage counts as unhealthy until the state read from the disk has been saved once in full, so that nothing
+        // depends on it before.
         raft.handle(raft_start, Input::StorageHealth { healthy: false }, &mut Vec::new());
         let mut known_nodes: BTreeMap<String, String> =
             config.seeds.iter().map(|seed| (seed.clone(), String::new())).collect();
@@ -138,7 +140,7 @@
             changes: Changes::default(),
             drains: Vec::new(),
             subscribers: BTreeMap::new(),
-            last_link: 0,
+            last_connection_id: 0,
             next_leave_request: None,
             effects: Vec::new(),
             #[cfg(feature = "simulation")]
@@ -150,14 +152,14 @@
         };
         node.replay_log();
         for heartbeat in backends {
-            // Whatever the backend says itself counts more.
+            // Sequence 0, so that any heartbeat from the backend itself supersedes this one.
             node.registry.on_heartbeat(now, Heartbeat { sequence: 0, warmup_left_ms: 0, ..heartbeat });
         }
         node.update_leadership();
         node
     }
 
-    /// Applies what consensus knew to be committed at its start.
+    /// Applies the snapshot and the entries that consensus knew to be committed when it started.
     fn replay_log(&mut self) {
         let snapshot = self.raft.snapshot().clone();
         if snapshot.index > 0 {
@@ -170,17 +172,17 @@
         }
     }
 
-    /// Does what is due, and processes what waits for consensus, unless that waits for storage. `unix_ms`: this machine's
-    /// time of day.
+    /// Runs all due tasks, then processes queued inputs unless a save is pending. `unix_ms` is this machine's
+    /// wall-clock time in milliseconds.
     pub fn advance(&mut self, now: Time, unix_ms: UnixMillis) {
         (self.now, self.unix_ms) = (now, unix_ms);
         self.run_due_tasks();
         self.process_inputs();
     }
 
-    /// When [`ControlNode::advance`] is next due.
+    /// Returns when [`ControlNode::advance`] is next due.
     pub fn next_due(&self) -> Time {
-        let bootstrap = self.bootstrapper.as_ref().map_or(Time::MAX, Bootstrapper::next_due);
+        let bootstrap_due = self.bootstrapper.as_ref().map_or(Time::MAX, Bootstrapper::next_due);
         let due = [
             self.next_persistence_due(),
             self.changes.next_due(),
@@ -190,13 +192,13 @@
             self.quota.next_due(),
             self.quota.next_removal_poll,
             self.quota.next_report,
-            bootstrap,
+            bootstrap_due,
             self.next_leave_request.unwrap_or(Time::MAX),
         ];
         due.into_iter().min().unwrap_or(Time::MAX)
     }
 
-    /// Whether something waits for consensus that could be processed now.
+    /// Returns whether an input is queued that can be processed now.
     pub fn has_ready_input(&self) -> bool {
         self.persistence.has_ready_input()
     }
@@ -205,63 +207,63 @@
         self.request_contact();
         self.forward_heartbeats();
         self.expire_trials();
-        self.remove_gone_gateways();
+        self.remove_silent_gateways();
         self.report_quota();
         self.try_bootstrap();
-        self.repeat_leave_request();
+        self.retry_leave_request();
         self.expire_calls_and_changes();
         self.retry_drains();
     }
 
-    /// What the driver is to do about all that has arrived.
+    /// Takes the effects produced since the last call, for the driver to carry out.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// This process is to end: leadership goes to another node, and its voter's place if one waits for it.
+    /// Starts a graceful shutdown: transfers leadership away, and gives up the voter role if another node can take it.
     pub fn begin_shutdown(&mut self, now: Time) {
         self.now = now;
         self.next_leave_request = Some(now);
     }
 
-    fn repeat_leave_request(&mut self) {
-        if self.next_leave_request.is_some_and(|at| at <= self.now) {
+    fn retry_leave_request(&mut self) {
+        if self.next_leave_request.is_some_and(|due_at| due_at <= self.now) {
             self.next_leave_request = Some(self.now + LEAVE_INTERVAL);
             self.enqueue(Input::Shutdown);
         }
     }
 
-    /// Who it is.
+    /// Returns this node's id.
     pub fn id(&self) -> &NodeId {
         &self.config.id
     }
 
-    /// Its zone.
+    /// Returns this node's zone.
     pub fn zone(&self) -> &str {
         &self.config.zone
     }
 
-    /// The replicated state.
+    /// Returns the replicated state.
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// The backends that it knows.
+    /// Returns the registry of known backends.
     pub fn registry(&self) -> &ZoneRegistry {
         &self.registry
     }
 
-    /// Its part of the consensus group.
+    /// Returns this node's Raft state machine.
     pub fn raft(&self) -> &RaftNode {
         &self.raft
     }
 
-    /// Who leads.
+    /// Returns the leadership as of the latest update from consensus.
     pub fn leadership(&self) -> &Leadership {
         &self.leadership
     }
 
-    /// The control nodes that it knows, by name, each with its zone.
+    /// Returns the known control nodes as pairs of name and zone; the zone is empty while unknown.
     pub fn known_nodes(&self) -> Vec<(String, String)> {
         self.known_nodes.iter().map(|(name, zone)| (name.clone(), zone.clone())).collect()
     }
@@ -275,7 +277,7 @@
         self.effects.push(Effect::SendToGateway { gateway: gateway.into(), update });
     }
 
-    /// Whether this defect was planted; never in what ships.
+    /// Returns whether this defect is planted; always false in the shipped program.
     pub(crate) fn has_defect(&self, _defect: Defect) -> bool {
         #[cfg(feature = "simulation")]
         return self.defect == Some(_defect);
--- a/crates/control/control-node/src/persistence.rs
+++ b/crates/control/control-node/src/persistence.rs
@@ -1,7 +1,8 @@
-//! Consensus and its storage: inputs in, changes to storage before anything that rests on them, outputs out.
+//! Persistence of consensus: inputs are processed in batches, the resulting changes are written to storage, and the
+//! outputs that depend on them are performed afterwards.
 //!
-//! While storage does not save, the node goes on without: it applies and passes on what others have committed, and promises
-//! nothing. `docs/design/disk.md`.
+//! While storage is unhealthy the node continues without it: it applies and forwards entries that other nodes have
+//! committed, and makes no promises. See `docs/design/disk.md`.
 
 use crate::configuration_changes::Outcome;
 use crate::effect::{Effect, StorageRequest};
@@ -10,32 +11,32 @@
 use consensus::{Entry, EntryPayload, Input, LogIndex, Output, Persist, Term};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Inputs that are processed together, so that their changes share a sync.
+/// Maximum number of inputs processed in one batch, whose changes share one sync.
 const MAX_BATCH_INPUTS: usize = 64;
-/// A batch ends sooner when so many bytes are to be persisted.
+/// A batch ends early once more than this many bytes are to be persisted.
 const MAX_BATCH_BYTES: usize = 512 << 10;
-/// Inputs that wait at most, while storage hangs: messages may be lost.
+/// Maximum number of queued inputs while storage hangs; further ones are dropped, since messages may be lost.
 const MAX_QUEUED_INPUTS: usize = 4096;
-/// The log is compacted when it holds more committed entries than this.
+/// The log is compacted when it holds more applied entries than this.
 const SNAPSHOT_THRESHOLD: usize = 64;
-/// The log is compacted when its committed entries take more bytes than this.
+/// The log is compacted when its applied entries take more bytes than this.
 const SNAPSHOT_THRESHOLD_BYTES: usize = 512 << 10;
-/// A run of so many bytes is stored by itself, once, however many entries and snapshots hold it. Shorter ones are stored
-/// where they stand.
+/// Minimum length of a run of bytes that storage keeps once, separately, however many entries and snapshots contain
+/// it. Shorter runs are stored inline. Commands of at least this length count as long.
 pub const MIN_DEDUP_BYTES: usize = 4 << 10;
-/// No long command is proposed while long ones of so many bytes are not committed: this bounds what a disk holds.
+/// No long command is proposed while the uncommitted long entries take more than this many bytes. Bounds disk usage.
 const MAX_UNCOMMITTED_LONG_BYTES: usize = 1 << 20;
-/// The same of short commands.
+/// The same limit for short commands.
 const MAX_UNCOMMITTED_SHORT_BYTES: usize = 512 << 10;
 const NANOS_PER_MILLI: Time = 1_000_000;
 const NANOS_PER_SECOND: Time = 1_000_000_000;
 
-/// Who waits for the outcome of an input.
+/// The party that waits for the outcome of an input.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Requester {
-    /// A call that reads the configuration.
+    /// A call that reads the configuration, by its number.
     Read(u64),
-    /// A change of the configuration.
+    /// A change of the configuration, by its id.
     Change(u64),
 }
 
@@ -44,53 +45,53 @@
     requester: Option<Requester>,
 }
 
-/// A command that was proposed here.
+/// An uncommitted command proposed by this node.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Proposal {
     pub term: Term,
     pub tag: u64,
 }
 
-/// What storage is working on while no inputs are processed.
+/// A storage request during which no inputs are processed.
 struct PendingSave {
     number: u64,
-    /// It is waited for until then.
+    /// Time after which the node continues without it.
     deadline: Time,
-    then: AfterSave,
+    continuation: AfterSave,
 }
 
-/// What follows a save.
+/// What to do once a pending save completes.
 enum AfterSave {
-    /// What rests on it.
+    /// Perform the outputs that depend on it.
     Perform(Vec<Output>),
-    /// Nothing: a snapshot was saved.
+    /// Nothing; it saved a snapshot.
     Snapshot,
-    /// Storage holds everything again.
+    /// Update storage health; it was a full save.
     FullSave,
 }
 
-/// Inputs that wait for consensus, and what storage is working on.
+/// Queued inputs, the requesters that wait for them, and outstanding storage requests.
 pub(crate) struct PersistenceQueue {
     inputs: VecDeque<QueuedInput>,
-    /// Who waits, by tag.
+    /// Requesters by input tag.
     pub requesters: BTreeMap<u64, Requester>,
-    /// What was proposed here, by index.
+    /// Proposals of this node by log index.
     pub proposals: BTreeMap<LogIndex, Proposal>,
     pub applied_index: LogIndex,
     last_tag: u64,
     pub storage: StorageHealth,
-    /// The number of the latest [`Effect::Persist`].
-    last_request: u64,
-    pending: Option<PendingSave>,
-    /// What storage is working on while inputs are processed without it.
+    /// Number of the latest [`Effect::Persist`].
+    last_request_number: u64,
+    pending_save: Option<PendingSave>,
+    /// Number of the storage request that runs while inputs are processed without storage.
     background_request: Option<u64>,
-    /// Committed by this node alone, and not on its disk yet.
-    withheld: Vec<Output>,
+    /// Entries committed by this node as the sole voter, to be applied once its disk holds them.
+    withheld_outputs: Vec<Output>,
     snapshot_threshold: usize,
 }
 
 impl PersistenceQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(now: Time) -> Self {
         PersistenceQueue {
             inputs: VecDeque::new(),
@@ -99,49 +100,49 @@
             applied_index: 0,
             last_tag: 0,
             storage: StorageHealth::new(now),
-            last_request: 0,
-            pending: None,
+            last_request_number: 0,
+            pending_save: None,
             background_request: None,
-            withheld: Vec::new(),
+            withheld_outputs: Vec::new(),
             snapshot_threshold: SNAPSHOT_THRESHOLD,
         }
     }
 
-    /// Whether an input waits that could be processed now.
+    /// Returns whether an input is queued and no save is pending.
     pub fn has_ready_input(&self) -> bool {
-        self.pending.is_none() && !self.inputs.is_empty()
+        self.pending_save.is_none() && !self.inputs.is_empty()
     }
 }
 
 impl ControlNode {
-    /// Compacts the log at so many entries: for simulations that are to compact it often.
+    /// Sets how many applied entries trigger log compaction, for simulations that compact often.
     pub fn set_snapshot_threshold(&mut self, entries: usize) {
         self.persistence.snapshot_threshold = entries;
     }
 
-    /// How its storage stands, for a simulation's story.
+    /// Describes the queue and the storage health, for a simulation's report.
     pub fn describe_storage(&self) -> String {
-        let pending = self.persistence.pending.as_ref().map(|save| (save.number, save.deadline));
+        let pending_save = self.persistence.pending_save.as_ref().map(|save| (save.number, save.deadline));
         let inputs = self.persistence.inputs.len();
-        format!("{inputs} inputs, waits for {pending:?}, {:?}", self.persistence.storage)
+        format!("{inputs} inputs, pending save {pending_save:?}, {:?}", self.persistence.storage)
     }
 
     pub(crate) fn next_persistence_due(&self) -> Time {
-        match &self.persistence.pending {
-            // Nothing else is processed meanwhile.
+        match &self.persistence.pending_save {
+            // No inputs are processed and no consensus timers run while a save is pending.
             Some(save) => save.deadline,
             None => self.raft.next_due().min(self.persistence.storage.next_due()),
         }
     }
 
-    /// Queues an input for which nobody waits; of too many some are lost.
+    /// Queues an input without a requester; drops it if the queue is full.
     pub(crate) fn enqueue(&mut self, input: Input) {
         if self.persistence.inputs.len() < MAX_QUEUED_INPUTS {
             self.persistence.inputs.push_back(QueuedInput { input, requester: None });
         }
     }
 
-    /// Queues an input; the requester hears what came of it.
+    /// Queues an input whose outcome is reported to the requester.
     pub(crate) fn enqueue_for(&mut self, requester: Requester, input: Input) {
         if self.persistence.inputs.len() < MAX_QUEUED_INPUTS {
             self.persistence.inputs.push_back(QueuedInput { input, requester: Some(requester) });
@@ -150,12 +151,12 @@
         }
     }
 
-    /// Processes what waits, batch by batch, unless storage is waited for.
+    /// Processes due timers and queued inputs in batches, until none are left or a save is pending.
     pub(crate) fn process_inputs(&mut self) {
-        if self.persistence.pending.as_ref().is_some_and(|save| save.deadline <= self.now) {
-            self.on_pending_done(None);
+        if self.persistence.pending_save.as_ref().is_some_and(|save| save.deadline <= self.now) {
+            self.on_pending_save_done(None);
         }
-        while self.persistence.pending.is_none() {
+        while self.persistence.pending_save.is_none() {
             let is_due = self.next_persistence_due() <= self.now;
             if !is_due && self.persistence.inputs.is_empty() {
                 break;
@@ -163,7 +164,7 @@
             let outputs = self.process_batch(is_due);
             self.persist_then_perform(outputs);
             if is_due && self.persistence.inputs.is_empty() && self.next_persistence_due() <= self.now {
-                // Whatever is due is done once a step.
+                // Work that is due again is left to the next step.
                 break;
             }
         }
@@ -202,7 +203,7 @@
         }
         if let Some(requester) = queued.requester {
             if self.persistence.requesters.len() >= MAX_QUEUED_INPUTS {
-                // Some have long given up waiting.
+                // Some of the requesters stopped waiting long ago.
                 let (changes, persistence) = (&self.changes, &mut self.persistence);
                 persistence.requesters.retain(|_, requester| changes.is_waiting(*requester));
             }
@@ -211,7 +212,7 @@
         self.raft.handle(self.now, input, outputs);
     }
 
-    /// Whether as many bytes are uncommitted as may be, for a command of so many bytes.
+    /// Returns whether the uncommitted entries already exceed the limit that applies to a command of this length.
     fn exceeds_uncommitted_limit(&self, command_bytes: usize) -> bool {
         let is_long = |bytes: usize| bytes >= MIN_DEDUP_BYTES;
         let limit =
@@ -224,8 +225,8 @@
         uncommitted.map(|(_, bytes)| bytes).sum::<usize>() > limit
     }
 
-    /// Persists first: that is sooner than asked for, and one sync does for all. What rests on it waits for storage, if that
-    /// is healthy.
+    /// Persists all changes before performing any other output, which is earlier than required but needs only one
+    /// sync. If storage is healthy, the other outputs wait until the changes are durable.
     fn persist_then_perform(&mut self, outputs: Vec<Output>) {
         let (to_persist, mut to_perform): (Vec<Output>, Vec<Output>) =
             outputs.into_iter().partition(|output| matches!(output, Output::Persist(_)));
@@ -234,8 +235,9 @@
             return self.compact_log();
         }
         if self.has_defect(Defect::SendBeforeSync) {
-            let (sent, rest) = to_perform.into_iter().partition(|output| matches!(output, Output::Send(_)));
-            to_perform = rest;
+            let (sent, remaining) =
+                to_perform.into_iter().partition(|output| matches!(output, Output::Send(_)));
+            to_perform = remaining;
             self.perform(sent);
         }
         let changes = to_persist.into_iter().filter_map(|output| match output {
@@ -247,8 +249,9 @@
         self.wait_for_storage(request, AfterSave::Perform(to_perform));
     }
 
-    /// Whether a change is to be waited for. Unhealthy storage is not: what consensus makes of inputs while it knows of no
-    /// storage promises nothing, and the change comes with the next full save.
+    /// Returns whether a change must become durable before the node continues, and otherwise records it as skipped.
+    /// Unhealthy storage is not waited for: consensus knows of it, so its outputs promise nothing, and the next full
+    /// save includes the change.
     fn must_wait_for_storage(&mut self) -> bool {
         let is_healthy = self.persistence.storage.is_healthy();
         if !is_healthy {
@@ -258,33 +261,35 @@
     }
 
     fn request_storage(&mut self, request: StorageRequest) -> u64 {
-        self.persistence.last_request += 1;
-        let number = self.persistence.last_request;
+        self.persistence.last_request_number += 1;
+        let number = self.persistence.last_request_number;
         self.effects.push(Effect::Persist { number, request });
         number
     }
 
-    /// Waits no longer than the other nodes wait for a leader.
-    fn wait_for_storage(&mut self, request: StorageRequest, then: AfterSave) {
+    /// Sends a request to storage and holds back inputs until it completes, but for less time than other nodes wait
+    /// for a silent leader.
+    fn wait_for_storage(&mut self, request: StorageRequest, continuation: AfterSave) {
         let number = self.request_storage(request);
-        self.persistence.pending = Some(PendingSave { number, deadline: self.now + SAVE_TIMEOUT, then });
+        self.persistence.pending_save =
+            Some(PendingSave { number, deadline: self.now + SAVE_TIMEOUT, continuation });
     }
 
-    /// Storage has done what [`Effect::Persist`] asked for, or has failed.
+    /// Handles the completion or failure of the [`Effect::Persist`] request with this number.
     pub fn on_persisted(&mut self, now: Time, number: u64, succeeded: bool) {
         self.now = now;
-        if self.persistence.pending.as_ref().is_some_and(|save| save.number == number) {
-            self.on_pending_done(Some(succeeded));
+        if self.persistence.pending_save.as_ref().is_some_and(|save| save.number == number) {
+            self.on_pending_save_done(Some(succeeded));
         } else if self.persistence.background_request == Some(number) {
             let outputs = self.on_background_save(succeeded);
             self.persist_then_perform(outputs);
         }
     }
 
-    /// The pending save has succeeded or failed; none: it is waited for no longer.
-    fn on_pending_done(&mut self, succeeded: Option<bool>) {
-        let Some(save) = self.persistence.pending.take() else { return };
-        let outputs = match save.then {
+    /// Handles the end of the pending save: success, failure, or `None` if its deadline has passed.
+    fn on_pending_save_done(&mut self, succeeded: Option<bool>) {
+        let Some(save) = self.persistence.pending_save.take() else { return };
+        let outputs = match save.continuation {
             AfterSave::Perform(outputs) => outputs,
             AfterSave::Snapshot => Vec::new(),
             AfterSave::FullSave => match succeeded {
@@ -306,9 +311,9 @@
                 self.perform_without_storage(outputs);
             }
             None => {
-                let ms = SAVE_TIMEOUT / NANOS_PER_MILLI;
+                let timeout_ms = SAVE_TIMEOUT / NANOS_PER_MILLI;
                 log::warn!(
-                    "storage: a save takes over {ms} ms; this node neither leads nor votes until all is saved"
+                    "storage: a save takes over {timeout_ms} ms; this node neither leads nor votes until all is saved"
                 );
                 self.persistence.background_request = Some(save.number);
                 self.persistence.storage.on_save_overdue(self.now);
@@ -318,24 +323,25 @@
         self.compact_log();
     }
 
-    /// A save did not succeed: what rests on it is not sent, and consensus is told. Messages may be lost at any time.
+    /// Performs outputs although the save they depend on did not succeed: drops their messages, which may be lost at
+    /// any time, and reports unhealthy storage to consensus.
     fn perform_without_storage(&mut self, mut outputs: Vec<Output>) {
         if self.has_defect(Defect::SendWithoutStorage) {
             return self.perform(outputs);
         }
         outputs.retain(|output| !matches!(output, Output::Send(_)));
         if self.raft.is_leader() && self.raft.voters().len() == 1 {
-            // No other node has it: it is committed once storage has it.
-            let (withheld, others): (Vec<Output>, Vec<Output>) =
+            // No other node holds these entries: they are committed once storage holds them.
+            let (withheld_outputs, remaining_outputs): (Vec<Output>, Vec<Output>) =
                 outputs.into_iter().partition(|output| matches!(output, Output::Apply { .. }));
-            self.persistence.withheld.extend(withheld);
-            outputs = others;
+            self.persistence.withheld_outputs.extend(withheld_outputs);
+            outputs = remaining_outputs;
         }
         self.raft.handle(self.now, Input::StorageHealth { healthy: false }, &mut outputs);
         self.perform(outputs);
     }
 
-    /// A full save has succeeded or failed, or a save that was overdue. What is to be performed now.
+    /// Handles the end of a full save or of an overdue save. Returns the outputs to perform.
     fn on_background_save(&mut self, succeeded: bool) -> Vec<Output> {
         self.persistence.background_request = None;
         let mut outputs = Vec::new();
@@ -343,22 +349,23 @@
             self.persistence.storage.on_save_failed(self.now);
         } else if let Some(unhealthy_for) = self.persistence.storage.on_saved(self.now) {
             log::info!("storage: all is saved, after {} ms", unhealthy_for / NANOS_PER_MILLI);
-            outputs.append(&mut self.persistence.withheld);
+            outputs.append(&mut self.persistence.withheld_outputs);
             self.raft.handle(self.now, Input::StorageHealth { healthy: true }, &mut outputs);
         }
         outputs
     }
 
-    /// Replaces the applied part of the log by a snapshot, when it is long.
+    /// Replaces the applied part of the log by a snapshot if it exceeds a threshold. Starts a full save if one is
+    /// due, unless it waits for the snapshot.
     fn compact_log(&mut self) {
         let applied_index = self.persistence.applied_index;
         let applied_bytes = || {
             let applied = self.raft.entry_sizes().filter(|(index, _)| *index <= applied_index);
             applied.map(|(_, bytes)| bytes)
         };
-        let is_short = applied_bytes().count() <= self.persistence.snapshot_threshold
+        let is_below_thresholds = applied_bytes().count() <= self.persistence.snapshot_threshold
             && applied_bytes().sum::<usize>() <= SNAPSHOT_THRESHOLD_BYTES;
-        if is_short {
+        if is_below_thresholds {
             return self.start_full_save_if_due();
         }
         let state = self.snapshot_bytes();
@@ -373,7 +380,7 @@
         self.wait_for_storage(request, AfterSave::Snapshot);
     }
 
-    /// Saves everything, if it is time. Where that was just done and more had come by then, it is waited for.
+    /// Starts a full save if one is due. Inputs wait for it if changes arrived during the previous one.
     fn start_full_save_if_due(&mut self) {
         if let Some(unhealthy_for) = self.persistence.storage.take_warning(self.now) {
             let seconds = unhealthy_for / NANOS_PER_SECOND;
@@ -392,7 +399,7 @@
     }
 }
 
-/// How many bytes are to be persisted.
+/// Returns how many bytes of commands and snapshots the outputs persist.
 fn persisted_bytes(outputs: &[Output]) -> usize {
     let entry_bytes = |entry: &Entry| match &entry.payload {
         EntryPayload::Command(command) => command.len(),
--- a/crates/control/control-node/src/quorum_contact.rs
+++ b/crates/control/control-node/src/quorum_contact.rs
@@ -1,50 +1,51 @@
-//! Contact with a majority, as far as it can be proven: [`change_log::QuorumContact`].
+//! Proof of contact with a quorum, obtained from the leader: see [`change_log::QuorumContact`].
 
 use crate::{ControlNode, Defect, Time, MS};
 use messages::ControlMessage;
 
-/// The leader is asked for proof this often.
+/// Interval between contact requests to the leader.
 const REQUEST_INTERVAL: Time = 150 * MS;
-/// A node that has not been in contact with a majority for so long takes no heartbeats.
+/// After this long without quorum contact a node no longer acknowledges heartbeats or starts drains.
 const CONTACT_TIMEOUT: Time = 1500 * MS;
-/// Nor does it redirect operators to the leader that it knows: another is about to be elected.
+/// After this long without quorum contact a node does not redirect operators to the leader it knows: another leader
+/// is about to be elected.
 const REDIRECT_TIMEOUT: Time = 800 * MS;
 
 impl ControlNode {
-    /// All that was committed before then is held here, as far as can be proven.
+    /// Returns the latest proven quorum contact: this node has applied everything committed before that time.
     pub fn last_quorum_contact(&mut self, now: Time) -> Option<Time> {
         self.now = now;
-        if let Some(at) = self.contact_as_leader() {
-            self.quorum_contact.prove(at);
+        if let Some(contact_at) = self.contact_as_leader() {
+            self.quorum_contact.prove(contact_at);
         }
         self.quorum_contact.proven_at()
     }
 
-    /// How long ago that was; [`Time::MAX`] if it never was.
+    /// Returns the age of the latest proven quorum contact; [`Time::MAX`] if there was none.
     pub fn quorum_contact_age(&mut self, now: Time) -> Time {
         match self.last_quorum_contact(now) {
             Some(_) if self.has_defect(Defect::ClaimsQuorumContact) => 0,
-            contact => contact.map_or(Time::MAX, |at| now.saturating_sub(at)),
+            contact => contact.map_or(Time::MAX, |contact_at| now.saturating_sub(contact_at)),
         }
     }
 
-    /// When a majority answered this node, if it leads beyond doubt.
+    /// Returns when a quorum last answered this node, if it leads and consensus reports the end of its leader lease.
     fn contact_as_leader(&self) -> Option<Time> {
         let leadership = &self.leadership;
-        // Before its own first entry is committed it may lack what was committed before.
-        let leads = leadership.is_leader && leadership.lease_until.is_some();
-        leadership.quorum_contact.filter(|_| leads).map(|at| at.min(self.now))
+        // Until the first entry of its term is committed, a leader may not have applied everything committed before.
+        let is_established_leader = leadership.is_leader && leadership.lease_until.is_some();
+        leadership.quorum_contact.filter(|_| is_established_leader).map(|contact_at| contact_at.min(self.now))
     }
 
-    /// Asks the leader for proof, if it is time.
+    /// Sends a contact request to the leader if one is due.
     pub(crate) fn request_contact(&mut self) {
         if self.next_contact_request > self.now {
             return;
         }
         self.next_contact_request = self.now + REQUEST_INTERVAL;
         if self.has_defect(Defect::HeartbeatCountsAsContact) {
-            if let Some(at) = self.leadership.quorum_contact {
-                self.quorum_contact.prove(at);
+            if let Some(contact_at) = self.leadership.quorum_contact {
+                self.quorum_contact.prove(contact_at);
             }
         }
         if let Some(leader) = self.leadership.leader.as_ref().filter(|_| !self.leadership.is_leader) {
@@ -52,24 +53,24 @@
             let number = self.quorum_contact.request(self.now);
             self.send_to(&to, ControlMessage::ContactRequest { number });
         }
-        // What it has proven as the leader counts on when it is one no more.
+        // Records contact proven as leader, so that it still counts after leadership is lost.
         self.last_quorum_contact(self.now);
     }
 
-    /// Another node asks: the leader alone answers.
+    /// Handles another node's contact request. Only the leader responds.
     pub(crate) fn on_contact_request(&mut self, from: &str, number: u64) {
-        let Some(at) = self.contact_as_leader() else { return };
-        let age = self.now.saturating_sub(at);
+        let Some(contact_at) = self.contact_as_leader() else { return };
+        let age = self.now.saturating_sub(contact_at);
         let commit_index = self.quorum_contact.applied_index();
         self.send_to(from, ControlMessage::ContactResponse { number, age, commit_index });
     }
 
-    /// Whether a majority was in contact lately.
+    /// Returns whether contact with a quorum is recent enough to acknowledge heartbeats and start drains.
     pub(crate) fn has_quorum_contact(&mut self) -> bool {
         self.quorum_contact_age(self.now) < CONTACT_TIMEOUT
     }
 
-    /// Whether the leader that it knows still leads, most likely.
+    /// Returns whether the known leader most likely still leads.
     pub(crate) fn can_redirect(&mut self) -> bool {
         self.quorum_contact_age(self.now) < REDIRECT_TIMEOUT
     }
--- a/crates/control/control-node/src/quota_grants.rs
+++ b/crates/control/control-node/src/quota_grants.rs
@@ -1,4 +1,4 @@
-//! Tenants' quota, granted by the leader within its lease.
+//! Quota grants to gateways, made by the leader while it holds its leader lease.
 
 use crate::{ControlNode, Defect, Time, MS};
 use consensus::Term;
@@ -8,19 +8,19 @@
 use std::rc::Rc;
 use trial::{ClockReadings, TenantTerms, UnixMillis};
 
-/// How much longer than its lease a leader with the defect grants.
+/// How long after its lease a leader with [`Defect::LeasePastItsEnd`] keeps granting.
 const DEFECTIVE_LEASE_EXTENSION: Time = 1000 * MS;
 
-/// What of the replicated state quota rests on.
+/// Versions of the replicated state from which the coordinator was last updated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct QuotaInputs {
     configuration_index: LogIndex,
     last_expiry_index: LogIndex,
-    /// Counts changes of the replicated gateways.
+    /// Incremented with each change of the replicated gateways.
     gateways_generation: u64,
 }
 
-/// The coordinator of one of this leader's terms.
+/// The quota coordinator of one term in which this node leads.
 #[derive(Debug)]
 pub(crate) struct CoordinatorTerm {
     pub term: Term,
@@ -28,33 +28,33 @@
     inputs: QuotaInputs,
 }
 
-/// What the configuration of an index says of tenants.
+/// Tenant terms extracted from the configuration at `configuration_index`.
 #[derive(Debug, Default)]
-struct IndexedTerms {
+struct CachedTerms {
     configuration_index: LogIndex,
     terms: Rc<TenantTerms>,
 }
 
-/// A node's part in quota and trials.
+/// Quota and trial state of a node.
 #[derive(Debug)]
 pub(crate) struct QuotaState {
     pub(crate) coordinator: Option<CoordinatorTerm>,
-    terms: IndexedTerms,
-    /// What control nodes say of the time of day.
+    cached_terms: CachedTerms,
+    /// Wall-clock readings of the control nodes.
     pub clocks: ClockReadings,
     pub next_trial_poll: Time,
     pub next_removal_poll: Time,
     pub next_report: Time,
-    /// Counts changes of the replicated gateways.
+    /// Incremented with each change of the replicated gateways.
     pub gateways_generation: u64,
 }
 
 impl QuotaState {
-    /// A node that coordinates nothing yet.
+    /// Creates the state without a coordinator.
     pub fn new(now: Time) -> Self {
         QuotaState {
             coordinator: None,
-            terms: IndexedTerms::default(),
+            cached_terms: CachedTerms::default(),
             clocks: ClockReadings::default(),
             next_trial_poll: now + crate::trial_expiry::IDLE_POLL_INTERVAL,
             next_removal_poll: now + crate::gateway_removal::POLL_INTERVAL,
@@ -63,28 +63,28 @@
         }
     }
 
-    /// When trials are next looked at.
+    /// Returns when the next check for ended trials is due.
     pub fn next_due(&self) -> Time {
         self.next_trial_poll
     }
 
-    /// A node says what time of day it is.
+    /// Records another node's wall-clock reading.
     pub fn record_clock(&mut self, now: Time, node: &str, unix_ms: UnixMillis) {
         self.clocks.record(now, node, unix_ms);
     }
 }
 
 impl ControlNode {
-    /// What the configuration in force says of tenants, read once for each configuration.
+    /// Returns the tenants' terms of the configuration in force, extracted once per configuration.
     pub fn terms(&mut self) -> Rc<TenantTerms> {
         let current = self.state.configuration();
         let configuration_index = current.map_or(0, |current| current.index);
-        if self.quota.terms.configuration_index != configuration_index {
+        if self.quota.cached_terms.configuration_index != configuration_index {
             let read_terms = self.config.read_terms;
             let terms = Rc::new(current.map(|current| read_terms(&current.body)).unwrap_or_default());
-            self.quota.terms = IndexedTerms { configuration_index, terms };
+            self.quota.cached_terms = CachedTerms { configuration_index, terms };
         }
-        self.quota.terms.terms.clone()
+        self.quota.cached_terms.terms.clone()
     }
 
     fn quota_inputs(&self) -> QuotaInputs {
@@ -95,10 +95,12 @@
         }
     }
 
-    /// The term in which this node grants quota now, if it does: while no other node can have been elected.
+    /// Returns the current term if this node may grant quota: its leader lease has not expired, so that no other node
+    /// can have been elected.
     pub fn coordinator_term(&self, now: Time) -> Option<Term> {
-        let extension = if self.has_defect(Defect::LeasePastItsEnd) { DEFECTIVE_LEASE_EXTENSION } else { 0 };
-        let lease_until = self.leadership.lease_until?.saturating_add(extension);
+        let lease_extension =
+            if self.has_defect(Defect::LeasePastItsEnd) { DEFECTIVE_LEASE_EXTENSION } else { 0 };
+        let lease_until = self.leadership.lease_until?.saturating_add(lease_extension);
         (now < lease_until).then_some(self.leadership.term)
     }
 
@@ -128,13 +130,14 @@
         }
         #[cfg(feature = "simulation")]
         if self.defect == Some(Defect::FallbackSharesGranted) {
-            let nothing = LeaseRequest::default();
-            gateways.iter().for_each(|gateway| drop(current.coordinator.grant(now, gateway, &nothing)));
+            let empty_request = LeaseRequest::default();
+            gateways.iter().for_each(|gateway| drop(current.coordinator.grant(now, gateway, &empty_request)));
         }
         current.coordinator.grant(now, gateway, request)
     }
 
-    /// The tenants whose trial has expired, as replicated; they change with the inputs alone.
+    /// Returns the tenants whose trial has expired in the replicated state. The result changes only with
+    /// [`QuotaInputs`].
     fn expired_tenants(&self, terms: &TenantTerms) -> BTreeSet<String> {
         if self.has_defect(Defect::ExpiredTrialsForgotten) {
             return BTreeSet::new();
@@ -142,7 +145,7 @@
         terms.expired_tenants(&self.state)
     }
 
-    /// How trials stand, if this node grants quota.
+    /// Returns the status of all trials if this node is the coordinator of the current term; otherwise an empty list.
     pub fn trial_status(&self, now: Time) -> Vec<TrialStatus> {
         let is_current = self.leadership.is_leader;
         let current = self.quota.coordinator.as_ref();
--- a/crates/control/control-node/src/quota_report.rs
+++ b/crates/control/control-node/src/quota_report.rs
@@ -1,12 +1,12 @@
-//! What the coordinator did lately, in the log.
+//! Periodic log line with the quota coordinator's counters.
 
 use crate::{ControlNode, Time, MS};
 
-/// The coordinator reports this often.
+/// Interval between two reports of the coordinator.
 pub(crate) const REPORT_INTERVAL: Time = 5000 * MS;
 
 impl ControlNode {
-    /// The leader logs what it granted since it last did, and what it keeps back.
+    /// Logs, on the coordinator, the grants since the previous report and the rate it keeps back.
     pub(crate) fn report_quota(&mut self) {
         if self.quota.next_report > self.now {
             return;
--- a/crates/control/control-node/src/storage_health.rs
+++ b/crates/control/control-node/src/storage_health.rs
@@ -1,121 +1,126 @@
-//! How storage stands, and what that asks for: when consensus goes on without it, when it is retried, when everything is
-//! saved again. No I/O.
+//! Health of storage: when consensus proceeds without it, when a failed save is retried, and when the complete state
+//! must be saved again. No I/O.
 
 #[cfg(test)]
 mod tests;
 
 use crate::{Time, MS};
 
-/// Consensus waits so long for a save: less than the others wait for a silent leader,
-/// [`consensus::MIN_ELECTION_TIMEOUT`].
+/// Maximum time that consensus waits for a save. It is shorter than [`consensus::MIN_ELECTION_TIMEOUT`], the time for
+/// which other nodes wait for a silent leader.
 pub(crate) const SAVE_TIMEOUT: Time = 400 * MS;
-/// Storage that failed is retried after so long, and after twice that each time, up to [`MAX_RETRY_DELAY`].
+/// First retry delay after a failed save. It doubles with each further failure, up to [`MAX_RETRY_DELAY`].
 const MIN_RETRY_DELAY: Time = 200 * MS;
 const MAX_RETRY_DELAY: Time = 2_000 * MS;
-/// So that the shift that doubles the delay does not overflow.
+/// Keeps the shift that doubles the delay from overflowing.
 const MAX_RETRY_DOUBLINGS: u32 = 8;
-/// A warning is logged this often while storage is unhealthy.
+/// Interval between logged warnings while storage is unhealthy.
 const WARNING_INTERVAL: Time = 10_000 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StorageState {
-    /// What is saved is durable.
+    /// Saves succeed in time.
     Healthy,
-    /// A save was not done in time, and goes on.
+    /// A save has exceeded [`SAVE_TIMEOUT`] and is still running.
     SaveOverdue,
-    /// Everything is to be saved, from this time on.
+    /// A full save is due at `due_at`.
     FullSaveDue {
-        at: Time,
-        /// It was, and more had come by then.
-        after_missed: bool,
+        due_at: Time,
+        /// The previous full save succeeded, but changes arrived while it ran.
+        previous_missed_changes: bool,
     },
-    /// Everything is being saved.
+    /// A full save is running.
     FullSaveRunning {
-        /// Something has come since that is to be saved, too.
-        missed: bool,
+        /// Changes that it does not include have arrived since it started.
+        missed_changes: bool,
     },
 }
 
-/// How storage stands.
+/// Health of storage, with its retry and warning timers.
 #[derive(Clone, Debug)]
 pub(crate) struct StorageHealth {
     state: StorageState,
     unhealthy_since: Time,
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     next_warning: Time,
 }
 
 impl StorageHealth {
-    /// At the start everything is to be saved once: what was read may be in the system's cache alone.
+    /// Creates the state at process start. A full save is due at once, because the state that was read may exist only
+    /// in the operating system's cache.
     pub fn new(now: Time) -> Self {
         StorageHealth {
-            state: StorageState::FullSaveDue { at: now, after_missed: false },
+            state: StorageState::FullSaveDue { due_at: now, previous_missed_changes: false },
             unhealthy_since: now,
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             next_warning: now + WARNING_INTERVAL,
         }
     }
 
-    /// Whether what is saved is durable.
+    /// Returns whether storage makes changes durable in time.
     pub fn is_healthy(&self) -> bool {
         self.state == StorageState::Healthy
     }
 
-    /// A save is not done after [`SAVE_TIMEOUT`].
+    /// Records that a save has exceeded [`SAVE_TIMEOUT`].
     pub fn on_save_overdue(&mut self, now: Time) {
         self.set_unhealthy(now, StorageState::SaveOverdue);
     }
 
-    /// A save failed: everything is saved again, later each time.
+    /// Records a failed save, and schedules a full save with exponential backoff.
     pub fn on_save_failed(&mut self, now: Time) {
-        let doublings = self.failures_in_a_row.min(MAX_RETRY_DOUBLINGS);
+        let doublings = self.consecutive_failures.min(MAX_RETRY_DOUBLINGS);
         let delay = (MIN_RETRY_DELAY << doublings).min(MAX_RETRY_DELAY);
-        self.failures_in_a_row += 1;
-        self.set_unhealthy(now, StorageState::FullSaveDue { at: now + delay, after_missed: false });
+        self.consecutive_failures += 1;
+        self.set_unhealthy(
+            now,
+            StorageState::FullSaveDue { due_at: now + delay, previous_missed_changes: false },
+        );
     }
 
-    /// Something was to be saved, and was not.
+    /// Records that a change was not passed to storage.
     pub fn on_save_skipped(&mut self) {
-        if let StorageState::FullSaveRunning { missed } = &mut self.state {
-            *missed = true;
+        if let StorageState::FullSaveRunning { missed_changes } = &mut self.state {
+            *missed_changes = true;
         }
     }
 
-    /// Whether everything is to be saved now.
+    /// Returns whether a full save is due.
     pub fn is_full_save_due(&self, now: Time) -> bool {
-        matches!(self.state, StorageState::FullSaveDue { at, .. } if now >= at)
+        matches!(self.state, StorageState::FullSaveDue { due_at, .. } if now >= due_at)
     }
 
-    /// When something is next to be saved or logged.
+    /// Returns when the next full save or warning is due.
     pub fn next_due(&self) -> Time {
         match self.state {
             StorageState::Healthy => Time::MAX,
-            StorageState::FullSaveDue { at, .. } => at.min(self.next_warning),
+            StorageState::FullSaveDue { due_at, .. } => due_at.min(self.next_warning),
             StorageState::SaveOverdue | StorageState::FullSaveRunning { .. } => self.next_warning,
         }
     }
 
-    /// Everything is being saved from now on. Whether to wait for it, so that nothing more comes meanwhile.
+    /// Records the start of a full save. Returns whether inputs must wait for it, so that no changes arrive while it
+    /// runs.
     pub fn start_full_save(&mut self) -> bool {
-        let must_wait = matches!(self.state, StorageState::FullSaveDue { after_missed: true, .. });
-        self.state = StorageState::FullSaveRunning { missed: false };
+        let must_wait = matches!(self.state, StorageState::FullSaveDue { previous_missed_changes: true, .. });
+        self.state = StorageState::FullSaveRunning { missed_changes: false };
         must_wait
     }
 
-    /// What was being saved is durable. For how long storage was unhealthy, if it is healthy now.
+    /// Records a successful save. If storage is healthy now, returns how long it was unhealthy.
     pub fn on_saved(&mut self, now: Time) -> Option<Time> {
-        self.failures_in_a_row = 0;
+        self.consecutive_failures = 0;
         self.state = match self.state {
-            StorageState::FullSaveRunning { missed: false } => StorageState::Healthy,
-            StorageState::FullSaveRunning { missed: true } => {
-                StorageState::FullSaveDue { at: now, after_missed: true }
+            StorageState::FullSaveRunning { missed_changes: false } => StorageState::Healthy,
+            StorageState::FullSaveRunning { missed_changes: true } => {
+                StorageState::FullSaveDue { due_at: now, previous_missed_changes: true }
             }
-            _ => StorageState::FullSaveDue { at: now, after_missed: false },
+            _ => StorageState::FullSaveDue { due_at: now, previous_missed_changes: false },
         };
         self.is_healthy().then(|| now - self.unhealthy_since)
     }
 
-    /// For how long storage has been unhealthy, if that is to be logged again.
+    /// Returns how long storage has been unhealthy if a warning is due, and schedules the next warning.
     pub fn take_warning(&mut self, now: Time) -> Option<Time> {
         if self.is_healthy() || now < self.next_warning {
             return None;
--- a/crates/control/control-node/src/subscribers.rs
+++ b/crates/control/control-node/src/subscribers.rs
@@ -1,4 +1,5 @@
-//! Gateways that subscribe: a snapshot, then changes, the configuration in chunks, heartbeats, and their requests for quota.
+//! Subscriptions of gateways: a snapshot followed by changes, the configuration in chunks, heartbeats, and the
+//! gateways' quota requests.
 
 use crate::effect::Effect;
 use crate::{ControlNode, Defect, Time, MS};
@@ -7,27 +8,28 @@
 use messages::{ControlMessage, GatewayMessage, GatewayUpdate};
 use quota::LeaseRequest;
 
-/// A gateway is told this often how fresh this node is.
+/// Interval between heartbeats to a gateway, which report how fresh this node's state is.
 pub const UPDATE_INTERVAL: Time = 200 * MS;
-/// Gateways that one gateway may believe to be gone.
-const MAX_MISSING: usize = 64;
+/// Maximum number of missing gateways accepted from one gateway.
+const MAX_MISSING_GATEWAYS: usize = 64;
 
-/// A gateway that subscribes.
+/// A subscribed gateway.
 #[derive(Debug)]
 pub(crate) struct Subscriber {
-    /// Tells its connections apart: the newest counts.
-    link: u64,
+    /// Distinguishes the gateway's connections; only the newest one is served.
+    connection_id: u64,
     offset: Option<Offset>,
-    sender: ConfigurationSender,
-    /// The latest contact number that it has sent: heartbeats repeat it.
+    configuration_sender: ConfigurationSender,
+    /// The highest contact number received from the gateway; heartbeats repeat it.
     contact_number: u64,
-    /// Gateways that it believes to be gone.
-    missing: Vec<String>,
+    /// Gateways that this gateway suspects or believes to be gone.
+    missing_gateways: Vec<String>,
 }
 
 impl ControlNode {
-    /// A gateway subscribes. It says how far it has followed this node's changes, the index of the configuration that it
-    /// holds, and a contact number for its first heartbeat. The number of its connection.
+    /// Registers a subscription of a gateway, replacing any earlier one, and returns its connection id. `offset` is
+    /// how far the gateway has followed this node's changes, `configuration_index` the index of the configuration it
+    /// holds, and `contact_number` is repeated in its first heartbeat.
     pub fn subscribe(
         &mut self,
         name: &str,
@@ -35,38 +37,39 @@
         configuration_index: LogIndex,
         contact_number: u64,
     ) -> u64 {
-        self.last_link += 1;
+        self.last_connection_id += 1;
         let subscriber = Subscriber {
-            link: self.last_link,
+            connection_id: self.last_connection_id,
             offset,
-            sender: ConfigurationSender::new(configuration_index),
+            configuration_sender: ConfigurationSender::new(configuration_index),
             contact_number,
-            missing: Vec::new(),
+            missing_gateways: Vec::new(),
         };
         self.subscribers.insert(name.into(), subscriber);
-        self.last_link
+        self.last_connection_id
     }
 
-    /// Its connection has ended.
-    pub fn unsubscribe(&mut self, name: &str, link: u64) {
-        if self.subscriber(name, link).is_some() {
+    /// Removes a gateway's subscription when its connection ends, unless a newer connection has replaced it.
+    pub fn unsubscribe(&mut self, name: &str, connection_id: u64) {
+        if self.subscriber(name, connection_id).is_some() {
             self.subscribers.remove(name);
         }
     }
 
-    fn subscriber(&mut self, name: &str, link: u64) -> Option<&mut Subscriber> {
-        self.subscribers.get_mut(name).filter(|subscriber| subscriber.link == link)
+    fn subscriber(&mut self, name: &str, connection_id: u64) -> Option<&mut Subscriber> {
+        self.subscribers.get_mut(name).filter(|subscriber| subscriber.connection_id == connection_id)
     }
 
-    /// The gateways that subscribe, each with those that it believes to be gone.
+    /// Returns the subscribed gateways, each with the gateways that it reports as missing.
     pub fn subscribers(&self) -> impl Iterator<Item = (&String, &[String])> {
-        self.subscribers.iter().map(|(name, subscriber)| (name, subscriber.missing.as_slice()))
+        self.subscribers.iter().map(|(name, subscriber)| (name, subscriber.missing_gateways.as_slice()))
     }
 
-    /// What to send to a gateway now beside chunks of a configuration.
-    pub fn next_update(&mut self, now: Time, name: &str, link: u64) -> Option<GatewayUpdate> {
+    /// Returns the new changes for a gateway, if any, or a snapshot if its offset is missing or too old.
+    /// Configuration chunks come from [`ControlNode::next_chunk`].
+    pub fn next_update(&mut self, now: Time, name: &str, connection_id: u64) -> Option<GatewayUpdate> {
         self.now = now;
-        let offset = self.subscriber(name, link)?.offset;
+        let offset = self.subscriber(name, connection_id)?.offset;
         let changes = offset.and_then(|offset| Some((offset, self.change_feed.since(offset)?)));
         let (update, next) = match changes {
             Some((from, changes)) => {
@@ -79,22 +82,25 @@
                 (Some(snapshot), offset)
             }
         };
-        self.subscriber(name, link)?.offset = Some(next);
+        self.subscriber(name, connection_id)?.offset = Some(next);
         update
     }
 
-    /// The next chunk of the newest configuration, if there is room for one on the way.
-    pub fn next_chunk(&mut self, name: &str, link: u64) -> Option<GatewayUpdate> {
-        let subscriber = self.subscribers.get_mut(name).filter(|subscriber| subscriber.link == link)?;
-        let chunk = subscriber.sender.next_chunk(&self.change_feed.deltas, self.state.configuration());
+    /// Returns the next chunk of the newest configuration if the gateway's window has room for it.
+    pub fn next_chunk(&mut self, name: &str, connection_id: u64) -> Option<GatewayUpdate> {
+        let subscriber =
+            self.subscribers.get_mut(name).filter(|subscriber| subscriber.connection_id == connection_id)?;
+        let chunk =
+            subscriber.configuration_sender.next_chunk(&self.change_feed.deltas, self.state.configuration());
         chunk.map(GatewayUpdate::ConfigurationChunk)
     }
 
-    /// What to send to a gateway each [`UPDATE_INTERVAL`]; none: another connection has replaced this one. A gateway that is
-    /// not replicated yet has no share of any quota.
-    pub fn heartbeat_update(&mut self, now: Time, name: &str, link: u64) -> Option<GatewayUpdate> {
+    /// Returns the heartbeat to send to a gateway every [`UPDATE_INTERVAL`], or `None` if the connection has been
+    /// replaced. Also proposes to add a gateway that is not replicated yet, because it has no share of any quota
+    /// until then.
+    pub fn heartbeat_update(&mut self, now: Time, name: &str, connection_id: u64) -> Option<GatewayUpdate> {
         self.now = now;
-        let contact_number = self.subscriber(name, link)?.contact_number;
+        let contact_number = self.subscriber(name, connection_id)?.contact_number;
         if self.state.can_add_gateway(name) {
             self.propose_to_leader(&Command::AddGateway { name: name.into() });
         }
@@ -111,23 +117,25 @@
         })
     }
 
-    /// A gateway's message.
-    pub fn on_gateway_message(&mut self, now: Time, name: &str, link: u64, message: GatewayMessage) {
+    /// Handles a gateway's message; ignores messages of replaced connections.
+    pub fn on_gateway_message(&mut self, now: Time, name: &str, connection_id: u64, message: GatewayMessage) {
         self.now = now;
-        let Some(subscriber) = self.subscriber(name, link) else { return };
+        let Some(subscriber) = self.subscriber(name, connection_id) else { return };
         match message {
             GatewayMessage::MissingGateways { mut missing } => {
-                missing.truncate(MAX_MISSING);
-                log::info!("membership: {name} misses {}", missing.join(", "));
-                subscriber.missing = missing;
+                missing.truncate(MAX_MISSING_GATEWAYS);
+                log::info!("membership: {name} reports missing gateways: {}", missing.join(", "));
+                subscriber.missing_gateways = missing;
             }
             GatewayMessage::ChunkReceived { index, received } => {
-                subscriber.sender.on_received(index, received);
+                subscriber.configuration_sender.on_received(index, received);
                 self.effects.push(Effect::ChunkWindowOpened { gateway: name.into() });
             }
             GatewayMessage::BaseMissing => {
-                log::info!("configuration: {name} is sent the whole");
-                subscriber.sender.on_base_missing();
+                log::info!(
+                    "configuration: {name} lacks the base of a delta; sending it the whole configuration"
+                );
+                subscriber.configuration_sender.on_base_missing();
                 self.effects.push(Effect::ChunkWindowOpened { gateway: name.into() });
             }
             GatewayMessage::ContactNumber { number } => {
@@ -137,7 +145,7 @@
         }
     }
 
-    /// The leader answers a request for quota; any other node passes it on.
+    /// Answers a quota request on the leader; any other node forwards it to the leader.
     fn on_lease_request(&mut self, gateway: &str, request: LeaseRequest) {
         if self.leadership.is_leader {
             if let Some(grant) = self.grant_lease(gateway, &request) {
--- a/crates/control/control-node/src/trial_expiry.rs
+++ b/crates/control/control-node/src/trial_expiry.rs
@@ -1,16 +1,17 @@
-//! The ends of tenants' trials, by the clocks of a majority: the leader has them committed.
+//! Expiry of tenants' trials: the leader proposes it once the clocks of a majority of the voters are past the trial's
+//! end.
 
 use crate::{ControlNode, Defect, Time, MS};
 use consensus::Input;
 use std::collections::BTreeSet;
 
-/// Trials are looked at this often by the leader while some have yet to end.
+/// Interval at which the leader checks for ended trials while the configuration has trials.
 const POLL_INTERVAL: Time = 100 * MS;
-/// Else this often.
+/// Interval of the same check on other nodes, and on the leader without trials.
 pub(crate) const IDLE_POLL_INTERVAL: Time = 1000 * MS;
 
 impl ControlNode {
-    /// The leader proposes to expire the trials whose end has passed.
+    /// On the leader, proposes the expiry of the trials whose end has passed.
     pub(crate) fn expire_trials(&mut self) {
         if self.quota.next_trial_poll > self.now {
             return;
@@ -29,7 +30,7 @@
             voters.retain(|name| *name == self.config.id.name);
         }
         for command in terms.due_expiries(&self.state, self.now, &self.quota.clocks, &voters) {
-            // It may be lost; the trial is looked at again.
+            // The proposal may be lost; the next check repeats it.
             self.enqueue(Input::Propose { tag: 0, command: command.encode() });
         }
     }
--- a/crates/control/control-node/tests/isolated_node.rs
+++ b/crates/control/control-node/tests/isolated_node.rs
@@ -1,4 +1,4 @@
-//! A control-plane node that is isolated from all others.
+//! Behaviour of a control node that is isolated from all others.
 
 use consensus::{Message, MessageBody, NodeId, PersistedState, PreviousEntry};
 use control_node::{ControlNode, Effect, NodeConfig, Reply, Time};
@@ -10,9 +10,9 @@
 const HEARTBEAT_INTERVAL: Time = 1000 * MS;
 
 fn isolated_node() -> ControlNode {
-    let me = NodeId { name: "10.0.0.1".into(), disk_id: 1 };
-    let setup = NodeConfig {
-        id: me,
+    let node_id = NodeId { name: "10.0.0.1".into(), disk_id: 1 };
+    let config = NodeConfig {
+        id: node_id,
         zone: "z".into(),
         can_vote: true,
         initial_start: true,
@@ -22,57 +22,60 @@
         fallback_lifetime: quota::FALLBACK_LIFETIME,
         seed: 7,
     };
-    ControlNode::new(setup, PersistedState::default(), Vec::new(), 0)
+    ControlNode::new(config, PersistedState::default(), Vec::new(), 0)
 }
 
-/// What it wants done up to then, with a disk that works at once.
-fn run(p: &mut ControlNode, from: Time, to: Time) -> Vec<Effect> {
+/// Runs the node from `from` to `to` with a disk that saves at once, and returns its other effects.
+fn run(node: &mut ControlNode, from: Time, to: Time) -> Vec<Effect> {
     let (mut now, mut all) = (from, Vec::new());
     loop {
-        for effect in p.take_effects() {
+        for effect in node.take_effects() {
             if let Effect::Persist { number, .. } = effect {
-                p.on_persisted(now, number, true);
+                node.on_persisted(now, number, true);
             } else {
                 all.push(effect);
             }
         }
-        let due = p.next_due().max(now + MS);
-        if !p.has_ready_input() && due > to {
+        let due = node.next_due().max(now + MS);
+        if !node.has_ready_input() && due > to {
             return all;
         }
-        now = if p.has_ready_input() { now } else { due };
-        p.advance(now, 0);
+        now = if node.has_ready_input() { now } else { due };
+        node.advance(now, 0);
     }
 }
 
-fn answers(effects: &[Effect]) -> Vec<(u64, Reply)> {
-    let answer = |e: &Effect| match e {
+fn replies(effects: &[Effect]) -> Vec<(u64, Reply)> {
+    let as_reply = |effect: &Effect| match effect {
         Effect::Reply { call, reply } => Some((*call, reply.clone())),
         _ => None,
     };
-    effects.iter().filter_map(answer).collect()
+    effects.iter().filter_map(as_reply).collect()
 }
 
 #[test]
 fn isolated_node_answers_every_call_in_time_and_acknowledges_nothing() {
-    let mut p = isolated_node();
-    run(&mut p, 0, 100 * MS);
+    let mut node = isolated_node();
+    run(&mut node, 0, 100 * MS);
     let heartbeat =
         Heartbeat { instance: "i".into(), address: "a:1".into(), sequence: 1, ..Heartbeat::default() };
-    p.heartbeat(100 * MS, 1, heartbeat);
-    p.deregister(100 * MS, 2, "i");
-    p.replace_configuration(100 * MS, 3, b"{}".as_slice().into());
-    p.read_configuration(100 * MS, 4);
-    let later = |call| (call, Reply::Unavailable);
-    assert_eq!(answers(&p.take_effects()), [later(1), later(2), later(3), later(4)]);
+    node.heartbeat(100 * MS, 1, heartbeat);
+    node.deregister(100 * MS, 2, "i");
+    node.replace_configuration(100 * MS, 3, b"{}".as_slice().into());
+    node.read_configuration(100 * MS, 4);
+    let unavailable = |call| (call, Reply::Unavailable);
+    assert_eq!(
+        replies(&node.take_effects()),
+        [unavailable(1), unavailable(2), unavailable(3), unavailable(4)]
+    );
 }
 
-/// A leader tells it that it is in touch until 3 s; the backend has heartbeat last 1.4 s before, here, and elsewhere
-/// from then on.
+/// The leader confirms quorum contact until 3 s. The backend's last heartbeat to this node is 1.4 s before that; from
+/// then on it sends its heartbeats to other nodes.
 #[test]
 fn isolated_node_expires_no_backend() {
-    let mut p = isolated_node();
-    run(&mut p, 0, 100 * MS);
+    let mut node = isolated_node();
+    run(&mut node, 0, 100 * MS);
     let leader = NodeId { name: "10.0.0.2".into(), disk_id: 2 };
     for now in (100..=3000).step_by(50).map(|ms| ms * MS) {
         let body = MessageBody::AppendEntries {
@@ -81,11 +84,11 @@
             commit_index: 0,
             round: now,
         };
-        let message = Message { from: leader.clone(), to: p.id().clone(), term: 1, body };
-        p.on_control_message(now, &leader, ControlMessage::Consensus(message));
-        for effect in run(&mut p, now, now) {
+        let message = Message { from: leader.clone(), to: node.id().clone(), term: 1, body };
+        node.on_control_message(now, &leader, ControlMessage::Consensus(message));
+        for effect in run(&mut node, now, now) {
             if let Effect::SendToNode { message: ControlMessage::ContactRequest { number }, .. } = effect {
-                p.on_control_message(
+                node.on_control_message(
                     now,
                     &leader,
                     ControlMessage::ContactResponse { number, age: 0, commit_index: 0 },
@@ -93,28 +96,28 @@
             }
         }
         if now == 1600 * MS {
-            assert!(p.quorum_contact_age(now) < 200 * MS);
+            assert!(node.quorum_contact_age(now) < 200 * MS);
             let heartbeat = Heartbeat {
                 instance: "i".into(),
                 address: "a:1".into(),
                 sequence: 1,
                 ..Heartbeat::default()
             };
-            p.heartbeat(now, 1, heartbeat);
+            node.heartbeat(now, 1, heartbeat);
         }
     }
-    run(&mut p, 3000 * MS, 60_000 * MS);
-    assert!(p.registry().get("i").is_some(), "others may have heard it all the time");
+    run(&mut node, 3000 * MS, 60_000 * MS);
+    assert!(node.registry().get("i").is_some(), "other nodes may have received its heartbeats all the time");
 }
 
-/// All seeds of its settings file are gone; its log names those who vote.
+/// All seeds of the settings file are gone; the persisted snapshot names the voters.
 #[test]
 fn node_knows_the_voters_of_its_log() {
     let mut stored = PersistedState { term: 3, ..PersistedState::default() };
     stored.snapshot.index = 4;
     stored.snapshot.term = 3;
     stored.snapshot.voters = [("10.0.0.1".to_string(), 1), ("10.0.7.7".to_string(), 2)].into();
-    let setup = NodeConfig {
+    let config = NodeConfig {
         id: NodeId { name: "10.0.0.1".into(), disk_id: 1 },
         zone: "z".into(),
         can_vote: true,
@@ -125,22 +128,22 @@
         fallback_lifetime: quota::FALLBACK_LIFETIME,
         seed: 7,
     };
-    let p = ControlNode::new(setup, stored, Vec::new(), 0);
-    assert!(p.known_nodes().iter().any(|(name, _)| name == "10.0.7.7"));
+    let node = ControlNode::new(config, stored, Vec::new(), 0);
+    assert!(node.known_nodes().iter().any(|(name, _)| name == "10.0.7.7"));
 }
 
-/// Callers that come and go at once leave calls behind, which wait for their time.
+/// Callers that disconnect at once leave calls behind, which stay pending until their deadline.
 #[test]
 fn pending_calls_are_bounded() {
-    let mut p = isolated_node();
-    run(&mut p, 0, 100 * MS);
-    let members = [("10.0.0.1".to_string(), 1)].into();
+    let mut node = isolated_node();
+    run(&mut node, 0, 100 * MS);
+    let voters = [("10.0.0.1".to_string(), 1)].into();
     let leader = NodeId { name: "10.0.0.2".into(), disk_id: 2 };
-    p.on_control_message(100 * MS, &leader, ControlMessage::BootstrapChosen { voters: members });
-    run(&mut p, 100 * MS, 3000 * MS);
-    assert!(p.leadership().is_leader, "a sole voter");
+    node.on_control_message(100 * MS, &leader, ControlMessage::BootstrapChosen { voters });
+    run(&mut node, 100 * MS, 3000 * MS);
+    assert!(node.leadership().is_leader, "the sole voter leads");
     for call in 0..3000 {
-        p.read_configuration(3000 * MS, call);
+        node.read_configuration(3000 * MS, call);
     }
-    assert_eq!(answers(&p.take_effects()).len(), 3000 - 1024);
+    assert_eq!(replies(&node.take_effects()).len(), 3000 - 1024);
 }
--- a/crates/control/control-node/tests/suspects.rs
+++ b/crates/control/control-node/tests/suspects.rs
@@ -1,4 +1,5 @@
-//! A backend that is silent here and heard by a node whose link to this one is cut (simulation, seed 7395).
+//! Before expiring a silent backend, a node queries the other nodes: a node whose link to this one is cut may still
+//! receive the backend's heartbeats and forward them to the others (found by the simulation, seed 7395).
 
 use consensus::{NodeId, PersistedState};
 use control_node::{ControlNode, Effect, NodeConfig, Time};
@@ -9,7 +10,7 @@
 const MS: Time = 1_000_000;
 const HEARTBEAT_INTERVAL: Time = 1000 * MS;
 
-/// The only voter, which leads and so is in contact with a majority.
+/// Returns a node that is the sole voter, and so leads and has quorum contact.
 fn leading_node() -> ControlNode {
     let config = NodeConfig {
         id: NodeId { name: "10.0.0.1".into(), disk_id: 1 },
@@ -39,9 +40,9 @@
     Heartbeat { instance: "i".into(), address: "a:1".into(), sequence, ..Heartbeat::default() }
 }
 
-/// The backends that are asked for up to then, with a disk that works at once.
+/// Runs the node from `from` to `to` with a disk that saves at once, and returns the backends that it queries.
 fn run(node: &mut ControlNode, from: Time, to: Time) -> Vec<String> {
-    let mut asked_for = Vec::new();
+    let mut requested_ids = Vec::new();
     for now in (from..=to).step_by(10 * MS as usize) {
         node.advance(now, 0);
         loop {
@@ -53,17 +54,17 @@
                 match effect {
                     Effect::Persist { number, .. } => node.on_persisted(now, number, true),
                     Effect::Broadcast { message: ControlMessage::UnknownInstances { instances } } => {
-                        asked_for.extend(instances);
+                        requested_ids.extend(instances);
                     }
                     _ => {}
                 }
             }
         }
     }
-    asked_for
+    requested_ids
 }
 
-/// The effects that are there, and those of what can be processed now.
+/// Returns the pending effects, or, if there are none, those of the inputs that are ready.
 fn effects(node: &mut ControlNode, now: Time) -> Vec<Effect> {
     let mut all = node.take_effects();
     if all.is_empty() && node.has_ready_input() {
@@ -79,8 +80,8 @@
     node.heartbeat(3000 * MS, 1, heartbeat(1));
     assert!(run(&mut node, 3000 * MS, 5400 * MS).is_empty());
     assert_eq!(run(&mut node, 5410 * MS, 6000 * MS), ["i"]);
-    let answer = ControlMessage::Heartbeats { changed: vec![heartbeat(3)], unchanged: vec![] };
-    node.on_control_message(6000 * MS, &other_node(), answer);
+    let response = ControlMessage::Heartbeats { changed: vec![heartbeat(3)], unchanged: vec![] };
+    node.on_control_message(6000 * MS, &other_node(), response);
     run(&mut node, 6010 * MS, 8000 * MS);
     assert!(node.registry().get("i").is_some());
 }
@@ -97,16 +98,20 @@
 fn node_names_only_backends_that_it_heard_lately() {
     let mut node = leading_node();
     node.heartbeat(3000 * MS, 1, heartbeat(1));
-    let asked = |node: &mut ControlNode, now: Time| {
+    let forwarded_count = |node: &mut ControlNode, now: Time| {
         run(node, now, now);
-        let question = ControlMessage::UnknownInstances { instances: vec!["i".into(), "other".into()] };
-        node.on_control_message(now, &other_node(), question);
-        let told = |effect: &Effect| match effect {
+        let request = ControlMessage::UnknownInstances { instances: vec!["i".into(), "other".into()] };
+        node.on_control_message(now, &other_node(), request);
+        let heartbeat_count = |effect: &Effect| match effect {
             Effect::SendToNode { message: ControlMessage::Heartbeats { changed, .. }, .. } => changed.len(),
             _ => 0,
         };
-        node.take_effects().iter().map(told).sum::<usize>()
+        node.take_effects().iter().map(heartbeat_count).sum::<usize>()
     };
-    assert_eq!(asked(&mut node, 4000 * MS), 1);
-    assert_eq!(asked(&mut node, 5000 * MS), 0, "it may have ended");
+    assert_eq!(forwarded_count(&mut node, 4000 * MS), 1);
+    assert_eq!(
+        forwarded_count(&mut node, 5000 * MS),
+        0,
+        "a backend without a recent heartbeat may have ended"
+    );
 }
