--- a/crates/control/control-node/src/leader_history.rs
+++ b/crates/control/control-node/src/leader_history.rs
@@ -36,7 +36,7 @@
     pub fn previous_coordinator(&self, now: Time, term: Term) -> PreviousCoordinator {
         match self.previous {
             Some(observed) if observed.term + 1 == term => {
-                PreviousCoordinator::began_before(now.saturating_sub(observed.first_seen_at))
+                PreviousCoordinator::from_age(now.saturating_sub(observed.first_seen_at))
             }
             Some(_) => PreviousCoordinator::Recent,
             None => PreviousCoordinator::Unknown,
--- a/crates/control/control-node/src/quota_report.rs
+++ b/crates/control/control-node/src/quota_report.rs
@@ -6,7 +6,7 @@
 pub(crate) const REPORT_INTERVAL: Time = 5000 * MS;
 
 impl ControlNode {
-    /// Logs, on the coordinator, the grants since the previous report and the rate it keeps back.
+    /// Logs, on the coordinator, the grant counts since the previous report and the coordinator's status.
     pub(crate) fn report_quota(&mut self) {
         if self.quota.next_report > self.now {
             return;
@@ -16,7 +16,7 @@
         let current = self.quota.coordinator.as_mut().filter(|current| current.term == term);
         let Some(current) = current else { return };
         let counts = current.coordinator.take_counts();
-        let standing = current.coordinator.standing(self.now);
-        log::info!("quota: term {term}, {} ms: {counts}; {standing}", REPORT_INTERVAL / MS);
+        let status = current.coordinator.status(self.now);
+        log::info!("quota: term {term}, {} ms: {counts}; {status}", REPORT_INTERVAL / MS);
     }
 }
