--- a/crates/control/control-node/src/quota_report.rs
+++ b/crates/control/control-node/src/quota_report.rs
@@ -1,12 +1,12 @@
-//! What the coordinator did lately, in the log.
+//! Periodic log line with the quota coordinator's counters.
 
 use crate::{ControlNode, Time, MS};
 
-/// The coordinator reports this often.
+/// Interval between two reports of the coordinator.
 pub(crate) const REPORT_INTERVAL: Time = 5000 * MS;
 
 impl ControlNode {
-    /// The leader logs what it granted since it last did, and what it keeps back.
+    /// Logs, on the coordinator, the grant counts since the previous report and the coordinator's status.
     pub(crate) fn report_quota(&mut self) {
         if self.quota.next_report > self.now {
             return;
@@ -16,7 +16,7 @@
         let current = self.quota.coordinator.as_mut().filter(|current| current.term == term);
         let Some(current) = current else { return };
         let counts = current.coordinator.take_counts();
-        let standing = current.coordinator.status(self.now);
-        log::info!("quota: term {term}, {} ms: {counts}; {standing}", REPORT_INTERVAL / MS);
+        let status = current.coordinator.status(self.now);
+        log::info!("quota: term {term}, {} ms: {counts}; {status}", REPORT_INTERVAL / MS);
     }
 }
