--- a/src/decide/exported_state.rs
+++ b/src/decide/exported_state.rs
@@ -1,8 +1,9 @@
-//! What one process of this gateway leaves for the next.
+//! State that one process of this gateway exports for the next.
 
 use super::*;
 
-/// The exported state. Fields have their stored names: another version of the program may read it.
+/// The exported state. Its field names are stored, since another version of the program may read them:
+/// `born` is the first start, `hold` the mean attempt time, `usual` the latency per class.
 #[derive(Serialize, Deserialize)]
 struct ExportedState {
     version: u32,
@@ -14,7 +15,7 @@
     servers: BTreeMap<String, ExportedServer>,
 }
 
-/// What was learnt of a server that started at this time.
+/// Capacity (`room`), slowness and outcomes (`ends`) of a server whose latest start was at `since`.
 #[derive(Serialize, Deserialize)]
 struct ExportedServer {
     since: Time,
@@ -31,7 +32,7 @@
 }
 
 impl Gateway {
-    /// The state for the next process, as text.
+    /// Returns the state for the next process, as JSON.
     pub fn export_state(&self) -> String {
         let mut latest: Vec<(&Name, &Customer)> = self.customers.iter().collect();
         latest.sort_by_key(|(_, c)| std::cmp::Reverse(c.seen));
@@ -44,43 +45,42 @@
         serde_json::to_string(&state).unwrap_or_default()
     }
 
-    /// Takes over that state, less what this process has admitted since its start.
-    pub fn import_state(&mut self, now: Time, left: &str) -> Result<(), String> {
-        let left: ExportedState = serde_json::from_str(left).map_err(|e| e.to_string())?;
+    /// Imports the state of the previous process, less what this process has admitted since its start.
+    pub fn import_state(&mut self, now: Time, state: &str) -> Result<(), String> {
+        let old: ExportedState = serde_json::from_str(state).map_err(|e| e.to_string())?;
         let slots = self.settings.classes.len() + self.settings.plans.len();
-        let fits = left.version == STATE_VERSION
-            && left.usual.len() == self.latency.len()
-            && left.usual.iter().all(|u| *u > 0.0)
-            && left.customers.values().all(|c| c.plan < self.settings.plans.len() && c.spread >= 1.0)
-            && left.servers.values().all(|s| s.ends.len() == slots && s.room > 0.0 && s.slow > 0.0);
+        let fits = old.version == STATE_VERSION
+            && old.usual.len() == self.latency.len()
+            && old.usual.iter().all(|latency| *latency > 0.0)
+            && old.customers.values().all(|c| c.plan < self.settings.plans.len() && c.spread >= 1.0)
+            && old.servers.values().all(|s| s.ends.len() == slots && s.room > 0.0 && s.slow > 0.0);
         if !fits {
-            return Err("not of this version, or not of these settings".into());
+            return Err("state of another version or of other settings".into());
         }
         self.now = self.now.max(now);
         let now = self.now;
-        for (name, mut old) in left.customers {
-            let plan = &self.settings.plans[old.plan];
-            old.out = 0;
-            for time in [&mut old.seen, &mut old.at, &mut old.metered_at] {
+        for (name, mut c) in old.customers {
+            let plan = &self.settings.plans[c.plan];
+            c.in_flight = 0;
+            for time in [&mut c.seen, &mut c.updated_at, &mut c.metered_at] {
                 *time = now.min(*time);
             }
             if let Some(own) = self.customers.get(&*name) {
-                let burst = secs(now - self.started_at) * plan.hard_limit_rate;
-                old.level -= (plan.depth - own.level).max(0.0);
-                old.ceiling -= (burst.min(plan.hard_limit_burst) / own.spread - own.ceiling).max(0.0);
-                (old.out, old.seen) = (own.out, own.seen);
-                (old.asked, old.passed) = (old.asked + own.asked, old.passed + own.passed);
+                let refilled = secs(now - self.started_at) * plan.hard_limit_rate;
+                c.level -= (plan.depth - own.level).max(0.0);
+                c.ceiling -= (refilled.min(plan.hard_limit_burst) / own.spread - own.ceiling).max(0.0);
+                (c.in_flight, c.seen) = (own.in_flight, own.seen);
+                (c.requested, c.admitted) = (c.requested + own.requested, c.admitted + own.admitted);
             }
-            self.customers.insert(name.into(), old);
+            self.customers.insert(name.into(), c);
         }
-        for (name, old) in left.servers {
-            if let Some(s) = self.servers.get_mut(&*name).filter(|s| s.since == old.since) {
-                (s.capacity, s.slowness, s.outcomes, s.outcome_at) = (old.room, old.slow, old.ends, now);
+        for (name, prev) in old.servers {
+            if let Some(s) = self.servers.get_mut(&*name).filter(|s| s.since == prev.since) {
+                (s.capacity, s.slowness, s.outcomes, s.outcome_at) = (prev.room, prev.slow, prev.ends, now);
             }
         }
-        (self.started_at, self.attempt_time, self.mean_units) =
-            (left.born.min(now), left.hold, left.mean_units);
-        self.latency = left.usual;
+        (self.started_at, self.attempt_time, self.mean_units) = (old.born.min(now), old.hold, old.mean_units);
+        self.latency = old.usual;
         Ok(())
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! granitehub makes the decisions of a gateway that keeps each customer of a shared back end to its plan.
+//! Decision module of a gateway that holds each customer of a shared backend to its plan.
 //!
-//! The caller owns the network. It hands [`Gateway::handle`] what happened, with the time, and carries out
-//! the [`Action`]s that come back:
+//! The module does no I/O. The caller passes events and the current time to [`Gateway::handle`] and carries out
+//! the [`Action`]s that it appends:
 //!
 //! ```
 //! use granitehub::{Action, Class, Effect, Event, Gateway, Group, Health, Node, Plan, Request, Scope, Settings};
@@ -13,10 +13,10 @@
 //! };
 //! let mut gateway = Gateway::new(settings, 7, 0).expect("settings in range");
 //! let mut actions = Vec::new();
-//! let list = vec![Node::new("server-1", Health::Up)];
-//! let hello = Event::Fleet { seq: 1, scope: Scope::Full, nodes: list };
-//! let ask = Event::Request(Request::new(1, 0, 0, "customer-1", 2_000_000_000, 1.0));
-//! gateway.handle(1_000_000, vec![hello, ask], &mut actions);
+//! let nodes = vec![Node::new("server-1", Health::Up)];
+//! let server_list = Event::Fleet { seq: 1, scope: Scope::Full, nodes };
+//! let request = Event::Request(Request::new(1, 0, 0, "customer-1", 2_000_000_000, 1.0));
+//! gateway.handle(1_000_000, vec![server_list, request], &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: 1, .. })));
 //! ```
 #![forbid(unsafe_code)]
@@ -24,7 +24,7 @@
 pub mod decide;
 pub mod settings;
 
-/// Settings, events, actions, ids and times: a crate of its own, so that other deciding parts speak of the same.
+/// Settings, events, actions, ids and times: a separate crate, so that other decision modules can share them.
 pub use ::interface;
 pub use decide::Gateway;
 pub use interface::*;
@@ -42,8 +42,8 @@
         Gateway::export_state(self)
     }
 
-    fn import_state(&mut self, now: Time, left: &str) -> Result<(), String> {
-        Gateway::import_state(self, now, left)
+    fn import_state(&mut self, now: Time, state: &str) -> Result<(), String> {
+        Gateway::import_state(self, now, state)
     }
 
     fn avoided(&self) -> Vec<Name> {
@@ -51,7 +51,7 @@
     }
 }
 
-/// The README's example, compiled and run.
+/// Compiles and runs the README's example as a doc test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,11 +1,11 @@
-//! The settings as the wire and the configuration word them.
+//! Parsing of settings in the JSON form of the wire and the configuration, and validation of settings.
 
 use crate::interface::{Class, Effect, Group, Plan, Settings};
 use serde::Deserialize;
 use serde_json::Value;
 
 #[derive(Deserialize)]
-struct Env {
+struct WireSettings {
     #[serde(default)]
     az: u32,
     me: u32,
@@ -103,11 +103,11 @@
     stream: bool,
 }
 
-/// Reads the settings from their JSON.
-pub fn read(env: &Value) -> Result<Settings, String> {
-    let env = Env::deserialize(env).map_err(|e| e.to_string())?;
-    let classes = env.services.into_iter().map(class).collect::<Result<_, String>>()?;
-    let plans = env.plans.into_iter().map(|p| Plan {
+/// Parses settings from their JSON form.
+pub fn read(json: &Value) -> Result<Settings, String> {
+    let wire = WireSettings::deserialize(json).map_err(|e| e.to_string())?;
+    let classes = wire.services.into_iter().map(class).collect::<Result<_, String>>()?;
+    let plans = wire.plans.into_iter().map(|p| Plan {
         name: p.name,
         rate: p.quota_rate,
         depth: p.depth,
@@ -118,36 +118,36 @@
         over_quota_value: p.over_worth,
         over_quota_cost: p.excess_cost,
     });
-    let subscribe = match env.discovery.as_str() {
+    let subscribe = match wire.discovery.as_str() {
         "automatic" => false,
         "subscribe" => true,
-        other => return Err(format!("discovery is {other:?}: automatic or subscribe is wanted")),
+        other => return Err(format!("discovery is {other:?}: expected automatic or subscribe")),
     };
     Ok(Settings {
-        zone: env.az,
-        gateway_index: env.me,
-        gateways: env.siblings,
+        zone: wire.az,
+        gateway_index: wire.me,
+        gateways: wire.siblings,
         pools: 1,
         classes,
         plans: plans.collect(),
         subscribe,
-        max_poll_interval: env.obligations.ask_within,
-        marks_retries: env.clients.marks_retry,
-        cancelling: env.limits.cancelling,
-        second_copies: env.limits.second_copies,
-        retry_after: env.limits.retry_after,
-        max_retry_after: env.limits.max_retry_after,
-        max_attempts: env.limits.try_limit,
-        settles_cost: env.extra.cost_after,
-        most_units: env.extra.most_units,
-        meter_period: env.extra.meter_period,
-        warm_up_time: env.obligations.cold,
-        initial_warmth: env.obligations.cold_from,
-        fall: env.obligations.fall,
-        fall_multiple: env.obligations.fall_multiple,
-        answer_slack: env.obligations.answer_slack,
-        cross_zone_price: env.prices.cross_zone,
-        tick: env.tick,
+        max_poll_interval: wire.obligations.ask_within,
+        marks_retries: wire.clients.marks_retry,
+        cancelling: wire.limits.cancelling,
+        second_copies: wire.limits.second_copies,
+        retry_after: wire.limits.retry_after,
+        max_retry_after: wire.limits.max_retry_after,
+        max_attempts: wire.limits.try_limit,
+        settles_cost: wire.extra.cost_after,
+        most_units: wire.extra.most_units,
+        meter_period: wire.extra.meter_period,
+        warm_up_time: wire.obligations.cold,
+        initial_warmth: wire.obligations.cold_from,
+        fall: wire.obligations.fall,
+        fall_multiple: wire.obligations.fall_multiple,
+        answer_slack: wire.obligations.answer_slack,
+        cross_zone_price: wire.prices.cross_zone,
+        tick: wire.tick,
     })
 }
 
@@ -156,13 +156,13 @@
         "safe" => Effect::Safe,
         "keyed" => Effect::Keyed,
         "unsafe" => Effect::Unsafe,
-        other => return Err(format!("services: effect is {other:?}: safe, keyed or unsafe is wanted")),
+        other => return Err(format!("services: effect is {other:?}: expected safe, keyed or unsafe")),
     };
     let group = match s.group.as_deref() {
         None | Some("all") => Group::All,
         Some("zone") => Group::Zone,
         Some("cell") => Group::Cell,
-        Some(other) => return Err(format!("services: group is {other:?}: all, zone or cell is wanted")),
+        Some(other) => return Err(format!("services: group is {other:?}: expected all, zone or cell")),
     };
     Ok(Class {
         name: s.name,
@@ -177,25 +177,26 @@
     })
 }
 
-/// Whether settings are in their sensible range; what the module divides by and draws from rests on it.
+/// Rejects settings out of range: the decision module divides by them and draws from them.
 pub(crate) fn check(s: &Settings) -> Result<(), String> {
-    let mut figures = Vec::new();
-    let mut add =
-        |of: &str, all: &[(&str, f64)]| figures.extend(all.iter().map(|(n, v)| (format!("{of}{n}"), *v)));
+    let mut values = Vec::new();
+    let mut add = |prefix: &str, fields: &[(&str, f64)]| {
+        values.extend(fields.iter().map(|(n, v)| (format!("{prefix}{n}"), *v)))
+    };
     add("", &[("cold_from", s.initial_warmth), ("fall_multiple", s.fall_multiple)]);
     add("", &[("most_units", s.most_units), ("cross_zone_price", s.cross_zone_price)]);
     for p in &s.plans {
-        let of = format!("plan {}: ", p.name);
-        add(&of, &[("rate", p.rate), ("depth", p.depth), ("ceiling_rate", p.hard_limit_rate)]);
-        add(&of, &[("ceiling_burst", p.hard_limit_burst), ("value_factor", p.value_factor)]);
-        add(&of, &[("over_worth", p.over_quota_value), ("over_cost", p.over_quota_cost)]);
+        let prefix = format!("plan {}: ", p.name);
+        add(&prefix, &[("rate", p.rate), ("depth", p.depth), ("ceiling_rate", p.hard_limit_rate)]);
+        add(&prefix, &[("ceiling_burst", p.hard_limit_burst), ("value_factor", p.value_factor)]);
+        add(&prefix, &[("over_worth", p.over_quota_value), ("over_cost", p.over_quota_cost)]);
     }
     for c in &s.classes {
         add(&format!("class {}: ", c.name), &[("points", c.points), ("late_worth", c.late_value)]);
     }
-    match figures.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
-        Some((name, v)) => Err(format!("{name} is {v}: not a number of zero or more")),
-        None if s.gateways == 0 => Err("gateways is 0: at least one".to_string()),
+    match values.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
+        Some((name, value)) => Err(format!("{name} is {value}: expected a finite number of at least 0")),
+        None if s.gateways == 0 => Err("gateways is 0: expected at least 1".to_string()),
         None => Ok(()),
     }
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter over a short transcript, as its caller sees it.
+//! Runs the adapter on a short transcript over standard input and output.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,7 +9,7 @@
 "plans":[{"name":"basic","quota_rate":1.5,"depth":6.0,"value_factor":1.0}],
 "services":[{"name":"quote","on_time":750000000,"deadline":2500000000,"effect":"safe","points":2.0}]}]"#;
 const FLEET: &str = r#"["Fleet",3,1,"C",[["backend_a",0,0,0,"up",1,null]]]"#;
-const ASK: &str = r#"["NewRequest",3,"37f11c5a5d3a91c4",0,0,"u:x",8652250000,2,2,0,null]"#;
+const REQUEST: &str = r#"["NewRequest",3,"37f11c5a5d3a91c4",0,0,"u:x",8652250000,2,2,0,null]"#;
 
 fn run(lines: &[String]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_granitehub-adapter"))
@@ -20,7 +20,7 @@
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("piped");
     for line in lines {
-        // An adapter that has stopped at an earlier line reads no more.
+        // An adapter that stopped at an earlier line no longer reads.
         let _ = writeln!(input, "{line}");
     }
     drop(input);
@@ -34,13 +34,13 @@
 #[test]
 fn a_transcript_is_answered_line_by_line() {
     let end = r#"["AttemptEnd",3,"37f11c5a5d3a91c4",0,true,86,18500000,"pass",0,"backend_a",{"queue":3}]"#;
-    let odd = r#"["Weather",3,"rain"]"#;
-    let late = r#"["AttemptEnd",9,"37f11c5a5d3a91c4",0,true,0,1,"pass",0,"backend_z",null]"#;
+    let unknown_message = r#"["Weather",3,"rain"]"#;
+    let unknown_end = r#"["AttemptEnd",9,"37f11c5a5d3a91c4",0,true,0,1,"pass",0,"backend_z",null]"#;
     let out = run(&[
         batch(&[]),
         batch(&[BEGIN, FLEET]),
-        batch(&[odd, ASK]),
-        batch(&[end, late]),
+        batch(&[unknown_message, REQUEST]),
+        batch(&[end, unknown_end]),
         batch(&[r#"["Exit",3]"#]),
     ]);
     assert!(out.status.success(), "{out:?}");
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_named_on_one_line() {
+fn an_unreadable_line_is_reported_in_one_line() {
     let cases = [
         ("nonsense".to_string(), "line 2"),
         (batch(&[r#"["NewRequest",3,"37f11c5a5d3a91c4",0,0,"u:x",null]"#]), "deadline"),
@@ -67,13 +67,13 @@
         (batch(&[&BEGIN.replace("\"me\":0,", "")]), "me"),
         (batch(&[&BEGIN.replace("1.5", "-1.5")]), "plan basic: rate"),
     ];
-    for (line, word) in cases {
+    for (line, expected) in cases {
         let out = run(&[batch(&[BEGIN, FLEET]), line]);
-        assert_eq!(out.status.code(), Some(1), "{word}");
-        let told = String::from_utf8(out.stderr).expect("text");
+        assert_eq!(out.status.code(), Some(1), "{expected}");
+        let stderr = String::from_utf8(out.stderr).expect("text");
         assert!(
-            told.lines().count() == 1 && told.contains(word) && told.contains("line 2"),
-            "{word}: {told}"
+            stderr.lines().count() == 1 && stderr.contains(expected) && stderr.contains("line 2"),
+            "{expected}: {stderr}"
         );
     }
 }
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The module is read aloud in reviews: it stays short.
+//! Size limits of the decision module, which is read aloud in reviews.
 
 const FILES: [&str; 7] = [
     include_str!("../src/decide/mod.rs"),
@@ -16,12 +16,15 @@
     assert!(lines.len() <= 1200, "{} non-blank lines", lines.len());
     let long = lines.iter().find(|l| l.chars().count() > 110);
     assert!(long.is_none(), "longer than 110 characters: {long:?}");
-    // All of its files are among those that the platform is told of, and are counted here.
-    let told = include_str!("../deploy/balancer.toml");
-    let folder = std::fs::read_dir("src/decide").expect("the folder is there");
+    // Every file of the module is listed in the platform's deployment file and counted here.
+    let deployment = include_str!("../deploy/balancer.toml");
+    let folder = std::fs::read_dir("src/decide").expect("the folder exists");
     let names: Vec<String> =
         folder.map(|f| f.expect("a file").file_name().to_string_lossy().into_owned()).collect();
     assert_eq!(names.len(), FILES.len(), "{names:?}");
-    assert!(names.iter().all(|n| told.contains(&format!("\"src/decide/{n}\""))), "{names:?}");
-    assert!(lines.iter().take(3).any(|l| l.contains("`interface`")), "the interface is named at the top");
+    assert!(names.iter().all(|n| deployment.contains(&format!("\"src/decide/{n}\""))), "{names:?}");
+    assert!(
+        lines.iter().take(3).any(|l| l.contains("`interface`")),
+        "the head of the module refers to `interface`"
+    );
 }
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -1,4 +1,4 @@
-//! The module without the bench: events in, actions out.
+//! Tests of the decision module alone: events in, actions out.
 
 use granitehub::*;
 
@@ -29,9 +29,9 @@
     }
 }
 
-/// A gateway under test, with what came out of it.
+/// A gateway under test, with its clock and the next request id.
 struct Rig {
-    g: Gateway,
+    gateway: Gateway,
     now: Time,
     next: u64,
     spread: u32,
@@ -39,10 +39,10 @@
 
 impl Rig {
     fn new(settings: Settings, servers: usize) -> Rig {
-        let g = Gateway::new(settings, 1, 100 * SEC).expect("settings in range");
-        let mut rig = Rig { g, now: 100 * SEC, next: 1, spread: 1 };
+        let gateway = Gateway::new(settings, 1, 100 * SEC).expect("settings in range");
+        let mut rig = Rig { gateway, now: 100 * SEC, next: 1, spread: 1 };
         let nodes = (0..servers).map(|i| Rig::node(i, Health::Up)).collect();
-        rig.tell(Event::Fleet { seq: 1, scope: Scope::Cached, nodes });
+        rig.handle(Event::Fleet { seq: 1, scope: Scope::Cached, nodes });
         rig
     }
 
@@ -50,9 +50,9 @@
         Node { cell: i as u32, ..Node::new(&format!("s{i}"), health) }
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.g.handle(self.now, vec![event], &mut out);
+        self.gateway.handle(self.now, vec![event], &mut out);
         out
     }
 
@@ -61,7 +61,7 @@
         self.next += 1;
         let deadline = self.now + 4 * SEC;
         let r = Request { spread: self.spread, ..Request::new(id, class, plan, customer, deadline, units) };
-        (id, self.tell(Event::Request(r)))
+        (id, self.handle(Event::Request(r)))
     }
 
     fn end(&mut self, id: u64, attempt: u32, server: &str, ending: Ending) -> Vec<Action> {
@@ -80,7 +80,7 @@
         let last = ending == Ending::Success;
         let server = server.into();
         let (settled, load) = (0.0, None);
-        self.tell(Event::AttemptEnd(AttemptEnd {
+        self.handle(Event::AttemptEnd(AttemptEnd {
             id,
             attempt,
             server,
@@ -129,7 +129,10 @@
     let (id, out) = rig.request(0, 0, "a", 1.0);
     let server = sent_to(&out).remove(0);
     assert!(rig.end(id, 0, &server, Ending::Success).is_empty());
-    assert!(rig.end(id, 0, &server, Ending::Failure).is_empty(), "a second end of it is ignored");
+    assert!(
+        rig.end(id, 0, &server, Ending::Failure).is_empty(),
+        "a second end of the same attempt is ignored"
+    );
 }
 
 #[test]
@@ -141,7 +144,7 @@
         out_now.extend(sends(&out));
     }
     let waiting = 40 - out_now.len();
-    assert!(waiting > 20, "the room is a few attempts, {waiting} wait");
+    assert!(waiting > 20, "capacity for a few attempts only, {waiting} wait");
     let mut gold = 0;
     let mut served = 0;
     while served < 15 {
@@ -169,7 +172,7 @@
 }
 
 #[test]
-fn the_store_passes_its_burst_then_the_chance_refuses() {
+fn a_bucket_admits_its_burst_then_requests_are_refused_at_random() {
     let mut rig = Rig::new(settings(), 40);
     let refused = (0..60)
         .filter(|_| {
@@ -180,12 +183,12 @@
     assert!((30..=40).contains(&refused), "{refused} of 60 refused with a burst of 20");
 }
 
-/// Lima's `basico`: what is beyond its quota earns a part of its worth and costs nothing.
+/// As in Lima's plan `basico`: a request over the quota earns part of its value and costs nothing.
 #[test]
-fn what_earns_more_beyond_a_quota_than_it_costs_passes_until_the_back_end_is_pressed() {
-    let refused = |over_worth: f64, over_cost: f64, elapsed: Time| {
+fn profitable_excess_is_admitted_until_the_backend_is_under_pressure() {
+    let refused = |over_value: f64, over_cost: f64, elapsed: Time| {
         let mut s = settings();
-        s.plans[0] = Plan { over_quota_value: over_worth, over_quota_cost: over_cost, ..s.plans[0].clone() };
+        s.plans[0] = Plan { over_quota_value: over_value, over_quota_cost: over_cost, ..s.plans[0].clone() };
         let mut rig = Rig::new(s, 40);
         for i in 0..60 {
             rig.now += 20 * MS;
@@ -199,13 +202,13 @@
         };
         (0..60).filter(|_| refused(&mut rig)).count()
     };
-    assert_eq!(refused(0.3, 0.0, 50 * MS), 0, "it earns, and there is room");
-    assert!(refused(0.3, 0.0, 900 * MS) >= 30, "it earns, but the back end is pressed");
+    assert_eq!(refused(0.3, 0.0, 50 * MS), 0, "it earns, and there is capacity");
+    assert!(refused(0.3, 0.0, 900 * MS) >= 30, "it earns, but the backend is under pressure");
     assert!(refused(0.3, 0.5, 50 * MS) >= 20, "it costs more than it earns");
 }
 
 #[test]
-fn the_less_a_plan_loses_beyond_its_quota_the_milder_the_chance() {
+fn a_lower_over_quota_cost_admits_more_excess() {
     let passed = |over_cost: f64| {
         let mut s = settings();
         s.plans[0].over_quota_cost = over_cost;
@@ -218,9 +221,12 @@
             })
             .count()
     };
-    let (mild, stern) = (passed(0.2), passed(1.0));
-    assert!(mild > stern, "{mild} of 400 pass where little is lost, {stern} where all is");
-    assert!(stern < 150, "{stern} of 400 at a rate of 10 for 10 s and a burst of 20");
+    let (low_cost, full_cost) = (passed(0.2), passed(1.0));
+    assert!(
+        low_cost > full_cost,
+        "{low_cost} of 400 admitted where little value is lost, {full_cost} where all is"
+    );
+    assert!(full_cost < 150, "{full_cost} of 400 at a rate of 10 for 10 s and a burst of 20");
 }
 
 #[test]
@@ -269,7 +275,7 @@
 
 #[test]
 fn a_metered_neighbour_counts() {
-    // The same calls here, 8 a second of 10; by the meter, others use none or three times as much again.
+    // 8 of 10 requests per second here; by the meter, other gateways use nothing or three times as much.
     let passed = |factor: f64| {
         let mut rig = Rig::new(settings(), 10);
         rig.spread = 4;
@@ -292,7 +298,7 @@
 
 #[test]
 fn a_guessed_debt_is_forgiven_by_a_meter_that_shows_room() {
-    // A burst through what turns out the only gateway, then a pause in which the meter shows no use.
+    // A burst through the only gateway in use, then a pause in which the meter shows no use.
     let after = |metered: f64| {
         let mut rig = Rig::new(settings(), 40);
         rig.spread = 4;
@@ -367,7 +373,7 @@
     let (id, out) = rig.request(1, 0, "a", 1.0);
     rig.now += 2 * SEC;
     let out = rig.end(id, 0, &sent_to(&out)[0], Ending::Failure);
-    assert!(failed(&out, id), "past the time for which its key is remembered");
+    assert!(failed(&out, id), "past the lifetime of its key");
 }
 
 #[test]
@@ -377,8 +383,8 @@
     let (token, at) = timer(&out);
     assert!(sends(&out).is_empty() && at < rig.now + 4 * SEC);
     rig.now = at;
-    assert!(rejected(&rig.tell(Event::Timer { token }), id));
-    assert!(rig.tell(Event::Timer { token }).is_empty(), "an old timer is ignored");
+    assert!(rejected(&rig.handle(Event::Timer { token }), id));
+    assert!(rig.handle(Event::Timer { token }).is_empty(), "an old timer is ignored");
 }
 
 #[test]
@@ -394,16 +400,16 @@
     for health in [Health::Draining, Health::Removed] {
         let mut rig = Rig::new(settings(), 2);
         let nodes = vec![Rig::node(0, health)];
-        rig.tell(Event::Fleet { seq: 2, scope: Scope::Changes, nodes });
+        rig.handle(Event::Fleet { seq: 2, scope: Scope::Changes, nodes });
         for i in 0..4 {
             let (_, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
             assert!(!sent_to(&out).contains(&"s0".to_string()));
         }
     }
     let mut rig = Rig::new(settings(), 2);
-    rig.tell(Event::Fleet { seq: 2, scope: Scope::Full, nodes: vec![Rig::node(1, Health::Up)] });
+    rig.handle(Event::Fleet { seq: 2, scope: Scope::Full, nodes: vec![Rig::node(1, Health::Up)] });
     let (_, out) = rig.request(0, 0, "a", 1.0);
-    assert_eq!(sent_to(&out), ["s1"], "what a full list leaves out is gone");
+    assert_eq!(sent_to(&out), ["s1"], "servers absent from a full list are removed");
 }
 
 #[test]
@@ -411,8 +417,8 @@
     let mut rig = Rig::new(settings(), 4);
     let mut node = Rig::node(0, Health::Up);
     node.since = rig.now;
-    rig.tell(Event::Fleet { seq: 2, scope: Scope::Changes, nodes: vec![node] });
-    // Attempts that hang make the three warm servers look worse than the cold one.
+    rig.handle(Event::Fleet { seq: 2, scope: Scope::Changes, nodes: vec![node] });
+    // Hung attempts make the three warm servers look worse than the cold one.
     (0..12).for_each(|i| drop(rig.request(0, 0, &format!("w{i}"), 1.0)));
     let mut cold = 0;
     for i in 0..100 {
@@ -459,7 +465,7 @@
     let out: Vec<_> = ids.iter().filter(|(_, out)| !sends(out).is_empty()).collect();
     assert_eq!(out.len(), 2);
     let next = rig.end(out[0].0, 0, &sent_to(&out[0].1)[0], Ending::Success);
-    assert_eq!(sends(&next), [ids[2].0], "the next goes when one comes back");
+    assert_eq!(sends(&next), [ids[2].0], "the next is sent when one ends");
 }
 
 #[test]
@@ -483,16 +489,16 @@
         hits
     };
     let early = run(&mut rig, 40, true, 0);
-    assert!((1..=6).contains(&early), "{early} of 40 tries before it is out");
+    assert!((1..=6).contains(&early), "{early} of 40 attempts before it is ejected");
     rig.now += 20 * SEC;
-    assert_eq!(run(&mut rig, 10, true, 2), 0, "unsafe work is not the trial");
+    assert_eq!(run(&mut rig, 10, true, 2), 0, "unsafe requests are not used to probe it");
     rig.now += 80 * SEC;
     assert!(run(&mut rig, 200, false, 0) >= 2, "a server that answers again is used again");
 }
 
 #[test]
-fn late_answers_from_all_over_close_the_rooms() {
-    // A jam over the whole fleet: without this, what waits here keeps the servers too full to recover.
+fn late_answers_of_all_servers_lower_all_capacities() {
+    // Overload of the whole fleet: without this, queued requests keep the servers too loaded to recover.
     let sent_at_once = |elapsed: Time| {
         let mut rig = Rig::new(settings(), 10);
         for i in 0..60 {
@@ -503,8 +509,8 @@
         }
         (0..60).filter(|i| !sends(&rig.request(0, 0, &format!("d{i}"), 1.0).1).is_empty()).count()
     };
-    let (calm, jammed) = (sent_at_once(50 * MS), sent_at_once(900 * MS));
-    assert!(jammed * 4 < calm, "{jammed} after late answers, {calm} after timely ones");
+    let (timely, late) = (sent_at_once(50 * MS), sent_at_once(900 * MS));
+    assert!(late * 4 < timely, "{late} after late answers, {timely} after timely ones");
 }
 
 #[test]
@@ -522,11 +528,11 @@
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing_but_holds_its_room() {
+fn an_attempt_whose_client_left_gets_no_answer_but_keeps_its_slot() {
     let mut rig = Rig::new(Settings { cancelling: true, ..settings() }, 1);
     let (id, out) = rig.request(0, 0, "a", 1.0);
     let server = sent_to(&out).remove(0);
-    assert_eq!(rig.tell(Event::ClientLeft { id }), [Action::Cancel { id, attempt: 0 }]);
+    assert_eq!(rig.handle(Event::ClientLeft { id }), [Action::Cancel { id, attempt: 0 }]);
     assert!(rig.end(id, 0, &server, Ending::Cancelled).is_empty());
 }
 
@@ -536,35 +542,35 @@
     s.classes[0].stream = true;
     let mut rig = Rig::new(s, 2);
     let (id, out) = rig.request(0, 0, "a", 1.0);
-    rig.tell(Event::Streaming { id, attempt: 0 });
+    rig.handle(Event::Streaming { id, attempt: 0 });
     assert!(rig.end(id, 0, &sent_to(&out)[0], Ending::Interrupted).is_empty());
 }
 
 #[test]
-fn discovery_that_must_be_asked_is_asked_and_asked_again() {
+fn discovery_is_subscribed_and_subscribed_again_after_a_failure() {
     let s = Settings { subscribe: true, ..settings() };
-    let mut g = Gateway::new(s, 1, SEC).expect("settings in range");
+    let mut gateway = Gateway::new(s, 1, SEC).expect("settings in range");
     let mut out = Vec::new();
-    g.handle(SEC, vec![Event::Fleet { seq: 0, scope: Scope::Cached, nodes: vec![] }], &mut out);
+    gateway.handle(SEC, vec![Event::Fleet { seq: 0, scope: Scope::Cached, nodes: vec![] }], &mut out);
     assert_eq!(out, [Action::Subscribe { on: true }]);
     out.clear();
-    g.handle(2 * SEC, vec![Event::Fleet { seq: 0, scope: Scope::Failed, nodes: vec![] }], &mut out);
+    gateway.handle(2 * SEC, vec![Event::Fleet { seq: 0, scope: Scope::Failed, nodes: vec![] }], &mut out);
     let Some(Action::Timer { token, at }) = out.pop() else { panic!("{out:?}") };
-    g.handle(at, vec![Event::Timer { token }], &mut out);
+    gateway.handle(at, vec![Event::Timer { token }], &mut out);
     assert_eq!(out, [Action::Subscribe { on: true }]);
 }
 
-/// A process that has just started is asked before discovery has told it anything.
+/// A process that has just started receives requests before its first server list.
 #[test]
 fn a_request_before_any_list_is_answered_in_its_time() {
-    let g = Gateway::new(settings(), 1, 100 * SEC).expect("settings in range");
-    let mut rig = Rig { g, now: 100 * SEC, next: 1, spread: 1 };
+    let gateway = Gateway::new(settings(), 1, 100 * SEC).expect("settings in range");
+    let mut rig = Rig { gateway, now: 100 * SEC, next: 1, spread: 1 };
     let (id, mut out) = rig.request(2, 0, "a", 1.0);
     while rig.now < 104 * SEC && !rejected(&out, id) {
         assert!(sends(&out).is_empty());
         let (token, at) = timer(&out);
         rig.now = at;
-        out = rig.tell(Event::Timer { token });
+        out = rig.handle(Event::Timer { token });
     }
     assert!(rejected(&out, id), "{out:?}");
 }
@@ -573,8 +579,8 @@
 fn unknown_ids_are_ignored() {
     let mut rig = Rig::new(settings(), 1);
     assert!(rig.end(99, 0, "nobody", Ending::Success).is_empty());
-    assert!(rig.tell(Event::ClientLeft { id: 99 }).is_empty());
-    assert!(rig.tell(Event::Timer { token: 99 }).is_empty());
+    assert!(rig.handle(Event::ClientLeft { id: 99 }).is_empty());
+    assert!(rig.handle(Event::Timer { token: 99 }).is_empty());
     assert!(rig.request(9, 0, "a", 1.0).1.is_empty());
 }
 
@@ -583,8 +589,8 @@
     for bad in [-1.0, f64::NAN, f64::INFINITY] {
         let mut s = settings();
         s.plans[1].rate = bad;
-        let told = Gateway::new(s, 1, 0).expect_err("refused");
-        assert!(told.contains("gold") && told.contains("rate"), "{told}");
+        let error = Gateway::new(s, 1, 0).expect_err("refused");
+        assert!(error.contains("gold") && error.contains("rate"), "{error}");
     }
 }
 
@@ -608,17 +614,17 @@
 
 #[test]
 fn a_cold_server_gets_its_part_of_the_traffic_over_many_gateways() {
-    // A floor of one attempt a gateway would send this server 200 at once, whatever its warmth.
+    // A minimum of one attempt per gateway would send this server 200 at once, whatever its warmth.
     let mut sent = 0;
     for seed in 0..200 {
         let s = Settings { gateways: 200, ..settings() };
-        let mut g = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
+        let mut gateway = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
         let mut out = Vec::new();
         let mut nodes: Vec<_> = (0..20).map(|i| Rig::node(i, Health::Up)).collect();
         nodes[0].since = 100 * SEC;
-        g.handle(100 * SEC, vec![Event::Fleet { seq: 1, scope: Scope::Full, nodes }], &mut out);
+        gateway.handle(100 * SEC, vec![Event::Fleet { seq: 1, scope: Scope::Full, nodes }], &mut out);
         let r = Request::new(1, 0, 0, "a", 104 * SEC, 1.0);
-        g.handle(100 * SEC, vec![Event::Request(r)], &mut out);
+        gateway.handle(100 * SEC, vec![Event::Request(r)], &mut out);
         sent += sent_to(&out).iter().filter(|s| *s == "s0").count();
     }
     assert!(sent <= 6, "{sent} of 200 sends to one of 20 servers at a fifth of its pace");
@@ -629,12 +635,12 @@
     let mut hits = std::collections::BTreeMap::new();
     for seed in 0..200 {
         let s = Settings { gateway_index: seed as u32, gateways: 200, ..settings() };
-        let mut g = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
+        let mut gateway = Gateway::new(s, seed, 100 * SEC).expect("settings in range");
         let mut out = Vec::new();
         let nodes = (0..20).map(|i| Rig::node(i, Health::Up)).collect();
-        g.handle(100 * SEC, vec![Event::Fleet { seq: 1, scope: Scope::Full, nodes }], &mut out);
+        gateway.handle(100 * SEC, vec![Event::Fleet { seq: 1, scope: Scope::Full, nodes }], &mut out);
         let r = Request::new(1, 0, 0, "a", 104 * SEC, 1.0);
-        g.handle(100 * SEC, vec![Event::Request(r)], &mut out);
+        gateway.handle(100 * SEC, vec![Event::Request(r)], &mut out);
         sent_to(&out).into_iter().for_each(|s| *hits.entry(s).or_insert(0) += 1);
     }
     let most = hits.values().max().copied().unwrap_or(0);
@@ -643,7 +649,7 @@
 
 #[test]
 fn a_class_that_goes_unanswered_somewhere_moves_to_servers_that_answer_it() {
-    // s0..s5 leave orders unanswered and serve quotes as usual: orders move, quotes stay.
+    // s0 to s5 do not answer orders and serve quotes normally: orders move to other servers, quotes stay.
     let mut rig = Rig::new(Settings { gateways: 20, ..settings() }, 10);
     let sick = |server: &str| server.as_bytes()[1] < b'6';
     let mut hits = [[0; 2]; 2];
@@ -659,8 +665,8 @@
         rig.end(id, 0, &server, ending);
     }
     let ([_, quotes], [_, orders]) = (hits[0], hits[1]);
-    assert!(orders <= 10, "{orders} of 100 orders to servers that leave them unanswered");
-    assert!(quotes >= 20, "{quotes} of 100 quotes to servers that serve them as usual");
+    assert!(orders <= 10, "{orders} of 100 orders to servers that do not answer them");
+    assert!(quotes >= 20, "{quotes} of 100 quotes to servers that serve them normally");
 }
 
 #[test]
@@ -687,8 +693,8 @@
 
 #[test]
 fn at_a_wide_spread_the_meter_decides() {
-    // One request a second through one of 200 gateways: more pass while the meter shows room than while it
-    // shows three times the rate.
+    // One request per second through one of 200 gateways: more are admitted while the meter shows unused rate
+    // than while it shows three times the rate.
     let passed = |metered: f64| {
         let mut rig = Rig::new(Settings { gateways: 200, ..settings() }, 10);
         rig.spread = 200;
@@ -707,7 +713,6 @@
     assert!((1..=30).contains(&passed(3.0)), "{} of 60 where the meter shows thrice the rate", passed(3.0));
 }
 
-/// Waiting past half of a client's time for a refusal costs it the rest; the refusal says when to come back.
 #[test]
 fn a_request_that_awaits_its_allowance_waits_in_its_queue_and_holds_up_nobody() {
     let mut rig = Rig::new(settings(), 2);
@@ -715,7 +720,7 @@
     let awaits = |rig: &mut Rig, id| {
         let allowance = Allowance::Awaited { until };
         let r = Request { allowance, ..Request::new(id, 0, 0, "c", now + 4 * SEC, 1.0) };
-        rig.tell(Event::Request(r))
+        rig.handle(Event::Request(r))
     };
     let first = awaits(&mut rig, 901);
     assert_eq!((sends(&first), timer(&first).1), (vec![], until));
@@ -724,24 +729,25 @@
     let (other, sent) = rig.request(0, 0, "other", 1.0);
     assert_eq!(sends(&sent), [other], "behind them in the same queue");
     rig.now += SEC;
-    // The second is let go first; past its aim by now, it has a new one's time.
-    let sent = rig.tell(Event::Allowed { id: 902, allowance: Allowance::Granted });
+    // The second is granted first; although late by now, it gets the deadlines of a new request.
+    let sent = rig.handle(Event::Allowed { id: 902, allowance: Allowance::Granted });
     assert_eq!(sends(&sent), [902]);
-    let refused = rig.tell(Event::Allowed { id: 903, allowance: Allowance::Refused { advice: 300 * MS } });
+    let refused = rig.handle(Event::Allowed { id: 903, allowance: Allowance::Refused { advice: 300 * MS } });
     assert!(refused.contains(&Action::Reject { id: 903, advice: 300 * MS }), "{refused:?}");
-    assert_eq!(rig.tell(Event::Allowed { id: 903, allowance: Allowance::Granted }), [], "it is gone");
+    assert_eq!(rig.handle(Event::Allowed { id: 903, allowance: Allowance::Granted }), [], "it is gone");
     rig.now = until;
-    let late = rig.tell(Event::Timer { token: timer(&first).0 });
-    assert!(rejected(&late, 901), "nobody said anything until then: {late:?}");
+    let late = rig.handle(Event::Timer { token: timer(&first).0 });
+    assert!(rejected(&late, 901), "no allowance arrived until then: {late:?}");
 }
 
+/// A client that waits more than half of its time for a refusal loses that time; a refusal advises when to retry.
 #[test]
-fn what_never_went_out_is_refused_before_half_of_its_time_with_advice() {
+fn an_unsent_request_is_refused_before_half_of_its_time_with_advice() {
     let advised = Settings { retry_after: true, max_retry_after: 2 * SEC, ..settings() };
     let mut rig = Rig::new(advised, 0);
     let asked = rig.now;
     let r = Request::new(1, 0, 0, "a", asked + SEC, 1.0);
-    let out = rig.tell(Event::Request(r));
+    let out = rig.handle(Event::Request(r));
     let Some(Action::Timer { token, at }) =
         out.iter().find(|a| matches!(a, Action::Timer { token, .. } if *token > 1)).cloned()
     else {
@@ -749,13 +755,13 @@
     };
     assert!(at < asked + SEC / 2);
     rig.now = at;
-    let out = rig.tell(Event::Timer { token });
+    let out = rig.handle(Event::Timer { token });
     let advice =
         out.iter().find_map(|a| if let Action::Reject { advice, .. } = a { Some(*advice) } else { None });
     assert!((1..=2 * SEC).contains(&advice.expect("refused")), "{out:?}");
 }
 
-/// A large fleet is not looked at whole for each request, and every server gets its part all the same.
+/// Requests to a large fleet consider a sample of it, and every server still gets its share.
 #[test]
 fn a_large_fleet_is_drawn_from_evenly() {
     let mut rig = Rig::new(settings(), 400);
@@ -773,24 +779,24 @@
         out_now.push_back((id, server));
     }
     let most = *count.values().max().expect("some");
-    assert_eq!(count.len(), 400, "every one is used");
+    assert_eq!(count.len(), 400, "every server is used");
     assert!(most <= 60, "{most} at one, 20 on average");
 }
 
 #[test]
-fn what_the_drawn_have_no_room_for_the_rest_of_a_large_fleet_takes() {
+fn other_servers_of_a_large_fleet_take_requests_for_which_the_sample_has_no_capacity() {
     let mut rig = Rig::new(settings(), 100);
-    // A room of 6 at each.
+    // Each server has a capacity of 6.
     let sent = (0..700).filter(|i| !sends(&rig.request(0, 0, &format!("c{i}"), 1.0).1).is_empty()).count();
-    assert!((590..=600).contains(&sent), "{sent} of 600 rooms are found");
+    assert!((590..=600).contains(&sent), "{sent} of 600 slots are found");
 }
 
-/// All start cold together, as after a power cut: none gets more than a few times its part, at any time.
+/// All servers start cold together, as after a power cut: none gets more than a few times its share at any time.
 #[test]
 fn a_large_cold_fleet_is_not_pushed_over() {
     let mut rig = Rig::new(settings(), 0);
     let cold = |i| Node { since: 99 * SEC, ..Rig::node(i, Health::Up) };
-    rig.tell(Event::Fleet { seq: 2, scope: Scope::Full, nodes: (0..300).map(cold).collect() });
+    rig.handle(Event::Fleet { seq: 2, scope: Scope::Full, nodes: (0..300).map(cold).collect() });
     let mut count = std::collections::BTreeMap::<String, usize>::new();
     for i in 0..6000 {
         rig.now += MS / 4;
@@ -805,7 +811,7 @@
     assert!(most <= 50, "{most} at one, 20 on average");
 }
 
-/// What is known of the whole is some time old in a large fleet; a drain counts at once all the same.
+/// The summary of a large fleet is refreshed at intervals only; a drain still takes effect at once.
 #[test]
 fn nothing_goes_to_a_server_of_a_large_fleet_that_has_just_begun_to_drain() {
     let mut rig = Rig::new(settings(), 60);
@@ -813,7 +819,7 @@
         rig.request(0, 0, &format!("c{i}"), 1.0);
     }
     let nodes = (0..59).map(|i| Rig::node(i, Health::Draining)).collect();
-    rig.tell(Event::Fleet { seq: 2, scope: Scope::Changes, nodes });
+    rig.handle(Event::Fleet { seq: 2, scope: Scope::Changes, nodes });
     for i in 0..5 {
         let (_, out) = rig.request(0, 0, &format!("d{i}"), 1.0);
         assert!(sent_to(&out).iter().all(|s| s == "s59"));
@@ -833,14 +839,14 @@
         }
     };
     let nodes = (0..10).map(|i| Node { pools: pools(i), ..Rig::node(i, Health::Up) }).collect();
-    rig.tell(Event::Fleet { seq: 2, scope: Scope::Full, nodes });
+    rig.handle(Event::Fleet { seq: 2, scope: Scope::Full, nodes });
     rig
 }
 
-fn ask_pool(rig: &mut Rig, pool: usize, customer: &str) -> (u64, Vec<Action>) {
+fn request_in_pool(rig: &mut Rig, pool: usize, customer: &str) -> (u64, Vec<Action>) {
     let (id, deadline) = (rig.next, rig.now + 4 * SEC);
     rig.next += 1;
-    (id, rig.tell(Event::Request(Request { pool, ..Request::new(id, 0, 0, customer, deadline, 1.0) })))
+    (id, rig.handle(Event::Request(Request { pool, ..Request::new(id, 0, 0, customer, deadline, 1.0) })))
 }
 
 #[test]
@@ -850,24 +856,24 @@
         for (pool, wanted) in
             [(0, ["s0", "s1", "s2", "s3", "s8", "s9"]), (1, ["s4", "s5", "s6", "s7", "s8", "s9"])]
         {
-            let (id, out) = ask_pool(&mut rig, pool, &format!("c{i}-{pool}"));
+            let (id, out) = request_in_pool(&mut rig, pool, &format!("c{i}-{pool}"));
             let server = sent_to(&out).remove(0);
             assert!(wanted.contains(&server.as_str()), "pool {pool}: {server}");
             rig.end(id, 0, &server, Ending::Success);
         }
     }
-    assert!(ask_pool(&mut rig, 2, "c").1.is_empty(), "a pool that is not there is ignored");
+    assert!(request_in_pool(&mut rig, 2, "c").1.is_empty(), "an unknown pool is ignored");
 }
 
 #[test]
 fn a_flood_of_one_pool_is_not_noticed_in_the_other() {
     let mut rig = two_pools();
     for i in 0..500 {
-        ask_pool(&mut rig, 0, &format!("f{i}"));
+        request_in_pool(&mut rig, 0, &format!("f{i}"));
     }
-    // The servers that both have are full by now; the four others are booking's alone.
+    // The servers shared by both pools are full by now; the other four belong to booking alone.
     for i in 0..20 {
-        let (_, out) = ask_pool(&mut rig, 1, &format!("c{i}"));
+        let (_, out) = request_in_pool(&mut rig, 1, &format!("c{i}"));
         assert_eq!(sends(&out).len(), 1, "request {i}: {out:?}");
     }
 }
@@ -875,7 +881,7 @@
 #[test]
 fn a_customer_is_charged_once_whatever_pools_its_requests_go_to() {
     let mut rig = two_pools();
-    let passed = (0..80).filter(|i| !sends(&ask_pool(&mut rig, i % 2, "a").1).is_empty()).count();
+    let passed = (0..80).filter(|i| !sends(&request_in_pool(&mut rig, i % 2, "a").1).is_empty()).count();
     assert!((18..=45).contains(&passed), "{passed} of 80 with a burst of 20");
 }
 
@@ -884,29 +890,29 @@
     let s = Settings { pools: 2, max_retry_after: SEC, retry_after: true, ..settings() };
     let mut rig = Rig::new(s, 0);
     let nodes = vec![Node { pools: 1, ..Rig::node(0, Health::Up) }];
-    rig.tell(Event::Fleet { seq: 2, scope: Scope::Full, nodes });
-    let (id, out) = ask_pool(&mut rig, 1, "a");
+    rig.handle(Event::Fleet { seq: 2, scope: Scope::Full, nodes });
+    let (id, out) = request_in_pool(&mut rig, 1, "a");
     assert_eq!(out, [Action::Reject { id, advice: SEC }]);
-    assert_eq!(sends(&ask_pool(&mut rig, 0, "a").1).len(), 1);
+    assert_eq!(sends(&request_in_pool(&mut rig, 0, "a").1).len(), 1);
 }
 
-/// A drain of a server that two pools share is a drain in both.
+/// A server shared by two pools drains in both.
 #[test]
 fn a_drain_counts_in_every_pool() {
     let mut rig = two_pools();
     let nodes = (0..8).map(|i| Node { pools: 3, ..Rig::node(i, Health::Draining) }).collect();
-    rig.tell(Event::Fleet { seq: 3, scope: Scope::Changes, nodes });
+    rig.handle(Event::Fleet { seq: 3, scope: Scope::Changes, nodes });
     for i in 0..10 {
         for pool in 0..2 {
-            let servers = sent_to(&ask_pool(&mut rig, pool, &format!("c{i}-{pool}")).1);
+            let servers = sent_to(&request_in_pool(&mut rig, pool, &format!("c{i}-{pool}")).1);
             assert!(servers.iter().all(|s| s == "s8" || s == "s9"), "{servers:?}");
         }
     }
 }
 
-/// A belief in who lives settles which servers are kept to, and comes back to the settings; rooms don't grow by it.
+/// The gateways believed alive select the subset of servers, and 0 restores the settings'; no capacity grows by it.
 #[test]
-fn who_is_believed_to_live_settles_whom_is_kept_to_and_no_room() {
+fn the_gateways_believed_alive_change_the_subset_but_no_capacity() {
     let used = |rig: &mut Rig, tag: &str| {
         let mut names = std::collections::BTreeSet::new();
         for i in 0..200 {
@@ -922,17 +928,17 @@
     let mut rig = Rig::new(Settings { gateways: 100, gateway_index: 7, ..settings() }, 60);
     let few = used(&mut rig, "a");
     assert!(few.len() <= 8, "{few:?}");
-    rig.tell(Event::Neighbours { position: 50, gateways: 100 });
+    rig.handle(Event::Neighbours { position: 50, gateways: 100 });
     let others = used(&mut rig, "b");
-    assert!(others.len() <= 8 && others != few, "another place, other servers: {others:?}");
-    rig.tell(Event::Neighbours { position: 0, gateways: 3 });
+    assert!(others.len() <= 8 && others != few, "another position, other servers: {others:?}");
+    rig.handle(Event::Neighbours { position: 0, gateways: 3 });
     assert!(used(&mut rig, "c").len() > 20, "three serve all sixty");
-    rig.tell(Event::Neighbours { position: 0, gateways: 0 });
+    rig.handle(Event::Neighbours { position: 0, gateways: 0 });
     assert_eq!(used(&mut rig, "d"), few, "as the settings say");
-    // So many fit at one server at once, whatever is believed.
-    let room = |gateways| {
+    // No number of gateways believed alive lets more attempts through to one server.
+    let max_in_flight = |gateways| {
         let mut rig = Rig::new(Settings { gateways: 100, gateway_index: 7, ..settings() }, 60);
-        rig.tell(Event::Neighbours { position: 7, gateways });
+        rig.handle(Event::Neighbours { position: 7, gateways });
         let mut count = std::collections::BTreeMap::<String, usize>::new();
         for i in 0..1000 {
             let (_, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
@@ -940,7 +946,7 @@
         }
         count.into_values().max().unwrap_or(0)
     };
-    let usual = room(100);
-    assert!(usual > 0);
-    assert!([1, 2, 30, 5000, u32::MAX].into_iter().all(|n| room(n) <= usual), "{usual}");
+    let configured = max_in_flight(100);
+    assert!(configured > 0);
+    assert!([1, 2, 30, 5000, u32::MAX].into_iter().all(|n| max_in_flight(n) <= configured), "{configured}");
 }
