--- a/src/decide/choice.rs
+++ b/src/decide/choice.rs
@@ -114,7 +114,7 @@
         let req = self.pending.get_mut(&id).expect("a pending request");
         let s = self.servers.get_mut(&server).expect("a known server");
         // No early timeout: slow attempts are mostly expensive ones, not hung, and as slow elsewhere.
-        let not_past = req.deadline;
+        let attempt_deadline = req.deadline;
         if s.in_flight == 0 {
             s.last_heard_at = now;
         }
@@ -136,6 +136,6 @@
         self.schedulers[base + 1].in_flight += req.units;
         self.sent_rate = self.sent_rate * (-secs(now - self.sent_at) / decay_time).exp() + 1.0 / decay_time;
         self.sent_at = now;
-        out.push(Action::Send { id, server, not_past });
+        out.push(Action::Send { id, server, attempt_deadline });
     }
 }
--- a/src/decide/queues.rs
+++ b/src/decide/queues.rs
@@ -66,7 +66,7 @@
     }
 
     /// Resolves an awaited allowance. Once granted, the request gets the deadlines of a new one.
-    pub(super) fn allowance_resolved(&mut self, id: RequestId, allowance: Allowance, out: &mut Vec<Action>) {
+    pub(super) fn allowance_decided(&mut self, id: RequestId, allowance: Allowance, out: &mut Vec<Action>) {
         let Some(req) = self.pending.get(&id).filter(|req| req.awaiting) else { return };
         if let Allowance::Refused { advice } = allowance {
             self.pending.remove(&id);
@@ -104,7 +104,7 @@
         if self.has_waiting() && !self.dispatch_timer_set {
             // Time alone may unblock the queue: budgets, limits and ejections change with it.
             self.dispatch_timer_set = true;
-            let at = self.now + (self.settings.fall / 50).max(self.settings.tick);
+            let at = self.now + (self.settings.collapse_window / 50).max(self.settings.tick);
             out.push(Action::Timer { token: TIMER_DISPATCH, at });
         }
     }
@@ -174,7 +174,7 @@
         let plans = &self.settings.plans;
         let min_value = plans.iter().map(|p| p.value_factor).fold(f64::INFINITY, f64::min).max(1e-9);
         let weight = (plans[plan].value_factor / min_value).max(1.0);
-        weight * if resource == 0 { 1.0 } else { self.settings.most_units.max(self.mean_units) }
+        weight * if resource == 0 { 1.0 } else { self.settings.max_units.max(self.mean_units) }
     }
 
     /// Returns the first request of a queue that all availability counters cover and that can be sent now,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -139,12 +139,12 @@
         max_retry_after: wire.limits.max_retry_after,
         max_attempts: wire.limits.try_limit,
         settles_cost: wire.extra.cost_after,
-        most_units: wire.extra.most_units,
+        max_units: wire.extra.most_units,
         meter_period: wire.extra.meter_period,
         warm_up_time: wire.obligations.cold,
         initial_warmth: wire.obligations.cold_from,
-        fall: wire.obligations.fall,
-        fall_multiple: wire.obligations.fall_multiple,
+        collapse_window: wire.obligations.fall,
+        collapse_multiple: wire.obligations.fall_multiple,
         answer_slack: wire.obligations.answer_slack,
         cross_zone_price: wire.prices.cross_zone,
         tick: wire.tick,
@@ -183,8 +183,8 @@
     let mut add = |prefix: &str, fields: &[(&str, f64)]| {
         values.extend(fields.iter().map(|(n, v)| (format!("{prefix}{n}"), *v)))
     };
-    add("", &[("cold_from", s.initial_warmth), ("fall_multiple", s.fall_multiple)]);
-    add("", &[("most_units", s.most_units), ("cross_zone_price", s.cross_zone_price)]);
+    add("", &[("cold_from", s.initial_warmth), ("fall_multiple", s.collapse_multiple)]);
+    add("", &[("most_units", s.max_units), ("cross_zone_price", s.cross_zone_price)]);
     for p in &s.plans {
         let prefix = format!("plan {}: ", p.name);
         add(&prefix, &[("rate", p.rate), ("depth", p.depth), ("ceiling_rate", p.hard_limit_rate)]);
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -19,10 +19,10 @@
             Plan { value_factor: 2.0, ..Plan::new("gold", 10.0, 20.0) },
         ],
         meter_period: SEC,
-        most_units: 8.0,
+        max_units: 8.0,
         warm_up_time: 10 * SEC,
         initial_warmth: 0.2,
-        fall: 2 * SEC,
+        collapse_window: 2 * SEC,
         max_attempts: 3,
         tick: MS,
         ..Settings::default()
@@ -730,11 +730,16 @@
     assert_eq!(sends(&sent), [other], "behind them in the same queue");
     rig.now += SEC;
     // The second is granted first; although late by now, it gets the deadlines of a new request.
-    let sent = rig.handle(Event::Allowed { id: 902, allowance: Allowance::Granted });
+    let sent = rig.handle(Event::AllowanceDecided { id: 902, allowance: Allowance::Granted });
     assert_eq!(sends(&sent), [902]);
-    let refused = rig.handle(Event::Allowed { id: 903, allowance: Allowance::Refused { advice: 300 * MS } });
+    let refused =
+        rig.handle(Event::AllowanceDecided { id: 903, allowance: Allowance::Refused { advice: 300 * MS } });
     assert!(refused.contains(&Action::Reject { id: 903, advice: 300 * MS }), "{refused:?}");
-    assert_eq!(rig.handle(Event::Allowed { id: 903, allowance: Allowance::Granted }), [], "it is gone");
+    assert_eq!(
+        rig.handle(Event::AllowanceDecided { id: 903, allowance: Allowance::Granted }),
+        [],
+        "it is gone"
+    );
     rig.now = until;
     let late = rig.handle(Event::Timer { token: timer(&first).0 });
     assert!(rejected(&late, 901), "no allowance arrived until then: {late:?}");
@@ -928,17 +933,17 @@
     let mut rig = Rig::new(Settings { gateways: 100, gateway_index: 7, ..settings() }, 60);
     let few = used(&mut rig, "a");
     assert!(few.len() <= 8, "{few:?}");
-    rig.handle(Event::Neighbours { position: 50, gateways: 100 });
+    rig.handle(Event::GatewayPosition { position: 50, gateways: 100 });
     let others = used(&mut rig, "b");
     assert!(others.len() <= 8 && others != few, "another position, other servers: {others:?}");
-    rig.handle(Event::Neighbours { position: 0, gateways: 3 });
+    rig.handle(Event::GatewayPosition { position: 0, gateways: 3 });
     assert!(used(&mut rig, "c").len() > 20, "three serve all sixty");
-    rig.handle(Event::Neighbours { position: 0, gateways: 0 });
+    rig.handle(Event::GatewayPosition { position: 0, gateways: 0 });
     assert_eq!(used(&mut rig, "d"), few, "as the settings say");
     // No number of gateways believed alive lets more attempts through to one server.
     let max_in_flight = |gateways| {
         let mut rig = Rig::new(Settings { gateways: 100, gateway_index: 7, ..settings() }, 60);
-        rig.handle(Event::Neighbours { position: 7, gateways });
+        rig.handle(Event::GatewayPosition { position: 7, gateways });
         let mut count = std::collections::BTreeMap::<String, usize>::new();
         for i in 0..1000 {
             let (_, out) = rig.request(0, 0, &format!("c{i}"), 1.0);
