--- a/crates/control/change-log/src/lib.rs
+++ b/crates/control/change-log/src/lib.rs
@@ -71,7 +71,7 @@
 
 /// What a follower does with changes that it is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FollowOutcome {
+pub enum ChangesOutcome {
     /// It applies all but the first so many, which it knows.
     SkipFirst(usize),
     /// Some are missing before them: it needs a snapshot.
@@ -80,11 +80,11 @@
 
 /// How far a follower has come.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct FollowPosition {
+pub struct SubscriberPosition {
     offset: Option<Offset>,
 }
 
-impl FollowPosition {
+impl SubscriberPosition {
     /// From where it goes on; none before its first snapshot.
     pub fn offset(&self) -> Option<Offset> {
         self.offset
@@ -96,14 +96,14 @@
     }
 
     /// It is sent so many changes that stand from this offset on.
-    pub fn on_changes(&mut self, from: Offset, count: usize) -> FollowOutcome {
+    pub fn on_changes(&mut self, from: Offset, count: usize) -> ChangesOutcome {
         match &mut self.offset {
             Some(offset) if offset.incarnation == from.incarnation && from.position <= offset.position => {
                 let known = ((offset.position - from.position) as usize).min(count);
                 offset.position = offset.position.max(from.position + count as u64);
-                FollowOutcome::SkipFirst(known)
+                ChangesOutcome::SkipFirst(known)
             }
-            _ => FollowOutcome::NeedsSnapshot,
+            _ => ChangesOutcome::NeedsSnapshot,
         }
     }
 }
--- a/crates/control/change-log/src/quorum_contact.rs
+++ b/crates/control/change-log/src/quorum_contact.rs
@@ -33,7 +33,7 @@
     requests: VecDeque<Request>,
     unapplied_proofs: VecDeque<UnappliedProof>,
     applied_index: u64,
-    proven_at: Option<Time>,
+    last_contact: Option<Time>,
 }
 
 impl QuorumContact {
@@ -52,7 +52,7 @@
         // It was answered after it was sent, so that the majority's contact is no older than this.
         let Some(contact) = request.sent_at.checked_sub(age) else { return };
         if commit_index <= self.applied_index {
-            self.prove(contact);
+            self.record_contact(contact);
         } else {
             push_bounded(&mut self.unapplied_proofs, UnappliedProof { index: commit_index, contact });
         }
@@ -66,18 +66,18 @@
         let contact = self.unapplied_proofs.iter().filter(is_applied).map(|proof| proof.contact).max();
         self.unapplied_proofs.retain(|proof| !is_applied(&proof));
         if let Some(contact) = contact {
-            self.prove(contact);
+            self.record_contact(contact);
         }
     }
 
     /// This node leads, and a majority was in contact with it then.
-    pub fn prove(&mut self, contact: Time) {
-        self.proven_at = self.proven_at.max(Some(contact));
+    pub fn record_contact(&mut self, contact: Time) {
+        self.last_contact = self.last_contact.max(Some(contact));
     }
 
     /// All that was committed before then is held here; none: nothing is proven.
-    pub fn proven_at(&self) -> Option<Time> {
-        self.proven_at
+    pub fn last_contact(&self) -> Option<Time> {
+        self.last_contact
     }
 
     /// How far the log is applied.
--- a/crates/control/change-log/tests/change_log.rs
+++ b/crates/control/change-log/tests/change_log.rs
@@ -1,4 +1,4 @@
-use change_log::{ChangeLog, FollowOutcome, FollowPosition, Offset};
+use change_log::{ChangeLog, ChangesOutcome, Offset, SubscriberPosition};
 
 #[test]
 fn changes_since_an_offset_or_none_if_too_old() {
@@ -17,13 +17,13 @@
 #[test]
 fn follower_applies_each_change_once_and_none_behind_a_gap() {
     let at = |at| Offset { incarnation: 7, position: at };
-    let mut f = FollowPosition::default();
-    assert_eq!(f.on_changes(at(0), 2), FollowOutcome::NeedsSnapshot);
+    let mut f = SubscriberPosition::default();
+    assert_eq!(f.on_changes(at(0), 2), ChangesOutcome::NeedsSnapshot);
     f.on_snapshot(at(4));
-    assert_eq!(f.on_changes(at(4), 2), FollowOutcome::SkipFirst(0));
-    assert_eq!(f.on_changes(at(3), 4), FollowOutcome::SkipFirst(3), "the first three are known");
-    assert_eq!(f.on_changes(at(1), 2), FollowOutcome::SkipFirst(2));
+    assert_eq!(f.on_changes(at(4), 2), ChangesOutcome::SkipFirst(0));
+    assert_eq!(f.on_changes(at(3), 4), ChangesOutcome::SkipFirst(3), "the first three are known");
+    assert_eq!(f.on_changes(at(1), 2), ChangesOutcome::SkipFirst(2));
     assert_eq!(f.offset(), Some(at(7)));
-    assert_eq!(f.on_changes(at(8), 1), FollowOutcome::NeedsSnapshot, "one is missing");
-    assert_eq!(f.on_changes(Offset { incarnation: 9, position: 7 }, 1), FollowOutcome::NeedsSnapshot);
+    assert_eq!(f.on_changes(at(8), 1), ChangesOutcome::NeedsSnapshot, "one is missing");
+    assert_eq!(f.on_changes(Offset { incarnation: 9, position: 7 }, 1), ChangesOutcome::NeedsSnapshot);
 }
--- a/crates/control/change-log/tests/quorum_contact.rs
+++ b/crates/control/change-log/tests/quorum_contact.rs
@@ -10,11 +10,15 @@
     c.on_applied(7);
     let ask = c.request(1000 * MS);
     c.on_response(ask, 120 * MS, 7);
-    assert_eq!(c.proven_at(), Some(880 * MS), "counted from when it was asked, less the majority's own age");
+    assert_eq!(
+        c.last_contact(),
+        Some(880 * MS),
+        "counted from when it was asked, less the majority's own age"
+    );
     c.on_response(ask, 0, 7);
-    assert_eq!(c.proven_at(), Some(880 * MS), "an answer counts once");
+    assert_eq!(c.last_contact(), Some(880 * MS), "an answer counts once");
     c.on_response(99, 0, 7);
-    assert_eq!(c.proven_at(), Some(880 * MS), "nobody asked that");
+    assert_eq!(c.last_contact(), Some(880 * MS), "nobody asked that");
 }
 
 #[test]
@@ -25,10 +29,10 @@
     for n in 0..200 {
         let ask = c.request(n * 100 * MS);
         c.on_response(ask, 0, 500 + n);
-        assert_eq!(c.proven_at(), None, "an old configuration would be handed out as the newest");
+        assert_eq!(c.last_contact(), None, "an old configuration would be handed out as the newest");
     }
     c.on_applied(690);
-    assert_eq!(c.proven_at(), Some(19_000 * MS), "it has caught up with that answer and none later");
+    assert_eq!(c.last_contact(), Some(19_000 * MS), "it has caught up with that answer and none later");
 }
 
 #[test]
@@ -38,11 +42,11 @@
     let ask = c.request(1000 * MS);
     // Frozen for twenty seconds, the answer is read at once behind that: it proves the time of the ask.
     c.on_response(ask, 0, 7);
-    assert_eq!(c.proven_at(), Some(1000 * MS));
+    assert_eq!(c.last_contact(), Some(1000 * MS));
     let late = c.request(21_000 * MS);
     // A leader that stood still as long answers with the age of its majority.
     c.on_response(late, 20_500 * MS, 7);
-    assert_eq!(c.proven_at(), Some(1000 * MS));
+    assert_eq!(c.last_contact(), Some(1000 * MS));
 }
 
 #[test]
@@ -56,11 +60,11 @@
         c.request(n * 150 * MS);
         c.on_applied(7 + n);
     }
-    assert_eq!(c.proven_at(), Some(0));
+    assert_eq!(c.last_contact(), Some(0));
     // Its memory of asks is bounded; the latest is answered when the way is open again.
     let ask = c.request(80_000 * MS);
     c.on_response(ask, 10 * MS, 506);
-    assert_eq!(c.proven_at(), Some(79_990 * MS));
+    assert_eq!(c.last_contact(), Some(79_990 * MS));
 }
 
 #[test]
@@ -72,7 +76,7 @@
     let (old, new) = (c.request(10 * MS), c.request(20 * MS));
     c.on_response(new, 0, 9);
     c.on_response(old, 0, 9);
-    assert_eq!(c.proven_at(), Some(20 * MS));
-    c.prove(15 * MS);
-    assert_eq!(c.proven_at(), Some(20 * MS), "nor when it has led");
+    assert_eq!(c.last_contact(), Some(20 * MS));
+    c.record_contact(15 * MS);
+    assert_eq!(c.last_contact(), Some(20 * MS), "nor when it has led");
 }
--- a/crates/control/control-node/src/change_feed.rs
+++ b/crates/control/control-node/src/change_feed.rs
@@ -4,7 +4,7 @@
 use crate::{ControlNode, Defect};
 use change_log::{ChangeLog, Offset};
 use consensus::Term;
-use control_state::{Applied, Command, CommittedConfiguration, ControlState, DeltaHistory, LogIndex};
+use control_state::{ApplyOutcome, Command, CommittedConfiguration, ControlState, DeltaHistory, LogIndex};
 use messages::{FleetChange, FleetSnapshot, GatewayUpdate};
 use std::sync::Arc;
 
@@ -52,14 +52,14 @@
     }
 
     /// Applies a committed command, and publishes what it changes.
-    pub(crate) fn apply_command(&mut self, index: LogIndex, term: Term, bytes: &[u8]) -> Applied {
+    pub(crate) fn apply_command(&mut self, index: LogIndex, term: Term, bytes: &[u8]) -> ApplyOutcome {
         self.quorum_contact.on_applied(index);
         let Some(mut command) = Command::decode(bytes) else {
             log::error!("state: the entry at {index} is no command; it changes nothing");
-            return Applied::Unchanged;
+            return ApplyOutcome::Unchanged;
         };
-        if !command.is_valid_in(term) && !self.has_defect(Defect::RemovalOfAnyTerm) {
-            return Applied::Unchanged;
+        if !command.is_valid_in_term(term) && !self.has_defect(Defect::RemovalOfAnyTerm) {
+            return ApplyOutcome::Unchanged;
         }
         if self.has_defect(Defect::BaseIgnored) {
             if let Command::ReplaceConfiguration { base, .. } = &mut command {
@@ -68,7 +68,7 @@
         }
         let old = self.state.configuration().cloned();
         let applied = self.state.apply(index, &command);
-        if applied == Applied::Changed {
+        if applied == ApplyOutcome::Changed {
             self.publish_command(index, command, old);
         }
         self.complete_committed_drains();
--- a/crates/control/control-node/src/commit.rs
+++ b/crates/control/control-node/src/commit.rs
@@ -4,7 +4,7 @@
 use crate::persistence::{Proposal, Requester};
 use crate::{ControlNode, Defect};
 use consensus::{LogIndex, Output, Term};
-use control_state::{Applied, Command, ControlState};
+use control_state::{ApplyOutcome, Command, ControlState};
 use messages::ControlMessage;
 
 impl ControlNode {
@@ -35,7 +35,7 @@
     }
 
     /// Applies a committed command.
-    pub(crate) fn apply_committed(&mut self, index: LogIndex, term: Term, command: &[u8]) -> Applied {
+    pub(crate) fn apply_committed(&mut self, index: LogIndex, term: Term, command: &[u8]) -> ApplyOutcome {
         self.persistence.applied_index = index;
         #[cfg(feature = "simulation")]
         self.applied_records.push(crate::AppliedRecord::Command(index, command.to_vec()));
@@ -68,15 +68,15 @@
     }
 
     /// Tells requesters what came of their proposals, now that the entry at `index` is committed.
-    fn resolve_proposals(&mut self, index: LogIndex, term: Term, applied: Applied) {
+    fn resolve_proposals(&mut self, index: LogIndex, term: Term, applied: ApplyOutcome) {
         while let Some(first) = self.persistence.proposals.first_entry().filter(|p| *p.key() <= index) {
             let is_this_entry = *first.key() == index && first.get().term == term;
             let tag = first.remove().tag;
             let outcome = match applied {
                 // Another entry was committed at its index: the proposal never will be.
                 _ if !is_this_entry => Outcome::NotLeader,
-                Applied::Conflict => Outcome::Conflict,
-                Applied::Changed | Applied::Unchanged => Outcome::Committed,
+                ApplyOutcome::Conflict => Outcome::Conflict,
+                ApplyOutcome::Changed | ApplyOutcome::Unchanged => Outcome::Committed,
             };
             self.resolve_tag(tag, outcome);
         }
--- a/crates/control/control-node/src/configuration_changes.rs
+++ b/crates/control/control-node/src/configuration_changes.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use configuration::ConfigurationError;
 use consensus::{Input, Term};
-use control_state::{body_digest, decide_change, BodyDigest, Command, Decision, DeclaredVersions};
+use control_state::{body_digest, decide_change, BodyDigest, ChangeDecision, Command, DeclaredVersions};
 use std::collections::{BTreeMap, VecDeque};
 
 /// A caller goes elsewhere after a second of silence: each call is answered within so long.
@@ -176,36 +176,40 @@
         &self,
         body: &[u8],
         validated: &Result<DeclaredVersions, ConfigurationError>,
-    ) -> Option<Decision> {
+    ) -> Option<ChangeDecision> {
         let DeclaredVersions { base, version } = *validated.as_ref().ok()?;
         let (current, is_applied) = (self.state.version(), self.state.is_applied(body));
         let is_forgotten =
             self.has_defect(Defect::AppliedChangeForgotten) && is_applied && current != version;
         let is_refused_by_base = self.has_defect(Defect::BaseCheckedFirst) && base != current;
         if is_forgotten || is_refused_by_base {
-            Some(Decision::Conflict { current })
+            Some(ChangeDecision::Conflict { current })
         } else if self.has_defect(Defect::BaseIgnored) && !is_applied && version > current {
-            Some(Decision::Propose(Command::ReplaceConfiguration { base, version, body: body.to_vec() }))
+            Some(ChangeDecision::Propose(Command::ReplaceConfiguration {
+                base,
+                version,
+                body: body.to_vec(),
+            }))
         } else if self.has_defect(Defect::VersionAloneAcknowledged) && version == current {
-            Some(Decision::Acknowledged)
+            Some(ChangeDecision::Acknowledged)
         } else {
             None
         }
     }
 
-    fn on_decision(&mut self, id: u64, decision: Decision) {
+    fn on_decision(&mut self, id: u64, decision: ChangeDecision) {
         let reply = match decision {
-            Decision::Propose(command) => return self.propose_change(id, command),
-            Decision::Acknowledged => Reply::Acknowledged,
-            Decision::Invalid(reason) => Reply::Invalid(reason),
-            Decision::Conflict { current } => Reply::Conflict { current },
-            Decision::Unknown => Reply::Unavailable,
+            ChangeDecision::Propose(command) => return self.propose_change(id, command),
+            ChangeDecision::Acknowledged => Reply::Acknowledged,
+            ChangeDecision::Invalid(reason) => Reply::Invalid(reason),
+            ChangeDecision::Conflict { current } => Reply::Conflict { current },
+            ChangeDecision::Unknown => Reply::Unavailable,
         };
         self.finish_change(id, reply);
     }
 
     fn propose_change(&mut self, id: u64, command: Command) {
-        let command = command.as_delta(&self.state).encode();
+        let command = command.into_delta_if_smaller(&self.state).encode();
         if let Some(change) = self.changes.in_progress.get_mut(&id) {
             change.stage = Stage::Proposed;
             change.deadline = self.now + PROPOSAL_TIMEOUT;
--- a/crates/control/control-node/src/heartbeats.rs
+++ b/crates/control/control-node/src/heartbeats.rs
@@ -48,7 +48,7 @@
         if !is_first_hand {
             return;
         }
-        self.registry.confirm_alive(self.now, &heartbeat.instance);
+        self.registry.record_direct_heartbeat(self.now, &heartbeat.instance);
         match outcome {
             HeartbeatOutcome::New | HeartbeatOutcome::Changed => {
                 self.pending_heartbeats.changed.push(heartbeat);
--- a/crates/control/control-node/src/quorum_contact.rs
+++ b/crates/control/control-node/src/quorum_contact.rs
@@ -15,9 +15,9 @@
     pub fn last_quorum_contact(&mut self, now: Time) -> Option<Time> {
         self.now = now;
         if let Some(at) = self.contact_as_leader() {
-            self.quorum_contact.prove(at);
+            self.quorum_contact.record_contact(at);
         }
-        self.quorum_contact.proven_at()
+        self.quorum_contact.last_contact()
     }
 
     /// How long ago that was; [`Time::MAX`] if it never was.
@@ -44,7 +44,7 @@
         self.next_contact_request = self.now + REQUEST_INTERVAL;
         if self.has_defect(Defect::HeartbeatCountsAsContact) {
             if let Some(at) = self.leadership.quorum_contact {
-                self.quorum_contact.prove(at);
+                self.quorum_contact.record_contact(at);
             }
         }
         if let Some(leader) = self.leadership.leader.as_ref().filter(|_| !self.leadership.is_leader) {
--- a/crates/control/control-state/src/change_decision.rs
+++ b/crates/control/control-state/src/change_decision.rs
@@ -1,10 +1,10 @@
 //! What becomes of an operator's change of the configuration. A pure function.
 //!
 //! The caller makes sure that the state holds all that was committed when the change came, and has a
-//! [`Decision::Propose`] committed.
+//! [`ChangeDecision::Propose`] committed.
 
 use crate::command::Command;
-use crate::state::{Applied, ControlState};
+use crate::state::{ApplyOutcome, ControlState};
 use configuration::{ConfigurationError, Version};
 use displaydoc::Display;
 
@@ -40,7 +40,7 @@
 
 /// What becomes of a change.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Decision {
+pub enum ChangeDecision {
     /// It has been applied, now or earlier.
     Acknowledged,
     /// It is not sound; it has not been applied and never will be as long as this is so.
@@ -52,7 +52,7 @@
     },
     /// Nobody can say: it may be in force, or come to be.
     Unknown,
-    /// It is to be committed; [`Decision::after_commit`] tells what came of it.
+    /// It is to be committed; [`ChangeDecision::after_commit`] tells what came of it.
     Propose(Command),
 }
 
@@ -65,36 +65,36 @@
     state: &ControlState,
     body: &[u8],
     read: impl FnOnce(&[u8]) -> Result<DeclaredVersions, ConfigurationError>,
-) -> Decision {
+) -> ChangeDecision {
     if state.is_applied(body) {
-        return Decision::Acknowledged;
+        return ChangeDecision::Acknowledged;
     }
     let DeclaredVersions { base, version } = match read(body) {
         Ok(versions) => versions,
-        Err(error) => return Decision::Invalid(InvalidChange::Configuration(error)),
+        Err(error) => return ChangeDecision::Invalid(InvalidChange::Configuration(error)),
     };
     let current = state.version();
     if base == current && version <= current {
         // Nobody ever applied one like this: at its base it was not later than the current one.
-        return Decision::Invalid(InvalidChange::VersionNotGreater { current });
+        return ChangeDecision::Invalid(InvalidChange::VersionNotGreater { current });
     }
     if base == current {
-        return Decision::Propose(Command::ReplaceConfiguration { base, version, body: body.to_vec() });
+        return ChangeDecision::Propose(Command::ReplaceConfiguration { base, version, body: body.to_vec() });
     }
     if state.may_have_forgotten_version(version) {
-        return Decision::Unknown;
+        return ChangeDecision::Unknown;
     }
-    Decision::Conflict { current }
+    ChangeDecision::Conflict { current }
 }
 
-impl Decision {
+impl ChangeDecision {
     /// What came of a proposal once it is committed, with the version in force behind it; none: it is not known whether it
     /// was or will be.
-    pub fn after_commit(applied: Option<&Applied>, current: Version) -> Decision {
+    pub fn after_commit(applied: Option<&ApplyOutcome>, current: Version) -> ChangeDecision {
         match applied {
-            Some(Applied::Changed | Applied::Unchanged) => Decision::Acknowledged,
-            Some(Applied::Conflict) => Decision::Conflict { current },
-            None => Decision::Unknown,
+            Some(ApplyOutcome::Changed | ApplyOutcome::Unchanged) => ChangeDecision::Acknowledged,
+            Some(ApplyOutcome::Conflict) => ChangeDecision::Conflict { current },
+            None => ChangeDecision::Unknown,
         }
     }
 }
--- a/crates/control/control-state/src/command.rs
+++ b/crates/control/control-state/src/command.rs
@@ -70,7 +70,7 @@
 impl Command {
     /// A long configuration as a delta to the current one, if that is much shorter: an entry of the log delays heartbeats
     /// for as long as its bytes take.
-    pub fn as_delta(self, state: &ControlState) -> Command {
+    pub fn into_delta_if_smaller(self, state: &ControlState) -> Command {
         let Command::ReplaceConfiguration { base, version, body } = &self else { return self };
         let is_worth_it = body.len() > MIN_DELTA_BODY_BYTES;
         let current = state.configuration().filter(|current| current.version == *base && is_worth_it);
@@ -83,7 +83,7 @@
     }
 
     /// Whether it may be applied from an entry of this term.
-    pub fn is_valid_in(&self, entry_term: u64) -> bool {
+    pub fn is_valid_in_term(&self, entry_term: u64) -> bool {
         match self {
             Command::RemoveGateway { term, .. } => *term == entry_term,
             _ => true,
--- a/crates/control/control-state/src/lib.rs
+++ b/crates/control/control-state/src/lib.rs
@@ -15,14 +15,14 @@
 mod state;
 
 pub use applied_versions::{body_digest, BodyDigest, MAX_APPLIED_VERSIONS};
-pub use change_decision::{decide_change, Decision, DeclaredVersions, InvalidChange};
+pub use change_decision::{decide_change, ChangeDecision, DeclaredVersions, InvalidChange};
 pub use command::Command;
 pub use configuration_receiver::{ConfigurationReceiver, ReceiveOutcome};
 pub use configuration_sender::{ConfigurationSender, WINDOW_BYTES};
 pub use configuration_transfer::{ConfigurationChunk, TransferHeader, CHUNK_BYTES};
 pub use delta::Delta;
 pub use delta_history::DeltaHistory;
-pub use state::{Applied, CommittedConfiguration, ControlState};
+pub use state::{ApplyOutcome, CommittedConfiguration, ControlState};
 
 /// An index of the replicated log.
 pub type LogIndex = u64;
--- a/crates/control/control-state/src/state.rs
+++ b/crates/control/control-state/src/state.rs
@@ -23,7 +23,7 @@
 
 /// What a command did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ApplyOutcome {
     /// The state has changed.
     Changed,
     /// The state was so already.
@@ -142,7 +142,7 @@
     }
 
     /// Applies the command that is committed at `index`.
-    pub fn apply(&mut self, index: LogIndex, command: &Command) -> Applied {
+    pub fn apply(&mut self, index: LogIndex, command: &Command) -> ApplyOutcome {
         match command {
             Command::ReplaceConfiguration { base, version, body } => {
                 self.replace_configuration(index, *base, *version, body_digest(body), |_| Some(body.clone()))
@@ -168,55 +168,55 @@
         version: Version,
         digest: BodyDigest,
         body: impl FnOnce(Option<&CommittedConfiguration>) -> Option<Vec<u8>>,
-    ) -> Applied {
+    ) -> ApplyOutcome {
         if self.applied_versions.version_of(&digest) == Some(version) {
-            return Applied::Unchanged;
+            return ApplyOutcome::Unchanged;
         }
         if base != self.version() || version <= self.version() {
-            return Applied::Conflict;
+            return ApplyOutcome::Conflict;
         }
-        let Some(body) = body(self.configuration.as_deref()) else { return Applied::Conflict };
+        let Some(body) = body(self.configuration.as_deref()) else { return ApplyOutcome::Conflict };
         self.configuration = Some(Arc::new(CommittedConfiguration { version, index, body }));
         self.applied_versions.record(version, digest);
-        Applied::Changed
+        ApplyOutcome::Changed
     }
 
-    fn drain(&mut self, index: LogIndex, instance: &str) -> Applied {
+    fn drain(&mut self, index: LogIndex, instance: &str) -> ApplyOutcome {
         if self.is_draining(instance) {
-            return Applied::Unchanged;
+            return ApplyOutcome::Unchanged;
         }
         self.draining.insert(instance.to_string(), index);
         if self.draining.len() > MAX_DRAINING {
             remove_oldest(&mut self.draining, |index| *index);
         }
-        Applied::Changed
+        ApplyOutcome::Changed
     }
 
-    fn add_gateway(&mut self, name: &str) -> Applied {
+    fn add_gateway(&mut self, name: &str) -> ApplyOutcome {
         if !self.can_add_gateway(name) {
-            return Applied::Unchanged;
+            return ApplyOutcome::Unchanged;
         }
         self.gateways.insert(name.to_string());
-        Applied::Changed
+        ApplyOutcome::Changed
     }
 
-    fn remove_gateway(&mut self, name: &str) -> Applied {
+    fn remove_gateway(&mut self, name: &str) -> ApplyOutcome {
         if self.gateways.remove(name) {
-            Applied::Changed
+            ApplyOutcome::Changed
         } else {
-            Applied::Unchanged
+            ApplyOutcome::Unchanged
         }
     }
 
-    fn expire_trial(&mut self, index: LogIndex, tenant: &str, ends_at: u64) -> Applied {
+    fn expire_trial(&mut self, index: LogIndex, tenant: &str, ends_at: u64) -> ApplyOutcome {
         if self.is_trial_expired(tenant, ends_at) {
-            return Applied::Unchanged;
+            return ApplyOutcome::Unchanged;
         }
         self.expired_trials.insert(tenant.to_string(), ExpiredTrial { ends_at, index });
         if self.expired_trials.len() > MAX_EXPIRED_TRIALS {
             remove_oldest(&mut self.expired_trials, |trial| trial.index);
         }
-        Applied::Changed
+        ApplyOutcome::Changed
     }
 }
 
--- a/crates/control/control-state/src/state/tests.rs
+++ b/crates/control/control-state/src/state/tests.rs
@@ -9,16 +9,20 @@
 #[test]
 fn one_of_two_changes_on_one_base_wins_and_is_recognised_again() {
     let mut state = ControlState::new();
-    assert_eq!(state.apply(2, &configuration(0, 3, "a")), Applied::Changed);
-    assert_eq!(state.apply(3, &configuration(3, 5, "b")), Applied::Changed);
-    assert_eq!(state.apply(4, &configuration(3, 6, "c")), Applied::Conflict, "the base is another");
-    assert_eq!(state.apply(5, &configuration(5, 5, "d")), Applied::Conflict, "not later");
+    assert_eq!(state.apply(2, &configuration(0, 3, "a")), ApplyOutcome::Changed);
+    assert_eq!(state.apply(3, &configuration(3, 5, "b")), ApplyOutcome::Changed);
+    assert_eq!(state.apply(4, &configuration(3, 6, "c")), ApplyOutcome::Conflict, "the base is another");
+    assert_eq!(state.apply(5, &configuration(5, 5, "d")), ApplyOutcome::Conflict, "not later");
     assert_eq!(
         state.apply(6, &configuration(0, 3, "a")),
-        Applied::Unchanged,
+        ApplyOutcome::Unchanged,
         "once more, though a later one stands"
     );
-    assert_eq!(state.apply(7, &configuration(0, 3, "b")), Applied::Conflict, "other bytes under its number");
+    assert_eq!(
+        state.apply(7, &configuration(0, 3, "b")),
+        ApplyOutcome::Conflict,
+        "other bytes under its number"
+    );
     assert_eq!((state.version(), state.configuration().unwrap().index), (5, 3));
     assert_eq!(ControlState::decode(&state.encode()), Some(state));
     assert_eq!(ControlState::decode(b"nonsense"), None);
@@ -34,12 +38,12 @@
     let command = |ends| Command::ExpireTrial { tenant: "t".into(), ends_at: ends };
     assert_eq!(
         (state.apply(2, &command(7)), state.apply(3, &command(7))),
-        (Applied::Changed, Applied::Unchanged)
+        (ApplyOutcome::Changed, ApplyOutcome::Unchanged)
     );
     assert!(
         state.is_trial_expired("t", 7) && !state.is_trial_expired("t", 8) && !state.is_trial_expired("u", 7)
     );
-    assert_eq!((state.apply(4, &command(8)), state.last_expiry_index()), (Applied::Changed, 4));
+    assert_eq!((state.apply(4, &command(8)), state.last_expiry_index()), (ApplyOutcome::Changed, 4));
     assert!(!state.is_trial_expired("t", 7));
     assert_eq!(ControlState::decode(&state.encode()), Some(state));
 }
@@ -52,5 +56,5 @@
     }
     assert_eq!(state.draining().count(), MAX_DRAINING);
     assert!(!state.is_draining("i-9") && state.is_draining("i-10"), "the oldest go");
-    assert_eq!(state.apply(9999, &Command::Drain { instance: "i-50".into() }), Applied::Unchanged);
+    assert_eq!(state.apply(9999, &Command::Drain { instance: "i-50".into() }), ApplyOutcome::Unchanged);
 }
--- a/crates/control/registry/src/zone_registry.rs
+++ b/crates/control/registry/src/zone_registry.rs
@@ -101,7 +101,7 @@
     }
 
     /// The backend's heartbeat arrived here first-hand: it lives now.
-    pub fn confirm_alive(&mut self, now: Time, id: &str) {
+    pub fn record_direct_heartbeat(&mut self, now: Time, id: &str) {
         if let Some(instance) = self.instances.get_mut(id) {
             instance.last_heartbeat = Some(now);
         }
--- a/crates/control/registry/tests/registry.rs
+++ b/crates/control/registry/tests/registry.rs
@@ -32,7 +32,7 @@
     let mut replica = ZoneRegistry::new(S, 0);
     replica.on_heartbeat(0, heartbeat("a", "x", 1));
     replica.on_heartbeat(0, heartbeat("b", "y", 1));
-    replica.confirm_alive(0, "a");
+    replica.record_direct_heartbeat(0, "a");
     let living = |replica: &ZoneRegistry, at| {
         replica.recently_alive(at).map(|f| f.instance.clone()).collect::<Vec<_>>()
     };
--- a/crates/data/subscription/src/freshness.rs
+++ b/crates/data/subscription/src/freshness.rs
@@ -42,12 +42,12 @@
 
     /// All that was committed by then was told here; none: nothing was.
     pub fn last_quorum_contact(&self) -> Option<Time> {
-        self.quorum.proven_at()
+        self.quorum.last_contact()
     }
 
     /// Whether what is refused for want of a route or a key may be refused for good.
     pub fn is_fresh(&self, now: Time) -> bool {
-        self.configuration.proven_at().is_some_and(|at| now.saturating_sub(at) < FRESHNESS_TIMEOUT)
+        self.configuration.last_contact().is_some_and(|at| now.saturating_sub(at) < FRESHNESS_TIMEOUT)
     }
 
     /// Whether a majority was known of lately.
--- a/crates/data/subscription/src/subscription.rs
+++ b/crates/data/subscription/src/subscription.rs
@@ -5,7 +5,7 @@
 use crate::freshness::Freshness;
 use crate::view::{View, ViewChange};
 use crate::{Time, MS};
-use change_log::{FollowOutcome, FollowPosition};
+use change_log::{ChangesOutcome, SubscriberPosition};
 use control_state::{ConfigurationChunk, ConfigurationReceiver, ReceiveOutcome};
 use messages::{GatewayMessage, GatewayUpdate, Greeting, MESSAGE_FORMAT};
 use quota::LeaseGrant;
@@ -103,7 +103,7 @@
     /// Control nodes, each with its zone as far as that is known.
     known_nodes: BTreeMap<IpAddr, String>,
     backoffs: Backoffs,
-    position: FollowPosition,
+    position: SubscriberPosition,
     /// The missing gateways that were last told.
     missing: Vec<String>,
     timeouts_in_a_row: u32,
@@ -119,7 +119,7 @@
             freshness: Freshness::default(),
             known_nodes: BTreeMap::new(),
             backoffs: Backoffs::default(),
-            position: FollowPosition::default(),
+            position: SubscriberPosition::default(),
             missing: Vec::new(),
             timeouts_in_a_row: 0,
             connection: None,
@@ -173,7 +173,7 @@
         self.view.on_connected(now);
         if self.view.has_unproven_gateways() {
             // What this node proves says nothing of what another one told: it is to tell all anew.
-            self.position = FollowPosition::default();
+            self.position = SubscriberPosition::default();
         }
         let receiver = ConfigurationReceiver::default();
         self.connection =
@@ -274,14 +274,14 @@
             }
             GatewayUpdate::Changes { from, changes } => {
                 match self.position.on_changes(from, changes.len()) {
-                    FollowOutcome::SkipFirst(known) => {
+                    ChangesOutcome::SkipFirst(known) => {
                         let new = changes.into_iter().skip(known);
                         let changes = new.flat_map(|change| self.view.apply_change(now, change)).collect();
                         effects.push(Effect::Changed(changes));
                     }
-                    FollowOutcome::NeedsSnapshot => {
+                    ChangesOutcome::NeedsSnapshot => {
                         // The next connection begins without an offset.
-                        self.position = FollowPosition::default();
+                        self.position = SubscriberPosition::default();
                         return Err(DisconnectReason::Lost);
                     }
                 }
--- a/crates/testing/compatibility/tests/state.rs
+++ b/crates/testing/compatibility/tests/state.rs
@@ -1,7 +1,7 @@
 //! The replicated state and its commands, as they stand in the log, in snapshots and on disks.
 
 use compatibility::Golden;
-use control_state::{body_digest, Applied, Command, ControlState};
+use control_state::{body_digest, ApplyOutcome, Command, ControlState};
 
 fn configuration(base: u32, version: u32, fill: u8) -> Command {
     Command::ReplaceConfiguration { base, version, body: vec![fill; 20] }
@@ -52,10 +52,11 @@
     assert_eq!(ControlState::decode(&recorded).as_ref(), Some(&book));
     book.apply(5, &Command::ExpireTrial { tenant: "t1".into(), ends_at: 1_798_758_000_000 });
     book.apply(6, &Command::ReplaceConfiguration { base: 1, version: 2, body: long(2) });
-    let change = Command::ReplaceConfiguration { base: 2, version: 3, body: long(3) }.as_delta(&book);
+    let change =
+        Command::ReplaceConfiguration { base: 2, version: 3, body: long(3) }.into_delta_if_smaller(&book);
     assert!(matches!(change, Command::ConfigurationDelta { .. }), "it goes as its difference");
     golden.assert_bytes("difference", &change.encode());
-    assert_eq!(book.apply(7, &change), Applied::Changed);
+    assert_eq!(book.apply(7, &change), ApplyOutcome::Changed);
     let recorded = golden.assert_bytes("all", &book.encode());
     assert_eq!(ControlState::decode(&recorded).as_ref(), Some(&book));
     assert_eq!(golden.len(), 4);
