--- a/crates/common/messages/src/control_message.rs
+++ b/crates/common/messages/src/control_message.rs
@@ -68,7 +68,7 @@
         /// Of the request.
         number: u64,
         /// How long ago a majority was in contact, in nanoseconds.
-        age: u64,
+        age_ns: u64,
         /// All that was committed by then stands up to here.
         commit_index: LogIndex,
     },
--- a/crates/common/messages/src/greeting.rs
+++ b/crates/common/messages/src/greeting.rs
@@ -13,7 +13,7 @@
 pub enum Greeting {
     /// A control node's: [`crate::ControlMessage`] follows.
     #[serde(rename = "Prompter")]
-    ControlPlane {
+    ControlNode {
         /// [`MESSAGE_FORMAT`].
         format: u32,
         /// The node.
@@ -35,7 +35,8 @@
         contact_number: u64,
     },
     /// `granitethread-ctl`'s: [`crate::Query`] follows, and [`crate::QueryResponse`] the other way.
-    Shell {
+    #[serde(rename = "Shell")]
+    QueryClient {
         /// [`MESSAGE_FORMAT`].
         format: u32,
     },
--- a/crates/control/control-node/src/control_messages.rs
+++ b/crates/control/control-node/src/control_messages.rs
@@ -63,7 +63,7 @@
             ControlMessage::Deregistered { instance } => self.remove_backend(&instance),
             ControlMessage::Propose { command } => self.enqueue(Input::Propose { tag: 0, command }),
             ControlMessage::ContactRequest { number } => self.on_contact_request(&from.name, number),
-            ControlMessage::ContactResponse { number, age, commit_index } => {
+            ControlMessage::ContactResponse { number, age_ns: age, commit_index } => {
                 self.quorum_contact.on_response(number, age, commit_index);
             }
             ControlMessage::LeaseRequest { gateway, request } => {
--- a/crates/control/control-node/src/quorum_contact.rs
+++ b/crates/control/control-node/src/quorum_contact.rs
@@ -61,7 +61,7 @@
         let Some(at) = self.contact_as_leader() else { return };
         let age = self.now.saturating_sub(at);
         let commit_index = self.quorum_contact.applied_index();
-        self.send_to(from, ControlMessage::ContactResponse { number, age, commit_index });
+        self.send_to(from, ControlMessage::ContactResponse { number, age_ns: age, commit_index });
     }
 
     /// Whether a majority was in contact lately.
--- a/crates/control/control-node/tests/isolated_node.rs
+++ b/crates/control/control-node/tests/isolated_node.rs
@@ -88,7 +88,7 @@
                 p.on_control_message(
                     now,
                     &leader,
-                    ControlMessage::ContactResponse { number, age: 0, commit_index: 0 },
+                    ControlMessage::ContactResponse { number, age_ns: 0, commit_index: 0 },
                 );
             }
         }
--- a/crates/control/control-plane/src/connections.rs
+++ b/crates/control/control-plane/src/connections.rs
@@ -45,7 +45,7 @@
     let greeting = timeout(GREETING_TIMEOUT, reader.read::<Greeting>()).await;
     reader.accept_long_frames();
     match greeting {
-        Ok(Ok(Some(Greeting::ControlPlane { format: MESSAGE_FORMAT, id }))) => {
+        Ok(Ok(Some(Greeting::ControlNode { format: MESSAGE_FORMAT, id }))) => {
             links.receive(id, reader).await;
         }
         Ok(Ok(Some(Greeting::Gateway {
@@ -59,7 +59,7 @@
             let subscription = Subscription { name, offset, configuration_index, contact_number };
             subscribers::serve(driver, subscription, reader, writer).await;
         }
-        Ok(Ok(Some(Greeting::Shell { format: MESSAGE_FORMAT }))) => {
+        Ok(Ok(Some(Greeting::QueryClient { format: MESSAGE_FORMAT }))) => {
             queries::serve(driver, reader, writer).await;
         }
         // Of another format, or no greeting.
--- a/crates/control/control-plane/src/links.rs
+++ b/crates/control/control-plane/src/links.rs
@@ -74,7 +74,7 @@
     ) -> io::Result<()> {
         let (_reader, mut writer) = frame::split(stream);
         let id = self.driver.node().id().clone();
-        writer.write(&Greeting::ControlPlane { format: MESSAGE_FORMAT, id }).await?;
+        writer.write(&Greeting::ControlNode { format: MESSAGE_FORMAT, id }).await?;
         let heartbeats = self.driver.node().all_heartbeats(self.driver.now());
         writer.write(&heartbeats).await?;
         let mut next_hello = Instant::now();
--- a/crates/data/data-plane/src/control_link.rs
+++ b/crates/data/data-plane/src/control_link.rs
@@ -164,7 +164,7 @@
 /// How long ago a control node was in contact with a majority, in milliseconds; none: not since it started.
 async fn ask_quorum_contact(address: SocketAddr) -> io::Result<Option<u64>> {
     let (mut reader, mut writer) = frame::split(connect(address).await?);
-    writer.write(&Greeting::Shell { format: MESSAGE_FORMAT }).await?;
+    writer.write(&Greeting::QueryClient { format: MESSAGE_FORMAT }).await?;
     writer.write(&Query::Status).await?;
     let response = reader.read::<QueryResponse>().await?;
     Ok(response.and_then(|response| response.quorum_contact_ms))
--- a/crates/testing/compatibility/tests/messages.rs
+++ b/crates/testing/compatibility/tests/messages.rs
@@ -93,7 +93,7 @@
 #[test]
 fn first_messages_keep_their_bytes() {
     let mut golden = Golden::open("first");
-    golden.assert_message("control", &Greeting::ControlPlane { format: MESSAGE_FORMAT, id: id(1) });
+    golden.assert_message("control", &Greeting::ControlNode { format: MESSAGE_FORMAT, id: id(1) });
     golden.assert_message(
         "gateway",
         &Greeting::Gateway {
@@ -105,7 +105,7 @@
             contact_number: 6,
         },
     );
-    golden.assert_message("shell", &Greeting::Shell { format: MESSAGE_FORMAT });
+    golden.assert_message("shell", &Greeting::QueryClient { format: MESSAGE_FORMAT });
     assert_eq!(golden.len(), 3);
 }
 
@@ -192,7 +192,7 @@
         ("expired", ControlMessage::Deregistered { instance: "i-1".into() }),
         ("propose", ControlMessage::Propose { command: vec![9, 8, 7] }),
         ("contact", ControlMessage::ContactRequest { number: 5 }),
-        ("contacted", ControlMessage::ContactResponse { number: 5, age: 1_000, commit_index: 12 }),
+        ("contacted", ControlMessage::ContactResponse { number: 5, age_ns: 1_000, commit_index: 12 }),
         ("ask", ControlMessage::LeaseRequest { gateway: "edge-1".into(), request: ask() }),
         ("lent", ControlMessage::LeaseGrant { gateway: "edge-1".into(), term: 3, grant: lent() }),
         ("unknown", ControlMessage::UnknownInstances { instances: vec!["i-9".into()] }),
--- a/crates/tools/granitethread-ctl/src/query_client.rs
+++ b/crates/tools/granitethread-ctl/src/query_client.rs
@@ -48,7 +48,7 @@
 async fn query_node(query: Query, node: SocketAddr) -> Result<NodeResponse, Error> {
     let (mut reader, mut writer) = frame::split(connect(node).await?);
     reader.accept_long_frames();
-    writer.write(&Greeting::Shell { format: MESSAGE_FORMAT }).await?;
+    writer.write(&Greeting::QueryClient { format: MESSAGE_FORMAT }).await?;
     let closed = || Error::from(ErrorKind::UnexpectedEof);
     writer.write(&Query::Status).await?;
     let status = reader.read().await?.ok_or_else(closed)?;
