--- a/crates/data/data-plane/src/membership.rs
+++ b/crates/data/data-plane/src/membership.rs
@@ -3,7 +3,7 @@
 //! reaches no control node looks among them for one that does.
 
 use crate::error::DataPlaneError;
-use ::membership::{Config, Keys, Settled, State, Time, View};
+use ::membership::{Config, Keys, StableView, State, Time, View};
 use membership_socket::{bind, MembershipSocket, Observer, CLOCK_START};
 use process::settings::Settings;
 use std::net::{IpAddr, SocketAddr};
@@ -73,8 +73,8 @@
 }
 
 impl Observer for Membership {
-    fn settled(&self, settled: &Settled) {
-        log::info!("membership: {} live", settled.members.len());
+    fn stable_view_changed(&self, stable_view: &StableView) {
+        log::info!("membership: {} live", stable_view.members.len());
     }
 
     fn superseded(&self, _generation: u64) {
--- a/crates/gateway/membership-socket/src/lib.rs
+++ b/crates/gateway/membership-socket/src/lib.rs
@@ -1,7 +1,7 @@
 //! A membership view on a UDP socket: datagrams and the time go in, datagrams go out. Nothing is decided here.
 #![forbid(unsafe_code)]
 
-use membership::{Input, Output, Settled, Time, View, MAX_DATAGRAM_BYTES};
+use membership::{Input, Output, StableView, Time, View, MAX_DATAGRAM_BYTES};
 use std::cell::{Cell, Ref, RefCell};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 /// What the owner of a view wants to know.
 pub trait Observer {
     /// There is a new stable version of the view.
-    fn settled(&self, settled: &Settled);
+    fn stable_view_changed(&self, stable_view: &StableView);
 
     /// Another process started later under this member's name: this one is silent from now on.
     fn superseded(&self, generation: u64);
@@ -146,7 +146,7 @@
         for output in outputs {
             match output {
                 Output::Send { to, bytes } => self.send(to, &bytes),
-                Output::Settled(settled) => observer.settled(&settled),
+                Output::StableView(stable_view) => observer.stable_view_changed(&stable_view),
                 Output::Superseded { generation } => observer.superseded(generation),
             }
         }
--- a/crates/gateway/membership/src/lib.rs
+++ b/crates/gateway/membership/src/lib.rs
@@ -30,7 +30,7 @@
 pub mod wire;
 
 pub use record::{Name, Record, Role, State, MAX_NAME_BYTES, MAX_ZONE_BYTES};
-pub use settled::Settled;
+pub use settled::StableView;
 pub use view::{Config, Health, Input, Member, Output, View};
 pub use wire::{DatagramError, Keys, MAX_DATAGRAM_BYTES};
 
--- a/crates/gateway/membership/src/settled.rs
+++ b/crates/gateway/membership/src/settled.rs
@@ -11,7 +11,7 @@
 
 /// One stable version of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct StableView {
     /// From 0, which holds this member alone.
     pub version: u64,
     /// The living members: names in order, with generation and role.
@@ -21,10 +21,10 @@
     /// Equal at all members with the same view.
     pub digest: u64,
     /// When it was made.
-    pub at: Time,
+    pub created_at: Time,
 }
 
-impl Settled {
+impl StableView {
     /// How many gateways are alive, and this member's position among them if it is one.
     pub fn gateways(&self) -> (usize, Option<usize>) {
         let is = |m: &&(Name, u64, Role)| m.2 == Role::Gateway;
@@ -36,7 +36,7 @@
 
 /// Collects changes until they make a version.
 pub(crate) struct ChangeCollector {
-    current: Settled,
+    current: StableView,
     /// The times of the first and the last change that no version contains yet.
     pending: Option<(Time, Time)>,
 }
@@ -45,11 +45,11 @@
     pub(crate) fn new(own: Name, life: u64, role: Role, now: Time) -> Self {
         let members = Arc::new(vec![(own, life, role)]);
         let digest = digest(members.iter().map(|(name, life, _)| (name, *life)));
-        let current = Settled { version: 0, members, position: Some(0), digest, at: now };
+        let current = StableView { version: 0, members, position: Some(0), digest, created_at: now };
         ChangeCollector { current, pending: None }
     }
 
-    pub(crate) fn current(&self) -> &Settled {
+    pub(crate) fn current(&self) -> &StableView {
         &self.current
     }
 
@@ -69,7 +69,7 @@
         now: Time,
         own: &Name,
         members: Vec<(Name, u64, Role)>,
-    ) -> Option<&Settled> {
+    ) -> Option<&StableView> {
         if self.due().is_none_or(|at| at > now) {
             return None;
         }
@@ -80,7 +80,7 @@
         let position = members.iter().position(|(name, ..)| name == own);
         let digest = digest(members.iter().map(|(name, life, _)| (name, *life)));
         let version = self.current.version + 1;
-        self.current = Settled { version, members: Arc::new(members), position, digest, at: now };
+        self.current = StableView { version, members: Arc::new(members), position, digest, created_at: now };
         Some(&self.current)
     }
 }
--- a/crates/gateway/membership/src/view/mod.rs
+++ b/crates/gateway/membership/src/view/mod.rs
@@ -9,7 +9,7 @@
 use crate::isolation::IsolationDetector;
 use crate::join_cookies::Cookies;
 use crate::record::{hash, Name, Record, Role, State};
-use crate::settled::{digest_of, ChangeCollector, Settled};
+use crate::settled::{digest_of, ChangeCollector, StableView};
 use crate::window::{ReplayWindow, TokenBucket};
 use crate::wire::{
     encoded_size, Datagram, DatagramError, Keys, Message, Piggyback, BUCKETS, MAX_DATAGRAM_BYTES,
@@ -104,7 +104,7 @@
         bytes: Vec<u8>,
     },
     /// A new stable version of the view.
-    Settled(Settled),
+    StableView(StableView),
     /// Another process started later under this name: this one is silent from now on.
     Superseded {
         generation: u64,
@@ -267,7 +267,7 @@
     extra_ping_limit: TokenBucket,
     /// Limits answers to digest mismatches.
     digest_answer_limit: TokenBucket,
-    faults: BTreeMap<DatagramError, u64>,
+    dropped_datagrams: BTreeMap<DatagramError, u64>,
 }
 
 impl View {
@@ -318,7 +318,7 @@
             unknown_sender_limit: TokenBucket::new(200.0, 200.0, now),
             extra_ping_limit: TokenBucket::new(40.0, 100.0, now),
             digest_answer_limit: TokenBucket::new(10.0, 20.0, now),
-            faults: BTreeMap::new(),
+            dropped_datagrams: BTreeMap::new(),
             record,
             rng,
             config,
@@ -326,7 +326,7 @@
     }
 
     /// The latest stable version of the view.
-    pub fn settled(&self) -> &Settled {
+    pub fn stable_view(&self) -> &StableView {
         self.changes.current()
     }
 
@@ -367,7 +367,7 @@
     /// This member's position among the living gateways, and their number. None if it is no gateway, or if the view is
     /// not usable: isolated, superseded, or never joined.
     pub fn position(&self) -> Option<(usize, usize)> {
-        let (all, me) = self.settled().gateways();
+        let (all, me) = self.stable_view().gateways();
         me.filter(|_| self.is_usable()).map(|me| (me, all))
     }
 
@@ -376,21 +376,21 @@
         health.isolated_since.is_none()
             && !health.is_superseded
             && health.has_joined
-            && self.settled().version != 0
+            && self.stable_view().version != 0
     }
 
     /// Whether the member of this name is alive, by the stable view. None if it is unknown, or the view is not usable.
     pub fn is_alive(&self, name: &str) -> Option<bool> {
         self.is_usable().then_some(())?;
-        if self.settled().members.iter().any(|(n, ..)| **n == *name) {
+        if self.stable_view().members.iter().any(|(n, ..)| **n == *name) {
             return Some(true);
         }
         self.peers.get(name).filter(|p| !p.record.state.is_alive()).map(|_| false)
     }
 
     /// Datagrams dropped, by cause.
-    pub fn faults(&self) -> impl Iterator<Item = (DatagramError, u64)> + '_ {
-        self.faults.iter().map(|(f, n)| (*f, *n))
+    pub fn dropped_datagrams(&self) -> impl Iterator<Item = (DatagramError, u64)> + '_ {
+        self.dropped_datagrams.iter().map(|(f, n)| (*f, *n))
     }
 
     /// When [`Input::Tick`] is next wanted.
@@ -426,7 +426,7 @@
         match input {
             Input::Datagram(bytes) => {
                 if let Err(fault) = self.datagram(now, bytes, out) {
-                    *self.faults.entry(fault).or_default() += 1;
+                    *self.dropped_datagrams.entry(fault).or_default() += 1;
                 }
             }
             Input::Tick => self.tick(now, late, out),
--- a/crates/gateway/membership/src/view/timers.rs
+++ b/crates/gateway/membership/src/view/timers.rs
@@ -46,8 +46,8 @@
             debug_assert_eq!(self.sums, self.recount());
             let living: Vec<_> =
                 self.living_records().map(|r| (r.name.clone(), r.generation, r.role)).collect();
-            if let Some(settled) = self.changes.make(now, &self.record.name, living) {
-                out.push(Output::Settled(settled.clone()));
+            if let Some(stable_view) = self.changes.make(now, &self.record.name, living) {
+                out.push(Output::StableView(stable_view.clone()));
             }
         }
     }
--- a/crates/gateway/route/tests/placing.rs
+++ b/crates/gateway/route/tests/placing.rs
@@ -69,10 +69,11 @@
     let labels = |zone: &str, model: &str| {
         BTreeMap::from([("zone".to_string(), zone.to_string()), ("model".to_string(), model.to_string())])
     };
-    let s =
-        Selector { wanted: BTreeMap::from([("zone".to_string(), vec!["a".to_string(), "b".to_string()])]) };
-    assert!(s.takes(&labels("a", "x")) && s.takes(&labels("b", "y")) && !s.takes(&labels("c", "x")));
-    assert!(Selector::default().takes(&labels("c", "x")) && !s.takes(&BTreeMap::new()));
+    let s = Selector {
+        match_labels: BTreeMap::from([("zone".to_string(), vec!["a".to_string(), "b".to_string()])]),
+    };
+    assert!(s.matches(&labels("a", "x")) && s.matches(&labels("b", "y")) && !s.matches(&labels("c", "x")));
+    assert!(Selector::default().matches(&labels("c", "x")) && !s.matches(&BTreeMap::new()));
 }
 
 fn covered(servers: &[Name], gateways: u32, k: usize) -> (usize, usize) {
--- a/crates/testing/fleet-sim/src/members.rs
+++ b/crates/testing/fleet-sim/src/members.rs
@@ -170,7 +170,7 @@
         for output in out {
             match output {
                 Output::Send { to, bytes } => self.carry(n, to, bytes),
-                Output::Settled(_) => self.nodes[n].versions += 1,
+                Output::StableView(_) => self.nodes[n].versions += 1,
                 Output::Superseded { .. } => self.nodes[n].superseded = true,
             }
         }
--- a/crates/testing/fleet-sim/tests/members.rs
+++ b/crates/testing/fleet-sim/tests/members.rs
@@ -335,8 +335,13 @@
         net.inject(to, bytes);
     }
     net.play(net.now + 10 * MS);
-    let dropped: u64 =
-        net.nodes.iter().filter_map(|n| n.view.as_ref()).flat_map(|v| v.faults()).map(|(_, n)| n).sum();
+    let dropped: u64 = net
+        .nodes
+        .iter()
+        .filter_map(|n| n.view.as_ref())
+        .flat_map(|v| v.dropped_datagrams())
+        .map(|(_, n)| n)
+        .sum();
     ensure(dropped >= 2000, format!("{dropped} dropped"))?;
     ensure(net.settled(), "nothing has changed")
 }
--- a/src/bin/granitethread/fleet.rs
+++ b/src/bin/granitethread/fleet.rs
@@ -2,7 +2,7 @@
 //! crate carries the datagrams.
 
 use crate::allowance;
-use membership::{Config, Keys, Role, Settled, State, Time, View};
+use membership::{Config, Keys, Role, StableView, State, Time, View};
 use membership_socket::{bind, MembershipSocket, Observer, SendCounts, CLOCK_START};
 use operator::{Fleet as Table, Operator};
 use proxy::driver::Driver;
@@ -119,7 +119,7 @@
         let now = self.socket.now();
         let view = self.socket.view();
         let health = view.health();
-        let settled = view.settled();
+        let stable_view = view.stable_view();
         let ms = |since: Time| now.saturating_sub(since.max(CLOCK_START)) / 1_000_000;
         let member = |m: membership::Member| {
             let r = m.record;
@@ -130,7 +130,7 @@
             })
         };
         let dropped: serde_json::Map<_, _> =
-            view.faults().map(|(fault, n)| (fault.to_string(), json!(n))).collect();
+            view.dropped_datagrams().map(|(fault, n)| (fault.to_string(), json!(n))).collect();
         let SendCounts { datagrams, bytes, rejected } = self.socket.sent();
         let users = self.users.borrow();
         let told = users.as_ref().map(|u| json!({"place": u.told_position, "planners": u.told_planners}));
@@ -140,8 +140,8 @@
             "cut_off_ms": health.isolated_since.map(ms),
             "digest": format!("{:016x}", view.digest()),
             "settled": {
-                "version": settled.version, "members": settled.members.len(), "position": settled.position,
-                "digest": format!("{:016x}", settled.digest), "age_ms": ms(settled.at),
+                "version": stable_view.version, "members": stable_view.members.len(), "position": stable_view.position,
+                "digest": format!("{:016x}", stable_view.digest), "age_ms": ms(stable_view.created_at),
             },
             "members": view.members().map(member).collect::<Vec<_>>(),
             "sent": {"datagrams": datagrams, "bytes": bytes, "not_taken": rejected},
@@ -151,8 +151,8 @@
 }
 
 impl Observer for Fleet {
-    fn settled(&self, settled: &Settled) {
-        let Settled { version, members, position, digest, .. } = settled;
+    fn stable_view_changed(&self, stable_view: &StableView) {
+        let StableView { version, members, position, digest, .. } = stable_view;
         let living = members.len();
         info!(version, living, position, "fleet: version {version}, {living} live, digest {digest:016x}");
     }
--- a/src/bin/granitethread/routes.rs
+++ b/src/bin/granitethread/routes.rs
@@ -109,7 +109,7 @@
     /// The pools of a server, a bit each.
     pub fn of(&self, t: &Target) -> u32 {
         if let [all] = self.pools.as_slice() {
-            if all.wanted.is_empty() {
+            if all.match_labels.is_empty() {
                 return 1;
             }
         }
@@ -118,7 +118,7 @@
             ("model".to_string(), t.model.clone()),
             ("group".to_string(), t.pod_group.to_string()),
         ]);
-        let bit = |(n, s): (usize, &Selector)| if s.takes(&labels) { 1 << n } else { 0 };
+        let bit = |(n, s): (usize, &Selector)| if s.matches(&labels) { 1 << n } else { 0 };
         self.pools.iter().enumerate().map(bit).sum()
     }
 }
@@ -127,7 +127,7 @@
     let groups: Vec<String> = pool.groups.iter().map(u32::to_string).collect();
     let all = [("zone", pool.zones.clone()), ("model", pool.models.clone()), ("group", groups)];
     let stated = all.into_iter().filter(|(_, values)| !values.is_empty());
-    Selector { wanted: stated.map(|(name, values)| (name.to_string(), values)).collect() }
+    Selector { match_labels: stated.map(|(name, values)| (name.to_string(), values)).collect() }
 }
 
 fn value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
