--- a/crates/data/data-plane/src/backend_protocol.rs
+++ b/crates/data/data-plane/src/backend_protocol.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use interface::{Ending, Name};
 use lifecycle::upstream::{Echo, ExecutionStart};
-use proxy::backends::{Content, Outcome, Outgoing, Served, Wire};
+use proxy::backends::{Content, Outcome, Outgoing, Served, UpstreamProtocol};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -123,8 +123,8 @@
     timeouts.filter_map(|seconds| seconds.trim().parse().ok()).map(Duration::from_secs).min()
 }
 
-impl Wire for BackendProtocol {
-    fn stamp(&self, headers: &mut HeaderMap, wait: Duration, server: &Name) {
+impl UpstreamProtocol for BackendProtocol {
+    fn set_attempt_headers(&self, headers: &mut HeaderMap, wait: Duration, server: &Name) {
         headers.insert(REMAINING, HeaderValue::from(wait.as_millis() as u64));
         // Ids come from backends and were read as text; one that is no header value names nobody.
         if let Ok(target) = HeaderValue::try_from(&**server) {
@@ -132,7 +132,7 @@
         }
     }
 
-    fn begins(&self) -> ExecutionStart {
+    fn execution_start(&self) -> ExecutionStart {
         ExecutionStart::FullHead
     }
 
@@ -146,7 +146,7 @@
         echo
     }
 
-    fn is_sound(&self, _: &Outgoing, head: &Parts) -> bool {
+    fn is_valid_head(&self, _: &Outgoing, head: &Parts) -> bool {
         interpret(head) != AnswerMeaning::Invalid
     }
 
@@ -154,7 +154,7 @@
         keep_alive_timeout(head)
     }
 
-    fn is_good(&self, head: &Parts) -> bool {
+    fn is_streamable(&self, head: &Parts) -> bool {
         head.status.is_success() && interpret(head) == AnswerMeaning::Success
     }
 
--- a/crates/data/data-plane/src/client_requests.rs
+++ b/crates/data/data-plane/src/client_requests.rs
@@ -12,7 +12,7 @@
 use lifecycle::connection::Timeouts;
 use proxy::backends::Outgoing;
 use proxy::driver::{Answer, Incoming};
-use proxy::fronts::http1::{error_reply, plain, served_response, Door, ErrorReply, Payload};
+use proxy::fronts::http1::{error_reply, plain, served_response, ErrorReply, Payload, RequestHandler};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -95,8 +95,8 @@
     headers
 }
 
-impl Door for ClientRequests {
-    fn own(&self, _: &Request<IncomingBody>, _: bool) -> Option<Response<Payload>> {
+impl RequestHandler for ClientRequests {
+    fn local_response(&self, _: &Request<IncomingBody>, _: bool) -> Option<Response<Payload>> {
         None
     }
 
--- a/crates/data/data-plane/src/gateway.rs
+++ b/crates/data/data-plane/src/gateway.rs
@@ -234,7 +234,7 @@
         self.quota.set_gateway_count(own_place.map_or(0, |_| gateways.len() as u32));
         // Of many backends each gateway keeps to some, by its place among the gateways.
         if let (Some(place), Some(driver)) = (own_place, &*self.driver.borrow()) {
-            driver.neighbours(Some((place as u32, gateways.len() as u32)));
+            driver.set_gateway_position(Some((place as u32, gateways.len() as u32)));
         }
         self.settings.borrow_mut().gateways = gateways.len().max(1) as u32;
         drop(subscription);
--- a/crates/data/data-plane/src/main.rs
+++ b/crates/data/data-plane/src/main.rs
@@ -176,7 +176,7 @@
     });
     let driver = driver.map_err(DataPlaneError::Module)?;
     // Until it has a place among the gateways it keeps to no part of the backends.
-    driver.neighbours(Some((0, 1)));
+    driver.set_gateway_position(Some((0, 1)));
     Ok(driver)
 }
 
--- a/crates/gateway/engine/src/admission.rs
+++ b/crates/gateway/engine/src/admission.rs
@@ -116,7 +116,7 @@
     /// What a view of the fleet says of the planners.
     pub fn planners_observed(&mut self, lives: &[Option<bool>]) {
         if let Some(account) = &mut self.account {
-            account.planners_observed(lives);
+            account.set_planner_liveness(lives);
         }
     }
 
--- a/crates/gateway/forward/examples/growth.rs
+++ b/crates/gateway/forward/examples/growth.rs
@@ -5,7 +5,7 @@
 use forward::Account;
 use interface::{Name, Time};
 use plan::wire::{Link, Message, Side, LATEST};
-use plan::{Allowance, Planner, Terms};
+use plan::{Allowance, LeaseConfig, Planner};
 use std::time::{Duration, Instant};
 
 const SECONDS: u64 = 4;
@@ -23,7 +23,7 @@
             hard_limit_depth: 150.0,
             slots: 0.0,
         };
-        let terms = Terms::new(seats, vec![plan]);
+        let terms = LeaseConfig::new(seats, vec![plan]);
         let tick = terms.tick;
         let mut planner = Planner::new(terms.clone(), 7, 200_000).expect("sound terms");
         let mut fleet: Vec<_> = (0..seats)
--- a/crates/gateway/forward/src/lib.rs
+++ b/crates/gateway/forward/src/lib.rs
@@ -27,7 +27,7 @@
 use interface::{Name, Time};
 use own::CustomerAccount;
 use plan::message::{Entry, Grant, Instance, Report, Seat, HARD_LIMIT, QUOTA, SLOTS};
-use plan::Terms;
+use plan::LeaseConfig;
 use std::collections::VecDeque;
 use std::fmt;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -106,7 +106,7 @@
 
 /// A forwarder's account of all customers' allowances.
 pub struct Account {
-    terms: Terms,
+    terms: LeaseConfig,
     seat: Seat,
     incarnation: u64,
     mode: Mode,
@@ -140,13 +140,13 @@
     /// # Errors
     /// What is wrong with the terms.
     pub fn new(
-        terms: Terms,
+        terms: LeaseConfig,
         seat: Seat,
         incarnation: u64,
         planners: usize,
         now: Time,
     ) -> Result<Self, String> {
-        terms.check()?;
+        terms.validate()?;
         if seat >= terms.seats {
             return Err(format!("seat {seat}: 0 to {} is wanted", terms.seats - 1));
         }
@@ -188,7 +188,7 @@
             let panics = self.panics + 1;
             let lives: Vec<_> = self.planners.iter().map(|k| k.is_alive).collect();
             *self = Account { panics, ..anew };
-            self.planners_observed(&lives);
+            self.set_planner_liveness(&lives);
         }
     }
 
@@ -241,7 +241,7 @@
             Mode::Own { since } => own.spend_own(now, (since, self.slots_free_at), units, self.seat, terms),
             Mode::Lent { granted_at: taken, .. } => {
                 // A planner that is silent for so long grants nothing more.
-                let silent = now.saturating_sub(taken) > terms.lease;
+                let silent = now.saturating_sub(taken) > terms.lease_ttl;
                 let own_at = (taken + terms.loan_duration_at_forwarder()).saturating_sub(now);
                 own.spend_lease(now, units, terms, silent.then_some(own_at))
             }
@@ -249,7 +249,7 @@
         let verdict = catch_unwind(AssertUnwindSafe(spend)).unwrap_or_else(|_| {
             self.panics += 1;
             own.reset(now);
-            Verdict::Refused { advice: terms.lease }
+            Verdict::Refused { advice: terms.lease_ttl }
         });
         if verdict == Verdict::Granted {
             own.in_use += 1;
@@ -287,7 +287,7 @@
 
     fn use_own_share(&mut self, now: Time) {
         self.mode = Mode::Own { since: now };
-        self.slots_free_at = now + self.terms.lease + self.terms.max_attempt_duration();
+        self.slots_free_at = now + self.terms.lease_ttl + self.terms.max_attempt_duration();
         self.customers.values_mut().for_each(CustomerAccount::drop_lease);
         (self.is_switching_planner, self.target_ticks) = (false, 0);
     }
@@ -341,7 +341,7 @@
 
     /// What a view of the fleet says of each planner, in their order; none: nothing. A belief, and maybe a wrong one:
     /// it bears on whom this forwarder asks for a loan, and on nothing that it holds or spends.
-    pub fn planners_observed(&mut self, lives: &[Option<bool>]) {
+    pub fn set_planner_liveness(&mut self, lives: &[Option<bool>]) {
         for (n, known) in self.planners.iter_mut().enumerate() {
             known.is_alive = lives.get(n).copied().flatten();
         }
--- a/crates/gateway/forward/src/own.rs
+++ b/crates/gateway/forward/src/own.rs
@@ -3,7 +3,7 @@
 use crate::Verdict;
 use interface::{Name, Time};
 use plan::message::{Amounts, Entry, Lease, Seat, HARD_LIMIT, QUOTA, SLOTS};
-use plan::Terms;
+use plan::LeaseConfig;
 
 /// For how many ticks of its demand a lease is kept; what is beyond twice that goes back.
 const LEASE_TICKS: f64 = 4.0;
@@ -51,7 +51,13 @@
     }
 
     /// Spends from the lease. `silent`: the planner is, and after so long the own share may be spent.
-    pub fn spend_lease(&mut self, now: Time, units: f64, terms: &Terms, silent: Option<Time>) -> Verdict {
+    pub fn spend_lease(
+        &mut self,
+        now: Time,
+        units: f64,
+        terms: &LeaseConfig,
+        silent: Option<Time>,
+    ) -> Verdict {
         let plan = &terms.plans[self.plan];
         let live = self.lease != 0 && (now < self.until || planted!("lease-never-ends"));
         let needs = [units, units, f64::from(self.in_use) + 1.0];
@@ -69,7 +75,7 @@
     }
 
     /// How long the whole store takes to gather so much.
-    fn refill(&self, units: f64, terms: &Terms) -> Time {
+    fn refill(&self, units: f64, terms: &LeaseConfig) -> Time {
         let plan = &terms.plans[self.plan];
         let secs = |rate: f64| if rate > 0.0 { units / rate } else { 0.0 };
         (secs(plan.quota_rate).max(secs(plan.hard_limit_rate)) * 1e9) as Time
@@ -82,7 +88,7 @@
         (since, slots_at): (Time, Time),
         units: f64,
         seat: Seat,
-        terms: &Terms,
+        terms: &LeaseConfig,
     ) -> Verdict {
         let from = self.updated_at.max(since);
         let passed = now.saturating_sub(from) as f64 / 1e9;
@@ -103,7 +109,7 @@
             let slots = if free { terms.seat_share(self.plan, SLOTS, seat).1 } else { 0.0 };
             if f64::from(self.in_use) + 1.0 > slots {
                 wait = wait
-                    .max((since + terms.max_attempt + terms.lease).saturating_sub(now) as f64 / 1e9)
+                    .max((since + terms.max_attempt + terms.lease_ttl).saturating_sub(now) as f64 / 1e9)
                     .max(0.1);
             }
         }
@@ -125,7 +131,7 @@
     }
 
     /// Updates the demand, and returns what is not needed of the lease.
-    pub fn tick(&mut self, now: Time, seconds: f64, terms: &Terms) {
+    pub fn tick(&mut self, now: Time, seconds: f64, terms: &LeaseConfig) {
         self.demand += (self.requested_units / seconds - self.demand) * EWMA_WEIGHT;
         if self.demand < NEGLIGIBLE_DEMAND {
             self.demand = 0.0;
@@ -158,7 +164,13 @@
     }
 
     /// Whether it says no more than one made anew would: its own store, where that is spent, is full again.
-    pub fn can_be_forgotten(&self, now: Time, own_since: Option<Time>, seat: Seat, terms: &Terms) -> bool {
+    pub fn can_be_forgotten(
+        &self,
+        now: Time,
+        own_since: Option<Time>,
+        seat: Seat,
+        terms: &LeaseConfig,
+    ) -> bool {
         let Some(since) = own_since.filter(|since| self.updated_at > *since) else { return true };
         let full = |kind: usize| {
             let (rate, depth) = terms.seat_share(self.plan, kind, seat);
@@ -175,7 +187,7 @@
     }
 
     /// Whether a report needs to speak of it: its lease runs short of units or time, or something goes back.
-    pub fn needs_report(&self, now: Time, terms: &Terms) -> bool {
+    pub fn needs_report(&self, now: Time, terms: &LeaseConfig) -> bool {
         let asked = self.demand > 0.0 || self.in_use > 0 || (self.lease != 0 && self.idle_ticks < 20);
         if !asked || self.lease == 0 || self.is_pool_empty {
             return asked;
--- a/crates/gateway/plan/src/lib.rs
+++ b/crates/gateway/plan/src/lib.rs
@@ -67,46 +67,55 @@
 
 /// Figures that all forwarders and planners of an installation share. Times in nanoseconds.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// How many forwarders may exist, 1 to 4096. Each owns an even share.
     pub seats: u16,
     /// Between two reports of a forwarder, 20 to 1000 ms.
     pub tick: Time,
     /// A lease's life at the planner, 3 ticks or more.
-    pub lease: Time,
+    pub lease_ttl: Time,
     /// A loan's life at the planner, 2 leases or more.
-    pub loan: Time,
+    pub loan_ttl: Time,
     /// By how much the rates of two monotonic clocks may differ, as a part: 0.01 is 1%.
-    pub drift: f64,
+    pub max_clock_drift: f64,
     /// The longest that an attempt may be out.
     pub max_attempt: Time,
     /// The most units of one request.
-    pub most_units: f64,
+    pub max_request_units: f64,
     /// By plan, in the settings' order.
     pub plans: Vec<Allowance>,
 }
 
-impl Terms {
+impl LeaseConfig {
     /// Sensible figures for plans.
     pub fn new(seats: u16, plans: Vec<Allowance>) -> Self {
         const MS: Time = 1_000_000;
-        let (tick, lease, loan, max_attempt) = (50 * MS, 500 * MS, 1500 * MS, 3000 * MS);
-        Terms { seats, tick, lease, loan, drift: 0.01, max_attempt, most_units: 8.0, plans }
+        let (tick, lease_ttl, loan_ttl, max_attempt) = (50 * MS, 500 * MS, 1500 * MS, 3000 * MS);
+        LeaseConfig {
+            seats,
+            tick,
+            lease_ttl,
+            loan_ttl,
+            max_clock_drift: 0.01,
+            max_attempt,
+            max_request_units: 8.0,
+            plans,
+        }
     }
 
     /// A lease's life at the forwarder, from when it sent the report: over before the planner's is.
     pub fn lease_duration_at_forwarder(&self) -> Time {
-        (self.lease as f64 * (1.0 - 2.0 * self.drift)) as Time
+        (self.lease_ttl as f64 * (1.0 - 2.0 * self.max_clock_drift)) as Time
     }
 
     /// A loan's life at the forwarder, from when it took the latest grant: over after the planner's is.
     pub fn loan_duration_at_forwarder(&self) -> Time {
-        (self.loan as f64 * (1.0 + 2.0 * self.drift)) as Time
+        (self.loan_ttl as f64 * (1.0 + 2.0 * self.max_clock_drift)) as Time
     }
 
     /// After so long, by any clock here, an attempt that was out elsewhere has surely ended.
     pub fn max_attempt_duration(&self) -> Time {
-        (self.max_attempt as f64 * (1.0 + 2.0 * self.drift)) as Time
+        (self.max_attempt as f64 * (1.0 + 2.0 * self.max_clock_drift)) as Time
     }
 
     /// A seat's own share of an allowance: rate and depth. Slots are whole, so that some seats have one more.
@@ -124,18 +133,20 @@
     /// What a lease holds beyond its customer's demand, so that the next request need not wait: the largest
     /// request, but so little that all seats together hold half the store at the most while nothing is asked.
     pub fn margin(&self, plan: usize, kind: usize) -> f64 {
-        self.most_units.min(self.seat_share(plan, kind, 0).1 / 2.0)
+        self.max_request_units.min(self.seat_share(plan, kind, 0).1 / 2.0)
     }
 
     /// # Errors
     /// What is out of range, in words.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         let wrong = |what: &str| Err(what.to_string());
         match () {
             () if !(1..=4096).contains(&self.seats) => wrong("seats: 1 to 4096 is wanted"),
-            () if self.tick == 0 || self.lease < 3 * self.tick => wrong("a lease lives for 3 ticks or more"),
-            () if self.loan < 2 * self.lease => wrong("a loan lives for 2 leases or more"),
-            () if !(0.0..=0.2).contains(&self.drift) => wrong("drift: 0 to 0.2 is wanted"),
+            () if self.tick == 0 || self.lease_ttl < 3 * self.tick => {
+                wrong("a lease lives for 3 ticks or more")
+            }
+            () if self.loan_ttl < 2 * self.lease_ttl => wrong("a loan lives for 2 leases or more"),
+            () if !(0.0..=0.2).contains(&self.max_clock_drift) => wrong("drift: 0 to 0.2 is wanted"),
             () => Ok(()),
         }
     }
--- a/crates/gateway/plan/src/planner.rs
+++ b/crates/gateway/plan/src/planner.rs
@@ -2,7 +2,7 @@
 
 use crate::message::{Grant, Instance, Lease, Report, Seat, HARD_LIMIT, QUOTA, SLOTS};
 use crate::pool::{LeaseHolder, Pool, Shares};
-use crate::Terms;
+use crate::LeaseConfig;
 use interface::{Name, Time};
 use std::collections::{HashMap, VecDeque};
 use std::fmt;
@@ -79,7 +79,7 @@
 
 /// The planner: pools of customers, and the seats that lend to it.
 pub struct Planner {
-    terms: Terms,
+    terms: LeaseConfig,
     instance: Instance,
     seats: Vec<SeatState>,
     pools: HashMap<Name, Pool>,
@@ -100,8 +100,8 @@
     ///
     /// # Errors
     /// What is wrong with the terms.
-    pub fn new(terms: Terms, nonce: u64, most: usize) -> Result<Self, String> {
-        terms.check()?;
+    pub fn new(terms: LeaseConfig, nonce: u64, most: usize) -> Result<Self, String> {
+        terms.validate()?;
         let seats = vec![SeatState::default(); usize::from(terms.seats)];
         let me = Instance { nonce, epoch: 1 };
         Ok(Planner {
@@ -131,7 +131,7 @@
 
     /// Whether a seat's share is counted by leases granted now.
     fn counted(&self, s: &SeatState, now: Time) -> bool {
-        s.loan.is_some_and(|(_, until)| until >= now + self.terms.lease)
+        s.loan.is_some_and(|(_, until)| until >= now + self.terms.lease_ttl)
     }
 
     /// Makes anew, if it no longer stands, what leases granted now may rest on. Looks at every seat, about once a
@@ -151,7 +151,7 @@
             shares.lent.push((seat as Seat, since));
             shares.latest = shares.latest.max(since);
             shares.busy += s.attempts_in_flight;
-            shares.valid_until = shares.valid_until.min(until - self.terms.lease);
+            shares.valid_until = shares.valid_until.min(until - self.terms.lease_ttl);
             if s.slots_from <= now || skipped {
                 for (plan, slots) in shares.slots.iter_mut().enumerate() {
                     *slots += self.terms.seat_share(plan, SLOTS, seat as Seat).1;
@@ -193,7 +193,8 @@
             s.attempts_in_flight + (report.attempts_in_flight - s.attempts_in_flight) / 4.0,
         );
         // A new life does not know what its earlier one's loan rested on: the later counts.
-        let slots_from = now + (report.slots_free_in as f64 * (1.0 + 2.0 * self.terms.drift)) as Time;
+        let slots_from =
+            now + (report.slots_free_in as f64 * (1.0 + 2.0 * self.terms.max_clock_drift)) as Time;
         // Of one that has passed already nothing changes for the shares.
         self.are_shares_stale |= slots_from > now && slots_from > s.slots_from;
         s.slots_from = s.slots_from.max(slots_from);
@@ -208,22 +209,25 @@
                 s.sent.iter().find(|(number, _)| *number == report.acknowledged_grant).map(|(_, at)| *at);
             let sent = if planted!("share-counted-unacked") { Some(now) } else { sent };
             if let Some(sent) = sent {
-                let life =
-                    if planted!("loan-outlives-lender") { 3 * self.terms.loan } else { self.terms.loan };
+                let life = if planted!("loan-outlives-lender") {
+                    3 * self.terms.loan_ttl
+                } else {
+                    self.terms.loan_ttl
+                };
                 let since = s.loan.filter(|_| holds).map_or(now, |(since, _)| since);
                 let before = s.loan.map_or(0, |(_, until)| until);
                 s.loan = Some((since, before.max(sent + life))).filter(|(_, until)| *until >= now);
             }
         }
         let counts = |loan: Option<(Time, Time)>| {
-            loan.filter(|(_, until)| *until >= now + self.terms.lease).map(|(since, _)| since)
+            loan.filter(|(_, until)| *until >= now + self.terms.lease_ttl).map(|(since, _)| since)
         };
         // A loan that goes on changes nothing but how long it does.
         self.are_shares_stale |= counts(before) != counts(s.loan);
         if counts(before).is_some() {
             self.shares.busy += s.attempts_in_flight - busy;
         }
-        let lends = mine && s.loan.is_some_and(|(_, until)| until >= now + self.terms.lease);
+        let lends = mine && s.loan.is_some_and(|(_, until)| until >= now + self.terms.lease_ttl);
         s.grant += 1;
         let number = s.grant;
         s.sent.push_back((number, now));
@@ -334,7 +338,8 @@
             });
         }
         customers.sort_by(|a, b| a.customer.cmp(&b.customer));
-        let alive = |s: &SeatState| s.report > 0 && now.saturating_sub(s.last_heard_at) <= self.terms.loan;
+        let alive =
+            |s: &SeatState| s.report > 0 && now.saturating_sub(s.last_heard_at) <= self.terms.loan_ttl;
         let seats = self.seats.iter().enumerate();
         PlannerState {
             instance: self.instance,
--- a/crates/gateway/plan/src/pool.rs
+++ b/crates/gateway/plan/src/pool.rs
@@ -1,7 +1,7 @@
 //! One customer's pool: what is left of the lent shares, and who holds leases of it.
 
 use crate::message::{Amounts, Entry, Lease, Seat, HARD_LIMIT, QUOTA, SLOTS};
-use crate::Terms;
+use crate::LeaseConfig;
 use interface::Time;
 
 /// The shares that a planner counts: those of seats whose loans outlast a lease granted now.
@@ -29,7 +29,7 @@
     }
 
     /// What the pool holds at the most.
-    fn depth(&self, terms: &Terms, plan: usize, kind: usize) -> f64 {
+    fn depth(&self, terms: &LeaseConfig, plan: usize, kind: usize) -> f64 {
         if kind == SLOTS {
             return self.slots.get(plan).copied().unwrap_or(0.0);
         }
@@ -109,18 +109,18 @@
 
     /// A pool of which everything is forgotten but that leases may be out: as if all of it had just been lent.
     /// It is closed until the last of them has ended, and empty then.
-    pub fn forgotten(plan: u16, now: Time, terms: &Terms) -> Self {
+    pub fn forgotten(plan: u16, now: Time, terms: &LeaseConfig) -> Self {
         let mut pool = Pool::new(plan);
         if planted!("forgotten-begins-full") {
             return pool;
         }
-        (pool.closed_until, pool.updated_at) = (now + terms.lease, now + terms.lease);
+        (pool.closed_until, pool.updated_at) = (now + terms.lease_ttl, now + terms.lease_ttl);
         pool.reserve_all_slots(pool.closed_until, terms);
         pool
     }
 
     /// Holds all slots back: attempts that nobody counted may have begun on them until then.
-    pub fn reserve_all_slots(&mut self, begun: Time, terms: &Terms) {
+    pub fn reserve_all_slots(&mut self, begun: Time, terms: &LeaseConfig) {
         let slots = terms.plans.get(usize::from(self.plan)).map_or(0.0, |p| p.slots);
         if slots > 0.0 {
             let until = begun + terms.max_attempt_duration();
@@ -154,7 +154,7 @@
     }
 
     /// Fills the pool up to then, which is not after now.
-    fn fill(&mut self, then: Time, shares: &Shares, terms: &Terms) {
+    fn fill(&mut self, then: Time, shares: &Shares, terms: &LeaseConfig) {
         let secs = |from: Time| then.saturating_sub(from) as f64 / 1e9;
         let plan = usize::from(self.plan);
         let stayed = shares.by(self.updated_at);
@@ -183,7 +183,7 @@
     }
 
     /// Brings the pool up to now: leases that have ended are gone with what they held, and the shares fill it.
-    pub fn advance(&mut self, now: Time, shares: &Shares, terms: &Terms) {
+    pub fn advance(&mut self, now: Time, shares: &Shares, terms: &LeaseConfig) {
         if !self.is_open(now) {
             return;
         }
@@ -210,7 +210,7 @@
     }
 
     /// Slots that nothing holds; below nothing when shares have been withdrawn on which something still rests.
-    fn free_slots(&self, shares: &Shares, terms: &Terms) -> f64 {
+    fn free_slots(&self, shares: &Shares, terms: &LeaseConfig) -> f64 {
         shares.depth(terms, usize::from(self.plan), SLOTS) - self.outstanding(SLOTS) - self.reserved_slots()
     }
 
@@ -221,7 +221,7 @@
     }
 
     /// Whether it holds all that it can: forgotten and made anew, it would be the same.
-    pub fn is_full(&self, shares: &Shares, terms: &Terms) -> bool {
+    pub fn is_full(&self, shares: &Shares, terms: &LeaseConfig) -> bool {
         let plan = usize::from(self.plan);
         let full = |kind| self.level[kind] >= shares.depth(terms, plan, kind);
         self.leases.is_empty() && self.ended_leases.is_empty() && full(QUOTA) && full(HARD_LIMIT)
@@ -264,7 +264,7 @@
 
     /// Whether the leases that are out fit the shares: not when one has just been withdrawn. Leases are not
     /// renewed then, so that none rests on it when its owner spends it again.
-    fn fits_shares(&self, shares: &Shares, terms: &Terms) -> bool {
+    fn fits_shares(&self, shares: &Shares, terms: &LeaseConfig) -> bool {
         let plan = usize::from(self.plan);
         let held = self.reserved_slots();
         [(QUOTA, 0.0), (HARD_LIMIT, 0.0), (SLOTS, held)].into_iter().all(|(kind, held)| {
@@ -281,9 +281,9 @@
         entry: &Entry,
         fresh: u64,
         shares: &Shares,
-        terms: &Terms,
+        terms: &LeaseConfig,
     ) -> Lease {
-        let until = now + terms.lease;
+        let until = now + terms.lease_ttl;
         let fits = self.fits_shares(shares, terms) || planted!("renewed-beyond-shares");
         // One that its holder has not heard of yet is offered again; of one that it has forgotten it can't say
         // what it spent, and a new one begins.
@@ -312,13 +312,13 @@
             let short = (wanted - self.leases[n].outstanding(kind)).max(0.0);
             // In want each gets by what it is asked for, but one whole request if there is as much; who asks
             // alone gets all.
-            let least = self.level[kind].min(terms.most_units);
+            let least = self.level[kind].min(terms.max_request_units);
             let given = short.min((self.level[kind] * part).max(least));
             if !planted!("lease-not-charged") {
                 self.level[kind] -= given;
             }
             self.leases[n].granted[kind] += given;
-            dry |= self.leases[n].outstanding(kind) < terms.most_units.min(entry.demand * ticks);
+            dry |= self.leases[n].outstanding(kind) < terms.max_request_units.min(entry.demand * ticks);
         }
         if terms.plans.get(plan).is_some_and(|p| p.limits(SLOTS)) && entry.demand > 0.0 {
             let wanted = (1.5 * entry.in_use + 2.0).ceil();
@@ -345,7 +345,7 @@
         entry: &Entry,
         lease: u64,
         until: Time,
-        terms: &Terms,
+        terms: &LeaseConfig,
     ) -> usize {
         let in_use = entry.in_use.min(terms.plans[usize::from(self.plan)].slots).floor();
         let mut slots = (in_use - self.covered(whose)).max(0.0);
@@ -384,7 +384,7 @@
 
     /// Takes up into a lease what its holder's earlier ones left held back, as far as all that is counted fits
     /// the shares: the attempts are the same, wherever they are counted.
-    fn reclaim_slots(&mut self, n: usize, wanted: f64, shares: &Shares, terms: &Terms) {
+    fn reclaim_slots(&mut self, n: usize, wanted: f64, shares: &Shares, terms: &LeaseConfig) {
         let over = (-self.free_slots(shares, terms)).max(0.0).ceil();
         let over = if planted!("withdrawn-taken-up") { 0.0 } else { over };
         let held = &mut self.leases[n];
--- a/crates/gateway/plan/src/wire.rs
+++ b/crates/gateway/plan/src/wire.rs
@@ -21,7 +21,7 @@
 /// The most entries or leases in one message.
 pub const MOST_ENTRIES: usize = 4096;
 /// The shortest key that will do.
-pub const LEAST_KEY: usize = 16;
+pub const MIN_KEY_BYTES: usize = 16;
 const MAGIC: &[u8; 4] = b"GTHP";
 const HELLO: usize = 26;
 const TAG: usize = 32;
@@ -30,7 +30,7 @@
 
 /// Why a peer is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum WireError {
     /// It does not open with a hello.
     Junk,
     /// It speaks no version that is spoken here.
@@ -45,22 +45,22 @@
     Malformed,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Junk => write!(f, "no hello"),
-            Fault::Version { oldest, latest } => {
+            WireError::Junk => write!(f, "no hello"),
+            WireError::Version { oldest, latest } => {
                 write!(f, "it speaks versions {oldest} to {latest}, here {OLDEST} to {LATEST}")
             }
-            Fault::Length(n) => write!(f, "a frame of {n} bytes: {MOST_BYTES} at most"),
-            Fault::Tag => write!(f, "a tag that does not verify: is its key another?"),
-            Fault::Number { got, wanted } => write!(f, "frame {got} where {wanted} is next"),
-            Fault::Malformed => write!(f, "a message that can't be read"),
+            WireError::Length(n) => write!(f, "a frame of {n} bytes: {MOST_BYTES} at most"),
+            WireError::Tag => write!(f, "a tag that does not verify: is its key another?"),
+            WireError::Number { got, wanted } => write!(f, "frame {got} where {wanted} is next"),
+            WireError::Malformed => write!(f, "a message that can't be read"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for WireError {}
 
 /// A message between a forwarder and a planner.
 #[derive(Clone, Debug, PartialEq)]
@@ -160,20 +160,20 @@
     /// Takes bytes in; the messages that have become whole.
     ///
     /// # Errors
-    /// [`Fault`]: the peer is to be dropped. Nothing behind it is looked at.
-    pub fn receive(&mut self, bytes: &[u8]) -> Result<Vec<Message>, Fault> {
+    /// [`WireError`]: the peer is to be dropped. Nothing behind it is looked at.
+    pub fn receive(&mut self, bytes: &[u8]) -> Result<Vec<Message>, WireError> {
         self.buffer.extend_from_slice(bytes);
         let mut messages = Vec::new();
         let mut at = 0;
         if self.theirs.is_none() {
             let start = &self.buffer[..self.buffer.len().min(4)];
             if !MAGIC.starts_with(start) {
-                return Err(Fault::Junk);
+                return Err(WireError::Junk);
             }
             let Some(hello) = self.buffer.get(..HELLO) else { return Ok(messages) };
             let (oldest, latest) = (hello[4], hello[5]);
             if oldest > self.mine[5] || latest < OLDEST || oldest > latest {
-                return Err(Fault::Version { oldest, latest });
+                return Err(WireError::Version { oldest, latest });
             }
             self.version = latest.min(self.mine[5]);
             self.theirs = hello.try_into().ok();
@@ -184,7 +184,7 @@
             let Some(length) = rest.first_chunk::<4>() else { break };
             let length = u32::from_be_bytes(*length) as usize;
             if !(1 + 8 + TAG..=MOST_BYTES).contains(&length) {
-                return Err(Fault::Length(length));
+                return Err(WireError::Length(length));
             }
             let Some(frame) = rest.get(4..4 + length) else { break };
             let (body, tag) = frame.split_at(length - TAG);
@@ -192,16 +192,16 @@
             let (kind, number) = (read.u8()?, read.u64()?);
             let payload = read.0;
             let from = if self.side == Side::Planner { Side::Forwarder } else { Side::Planner };
-            self.tag(from, kind, number, payload).verify_slice(tag).map_err(|_| Fault::Tag)?;
+            self.tag(from, kind, number, payload).verify_slice(tag).map_err(|_| WireError::Tag)?;
             let wanted = self.taken + 1;
             if number != wanted {
-                return Err(Fault::Number { got: number, wanted });
+                return Err(WireError::Number { got: number, wanted });
             }
             self.taken = number;
             messages.push(match (kind, from) {
                 (REPORT, Side::Forwarder) => Message::Report(read_report(payload, self.version)?),
                 (GRANT, Side::Planner) => Message::Grant(read_grant(payload, self.version)?),
-                _ => return Err(Fault::Malformed),
+                _ => return Err(WireError::Malformed),
             });
             at += 4 + length;
         }
@@ -215,68 +215,68 @@
 struct Reader<'a>(&'a [u8]);
 
 impl Reader<'_> {
-    fn bytes<const N: usize>(&mut self) -> Result<[u8; N], Fault> {
-        let (first, rest) = self.0.split_first_chunk::<N>().ok_or(Fault::Malformed)?;
+    fn bytes<const N: usize>(&mut self) -> Result<[u8; N], WireError> {
+        let (first, rest) = self.0.split_first_chunk::<N>().ok_or(WireError::Malformed)?;
         self.0 = rest;
         Ok(*first)
     }
 
-    fn u8(&mut self) -> Result<u8, Fault> {
+    fn u8(&mut self) -> Result<u8, WireError> {
         Ok(u8::from_be_bytes(self.bytes()?))
     }
 
-    fn u16(&mut self) -> Result<u16, Fault> {
+    fn u16(&mut self) -> Result<u16, WireError> {
         Ok(u16::from_be_bytes(self.bytes()?))
     }
 
-    fn u64(&mut self) -> Result<u64, Fault> {
+    fn u64(&mut self) -> Result<u64, WireError> {
         Ok(u64::from_be_bytes(self.bytes()?))
     }
 
-    fn flag(&mut self) -> Result<bool, Fault> {
+    fn flag(&mut self) -> Result<bool, WireError> {
         match self.u8()? {
             0 => Ok(false),
             1 => Ok(true),
-            _ => Err(Fault::Malformed),
+            _ => Err(WireError::Malformed),
         }
     }
 
     /// A figure: finite and not below nothing.
-    fn figure(&mut self) -> Result<f64, Fault> {
+    fn figure(&mut self) -> Result<f64, WireError> {
         let v = f64::from_bits(self.u64()?);
         if v.is_finite() && v >= 0.0 {
             Ok(v)
         } else {
-            Err(Fault::Malformed)
+            Err(WireError::Malformed)
         }
     }
 
-    fn amounts(&mut self) -> Result<Amounts, Fault> {
+    fn amounts(&mut self) -> Result<Amounts, WireError> {
         Ok([self.figure()?, self.figure()?, self.figure()?])
     }
 
-    fn name(&mut self) -> Result<Name, Fault> {
+    fn name(&mut self) -> Result<Name, WireError> {
         let length = usize::from(self.u8()?);
-        let (name, rest) = self.0.split_at_checked(length).ok_or(Fault::Malformed)?;
+        let (name, rest) = self.0.split_at_checked(length).ok_or(WireError::Malformed)?;
         self.0 = rest;
-        std::str::from_utf8(name).map(Name::from).map_err(|_| Fault::Malformed)
+        std::str::from_utf8(name).map(Name::from).map_err(|_| WireError::Malformed)
     }
 
-    fn count(&mut self) -> Result<usize, Fault> {
+    fn count(&mut self) -> Result<usize, WireError> {
         let count = usize::from(self.u16()?);
         // Before any room is made for them.
         if count <= MOST_ENTRIES && count <= self.0.len() {
             Ok(count)
         } else {
-            Err(Fault::Malformed)
+            Err(WireError::Malformed)
         }
     }
 
-    fn end(&self) -> Result<(), Fault> {
+    fn end(&self) -> Result<(), WireError> {
         if self.0.is_empty() {
             Ok(())
         } else {
-            Err(Fault::Malformed)
+            Err(WireError::Malformed)
         }
     }
 }
@@ -319,7 +319,7 @@
     out
 }
 
-fn read_report(bytes: &[u8], version: u8) -> Result<Report, Fault> {
+fn read_report(bytes: &[u8], version: u8) -> Result<Report, WireError> {
     let mut r = Reader(bytes);
     let seat = r.u16()?;
     let (incarnation, number, seen, nonce, acked) = (r.u64()?, r.u64()?, r.u64()?, r.u64()?, r.u64()?);
@@ -370,7 +370,7 @@
     out
 }
 
-fn read_grant(bytes: &[u8], version: u8) -> Result<Grant, Fault> {
+fn read_grant(bytes: &[u8], version: u8) -> Result<Grant, WireError> {
     let mut r = Reader(bytes);
     let from = Instance { nonce: r.u64()?, epoch: r.u64()? };
     let seat = r.u16()?;
--- a/crates/gateway/plan/tests/wire.rs
+++ b/crates/gateway/plan/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The wire: what is said arrives, and nothing else does.
 
 use plan::message::{Entry, Grant, Instance, Lease, Report};
-use plan::wire::{Fault, Link, Message, Side, LATEST, MOST_BYTES, OLDEST};
+use plan::wire::{Link, Message, Side, WireError, LATEST, MOST_BYTES, OLDEST};
 use proptest::prelude::*;
 
 const KEY: &[u8] = b"a key of sixteen and more bytes";
@@ -56,7 +56,7 @@
 }
 
 /// Two sides that have heard each other's hello.
-fn pair(versions: (u8, u8), keys: (&[u8], &[u8])) -> Result<(Link, Link), Fault> {
+fn pair(versions: (u8, u8), keys: (&[u8], &[u8])) -> Result<(Link, Link), WireError> {
     let mut f = Link::new(Side::Forwarder, keys.0, [1; 16], versions.0);
     let mut p = Link::new(Side::Planner, keys.1, [2; 16], versions.1);
     p.receive(&f.hello())?;
@@ -102,12 +102,12 @@
     let mut p = Link::new(Side::Planner, KEY, [2; 16], LATEST);
     let mut hello = Link::new(Side::Forwarder, KEY, [1; 16], LATEST).hello();
     (hello[4], hello[5]) = (LATEST + 1, LATEST + 2);
-    assert_eq!(p.receive(&hello), Err(Fault::Version { oldest: LATEST + 1, latest: LATEST + 2 }));
+    assert_eq!(p.receive(&hello), Err(WireError::Version { oldest: LATEST + 1, latest: LATEST + 2 }));
     let mut p = Link::new(Side::Planner, KEY, [2; 16], LATEST);
-    assert_eq!(p.receive(b"GET / HTTP/1.1\r\n"), Err(Fault::Junk));
+    assert_eq!(p.receive(b"GET / HTTP/1.1\r\n"), Err(WireError::Junk));
     let (mut f, mut p) =
         pair((LATEST, LATEST), (b"another key, long enough", KEY)).expect("hellos have no tag");
-    assert_eq!(p.receive(&f.seal(&report(1))), Err(Fault::Tag));
+    assert_eq!(p.receive(&f.seal(&report(1))), Err(WireError::Tag));
 }
 
 #[test]
@@ -115,25 +115,25 @@
     let (mut f, mut p) = connected();
     let first = f.seal(&report(1));
     p.receive(&first).expect("sound");
-    assert_eq!(p.receive(&first), Err(Fault::Number { got: 1, wanted: 2 }));
+    assert_eq!(p.receive(&first), Err(WireError::Number { got: 1, wanted: 2 }));
     // The same bytes on a connection whose planner drew other random bytes.
     let mut later = Link::new(Side::Planner, KEY, [9; 16], LATEST);
     later.receive(&f.hello()).expect("a hello");
-    assert_eq!(later.receive(&first), Err(Fault::Tag));
+    assert_eq!(later.receive(&first), Err(WireError::Tag));
     // Sent back to who sent it.
-    assert_eq!(f.receive(&first), Err(Fault::Tag));
+    assert_eq!(f.receive(&first), Err(WireError::Tag));
     let (mut f, mut p) = connected();
     f.seal(&report(1));
-    assert_eq!(p.receive(&f.seal(&report(2))), Err(Fault::Number { got: 2, wanted: 1 }), "a gap");
+    assert_eq!(p.receive(&f.seal(&report(2))), Err(WireError::Number { got: 2, wanted: 1 }), "a gap");
 }
 
 #[test]
 fn a_length_of_4_gib_is_refused_before_any_room_is_made() {
     let (_, mut p) = connected();
-    assert_eq!(p.receive(&u32::MAX.to_be_bytes()), Err(Fault::Length(u32::MAX as usize)));
+    assert_eq!(p.receive(&u32::MAX.to_be_bytes()), Err(WireError::Length(u32::MAX as usize)));
     assert!(p.held() < 100);
     let (_, mut p) = connected();
-    assert_eq!(p.receive(&((MOST_BYTES + 1) as u32).to_be_bytes()), Err(Fault::Length(MOST_BYTES + 1)));
+    assert_eq!(p.receive(&((MOST_BYTES + 1) as u32).to_be_bytes()), Err(WireError::Length(MOST_BYTES + 1)));
 }
 
 proptest! {
@@ -158,7 +158,7 @@
         match p.receive(&bytes) {
             // A longer length waits for more, which never verifies.
             Ok(messages) => prop_assert!(messages.is_empty() && at < 4),
-            Err(fault) => prop_assert!(matches!(fault, Fault::Tag | Fault::Length(_))),
+            Err(fault) => prop_assert!(matches!(fault, WireError::Tag | WireError::Length(_))),
         }
     }
 }
--- a/crates/gateway/proxy/src/backends/answer.rs
+++ b/crates/gateway/proxy/src/backends/answer.rs
@@ -55,12 +55,12 @@
 }
 
 /// How requests and answers are worded between a gateway and its backends.
-pub trait Wire {
+pub trait UpstreamProtocol {
     /// Sets the headers that are known only when a request goes out: how long is left, and to whom it goes.
-    fn stamp(&self, headers: &mut HeaderMap, wait: Duration, server: &Name);
+    fn set_attempt_headers(&self, headers: &mut HeaderMap, wait: Duration, server: &Name);
 
     /// From how much of a request on a backend may have begun to work on it.
-    fn begins(&self) -> ExecutionStart {
+    fn execution_start(&self) -> ExecutionStart {
         ExecutionStart::FullRequest
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// Whether this can be the head of a backend's answer at all.
-    fn is_sound(&self, _request: &Outgoing, _head: &Parts) -> bool {
+    fn is_valid_head(&self, _request: &Outgoing, _head: &Parts) -> bool {
         true
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Whether an answer with this head may be passed on as it comes, if it is long.
-    fn is_good(&self, head: &Parts) -> bool {
+    fn is_streamable(&self, head: &Parts) -> bool {
         head.status == StatusCode::OK
     }
 
--- a/crates/gateway/proxy/src/backends/attempt.rs
+++ b/crates/gateway/proxy/src/backends/attempt.rs
@@ -67,7 +67,7 @@
     parts: Parts,
     /// None if no length is stated.
     length: Option<u64>,
-    is_good: bool,
+    is_streamable: bool,
     /// A body that pauses for longer is given up.
     pause: Duration,
 }
@@ -173,18 +173,18 @@
         let wire = &self.backends.wire;
         let length = length(&self.request.method, &parts).ok_or(Ending::Unreadable)?;
         let echo = wire.echo(self.request, &parts);
-        if !connection.upstream.is_answer(echo) || !wire.is_sound(self.request, &parts) {
+        if !connection.upstream.is_answer(echo) || !wire.is_valid_head(self.request, &parts) {
             return Err(Ending::Unreadable);
         }
         if let Some(idle_time) = wire.idle_time(&parts) {
             connection.max_idle = nanos(idle_time / 2);
         }
-        let is_good = wire.is_good(&parts);
-        let max_length = if is_good { MAX_BODY } else { MAX_BUFFERED_ANSWER };
+        let is_streamable = wire.is_streamable(&parts);
+        let max_length = if is_streamable { MAX_BODY } else { MAX_BUFFERED_ANSWER };
         if length.is_some_and(|length| length > max_length as u64) {
             return Err(Ending::Unreadable);
         }
-        Ok(AnswerHead { parts, length, is_good, pause })
+        Ok(AnswerHead { parts, length, is_streamable, pause })
     }
 
     /// Reads a short body to its end; a long one, or one of unknown length that takes long, is streamed if it is good.
@@ -200,7 +200,7 @@
             && head.length.is_none_or(|length| length <= MAX_BUFFERED_ANSWER as u64)
         {
             let is_slow = head.length.is_none() && received.size > 0;
-            if is_slow && head.is_good && started.elapsed() >= ANSWER_PAUSE_TIMEOUT {
+            if is_slow && head.is_streamable && started.elapsed() >= ANSWER_PAUSE_TIMEOUT {
                 break;
             }
             let frame = if body.is_end_stream() {
@@ -224,7 +224,7 @@
                 Err(_) => return Err(Ending::Unreadable),
             }
         }
-        if !head.is_good {
+        if !head.is_streamable {
             return Err(Ending::Unreadable);
         }
         Ok(self.stream(connection, head, body, received.frames))
--- a/crates/gateway/proxy/src/backends/mod.rs
+++ b/crates/gateway/proxy/src/backends/mod.rs
@@ -13,7 +13,7 @@
 mod tests;
 mod upload;
 
-pub use answer::{Content, Outcome, Served, Wire};
+pub use answer::{Content, Outcome, Served, UpstreamProtocol};
 pub use attempt::ExchangeResult;
 pub use progress::{AttemptStage, Progress};
 pub use relay::Stream;
@@ -64,7 +64,7 @@
     /// Connections that are open or being opened, idle ones among them.
     open_connections: Rc<Cell<usize>>,
     max_connections: usize,
-    wire: Box<dyn Wire>,
+    wire: Box<dyn UpstreamProtocol>,
     connect_timeout: Duration,
     unacknowledged_timeout: Option<Duration>,
     relay_overtime: Option<Duration>,
@@ -92,7 +92,7 @@
 
 impl Backends {
     /// A pool without connections that knows no backend.
-    pub fn new(limits: &Limits, wire: Box<dyn Wire>) -> Rc<Self> {
+    pub fn new(limits: &Limits, wire: Box<dyn UpstreamProtocol>) -> Rc<Self> {
         Rc::new(Backends {
             table: RefCell::default(),
             open_connections: Rc::default(),
--- a/crates/gateway/proxy/src/backends/request.rs
+++ b/crates/gateway/proxy/src/backends/request.rs
@@ -1,6 +1,6 @@
 //! A client's request as it goes on to backends.
 
-use super::answer::Wire;
+use super::answer::UpstreamProtocol;
 use super::upload::Sent;
 use super::{Progress, Upload};
 use hyper::header::{HeaderMap, CONTENT_LENGTH};
@@ -37,7 +37,7 @@
 
     pub(super) fn to_backend(
         &self,
-        wire: &dyn Wire,
+        wire: &dyn UpstreamProtocol,
         server: &Name,
         wait: Duration,
         progress: &Rc<Progress>,
@@ -50,14 +50,14 @@
         *request.uri_mut() = self.uri.clone();
         let headers = request.headers_mut();
         headers.clone_from(&self.headers);
-        wire.stamp(headers, wait, server);
+        wire.set_attempt_headers(headers, wait, server);
         if let Some(length) = length.filter(|_| self.method != Method::GET) {
             headers.insert(CONTENT_LENGTH, length.into());
         }
         let size = head_size(&request);
-        let begins = wire.begins();
-        request.body_mut().behind(size, begins);
-        progress.execution_start.set(begins.byte_count(size, length.map(|l| l as usize)));
+        let execution_start = wire.execution_start();
+        request.body_mut().behind(size, execution_start);
+        progress.execution_start.set(execution_start.byte_count(size, length.map(|l| l as usize)));
         request
     }
 }
--- a/crates/gateway/proxy/src/backends/tests.rs
+++ b/crates/gateway/proxy/src/backends/tests.rs
@@ -10,8 +10,8 @@
 /// A wire on which 200 is all that is good.
 struct Plain;
 
-impl Wire for Plain {
-    fn stamp(&self, headers: &mut HeaderMap, wait: Duration, _: &Name) {
+impl UpstreamProtocol for Plain {
+    fn set_attempt_headers(&self, headers: &mut HeaderMap, wait: Duration, _: &Name) {
         headers
             .insert("request-timeout", HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())).unwrap());
     }
--- a/crates/gateway/proxy/src/driver/discovery.rs
+++ b/crates/gateway/proxy/src/driver/discovery.rs
@@ -14,20 +14,20 @@
     }
 
     /// This gateway's position among the gateways believed alive, and their number; none: as the settings say.
-    pub fn neighbours(self: &Rc<Self>, seen: Option<(u32, u32)>) {
+    pub fn set_gateway_position(self: &Rc<Self>, seen: Option<(u32, u32)>) {
         let (me, gateways) = seen.unwrap_or_default();
         let input = Input::GatewayPosition { position: me, gateways };
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
     /// Which planners the membership view believes alive.
-    pub fn planners(self: &Rc<Self>, lives: Vec<Option<bool>>) {
+    pub fn set_planner_liveness(self: &Rc<Self>, lives: Vec<Option<bool>>) {
         let input = Input::PlannerLiveness(lives);
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
     /// Discovery failed; the old list stays in force.
-    pub fn list_failed(self: &Rc<Self>, what: String) {
+    pub fn discovery_failed(self: &Rc<Self>, what: String) {
         let brought = InputContext { discovery_failure: Some(what), ..InputContext::default() };
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), Input::DiscoveryFailed, brought);
     }
--- a/crates/gateway/proxy/src/fronts/http1/mod.rs
+++ b/crates/gateway/proxy/src/fronts/http1/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: connections, requests and their bodies, and shutdown. What a request means its [`Door`] defines.
+//! HTTP/1.1: connections, requests and their bodies, and shutdown. What a request means its [`RequestHandler`] defines.
 
 mod client;
 mod request;
@@ -58,9 +58,9 @@
 pub type ErrorReply = Box<Response<Payload>>;
 
 /// What requests mean: which are answered without a backend, what the others ask for, and the form of answers.
-pub trait Door: 'static {
+pub trait RequestHandler: 'static {
     /// The answer to a request that needs no backend.
-    fn own(&self, head: &Request<IncomingBody>, draining: bool) -> Option<Response<Payload>>;
+    fn local_response(&self, head: &Request<IncomingBody>, draining: bool) -> Option<Response<Payload>>;
 
     /// Reads a request's head.
     ///
@@ -112,7 +112,7 @@
     client_removed: Notify,
 }
 
-impl<D: Door> Server<D> {
+impl<D: RequestHandler> Server<D> {
     /// A server without clients.
     pub fn new(
         door: D,
@@ -350,7 +350,7 @@
             bad()
         } else if coded && !only_chunked(request.headers()) {
             plain(StatusCode::LENGTH_REQUIRED, "")
-        } else if let Some(own) = self.door.own(&request, self.is_draining()) {
+        } else if let Some(own) = self.door.local_response(&request, self.is_draining()) {
             own
         } else {
             self.pass(request, client, pace).await.unwrap_or_else(|reply| *reply)
@@ -442,12 +442,12 @@
 }
 
 /// A client's entry in the server's table, removed when dropped.
-struct ClientEntry<D: Door> {
+struct ClientEntry<D: RequestHandler> {
     server: Rc<Server<D>>,
     number: u64,
 }
 
-impl<D: Door> Drop for ClientEntry<D> {
+impl<D: RequestHandler> Drop for ClientEntry<D> {
     fn drop(&mut self) {
         self.server.clients.borrow_mut().remove(&self.number);
         self.server.client_removed.notify_one();
--- a/crates/gateway/proxy/tests/answers.rs
+++ b/crates/gateway/proxy/tests/answers.rs
@@ -11,7 +11,7 @@
     Time,
 };
 use lifecycle::upstream::{Echo, ExecutionStart};
-use proxy::backends::{Backends, Content, Limits, Outcome, Outgoing, Served, Upload, Wire};
+use proxy::backends::{Backends, Content, Limits, Outcome, Outgoing, Served, Upload, UpstreamProtocol};
 use proxy::driver::{Answer, Config, Driver, Incoming};
 use proxy::fronts::Budget;
 use proxy::list::{List, State, Target};
@@ -56,10 +56,10 @@
 /// Answers echo `attempt-id`; `not-executed` says that a request did not run.
 struct Echoed;
 
-impl Wire for Echoed {
-    fn stamp(&self, _: &mut HeaderMap, _: Duration, _: &Name) {}
+impl UpstreamProtocol for Echoed {
+    fn set_attempt_headers(&self, _: &mut HeaderMap, _: Duration, _: &Name) {}
 
-    fn begins(&self) -> ExecutionStart {
+    fn execution_start(&self) -> ExecutionStart {
         ExecutionStart::FullHead
     }
 
--- a/crates/testing/fleet-sim/src/experiment.rs
+++ b/crates/testing/fleet-sim/src/experiment.rs
@@ -136,7 +136,7 @@
     if !ordered(spec.planner_down) || !ordered(spec.flood) {
         return Err("a span ends before it begins".into());
     }
-    spec.terms().check()
+    spec.terms().validate()
 }
 
 /// One arm: its name, and what differs in it.
--- a/crates/testing/fleet-sim/src/spec.rs
+++ b/crates/testing/fleet-sim/src/spec.rs
@@ -2,7 +2,7 @@
 
 use crate::mind::Choice;
 use interface::{Class, Effect, Group, Plan, Settings, Time};
-use plan::{Allowance, Terms};
+use plan::{Allowance, LeaseConfig};
 
 pub const MS: Time = 1_000_000;
 
@@ -257,7 +257,7 @@
     }
 
     /// What its planners and forwarders share.
-    pub fn terms(&self) -> Terms {
+    pub fn terms(&self) -> LeaseConfig {
         let settings = self.settings(0);
         let allowance = |p: &Plan| Allowance {
             quota_rate: p.rate,
@@ -267,8 +267,14 @@
             slots: f64::from(p.parallel),
         };
         let plans = settings.plans.iter().map(allowance).collect();
-        let (lease, loan, tick) = (self.lease, self.loan, self.tick);
-        Terms { lease, loan, tick, max_attempt: 2500 * MS, ..Terms::new(self.gateways as u16, plans) }
+        let (lease_ttl, loan_ttl, tick) = (self.lease, self.loan, self.tick);
+        LeaseConfig {
+            lease_ttl,
+            loan_ttl,
+            tick,
+            max_attempt: 2500 * MS,
+            ..LeaseConfig::new(self.gateways as u16, plans)
+        }
     }
 
     /// What every gateway of it is told at its start.
--- a/crates/testing/fleet-sim/src/world.rs
+++ b/crates/testing/fleet-sim/src/world.rs
@@ -25,7 +25,7 @@
 use granitehub::Gateway;
 use interface::{Ending, Health, Name, Node, Scope, Time};
 use plan::message::{Grant, Report};
-use plan::{Planner, Terms};
+use plan::{LeaseConfig, Planner};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -262,7 +262,7 @@
     observer: Observer,
     processes: Vec<Process>,
     planners: Vec<Planning>,
-    terms: Terms,
+    terms: LeaseConfig,
     /// By gateway and planner: whether reports and whether grants get through.
     links: Vec<Vec<(bool, bool)>>,
     servers: Vec<Server>,
@@ -481,7 +481,7 @@
 /// A gateway's engine that begins now by its clock.
 fn engine(
     spec: &Spec,
-    terms: &Terms,
+    terms: &LeaseConfig,
     n: usize,
     life: u64,
     clock: Time,
@@ -507,7 +507,7 @@
     engine
 }
 
-fn planner(terms: &Terms, lives: &mut Rng) -> Planner {
+fn planner(terms: &LeaseConfig, lives: &mut Rng) -> Planner {
     Planner::new(terms.clone(), lives.u64(1..), 100_000).expect("the terms of a world are sound")
 }
 
--- a/crates/testing/model-check/tests/leases.rs
+++ b/crates/testing/model-check/tests/leases.rs
@@ -4,7 +4,7 @@
 use forward::{Account, Mode, Verdict};
 use interface::{Name, Time};
 use plan::message::{Entry, Lease, Report, Seat};
-use plan::{defects, Allowance, Planner, Terms};
+use plan::{defects, Allowance, LeaseConfig, Planner};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 const MS: Time = 1_000_000;
@@ -53,7 +53,7 @@
 
 impl Room {
     /// Accounts that have just begun to spend their own shares.
-    fn new(terms: &Terms, most: usize) -> Self {
+    fn new(terms: &LeaseConfig, most: usize) -> Self {
         let planners = (1..3).map(|nonce| Planner::new(terms.clone(), nonce, most).unwrap()).collect();
         let account = |seat| Account::new(terms.clone(), seat, 10 + u64::from(seat), 1, 0).unwrap();
         let accounts: Vec<_> = (0..terms.seats).map(account).collect();
@@ -122,7 +122,7 @@
 /// Seat 0 keeps 40 attempts out, on its own share and on that of seat 1. Seat 1 loses the planner, and uses its
 /// share again when nothing may rest on it any more. The most that were out.
 fn withdrawn() -> usize {
-    let mut terms = Terms::new(2, vec![slots(40.0)]);
+    let mut terms = LeaseConfig::new(2, vec![slots(40.0)]);
     terms.max_attempt = 1000 * MS;
     let mut room = Room::new(&terms, 10);
     room.with = vec![Some((0, true)); 2];
@@ -162,11 +162,11 @@
 #[test]
 fn what_is_out_on_a_share_when_it_is_lent_counts_there() {
     let _one = alone();
-    let mut terms = Terms::new(2, vec![slots(4.0)]);
+    let mut terms = LeaseConfig::new(2, vec![slots(4.0)]);
     terms.max_attempt = 10_000 * MS;
     let story = || {
         let mut room = Room::new(&terms, 10);
-        room.pass(terms.lease + terms.max_attempt_duration());
+        room.pass(terms.lease_ttl + terms.max_attempt_duration());
         while room.spend(0, 0, 1.0, 9000 * MS) {}
         assert_eq!(room.out_of(0), 2, "its own share");
         // It asks for nothing more, and lends.
@@ -185,12 +185,12 @@
 #[test]
 fn a_share_of_slots_with_more_customers_than_a_report_holds_is_lent_late() {
     let _one = alone();
-    let mut terms = Terms::new(2, vec![slots(2.0)]);
+    let mut terms = LeaseConfig::new(2, vec![slots(2.0)]);
     terms.max_attempt = 10_000 * MS;
     let customers = 2 * forward::MAX_REPORT_ENTRIES;
     let story = || {
         let mut room = Room::new(&terms, 100_000);
-        room.pass(terms.lease + terms.max_attempt_duration());
+        room.pass(terms.lease_ttl + terms.max_attempt_duration());
         room.with[1] = Some((0, true));
         for customer in 0..customers {
             assert!(room.spend(0, customer, 1.0, 9000 * MS), "one is its own");
@@ -214,11 +214,11 @@
 #[test]
 fn a_customer_that_found_no_room_at_its_planner_begins_with_its_slots_held_back() {
     let _one = alone();
-    let mut terms = Terms::new(2, vec![slots(2.0)]);
+    let mut terms = LeaseConfig::new(2, vec![slots(2.0)]);
     terms.max_attempt = 10_000 * MS;
     let story = || {
         let mut room = Room::new(&terms, 1);
-        room.pass(terms.lease + terms.max_attempt_duration());
+        room.pass(terms.lease_ttl + terms.max_attempt_duration());
         room.with[1] = Some((0, true));
         // Seat 1 takes the only place, for another customer that it soon forgets.
         room.spend(1, 7, 1.0, 0);
@@ -241,8 +241,8 @@
 #[test]
 fn a_lease_that_its_holder_has_forgotten_is_not_offered_again() {
     let _one = alone();
-    let mut terms = Terms::new(1, vec![quota(10.0, 1000.0)]);
-    (terms.tick, terms.lease, terms.loan) = (20 * MS, 10_000 * MS, 20_000 * MS);
+    let mut terms = LeaseConfig::new(1, vec![quota(10.0, 1000.0)]);
+    (terms.tick, terms.lease_ttl, terms.loan_ttl) = (20 * MS, 10_000 * MS, 20_000 * MS);
     let story = || {
         let mut room = Room::new(&terms, 10);
         room.with = vec![Some((0, true))];
@@ -261,7 +261,7 @@
 #[test]
 fn an_own_store_is_kept_until_it_has_filled_again() {
     let _one = alone();
-    let terms = Terms::new(1, vec![quota(10.0, 1000.0)]);
+    let terms = LeaseConfig::new(1, vec![quota(10.0, 1000.0)]);
     let story = || {
         let mut room = Room::new(&terms, 10);
         room.pass(120_000 * MS);
@@ -282,7 +282,7 @@
 #[test]
 fn one_lease_is_offered_until_it_is_heard_of() {
     let _one = alone();
-    let terms = Terms::new(1, vec![quota(10.0, 1000.0)]);
+    let terms = LeaseConfig::new(1, vec![quota(10.0, 1000.0)]);
     let mut room = Room::new(&terms, 10);
     room.with = vec![Some((0, true))];
     room.pass(20_000 * MS);
@@ -301,7 +301,7 @@
 #[test]
 fn leases_lost_in_series_leave_few_slots_idle() {
     let _one = alone();
-    let terms = Terms::new(2, vec![slots(40.0)]);
+    let terms = LeaseConfig::new(2, vec![slots(40.0)]);
     let mut room = Room::new(&terms, 10);
     room.with = vec![Some((0, true)); 2];
     room.pass(5000 * MS);
@@ -339,7 +339,7 @@
 }
 
 impl Voice {
-    fn new(terms: &Terms) -> Self {
+    fn new(terms: &LeaseConfig) -> Self {
         let planner = Planner::new(terms.clone(), 1, 10).unwrap();
         let mut voice = Voice { planner, now: 0, number: 0, acked: 0, said: Vec::new() };
         voice.say(Vec::new());
@@ -371,7 +371,7 @@
 
 /// What was granted, returned and spent in fractions, over many shapes; leases kept and panics seen.
 fn fractions() -> (f64, u64) {
-    let terms = Terms::new(1, vec![quota(10.0, 1000.0)]);
+    let terms = LeaseConfig::new(1, vec![quota(10.0, 1000.0)]);
     let (mut most, mut panics) = (0.0_f64, 0);
     for part in 1..200 {
         let mut voice = Voice::new(&terms);
@@ -407,7 +407,7 @@
 #[test]
 fn a_customer_that_leads_to_a_panic_is_forgotten_alone() {
     let _one = alone();
-    let terms = Terms::new(1, vec![quota(10.0, 1000.0)]);
+    let terms = LeaseConfig::new(1, vec![quota(10.0, 1000.0)]);
     let story = || {
         for part in 1..200 {
             let mut voice = Voice::new(&terms);
@@ -429,7 +429,7 @@
                 assert_eq!(leases.len(), 1, "the other customer goes on");
                 assert_eq!(leases[0].lease, other);
                 // Until its leases have ended it is granted nothing.
-                let closed = voice.now + terms.lease;
+                let closed = voice.now + terms.lease_ttl;
                 while voice.now + 50 * MS <= closed {
                     assert_eq!(voice.say(vec![entry(0, 0, [0.0; 2], 50.0)]), []);
                 }
@@ -454,9 +454,9 @@
 
 /// Whom an account that has just lost its planner asks, tick by tick; nobody answers.
 fn asked(believed: &[Option<bool>], ticks: usize) -> Vec<usize> {
-    let terms = Terms::new(2, vec![slots(40.0)]);
+    let terms = LeaseConfig::new(2, vec![slots(40.0)]);
     let mut account = Account::new(terms.clone(), 0, 7, believed.len(), 0).unwrap();
-    account.planners_observed(believed);
+    account.set_planner_liveness(believed);
     let at = |n: usize| n as Time * terms.tick;
     (0..ticks).flat_map(|n| account.tick(at(n))).map(|(planner, _)| planner).collect()
 }
--- a/crates/testing/model-check/tests/storms.rs
+++ b/crates/testing/model-check/tests/storms.rs
@@ -8,7 +8,7 @@
 use forward::{Account, InvalidGrant, Mode, Verdict};
 use interface::{Name, Time};
 use plan::message::{Grant, Instance, Lease, Report, Seat};
-use plan::{defects, Allowance, Planner, Terms};
+use plan::{defects, Allowance, LeaseConfig, Planner};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -20,12 +20,12 @@
 /// Defects are the process's, so that one test runs at a time.
 static ONE: Mutex<()> = Mutex::new(());
 
-fn terms(seats: u16) -> Terms {
+fn terms(seats: u16) -> LeaseConfig {
     // One plan bounds each kind, so that none hides behind another.
     let quota = Allowance { quota_rate: 200.0, quota_depth: 300.0, slots: 400.0, ..Allowance::default() };
     let ceiling = Allowance { hard_limit_rate: 200.0, hard_limit_depth: 300.0, ..Allowance::default() };
     let slots = Allowance { slots: 30.0, ..Allowance::default() };
-    let mut terms = Terms::new(seats, vec![quota, ceiling, slots]);
+    let mut terms = LeaseConfig::new(seats, vec![quota, ceiling, slots]);
     terms.max_attempt = 1000 * MS;
     terms
 }
@@ -88,7 +88,7 @@
 }
 
 struct World {
-    terms: Terms,
+    terms: LeaseConfig,
     rng: Rng,
     now: Time,
     forwarders: Vec<Process<Account>>,
@@ -319,7 +319,7 @@
         }
         self.granted += 1;
         let plan = self.terms.plans[customer % 3];
-        self.truth[customer].spent(self.now, units, &plan, self.terms.drift);
+        self.truth[customer].spent(self.now, units, &plan, self.terms.max_clock_drift);
         let longest = if self.rng.u32(0..self.long) == 0 { 1000 } else { 150 };
         let end = self.now + self.rng.u64(10..longest) * MS;
         self.ends.push(Reverse((end, customer, n, self.lives[n])));
@@ -353,7 +353,7 @@
                 if let Some(lies) = &mut self.lies {
                     let mut one = || [None, Some(false), Some(true)][lies.usize(0..3)];
                     let believed = [one(), one()];
-                    self.forwarders[n].what.planners_observed(&believed);
+                    self.forwarders[n].what.set_planner_liveness(&believed);
                 }
                 let f = &mut self.forwarders[n];
                 for (planner, report) in f.what.tick(f.clock.at(self.now)) {
--- a/src/bin/granitethread/allowance/mod.rs
+++ b/src/bin/granitethread/allowance/mod.rs
@@ -5,8 +5,8 @@
 
 use granitehub::Settings;
 use operator::Allowances;
-use plan::wire::{Fault, Link, Message, LEAST_KEY};
-use plan::{Allowance, Terms};
+use plan::wire::{Link, Message, WireError, MIN_KEY_BYTES};
+use plan::{Allowance, LeaseConfig};
 use std::io::Read;
 use std::os::unix::fs::PermissionsExt;
 use std::path::Path;
@@ -17,7 +17,7 @@
 const MOST_KEY: u64 = 4096;
 
 /// The installation's terms, from the operators' file and the plans.
-pub fn terms(allowances: &Allowances, s: &Settings) -> Result<Terms, String> {
+pub fn terms(allowances: &Allowances, s: &Settings) -> Result<LeaseConfig, String> {
     let plan = |p: &granitehub::Plan| Allowance {
         quota_rate: p.rate,
         quota_depth: p.depth,
@@ -25,14 +25,14 @@
         hard_limit_depth: p.hard_limit_burst,
         slots: f64::from(p.parallel),
     };
-    let mut terms = Terms::new(allowances.seats, s.plans.iter().map(plan).collect());
+    let mut terms = LeaseConfig::new(allowances.seats, s.plans.iter().map(plan).collect());
     terms.tick = allowances.tick.as_nanos() as u64;
-    terms.lease = allowances.lease.as_nanos() as u64;
-    terms.loan = allowances.loan.as_nanos() as u64;
-    terms.drift = f64::from(allowances.drift_permille) / 1000.0;
+    terms.lease_ttl = allowances.lease.as_nanos() as u64;
+    terms.loan_ttl = allowances.loan.as_nanos() as u64;
+    terms.max_clock_drift = f64::from(allowances.drift_permille) / 1000.0;
     terms.max_attempt = s.classes.iter().map(|c| c.deadline).max().unwrap_or(terms.max_attempt);
-    terms.most_units = s.max_units.max(1.0);
-    terms.check()?;
+    terms.max_request_units = s.max_units.max(1.0);
+    terms.validate()?;
     Ok(terms)
 }
 
@@ -49,8 +49,11 @@
     while key.last().is_some_and(|b| matches!(b, b'\n' | b'\r')) {
         key.pop();
     }
-    if !(LEAST_KEY..=MOST_KEY as usize).contains(&key.len()) {
-        return Err(format!("key_file {name}: {} bytes: {LEAST_KEY} to {MOST_KEY} are wanted", key.len()));
+    if !(MIN_KEY_BYTES..=MOST_KEY as usize).contains(&key.len()) {
+        return Err(format!(
+            "key_file {name}: {} bytes: {MIN_KEY_BYTES} to {MOST_KEY} are wanted",
+            key.len()
+        ));
     }
     Ok(key)
 }
@@ -72,7 +75,7 @@
 async fn receive(
     half: &mut OwnedReadHalf,
     link: &std::cell::RefCell<Link>,
-) -> Option<Result<Vec<Message>, Fault>> {
+) -> Option<Result<Vec<Message>, WireError>> {
     let mut bytes = [0; 16 << 10];
     match half.read(&mut bytes).await {
         Ok(0) | Err(_) => None,
--- a/src/bin/granitethread/api.rs
+++ b/src/bin/granitethread/api.rs
@@ -8,7 +8,7 @@
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use proxy::backends::Outgoing;
 use proxy::driver::{Answer, Driver, Incoming};
-use proxy::fronts::http1::{error_reply, plain, served_response, Door, ErrorReply, Payload};
+use proxy::fronts::http1::{error_reply, plain, served_response, ErrorReply, Payload, RequestHandler};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -93,8 +93,8 @@
     Some(Outgoing { method: head.method, uri, headers, ..Outgoing::default() })
 }
 
-impl Door for Api {
-    fn own(&self, request: &Request<IncomingBody>, draining: bool) -> Option<Response<Payload>> {
+impl RequestHandler for Api {
+    fn local_response(&self, request: &Request<IncomingBody>, draining: bool) -> Option<Response<Payload>> {
         Some(match request.uri().path() {
             "/ready" if request.method() != Method::GET => plain(StatusCode::METHOD_NOT_ALLOWED, ""),
             "/ready" if draining => plain(StatusCode::SERVICE_UNAVAILABLE, "draining\n"),
--- a/src/bin/granitethread/fleet.rs
+++ b/src/bin/granitethread/fleet.rs
@@ -89,7 +89,7 @@
         if users.told_position != position {
             users.told_position = position;
             if users.subsets {
-                users.driver.neighbours(position);
+                users.driver.set_gateway_position(position);
             }
             if let Some(callers) = &users.callers {
                 callers.set(Some(position.map_or(users.settings, |(_, gateways)| gateways)));
@@ -97,7 +97,7 @@
         }
         if users.told_planners != planners {
             users.told_planners.clone_from(&planners);
-            users.driver.planners(planners);
+            users.driver.set_planner_liveness(planners);
         }
     }
 
--- a/src/bin/granitethread/main.rs
+++ b/src/bin/granitethread/main.rs
@@ -329,7 +329,7 @@
         let callers = callers.clone();
         spawn_local(discovery::watch(address, held, pace.fork(), callers, move |news| match news {
             News::List(scope, list) => driver.apply_list(scope, list),
-            News::Failed(what) => driver.list_failed(what),
+            News::Failed(what) => driver.discovery_failed(what),
         }))
     };
     let mut watch = begin(address, held);
--- a/src/bin/granitethread/wire.rs
+++ b/src/bin/granitethread/wire.rs
@@ -3,7 +3,7 @@
 use granitehub::{Ending, Load, Name};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_ENCODING, CONTENT_TYPE};
 use hyper::Response;
-use proxy::backends::{Content, Outcome, Outgoing, Served, Wire};
+use proxy::backends::{Content, Outcome, Outgoing, Served, UpstreamProtocol};
 use serde::Deserialize;
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
     pub most_units: f64,
 }
 
-impl Wire for Backward {
-    fn stamp(&self, headers: &mut HeaderMap, wait: Duration, _: &Name) {
+impl UpstreamProtocol for Backward {
+    fn set_attempt_headers(&self, headers: &mut HeaderMap, wait: Duration, _: &Name) {
         if let Ok(wait) = HeaderValue::try_from(format!("{:.3}", wait.as_secs_f64())) {
             headers.insert("request-timeout", wait);
         }
