--- a/crates/control/control-node/src/quorum_contact.rs
+++ b/crates/control/control-node/src/quorum_contact.rs
@@ -16,9 +16,9 @@
     pub fn last_quorum_contact(&mut self, now: Time) -> Option<Time> {
         self.now = now;
         if let Some(contact_at) = self.contact_as_leader() {
-            self.quorum_contact.prove(contact_at);
+            self.quorum_contact.record_contact(contact_at);
         }
-        self.quorum_contact.proven_at()
+        self.quorum_contact.last_contact()
     }
 
     /// Returns the age of the latest proven quorum contact; [`Time::MAX`] if there was none.
@@ -45,7 +45,7 @@
         self.next_contact_request = self.now + REQUEST_INTERVAL;
         if self.has_defect(Defect::HeartbeatCountsAsContact) {
             if let Some(contact_at) = self.leadership.quorum_contact {
-                self.quorum_contact.prove(contact_at);
+                self.quorum_contact.record_contact(contact_at);
             }
         }
         if let Some(leader) = self.leadership.leader.as_ref().filter(|_| !self.leadership.is_leader) {
@@ -62,7 +62,7 @@
         let Some(contact_at) = self.contact_as_leader() else { return };
         let age = self.now.saturating_sub(contact_at);
         let commit_index = self.quorum_contact.applied_index();
-        self.send_to(from, ControlMessage::ContactResponse { number, age, commit_index });
+        self.send_to(from, ControlMessage::ContactResponse { number, age_ns: age, commit_index });
     }
 
     /// Returns whether contact with a quorum is recent enough to acknowledge heartbeats and start drains.
--- a/crates/control/control-node/tests/isolated_node.rs
+++ b/crates/control/control-node/tests/isolated_node.rs
@@ -91,7 +91,7 @@
                 node.on_control_message(
                     now,
                     &leader,
-                    ControlMessage::ContactResponse { number, age: 0, commit_index: 0 },
+                    ControlMessage::ContactResponse { number, age_ns: 0, commit_index: 0 },
                 );
             }
         }
