--- a/crates/control/control-state/src/applied_versions.rs
+++ b/crates/control/control-state/src/applied_versions.rs
@@ -1,22 +1,23 @@
-//! Which configurations have been applied: a digest of each, the latest [`MAX_APPLIED_VERSIONS`] of them.
+//! Digests of the last [`MAX_APPLIED_VERSIONS`] applied configurations, by which a configuration that is sent again is
+//! recognized.
 
 use configuration::Version;
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use std::collections::VecDeque;
 
-/// So many configurations are recognised when they are sent again: two days of 1,000 changes. 20 bytes each in memory, 31 at
-/// most in an encoded state.
+/// Number of applied configurations that are recognized when they are sent again: two days at 1,000 changes a day. Each
+/// takes 20 bytes in memory and about 31 in an encoded state.
 pub const MAX_APPLIED_VERSIONS: usize = 2048;
 
 /// The first half of the SHA-256 of the bytes that the operator sent.
 pub type BodyDigest = [u8; 16];
 
-/// The digest of a configuration's bytes.
+/// Returns the digest of a configuration's bytes.
 pub fn body_digest(body: &[u8]) -> BodyDigest {
-    let whole = Sha256::digest(body);
+    let sha256 = Sha256::digest(body);
     let mut digest = BodyDigest::default();
-    digest.copy_from_slice(&whole[..16]);
+    digest.copy_from_slice(&sha256[..16]);
     digest
 }
 
@@ -26,26 +27,26 @@
     digest: BodyDigest,
 }
 
-/// In the order in which they were applied, so that versions rise.
+/// Applied versions in the order in which they were applied, hence in ascending order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub(crate) struct AppliedVersions(VecDeque<AppliedVersion>);
 
 impl AppliedVersions {
-    /// The version under which bytes of this digest were applied.
+    /// Returns the version under which the configuration with this digest was applied.
     pub fn version_of(&self, digest: &BodyDigest) -> Option<Version> {
-        // The latest are asked for most.
-        let mut latest_first = self.0.iter().rev();
-        latest_first.find(|applied| applied.digest == *digest).map(|applied| applied.version)
+        // Most lookups are for recent versions.
+        let mut newest_first = self.0.iter().rev();
+        newest_first.find(|applied| applied.digest == *digest).map(|applied| applied.version)
     }
 
-    /// Whether one of this version may have been applied and be forgotten.
+    /// Whether a configuration of this version may have been applied and since been dropped from this list.
     pub fn may_have_forgotten(&self, version: Version) -> bool {
         let oldest = self.0.front().filter(|_| self.0.len() >= MAX_APPLIED_VERSIONS);
         oldest.is_some_and(|oldest| version < oldest.version)
     }
 
-    /// A configuration of this digest was applied.
+    /// Records that a configuration with this digest was applied.
     pub fn record(&mut self, version: Version, digest: BodyDigest) {
         self.0.push_back(AppliedVersion { version, digest });
         if self.0.len() > MAX_APPLIED_VERSIONS {
--- a/crates/control/control-state/src/change_decision.rs
+++ b/crates/control/control-state/src/change_decision.rs
@@ -1,30 +1,30 @@
-//! What becomes of an operator's change of the configuration. A pure function.
+//! Decides how to handle an operator's change of the configuration. A pure function.
 //!
-//! The caller makes sure that the state holds all that was committed when the change came, and has a
-//! [`ChangeDecision::Propose`] committed.
+//! The caller ensures that the state includes everything that was committed when the change arrived, and proposes the
+//! command of a [`ChangeDecision::Propose`].
 
 use crate::command::Command;
 use crate::state::{ApplyOutcome, ControlState};
 use configuration::{ConfigurationError, Version};
 use displaydoc::Display;
 
-/// What a sound configuration says of its versions.
+/// Versions that a valid configuration declares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DeclaredVersions {
-    /// The version that it replaces; 0 before the first.
+    /// Version of the configuration that it replaces; 0 if there is none.
     pub base: Version,
-    /// Its own version.
+    /// Version of the configuration itself.
     pub version: Version,
 }
 
-/// Why a change is refused for good.
+/// Reason why a change is permanently rejected. The comments of the variants are their messages.
 #[derive(Clone, Debug, Display, PartialEq)]
 pub enum InvalidChange {
     /// {0}
     Configuration(ConfigurationError),
     /// its version is not greater than {current:08x}
     VersionNotGreater {
-        /// The version in force.
+        /// Version of the current configuration.
         current: Version,
     },
 }
@@ -38,29 +38,29 @@
     }
 }
 
-/// What becomes of a change.
+/// How to handle a change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeDecision {
-    /// It has been applied, now or earlier.
+    /// The change has been applied, now or earlier.
     Acknowledged,
-    /// It is not sound; it has not been applied and never will be as long as this is so.
+    /// The change is invalid. It has not been applied, and will not be as long as it is invalid.
     Invalid(InvalidChange),
-    /// It is based on another version than the current one, and has not been applied.
+    /// The change is not based on the current version, and has not been applied.
     Conflict {
-        /// The version in force.
+        /// Version of the current configuration.
         current: Version,
     },
-    /// Nobody can say: it may be in force, or come to be.
+    /// It is not known whether the change has been or will be applied.
     Unknown,
-    /// It is to be committed; [`ChangeDecision::after_commit`] tells what came of it.
+    /// The command is to be proposed; [`ChangeDecision::after_commit`] returns the outcome.
     Propose(Command),
 }
 
-/// Decides on a change that came as `body`. `read` validates it, and is called only if that matters.
+/// Decides on the change with these bytes. `read` validates them, and is called only if the decision depends on it.
 ///
-/// The order of the checks: what was applied is acknowledged, whatever a later program thinks of its soundness; what is not
-/// sound is invalid on any base; then the base. A change that may have been applied so long ago that its digest is forgotten
-/// is neither acknowledged nor refused.
+/// Checks are made in this order: a change that was already applied is acknowledged, even if a later version of the program
+/// considers it invalid; an invalid change is rejected whatever its base; the base is checked last. A change that may have
+/// been applied so long ago that its digest is no longer kept is neither acknowledged nor rejected.
 pub fn decide_change(
     state: &ControlState,
     body: &[u8],
@@ -75,7 +75,7 @@
     };
     let current = state.version();
     if base == current && version <= current {
-        // Nobody ever applied one like this: at its base it was not later than the current one.
+        // No node can ever have applied it: its version is not greater than that of its base.
         return ChangeDecision::Invalid(InvalidChange::VersionNotGreater { current });
     }
     if base == current {
@@ -88,8 +88,8 @@
 }
 
 impl ChangeDecision {
-    /// What came of a proposal once it is committed, with the version in force behind it; none: it is not known whether it
-    /// was or will be.
+    /// Returns the outcome of a proposal: `applied` is the effect of the committed command, or `None` if it is not known
+    /// whether the proposal was or will be committed; `current` is the version after it.
     pub fn after_commit(applied: Option<&ApplyOutcome>, current: Version) -> ChangeDecision {
         match applied {
             Some(ApplyOutcome::Changed | ApplyOutcome::Unchanged) => ChangeDecision::Acknowledged,
--- a/crates/control/control-state/src/configuration_receiver.rs
+++ b/crates/control/control-state/src/configuration_receiver.rs
@@ -1,5 +1,5 @@
-//! The gateway's side of a configuration's transfer: what it holds at the end is byte for byte what was committed, or it
-//! asks for the whole.
+//! Receiving side of a configuration transfer, in a gateway. A completed transfer yields exactly the committed bytes,
+//! checked by digest; if a delta does not apply, the gateway requests the full configuration.
 
 use crate::applied_versions::body_digest;
 use crate::configuration_transfer::{ConfigurationChunk, TransferHeader};
@@ -8,30 +8,30 @@
 use crate::{LogIndex, MAX_CONFIGURATION_BYTES};
 use std::sync::Arc;
 
-/// What has come of a chunk.
+/// Result of receiving a chunk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReceiveOutcome {
     /// More chunks follow.
     Incomplete {
-        /// The index that the transfer leads to.
+        /// Log index of the configuration that is being transferred.
         index: LogIndex,
-        /// Bytes that have arrived.
+        /// Bytes received so far.
         bytes: u32,
     },
-    /// All bytes have arrived.
+    /// All chunks have been received.
     Complete {
-        /// What they come to.
+        /// The configuration that they yield.
         configuration: Arc<CommittedConfiguration>,
-        /// Bytes that have arrived.
+        /// Bytes received.
         bytes: u32,
     },
-    /// The configuration that the gateway holds is not the delta's base: the whole is needed.
+    /// The delta does not apply to the configuration that the gateway holds; the full configuration is needed.
     BaseMissing,
-    /// These are no chunks of one transfer.
+    /// The chunks do not form a valid transfer.
     Invalid,
 }
 
-/// Puts chunks together, on one connection.
+/// Reassembles the chunks that are received on one connection.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationReceiver(Option<IncomingConfiguration>);
 
@@ -42,15 +42,15 @@
 }
 
 impl ConfigurationReceiver {
-    /// Whether a transfer has begun and is not complete.
+    /// Whether a transfer is in progress.
     pub fn is_receiving(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Takes a chunk; `held` is the configuration that the gateway holds.
+    /// Receives a chunk. `current` is the configuration that the gateway holds.
     pub fn receive(
         &mut self,
-        held: Option<&CommittedConfiguration>,
+        current: Option<&CommittedConfiguration>,
         chunk: ConfigurationChunk,
     ) -> ReceiveOutcome {
         if let Some(header) = chunk.header {
@@ -67,19 +67,20 @@
             return ReceiveOutcome::Incomplete { index, bytes };
         }
         match self.0.take() {
-            Some(complete) => complete.finish(held),
+            Some(complete) => complete.finish(current),
             None => ReceiveOutcome::Invalid,
         }
     }
 }
 
 impl IncomingConfiguration {
-    fn finish(self, held: Option<&CommittedConfiguration>) -> ReceiveOutcome {
+    /// Builds the configuration from all of the transfer's bytes and checks its digest.
+    fn finish(self, current: Option<&CommittedConfiguration>) -> ReceiveOutcome {
         let IncomingConfiguration { header, bytes } = self;
         let body = match header.base_index {
             None => Some(bytes),
             Some(base_index) => {
-                let base = held.filter(|held| held.index == base_index);
+                let base = current.filter(|current| current.index == base_index);
                 let delta = Delta::decode(&bytes);
                 base.zip(delta).and_then(|(base, delta)| delta.apply(&base.body, MAX_CONFIGURATION_BYTES))
             }
--- a/crates/control/control-state/src/configuration_transfer.rs
+++ b/crates/control/control-state/src/configuration_transfer.rs
@@ -1,35 +1,36 @@
-//! A configuration on its way to a gateway: whole, or as deltas to one that the gateway holds, in chunks, so that other
-//! updates go between them and a slow link is never filled for long.
+//! Messages by which a configuration is transferred to a gateway, in full or as deltas to the one that the gateway holds.
+//!
+//! A transfer is split into chunks, so that other updates can be interleaved and a slow link is never blocked for long.
 
 use crate::applied_versions::BodyDigest;
 use crate::LogIndex;
 use configuration::Version;
 use serde::{Deserialize, Serialize};
 
-/// Bytes of one chunk.
+/// Maximum number of bytes in a chunk.
 pub const CHUNK_BYTES: usize = 16 << 10;
 
-/// What the chunks that follow come to.
+/// Description of a transfer, sent with its first chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferHeader {
-    /// The chunks are the delta to the configuration of this index; none: they are the whole.
+    /// Index of the configuration that the transferred delta applies to; `None` for a full configuration.
     pub base_index: Option<LogIndex>,
-    /// The configuration's index in the log.
+    /// Log index of the transferred configuration.
     pub index: LogIndex,
-    /// The configuration's version.
+    /// Version of the transferred configuration.
     pub version: Version,
-    /// Of the configuration's bytes.
+    /// Digest of the configuration's bytes.
     pub digest: BodyDigest,
-    /// Bytes of all chunks together.
+    /// Total number of bytes in all chunks.
     pub length: u32,
 }
 
-/// A chunk, with a header if it is the first.
+/// One chunk of a transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationChunk {
-    /// Present in the first chunk.
+    /// The transfer's header, in the first chunk only.
     pub header: Option<TransferHeader>,
-    /// The chunk.
+    /// The chunk's bytes.
     #[serde(with = "serde_bytes")]
     pub bytes: Vec<u8>,
 }
--- a/crates/control/control-state/src/delta.rs
+++ b/crates/control/control-state/src/delta.rs
@@ -1,23 +1,25 @@
-//! The delta from one configuration to the next, as bytes: runs copied from the old one, and new bytes between them.
+//! A binary delta between two configurations: runs copied from the old one, and new bytes inserted between them.
 //!
-//! Whoever has the old one and applies the delta has the new one, byte for byte; a digest says whether that is so. Nothing
-//! here reads what the bytes mean, so that any two will do: JSON whose objects keep their bytes gives a short delta.
+//! Applying the delta to the old configuration yields the new one byte for byte, which the caller verifies by a digest. The
+//! bytes are not interpreted, so that any two byte strings work. The delta is short for JSON in which most objects keep
+//! their bytes.
 
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::ops::Range;
 
-/// Old bytes are split into runs behind each of these: the end of a JSON object.
+/// Byte after which a run ends: the end of a JSON object.
 const RUN_END: u8 = b'}';
-/// A run that is shorter than this is inserted rather than copied.
+/// Shorter copies are inserted instead.
 const MIN_COPY_BYTES: usize = 24;
 
-/// Stored under the names of state format 1.
+/// One step of a delta. Variants are stored under their names in state format 1.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 enum Edit {
-    /// Bytes of the old configuration.
+    /// Copies bytes of the old configuration.
     #[serde(rename = "Old")]
     Copy { offset: u32, length: u32 },
+    /// Inserts new bytes.
     #[serde(rename = "New")]
     Insert {
         #[serde(with = "serde_bytes")]
@@ -25,13 +27,13 @@
     },
 }
 
-/// How to get from one configuration to the next.
+/// The edits that turn one configuration into the next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Delta(Vec<Edit>);
 
 impl Delta {
-    /// The delta from `old` to `new`.
+    /// Computes the delta from `old` to `new`.
     pub fn between(old: &[u8], new: &[u8]) -> Delta {
         let old_runs = index_runs(old);
         let mut builder = DeltaBuilder::default();
@@ -56,7 +58,7 @@
         Delta(builder.edits)
     }
 
-    /// The new bytes, at most `max_bytes` of them; none if this is no delta to these old ones.
+    /// Applies the delta to `old`. Returns `None` if it does not fit `old` or yields more than `max_bytes`.
     pub fn apply(&self, old: &[u8], max_bytes: usize) -> Option<Vec<u8>> {
         let mut new = Vec::new();
         for edit in &self.0 {
@@ -75,18 +77,18 @@
         Some(new)
     }
 
-    /// Its bytes in the log and in messages.
+    /// Encodes the delta for the log and for messages.
     pub fn encode(&self) -> Vec<u8> {
-        rmp_serde::to_vec(self).expect("a delta has no value that cannot be encoded")
+        rmp_serde::to_vec(self).expect("all values of a delta can be encoded")
     }
 
-    /// The delta that these bytes are, if they are one.
+    /// Decodes a delta; `None` if the bytes are not one.
     pub fn decode(bytes: &[u8]) -> Option<Delta> {
         rmp_serde::from_slice(bytes).ok()
     }
 }
 
-/// Where each run of these bytes first begins.
+/// Returns the offset of the first occurrence of each run.
 fn index_runs(bytes: &[u8]) -> HashMap<&[u8], usize> {
     let mut offsets = HashMap::new();
     let mut offset = 0;
@@ -101,17 +103,18 @@
     bytes.split_inclusive(|byte| *byte == RUN_END)
 }
 
+/// Collects edits, merging adjacent runs.
 #[derive(Default)]
 struct DeltaBuilder {
     edits: Vec<Edit>,
-    /// New bytes that no edit holds yet.
+    /// New bytes that are not yet part of an edit.
     inserted: Vec<u8>,
-    /// Old bytes behind them that no edit holds yet.
+    /// Range of old bytes that follow `inserted` and are not yet part of an edit.
     copied: Range<usize>,
 }
 
 impl DeltaBuilder {
-    /// The copied run goes on no further.
+    /// Ends the current copy: adds it as an edit, or to `inserted` if it is too short.
     fn end_copy(&mut self, old: &[u8]) {
         let copied = std::mem::take(&mut self.copied);
         if copied.len() < MIN_COPY_BYTES {
@@ -121,6 +124,7 @@
         self.edits.push(Edit::Copy { offset: copied.start as u32, length: copied.len() as u32 });
     }
 
+    /// Adds the pending new bytes as an edit.
     fn flush_insert(&mut self) {
         if !self.inserted.is_empty() {
             self.edits.push(Edit::Insert { bytes: std::mem::take(&mut self.inserted) });
--- a/crates/control/control-state/src/delta_history.rs
+++ b/crates/control/control-state/src/delta_history.rs
@@ -1,4 +1,4 @@
-//! The latest deltas between configurations, for all gateways: how each comes from the one that it holds to the newest.
+//! The latest deltas between configurations, by which gateways are brought from the one that they hold to the newest.
 
 use crate::applied_versions::{body_digest, BodyDigest};
 use crate::configuration_transfer::TransferHeader;
@@ -9,12 +9,12 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Deltas that are kept, in bytes: a gateway that is further behind gets the whole.
+/// Maximum total length of the deltas that are kept. A gateway that is further behind gets the full configuration.
 const MAX_DELTA_HISTORY_BYTES: usize = 256 << 10;
-/// Deltas that are kept, in number.
-const MAX_DELTA_HISTORY: usize = 256;
+/// Maximum number of deltas that are kept.
+const MAX_DELTA_HISTORY_STEPS: usize = 256;
 
-/// The delta from one configuration to the next.
+/// A delta from one configuration to the next, with the header for its transfer.
 #[derive(Clone, Debug)]
 pub(crate) struct DeltaStep {
     base_index: LogIndex,
@@ -22,20 +22,21 @@
     pub delta: Arc<Vec<u8>>,
 }
 
-/// The latest deltas, the oldest first.
+/// The latest deltas, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct DeltaHistory {
     steps: VecDeque<DeltaStep>,
     bytes: usize,
-    /// The digest of the newest configuration that was sent whole: the same for all who get it.
-    newest_digest: Cell<Option<(LogIndex, BodyDigest)>>,
+    /// Index and digest of the configuration for which a header was last built, so that its body is not hashed again for each
+    /// gateway.
+    cached_digest: Cell<Option<(LogIndex, BodyDigest)>>,
 }
 
 impl DeltaHistory {
-    /// The state has gone from one configuration to the next.
+    /// Records that configuration `old` was replaced by `new`. The delta is dropped if it is not shorter than `new`.
     pub fn record(&mut self, old: &CommittedConfiguration, new: &CommittedConfiguration) {
         if self.steps.back().is_some_and(|step| step.header.index != old.index) {
-            // The earlier deltas do not lead to `old`.
+            // The recorded deltas do not lead to `old`.
             *self = DeltaHistory::default();
         }
         let delta = Delta::between(&old.body, &new.body).encode();
@@ -49,14 +50,14 @@
         };
         self.bytes += delta.len();
         self.steps.push_back(DeltaStep { base_index: old.index, header, delta: Arc::new(delta) });
-        while self.bytes > MAX_DELTA_HISTORY_BYTES || self.steps.len() > MAX_DELTA_HISTORY {
+        while self.bytes > MAX_DELTA_HISTORY_BYTES || self.steps.len() > MAX_DELTA_HISTORY_STEPS {
             let Some(oldest) = self.steps.pop_front() else { break };
             self.bytes -= oldest.delta.len();
         }
     }
 
-    /// The first step from the configuration of `base_index` to the newest, if deltas lead there and are shorter than the
-    /// whole.
+    /// Returns the first delta from the configuration at `base_index` to the newest, if deltas lead there and are shorter in
+    /// total than the full configuration.
     pub(crate) fn first_step(
         &self,
         base_index: LogIndex,
@@ -69,12 +70,12 @@
         self.steps.get(first).filter(|_| leads_to_newest && bytes < newest.body.len())
     }
 
-    /// The header of a configuration that is sent whole.
+    /// Returns the header for the transfer of a full configuration.
     pub(crate) fn full_header(&self, configuration: &CommittedConfiguration) -> TransferHeader {
         let index = configuration.index;
-        let known = self.newest_digest.get().filter(|(known_index, _)| *known_index == index);
-        let digest = known.map_or_else(|| body_digest(&configuration.body), |(_, digest)| digest);
-        self.newest_digest.set(Some((index, digest)));
+        let cached = self.cached_digest.get().filter(|(cached_index, _)| *cached_index == index);
+        let digest = cached.map_or_else(|| body_digest(&configuration.body), |(_, digest)| digest);
+        self.cached_digest.set(Some((index, digest)));
         TransferHeader {
             base_index: None,
             index,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Bytes that are kept.
+    /// Total length of the deltas that are kept.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
--- a/crates/control/control-state/src/lib.rs
+++ b/crates/control/control-state/src/lib.rs
@@ -1,6 +1,7 @@
-//! The replicated state of the control plane: the configuration in force, draining backends, gateways, expired trials.
+//! The replicated state machine of the control plane: the current configuration, draining backends, gateways and expired
+//! trials.
 //!
-//! Every control node applies the same commands in the same order, so that all hold the same state. No I/O.
+//! Every control node applies the same commands in the same order, so that all nodes hold the same state. No I/O.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -24,8 +25,8 @@
 pub use delta_history::DeltaHistory;
 pub use state::{ApplyOutcome, CommittedConfiguration, ControlState};
 
-/// An index of the replicated log.
+/// An index in the replicated log.
 pub type LogIndex = u64;
 
-/// The longest configuration that a delta may come to, in bytes.
+/// Maximum length of a configuration that is transferred or that results from a delta.
 const MAX_CONFIGURATION_BYTES: usize = 16 << 20;
--- a/crates/control/control-state/src/state.rs
+++ b/crates/control/control-state/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state itself.
+//! The replicated state and how commands change it.
 
 #[cfg(test)]
 mod tests;
@@ -12,68 +12,69 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The format of the encoded state.
+/// Version of the encoded state's format.
 const STATE_FORMAT: u32 = 1;
-/// Draining backends that are remembered: ids are never used again, and the oldest have long ended.
+/// Maximum number of draining backends that are kept. Ids are never reused, and the oldest backends have long since ended.
 const MAX_DRAINING: usize = 4096;
-/// Gateways that are known. More are a fault of the platform.
+/// Maximum number of gateways. More indicate a fault of the platform.
 const MAX_GATEWAYS: usize = 4096;
-/// Expired trials that are remembered, the latest ones.
+/// Maximum number of expired trials that are kept, the most recent ones.
 const MAX_EXPIRED_TRIALS: usize = 4096;
 
-/// What a command did.
+/// Effect of applying a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
     /// The state has changed.
     Changed,
-    /// The state was so already.
+    /// The command had no effect.
     Unchanged,
-    /// A configuration was based on another version than the current one, or is not later than it; it was not applied.
+    /// A configuration was not applied: its base is not the current version, its version is not greater than the current one,
+    /// or its delta does not apply.
     Conflict,
 }
 
-/// A configuration that is committed.
+/// A committed configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommittedConfiguration {
-    /// The version that it declares.
+    /// Version that the configuration declares.
     pub version: Version,
-    /// Its entry's index in the log.
+    /// Index of the log entry by which it was committed.
     pub index: LogIndex,
-    /// The bytes that the operator sent.
+    /// Bytes of the configuration, exactly as the operator sent them.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct ExpiredTrial {
-    /// In Unix milliseconds.
+    /// End of the trial in Unix milliseconds.
     ends_at: u64,
-    /// Of the entry by which it expired.
+    /// Index of the log entry by which it expired.
     index: LogIndex,
 }
 
-/// The replicated state. Its fields are stored in this order.
+/// The replicated state. Its fields are stored by position, in this order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlState {
     format: u32,
     configuration: Option<Arc<CommittedConfiguration>>,
     applied_versions: AppliedVersions,
-    /// Draining backends, each with the index of the entry by which it drains.
+    /// Ids of draining backends, each with the index of the log entry that drained it.
     draining: BTreeMap<String, LogIndex>,
     gateways: BTreeSet<String>,
-    /// The latest end of each tenant's trial that has passed. An earlier version, which knows of none, reads a state without
-    /// any.
+    /// By tenant, the last end of its trial that has passed. Omitted from the encoded state when empty, so that an earlier
+    /// version without this field can read it.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     expired_trials: BTreeMap<String, ExpiredTrial>,
 }
 
 impl ControlState {
-    /// The state before the first command.
+    /// Creates the state before the first command.
     pub fn new() -> Self {
         ControlState { format: STATE_FORMAT, ..ControlState::default() }
     }
 
-    /// The state that these bytes are, if they are one; the first state for no bytes.
+    /// Decodes a state: the initial state if there are no bytes, `None` if they are not a state of this format.
     pub fn decode(bytes: &[u8]) -> Option<ControlState> {
         if bytes.is_empty() {
             return Some(ControlState::new());
@@ -81,67 +82,67 @@
         rmp_serde::from_slice(bytes).ok().filter(|state: &ControlState| state.format == STATE_FORMAT)
     }
 
-    /// Its bytes in a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn encode(&self) -> Vec<u8> {
-        rmp_serde::to_vec(self).expect("the state has no value that cannot be encoded")
+        rmp_serde::to_vec(self).expect("all values of the state can be encoded")
     }
 
-    /// The configuration in force.
+    /// The current configuration.
     pub fn configuration(&self) -> Option<&Arc<CommittedConfiguration>> {
         self.configuration.as_ref()
     }
 
-    /// The version in force; 0 before the first.
+    /// Version of the current configuration; 0 if there is none.
     pub fn version(&self) -> Version {
         self.configuration.as_ref().map_or(0, |current| current.version)
     }
 
-    /// Whether exactly this configuration has been applied, now or some time ago.
+    /// Whether a configuration with exactly these bytes has been applied, recently enough for its digest to be kept.
     pub fn is_applied(&self, body: &[u8]) -> bool {
         self.applied_versions.version_of(&body_digest(body)).is_some()
     }
 
-    /// Whether exactly this configuration has been applied under this version.
+    /// Whether a configuration with exactly these bytes has been applied under this version.
     pub fn is_applied_as(&self, version: Version, body: &[u8]) -> bool {
         self.applied_versions.version_of(&body_digest(body)) == Some(version)
     }
 
-    /// Whether a configuration of this version may have been applied so long ago that its digest is forgotten.
+    /// Whether a configuration of this version may have been applied so long ago that its digest is no longer kept.
     pub fn may_have_forgotten_version(&self, version: Version) -> bool {
         self.applied_versions.may_have_forgotten(version)
     }
 
-    /// Whether this backend drains.
+    /// Whether this backend is draining.
     pub fn is_draining(&self, instance: &str) -> bool {
         self.draining.contains_key(instance)
     }
 
-    /// The ids of draining backends.
+    /// Ids of the draining backends.
     pub fn draining(&self) -> impl Iterator<Item = &String> {
         self.draining.keys()
     }
 
-    /// The gateways' names.
+    /// Names of the gateways.
     pub fn gateways(&self) -> &BTreeSet<String> {
         &self.gateways
     }
 
-    /// Whether [`Command::AddGateway`] would change anything.
+    /// Whether [`Command::AddGateway`] would add this gateway: it is unknown, and there is room for it.
     pub fn can_add_gateway(&self, name: &str) -> bool {
         self.gateways.len() < MAX_GATEWAYS && !self.gateways.contains(name)
     }
 
-    /// Whether this end of the tenant's trial has passed.
+    /// Whether the tenant's trial has expired with this end.
     pub fn is_trial_expired(&self, tenant: &str, ends_at: u64) -> bool {
         self.expired_trials.get(tenant).is_some_and(|trial| trial.ends_at == ends_at)
     }
 
-    /// The index of the latest entry by which a trial expired; 0 before the first.
+    /// Index of the latest log entry by which a trial expired; 0 if there is none.
     pub fn last_expiry_index(&self) -> LogIndex {
         self.expired_trials.values().map(|trial| trial.index).max().unwrap_or(0)
     }
 
-    /// Applies the command that is committed at `index`.
+    /// Applies the command that was committed at `index`.
     pub fn apply(&mut self, index: LogIndex, command: &Command) -> ApplyOutcome {
         match command {
             Command::ReplaceConfiguration { base, version, body } => {
@@ -160,14 +161,15 @@
         }
     }
 
-    /// `body` builds the configuration from the current one; every node holds the same, so that it fails on all or none.
+    /// Replaces the current configuration by the one that `build_body` derives from it. Every node holds the same current
+    /// configuration, so that `build_body` fails on all nodes or on none.
     fn replace_configuration(
         &mut self,
         index: LogIndex,
         base: Version,
         version: Version,
         digest: BodyDigest,
-        body: impl FnOnce(Option<&CommittedConfiguration>) -> Option<Vec<u8>>,
+        build_body: impl FnOnce(Option<&CommittedConfiguration>) -> Option<Vec<u8>>,
     ) -> ApplyOutcome {
         if self.applied_versions.version_of(&digest) == Some(version) {
             return ApplyOutcome::Unchanged;
@@ -175,7 +177,7 @@
         if base != self.version() || version <= self.version() {
             return ApplyOutcome::Conflict;
         }
-        let Some(body) = body(self.configuration.as_deref()) else { return ApplyOutcome::Conflict };
+        let Some(body) = build_body(self.configuration.as_deref()) else { return ApplyOutcome::Conflict };
         self.configuration = Some(Arc::new(CommittedConfiguration { version, index, body }));
         self.applied_versions.record(version, digest);
         ApplyOutcome::Changed
@@ -220,9 +222,9 @@
     }
 }
 
-/// Removes the entry of the lowest log index.
-fn remove_oldest<T>(entries: &mut BTreeMap<String, T>, index: impl Fn(&T) -> LogIndex) {
-    let oldest = entries.iter().min_by_key(|(_, entry)| index(entry)).map(|(name, _)| name.clone());
+/// Removes the entry with the lowest log index.
+fn remove_oldest<T>(entries: &mut BTreeMap<String, T>, index_of: impl Fn(&T) -> LogIndex) {
+    let oldest = entries.iter().min_by_key(|(_, entry)| index_of(entry)).map(|(name, _)| name.clone());
     if let Some(name) = oldest {
         entries.remove(&name);
     }
