--- a/crates/control/change-log/src/lib.rs
+++ b/crates/control/change-log/src/lib.rs
@@ -1,7 +1,7 @@
-//! A bounded log of changes with offsets, and proofs of contact with a quorum. No I/O.
+//! A bounded log of changes that subscribers follow by offset, and proofs of contact with a quorum. No I/O.
 //!
-//! Whoever follows the log from an offset on gets all changes since, as long as the log still holds them; else it takes a
-//! snapshot and follows from there.
+//! A subscriber gets all changes since its offset as long as the log still holds them. Otherwise it gets a snapshot and
+//! follows the log from the snapshot's offset.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,20 +12,20 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// An offset in one incarnation of a log.
+/// A position in one incarnation of a log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offset {
-    /// Drawn when the log begins, so that its lives are told apart.
+    /// Incarnation of the log, chosen when it starts empty. Offsets of different incarnations are not comparable.
     pub incarnation: u64,
-    /// How many changes stand before it.
+    /// Number of changes before this offset.
     pub position: u64,
 }
 
-/// The log: its latest changes.
+/// A log that keeps its latest changes.
 #[derive(Clone, Debug)]
 pub struct ChangeLog<T> {
     incarnation: u64,
-    /// The position of the first change that is held.
+    /// Position of the oldest change that is kept.
     first_position: u64,
     changes: VecDeque<T>,
     capacity: usize,
@@ -38,18 +38,18 @@
 }
 
 impl<T> ChangeLog<T> {
-    /// An empty log that holds so many changes.
+    /// Creates an empty log that keeps up to `capacity` changes, at least one.
     pub fn new(incarnation: u64, capacity: usize) -> Self {
         ChangeLog { incarnation, first_position: 0, changes: VecDeque::new(), capacity: capacity.max(1) }
     }
 
-    /// The offset behind the last change.
+    /// Returns the offset after the last change.
     pub fn end(&self) -> Offset {
         let position = self.first_position + self.changes.len() as u64;
         Offset { incarnation: self.incarnation, position }
     }
 
-    /// Appends a change; the oldest goes if the log is full.
+    /// Appends a change, and drops the oldest if the log is full.
     pub fn append(&mut self, change: T) {
         if self.changes.len() == self.capacity {
             self.changes.pop_front();
@@ -58,50 +58,50 @@
         self.changes.push_back(change);
     }
 
-    /// The changes since an offset; none if they are not held any more or the offset is another incarnation's, so that a
-    /// snapshot is needed.
+    /// Returns the changes since an offset. `None` if some of them are no longer kept or the offset is of another
+    /// incarnation, so that a snapshot is needed.
     pub fn since(&self, offset: Offset) -> Option<impl Iterator<Item = &T>> {
-        let is_held = (self.first_position..=self.end().position).contains(&offset.position);
-        if offset.incarnation != self.incarnation || !is_held {
+        let is_in_range = (self.first_position..=self.end().position).contains(&offset.position);
+        if offset.incarnation != self.incarnation || !is_in_range {
             return None;
         }
         Some(self.changes.range((offset.position - self.first_position) as usize..))
     }
 }
 
-/// What a follower does with changes that it is sent.
+/// How a subscriber handles changes that it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangesOutcome {
-    /// It applies all but the first so many, which it knows.
+    /// Skip this many changes, which are already applied, and apply the others.
     SkipFirst(usize),
-    /// Some are missing before them: it needs a snapshot.
+    /// Changes before them are missing; a snapshot is needed.
     NeedsSnapshot,
 }
 
-/// How far a follower has come.
+/// Progress of a subscriber in a log.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SubscriberPosition {
     offset: Option<Offset>,
 }
 
 impl SubscriberPosition {
-    /// From where it goes on; none before its first snapshot.
+    /// Offset from which the subscriber continues; `None` before its first snapshot.
     pub fn offset(&self) -> Option<Offset> {
         self.offset
     }
 
-    /// It has taken a snapshot as of this offset.
+    /// Handles a snapshot that was taken at this offset.
     pub fn on_snapshot(&mut self, offset: Offset) {
         self.offset = Some(offset);
     }
 
-    /// It is sent so many changes that stand from this offset on.
-    pub fn on_changes(&mut self, from: Offset, count: usize) -> ChangesOutcome {
+    /// Handles the receipt of `count` changes that begin at offset `start`.
+    pub fn on_changes(&mut self, start: Offset, count: usize) -> ChangesOutcome {
         match &mut self.offset {
-            Some(offset) if offset.incarnation == from.incarnation && from.position <= offset.position => {
-                let known = ((offset.position - from.position) as usize).min(count);
-                offset.position = offset.position.max(from.position + count as u64);
-                ChangesOutcome::SkipFirst(known)
+            Some(offset) if offset.incarnation == start.incarnation && start.position <= offset.position => {
+                let already_applied = ((offset.position - start.position) as usize).min(count);
+                offset.position = offset.position.max(start.position + count as u64);
+                ChangesOutcome::SkipFirst(already_applied)
             }
             _ => ChangesOutcome::NeedsSnapshot,
         }
--- a/crates/control/change-log/src/quorum_contact.rs
+++ b/crates/control/change-log/src/quorum_contact.rs
@@ -1,35 +1,36 @@
-//! When a node was last provably in contact with a quorum, and held all that was committed by then.
+//! Tracks when a node was last provably in contact with a quorum and held everything committed by then.
 //!
-//! To have heard the leader proves little: a message may have lain in a socket, and the log may be on its way. So a node
-//! sends numbered requests; the answer says how long before it a majority had answered the leader, and how far the log was
-//! committed then. It proves something once the log is applied up to there.
+//! A message from the leader alone proves little: it may have been delayed in a socket buffer, and log entries may still be
+//! in transit. A node therefore sends numbered requests. The response carries the age of the leader's last contact with a
+//! majority and the commit index at that time, and counts as a proof once the log is applied up to that index.
 
 use std::collections::VecDeque;
 
-/// Nanoseconds on the node's own steady clock.
+/// Nanoseconds on the node's own monotonic clock.
 pub type Time = u64;
 
-/// Requests, and proofs that wait for the log, which are remembered at once; the oldest give way.
+/// Maximum number of requests without a response, and of proofs that wait for the log. The oldest are dropped first.
 const MAX_OUTSTANDING: usize = 32;
 
+/// A request for a proof.
 #[derive(Clone, Copy, Debug)]
 struct Request {
     number: u64,
     sent_at: Time,
 }
 
-/// A proof that holds once the log is applied far enough.
+/// A proof of contact that becomes valid once the log is applied up to `commit_index`.
 #[derive(Clone, Copy, Debug)]
 struct UnappliedProof {
-    index: u64,
-    contact: Time,
+    commit_index: u64,
+    contact_at: Time,
 }
 
-/// What a node can prove of its contact with a quorum.
+/// Proven contact of a node with a quorum.
 #[derive(Clone, Debug, Default)]
 pub struct QuorumContact {
     last_request: u64,
-    /// Requests without an answer.
+    /// Requests without a response.
     requests: VecDeque<Request>,
     unapplied_proofs: VecDeque<UnappliedProof>,
     applied_index: u64,
@@ -37,55 +38,58 @@
 }
 
 impl QuorumContact {
-    /// A request goes out now: its number.
+    /// Records that a request is sent now, and returns its number.
     pub fn request(&mut self, now: Time) -> u64 {
         self.last_request += 1;
         push_bounded(&mut self.requests, Request { number: self.last_request, sent_at: now });
         self.last_request
     }
 
-    /// The answer to a request: a majority was in contact with the leader `age` before it, and all that was committed by
-    /// then stands up to `commit_index`.
+    /// Handles the response to a request: the leader's last contact with a majority was `age` before the response, and
+    /// everything committed by then is in the log up to `commit_index`.
     pub fn on_response(&mut self, number: u64, age: Time, commit_index: u64) {
-        let Some(n) = self.requests.iter().position(|request| request.number == number) else { return };
-        let Some(request) = self.requests.remove(n) else { return };
-        // It was answered after it was sent, so that the majority's contact is no older than this.
-        let Some(contact) = request.sent_at.checked_sub(age) else { return };
+        let Some(slot) = self.requests.iter().position(|request| request.number == number) else {
+            return;
+        };
+        let Some(request) = self.requests.remove(slot) else { return };
+        // The response was sent after the request, so that the contact was no earlier than this.
+        let Some(contact_at) = request.sent_at.checked_sub(age) else { return };
         if commit_index <= self.applied_index {
-            self.record_contact(contact);
+            self.record_contact(contact_at);
         } else {
-            push_bounded(&mut self.unapplied_proofs, UnappliedProof { index: commit_index, contact });
+            push_bounded(&mut self.unapplied_proofs, UnappliedProof { commit_index, contact_at });
         }
     }
 
-    /// The log is applied up to here.
+    /// Handles that the log has been applied up to `index`.
     pub fn on_applied(&mut self, index: u64) {
         self.applied_index = self.applied_index.max(index);
         let applied_index = self.applied_index;
-        let is_applied = |proof: &&UnappliedProof| proof.index <= applied_index;
-        let contact = self.unapplied_proofs.iter().filter(is_applied).map(|proof| proof.contact).max();
+        let is_applied = |proof: &&UnappliedProof| proof.commit_index <= applied_index;
+        let contact_at = self.unapplied_proofs.iter().filter(is_applied).map(|proof| proof.contact_at).max();
         self.unapplied_proofs.retain(|proof| !is_applied(&proof));
-        if let Some(contact) = contact {
-            self.record_contact(contact);
+        if let Some(contact_at) = contact_at {
+            self.record_contact(contact_at);
         }
     }
 
-    /// This node leads, and a majority was in contact with it then.
-    pub fn record_contact(&mut self, contact: Time) {
-        self.last_contact = self.last_contact.max(Some(contact));
+    /// Records a contact that needs no further proof, such as a leader's own contact with a majority.
+    pub fn record_contact(&mut self, contact_at: Time) {
+        self.last_contact = self.last_contact.max(Some(contact_at));
     }
 
-    /// All that was committed before then is held here; none: nothing is proven.
+    /// Time of the last proven contact: everything committed before it is held here. `None` if no contact is proven.
     pub fn last_contact(&self) -> Option<Time> {
         self.last_contact
     }
 
-    /// How far the log is applied.
+    /// Index up to which the log has been applied.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
 }
 
+/// Appends an item, and drops the oldest if the queue is full.
 fn push_bounded<T>(queue: &mut VecDeque<T>, item: T) {
     if queue.len() == MAX_OUTSTANDING {
         queue.pop_front();
--- a/crates/control/control-state/src/delta_history.rs
+++ b/crates/control/control-state/src/delta_history.rs
@@ -27,8 +27,8 @@
 pub struct DeltaHistory {
     steps: VecDeque<DeltaStep>,
     bytes: usize,
-    /// Index and digest of the configuration for which a header was last built, so that its body is not hashed again for each
-    /// gateway.
+    /// Index and digest of the configuration for which a header was last built, so that its body is not hashed again for
+    /// each gateway.
     cached_digest: Cell<Option<(LogIndex, BodyDigest)>>,
 }
 
@@ -56,8 +56,8 @@
         }
     }
 
-    /// Returns the first delta from the configuration at `base_index` to the newest, if deltas lead there and are shorter in
-    /// total than the full configuration.
+    /// Returns the first delta from the configuration at `base_index` to the newest, if deltas lead there and are shorter
+    /// in total than the full configuration.
     pub(crate) fn first_step(
         &self,
         base_index: LogIndex,
--- a/crates/control/control-state/src/state.rs
+++ b/crates/control/control-state/src/state.rs
@@ -28,8 +28,8 @@
     Changed,
     /// The command had no effect.
     Unchanged,
-    /// A configuration was not applied: its base is not the current version, its version is not greater than the current one,
-    /// or its delta does not apply.
+    /// A configuration was not applied: its base is not the current version, its version is not greater than the current
+    /// one, or its delta does not apply.
     Conflict,
 }
 
--- a/crates/control/registry/src/heartbeat.rs
+++ b/crates/control/registry/src/heartbeat.rs
@@ -1,36 +1,36 @@
-//! What a backend says of itself.
+//! The state that a backend reports about itself.
 
 use serde::{Deserialize, Serialize};
 
-/// A backend's heartbeat. Fields are stored and sent in this order; `granitethread-ctl` prints them by the names that
-/// `serde` gives.
+/// A backend's heartbeat. Fields are stored and sent by position, in this order; `granitethread-ctl` prints them under
+/// their serde names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The backend's id: one life's, never used again.
+    /// Id of the backend instance, never reused.
     #[serde(rename = "id")]
     pub instance: String,
-    /// The service that it is part of.
+    /// Service that the backend belongs to.
     pub service: String,
-    /// Where it takes requests, IP address and port.
+    /// IP address and port at which the backend accepts requests.
     pub address: String,
-    /// Its zone.
+    /// Zone of the backend.
     pub zone: String,
-    /// The version of its software.
+    /// Version of the backend's software.
     pub version: String,
-    /// Requests that it works on at once.
+    /// Number of requests that the backend processes concurrently.
     pub slots: u32,
-    /// It takes no new work.
+    /// Whether the backend accepts no new work.
     pub draining: bool,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Remaining time of the backend's slow start, in milliseconds.
     #[serde(rename = "cold_ms")]
     pub warmup_left_ms: u32,
-    /// Rises with each call, so that a late heartbeat is known.
+    /// Number that increases with each call, so that a late heartbeat can be detected.
     pub sequence: u64,
 }
 
 impl Heartbeat {
-    /// Whether another heartbeat says the same, but for what changes with each.
-    pub(crate) fn says_the_same(&self, other: &Heartbeat) -> bool {
+    /// Whether another heartbeat reports the same state, apart from the fields that change with every heartbeat.
+    pub(crate) fn reports_same_state(&self, other: &Heartbeat) -> bool {
         let Heartbeat { sequence, warmup_left_ms, .. } = *other;
         Heartbeat { sequence, warmup_left_ms, ..self.clone() } == *other
     }
--- a/crates/control/registry/src/lib.rs
+++ b/crates/control/registry/src/lib.rs
@@ -1,5 +1,5 @@
-//! A zone's backends, by their heartbeats. Soft state: a control node that restarts has it again within a heartbeat
-//! interval. Which backends drain is not remembered here; that is replicated. No I/O.
+//! Registry of a zone's backends, built from their heartbeats. Soft state: a control node that restarts has it again within
+//! a heartbeat interval. Which backends are draining is replicated and not kept here. No I/O.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/control/trial/src/lib.rs
+++ b/crates/control/trial/src/lib.rs
@@ -1,6 +1,7 @@
-//! When a tenant's trial expires: once the clocks of a majority of the voters say so, so that no single clock, however
-//! wrong, ends a trial too soon or keeps it from ending. And what tenants may do by a configuration.
-//! `docs/design/trials.md`. No I/O.
+//! Expiry of tenants' trials, and the limits and trial ends that a configuration declares for tenants. No I/O.
+//!
+//! A trial expires once the clocks of a majority of the voters are past its end, so that a single wrong clock can neither
+//! end a trial too early nor keep it from ending. See `docs/design/trials.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -10,7 +11,7 @@
 pub use clock_readings::{ClockReadings, MAX_READING_AGE};
 pub use tenant_terms::{TenantTerms, TrialEnd};
 
-/// Nanoseconds on the caller's steady clock.
+/// Nanoseconds on the caller's monotonic clock.
 pub type Time = u64;
-/// Milliseconds of Unix time, as some machine tells it.
+/// Unix time in milliseconds, as reported by some machine's clock.
 pub type UnixMillis = u64;
--- a/crates/control/trial/src/tenant_terms.rs
+++ b/crates/control/trial/src/tenant_terms.rs
@@ -1,4 +1,4 @@
-//! What a configuration says of tenants.
+//! The limits and trial ends that a configuration declares for tenants.
 
 use crate::clock_readings::ClockReadings;
 use crate::{Time, UnixMillis};
@@ -10,23 +10,23 @@
 /// The end of a tenant's trial.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrialEnd {
-    /// Whose trial.
+    /// Name of the tenant.
     pub tenant: String,
-    /// When it ends.
+    /// Time at which the trial ends.
     pub ends_at: UnixMillis,
 }
 
-/// What a configuration says of tenants.
+/// Terms of the tenants in a configuration: their limits and the ends of their trials.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantTerms {
-    /// By tenant.
+    /// Limits by tenant name.
     pub limits: BTreeMap<String, Limit>,
-    /// Of the tenants on trial.
+    /// Trial ends of the tenants on trial.
     pub trial_ends: Vec<TrialEnd>,
 }
 
 impl TenantTerms {
-    /// What this configuration says.
+    /// Extracts the tenants' terms from a configuration.
     pub fn from_configuration(configuration: &Configuration) -> TenantTerms {
         let mut terms = TenantTerms::default();
         for tenant in &configuration.tenants {
@@ -39,13 +39,14 @@
         terms
     }
 
-    /// The tenants whose trial has expired, as replicated.
+    /// Returns the tenants whose trial has expired according to the replicated state.
     pub fn expired_tenants(&self, state: &ControlState) -> BTreeSet<String> {
         let expired = self.trial_ends.iter().filter(|end| state.is_trial_expired(&end.tenant, end.ends_at));
         expired.map(|end| end.tenant.clone()).collect()
     }
 
-    /// The commands to propose now: for each trial whose end has passed by the clocks of a majority.
+    /// Returns the commands to propose now: one for each trial that has not expired and whose end has passed by the clocks
+    /// of a majority of the voters.
     pub fn due_expiries(
         &self,
         state: &ControlState,
@@ -54,7 +55,8 @@
         voters: &BTreeSet<&str>,
     ) -> Vec<Command> {
         let is_due = |end: &&TrialEnd| {
-            !state.is_trial_expired(&end.tenant, end.ends_at) && clocks.are_past(now, voters, end.ends_at)
+            !state.is_trial_expired(&end.tenant, end.ends_at)
+                && clocks.is_past_by_majority(now, voters, end.ends_at)
         };
         let expire =
             |end: &TrialEnd| Command::ExpireTrial { tenant: end.tenant.clone(), ends_at: end.ends_at };
@@ -62,13 +64,14 @@
     }
 }
 
-/// The bounds were validated before the configuration was committed; they are applied once more where they are relied on.
+/// Returns the pace of a tenant whose trial has expired. The bounds were validated before the configuration was committed;
+/// they are enforced again here, where they are relied on.
 fn pace_after_trial(trial: &Trial) -> TrialPace {
-    const MIN_RATE: f64 = 0.001;
-    const MAX_RATE: f64 = 1e6;
+    const MIN_RATE_PER_S: f64 = 0.001;
+    const MAX_RATE_PER_S: f64 = 1e6;
     const MAX_WAIT_MS: f64 = 10_000.0;
     TrialPace {
-        rate: trial.pace_per_s.clamp(MIN_RATE, MAX_RATE),
+        rate: trial.pace_per_s.clamp(MIN_RATE_PER_S, MAX_RATE_PER_S),
         max_wait: (trial.wait_ms.clamp(0.0, MAX_WAIT_MS) * 1e6) as Time,
     }
 }
