--- a/crates/control/change-log/src/quorum_contact.rs
+++ b/crates/control/change-log/src/quorum_contact.rs
@@ -48,9 +48,7 @@
     /// Handles the response to a request: the leader's last contact with a majority was `age` before the response, and
     /// everything committed by then is in the log up to `commit_index`.
     pub fn on_response(&mut self, number: u64, age: Time, commit_index: u64) {
-        let Some(slot) = self.requests.iter().position(|request| request.number == number) else {
-            return;
-        };
+        let Some(slot) = self.requests.iter().position(|request| request.number == number) else { return };
         let Some(request) = self.requests.remove(slot) else { return };
         // The response was sent after the request, so that the contact was no earlier than this.
         let Some(contact_at) = request.sent_at.checked_sub(age) else { return };
