--- a/crates/control/control-state/src/state/tests.rs
+++ b/crates/control/control-state/src/state/tests.rs
@@ -11,17 +11,21 @@
     let mut state = ControlState::new();
     assert_eq!(state.apply(2, &configuration(0, 3, "a")), ApplyOutcome::Changed);
     assert_eq!(state.apply(3, &configuration(3, 5, "b")), ApplyOutcome::Changed);
-    assert_eq!(state.apply(4, &configuration(3, 6, "c")), ApplyOutcome::Conflict, "the base is another");
-    assert_eq!(state.apply(5, &configuration(5, 5, "d")), ApplyOutcome::Conflict, "not later");
+    assert_eq!(
+        state.apply(4, &configuration(3, 6, "c")),
+        ApplyOutcome::Conflict,
+        "base is not the current version"
+    );
+    assert_eq!(state.apply(5, &configuration(5, 5, "d")), ApplyOutcome::Conflict, "version is not greater");
     assert_eq!(
         state.apply(6, &configuration(0, 3, "a")),
         ApplyOutcome::Unchanged,
-        "once more, though a later one stands"
+        "applied before the current one"
     );
     assert_eq!(
         state.apply(7, &configuration(0, 3, "b")),
         ApplyOutcome::Conflict,
-        "other bytes under its number"
+        "other bytes under an applied version"
     );
     assert_eq!((state.version(), state.configuration().unwrap().index), (5, 3));
     assert_eq!(ControlState::decode(&state.encode()), Some(state));
@@ -32,7 +36,7 @@
 fn trial_expires_for_one_end_alone_and_old_states_are_read() {
     let mut state = ControlState::new();
     state.apply(1, &Command::AddGateway { name: "g".into() });
-    // An earlier version's: it has five fields.
+    // Without expired trials the state has five fields, as in an earlier version.
     assert_eq!(state.encode()[0], 0x95);
     assert_eq!(ControlState::decode(&state.encode()), Some(state.clone()));
     let command = |ends| Command::ExpireTrial { tenant: "t".into(), ends_at: ends };
@@ -55,6 +59,6 @@
         state.apply(n, &Command::Drain { instance: format!("i-{n}") });
     }
     assert_eq!(state.draining().count(), MAX_DRAINING);
-    assert!(!state.is_draining("i-9") && state.is_draining("i-10"), "the oldest go");
+    assert!(!state.is_draining("i-9") && state.is_draining("i-10"), "the oldest are dropped");
     assert_eq!(state.apply(9999, &Command::Drain { instance: "i-50".into() }), ApplyOutcome::Unchanged);
 }
--- a/crates/control/control-state/tests/deltas.rs
+++ b/crates/control/control-state/tests/deltas.rs
@@ -1,4 +1,4 @@
-//! A long configuration in the agreed log, as a change of the one before.
+//! A long configuration in the replicated log, as a delta to its predecessor.
 
 use control_state::{ApplyOutcome, Command, ControlState};
 
@@ -9,39 +9,39 @@
     format!(r#"{{"configVersion":{version},"routes":[{}]}}"#, routes.join(",")).into_bytes()
 }
 
-fn whole(base: u32, version: u32, body: &[u8]) -> Command {
+fn replacement(base: u32, version: u32, body: &[u8]) -> Command {
     Command::ReplaceConfiguration { base, version, body: body.to_vec() }
 }
 
-/// Two states: one that is told all whole, one that is told what is shorter.
+/// Two equal states with a first configuration: one to replace in full, one to change by deltas.
 fn states() -> (ControlState, ControlState) {
-    let first = whole(0, 3, &body(3, 3000, 9999));
+    let first = replacement(0, 3, &body(3, 3000, 9999));
     let mut state = ControlState::new();
-    assert_eq!(first.clone().into_delta_if_smaller(&state), first, "there is none to change");
+    assert_eq!(first.clone().into_delta_if_smaller(&state), first, "no configuration to base a delta on");
     assert_eq!(state.apply(1, &first), ApplyOutcome::Changed);
     (state.clone(), state)
 }
 
 #[test]
 fn delta_yields_the_same_state_as_the_whole_configuration() {
-    let (mut one, mut other) = states();
+    let (mut full_state, mut delta_state) = states();
     let mut base = 3;
     for (index, version) in (2..).zip([4, 7, 8, 20]) {
-        let command = whole(base, version, &body(version, 3000, version as usize));
-        let short = command.clone().into_delta_if_smaller(&other);
-        assert!(matches!(short, Command::ConfigurationDelta { .. }));
-        let (long, bytes) = (command.encode().len(), short.encode().len());
-        assert!(long > 100_000 && bytes < 500, "{bytes} of {long}");
-        assert_eq!(Command::decode(&short.encode()), Some(short.clone()));
+        let command = replacement(base, version, &body(version, 3000, version as usize));
+        let delta_command = command.clone().into_delta_if_smaller(&delta_state);
+        assert!(matches!(delta_command, Command::ConfigurationDelta { .. }));
+        let (full_bytes, delta_bytes) = (command.encode().len(), delta_command.encode().len());
+        assert!(full_bytes > 100_000 && delta_bytes < 500, "{delta_bytes} of {full_bytes}");
+        assert_eq!(Command::decode(&delta_command.encode()), Some(delta_command.clone()));
         assert_eq!(
-            (one.apply(index, &command), other.apply(index, &short)),
+            (full_state.apply(index, &command), delta_state.apply(index, &delta_command)),
             (ApplyOutcome::Changed, ApplyOutcome::Changed)
         );
-        assert_eq!(one, other);
-        assert!(other.is_applied(&body(version, 3000, version as usize)));
-        // Proposed twice, or once more as a whole.
+        assert_eq!(full_state, delta_state);
+        assert!(delta_state.is_applied(&body(version, 3000, version as usize)));
+        // The delta is committed twice, then the same configuration in full.
         assert_eq!(
-            (other.apply(90, &short), other.apply(91, &command)),
+            (delta_state.apply(90, &delta_command), delta_state.apply(91, &command)),
             (ApplyOutcome::Unchanged, ApplyOutcome::Unchanged)
         );
         base = version;
@@ -51,33 +51,32 @@
 #[test]
 fn second_delta_on_one_base_and_unfit_delta_conflict() {
     let (_, mut state) = states();
-    let change =
-        |version: u32, moved| whole(3, version, &body(version, 3000, moved)).into_delta_if_smaller(&state);
-    let (first, second) = (change(5, 1), change(5, 2));
-    assert_eq!(state.apply(2, &first), ApplyOutcome::Changed);
-    let stands = state.clone();
-    assert_eq!(state.apply(3, &second), ApplyOutcome::Conflict, "the base is another");
-    let Command::ConfigurationDelta { digest: mark, delta: difference, .. } = second else {
-        panic!("a change")
+    let delta_to = |version: u32, moved| {
+        replacement(3, version, &body(version, 3000, moved)).into_delta_if_smaller(&state)
     };
-    let spoilt = Command::ConfigurationDelta { base: 5, version: 6, digest: mark, delta: difference };
-    assert_eq!(state.apply(4, &spoilt), ApplyOutcome::Conflict, "it comes to other bytes than it says");
-    let nonsense =
-        Command::ConfigurationDelta { base: 5, version: 6, digest: mark, delta: b"nonsense".to_vec() };
-    assert_eq!(state.apply(5, &nonsense), ApplyOutcome::Conflict);
-    assert_eq!(state, stands);
+    let (first, second) = (delta_to(5, 1), delta_to(5, 2));
+    assert_eq!(state.apply(2, &first), ApplyOutcome::Changed);
+    let expected = state.clone();
+    assert_eq!(state.apply(3, &second), ApplyOutcome::Conflict, "base is not the current version");
+    let Command::ConfigurationDelta { digest, delta, .. } = second else { panic!("not a delta") };
+    let mismatched = Command::ConfigurationDelta { base: 5, version: 6, digest, delta };
+    assert_eq!(state.apply(4, &mismatched), ApplyOutcome::Conflict, "result does not match the digest");
+    let undecodable =
+        Command::ConfigurationDelta { base: 5, version: 6, digest, delta: b"nonsense".to_vec() };
+    assert_eq!(state.apply(5, &undecodable), ApplyOutcome::Conflict);
+    assert_eq!(state, expected);
     let mut empty = ControlState::new();
-    assert_eq!(empty.apply(1, &first), ApplyOutcome::Conflict, "there is none to change");
+    assert_eq!(empty.apply(1, &first), ApplyOutcome::Conflict, "no configuration to apply the delta to");
 }
 
 #[test]
 fn short_or_wholly_new_configuration_is_no_delta() {
     let (_, state) = states();
     let new: Vec<u8> = body(5, 3000, 0).iter().map(|b| if *b == b'p' { b'q' } else { *b }).collect();
-    let command = whole(3, 5, &new);
+    let command = replacement(3, 5, &new);
     assert_eq!(command.clone().into_delta_if_smaller(&state), command);
-    let mut small = ControlState::new();
-    small.apply(1, &whole(0, 3, &body(3, 8, 0)));
-    let command = whole(3, 5, &body(5, 8, 1));
-    assert_eq!(command.clone().into_delta_if_smaller(&small), command);
+    let mut short_state = ControlState::new();
+    short_state.apply(1, &replacement(0, 3, &body(3, 8, 0)));
+    let command = replacement(3, 5, &body(5, 8, 1));
+    assert_eq!(command.clone().into_delta_if_smaller(&short_state), command);
 }
--- a/crates/control/control-state/tests/gateways.rs
+++ b/crates/control/control-state/tests/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways are replicated, as many as there may be, until they are removed.
+//! Gateways are part of the replicated state, up to a maximum number, until they are removed.
 
 use control_state::{ApplyOutcome, Command, ControlState};
 
@@ -10,11 +10,11 @@
         let command = Command::AddGateway { name: format!("edge-{index}") };
         index += 1;
         assert_eq!(state.apply(index, &command), ApplyOutcome::Changed);
-        assert!(index < 10_000, "they are bounded");
+        assert!(index < 10_000, "number of gateways is bounded");
     }
     assert_eq!(state.gateways().len(), 4096);
-    assert!(!state.can_add_gateway("edge-7"), "it is known");
-    // A control-plane node of another mind proposes it all the same: nothing changes, for anybody.
+    assert!(!state.can_add_gateway("edge-7"), "already a gateway");
+    // A control node may still propose one: the command changes nothing, on any node.
     assert_eq!(
         state.apply(index + 1, &Command::AddGateway { name: "one more".into() }),
         ApplyOutcome::Unchanged
@@ -27,11 +27,11 @@
     let add = Command::AddGateway { name: "edge-1".into() };
     let remove = Command::RemoveGateway { name: "edge-1".into(), term: 7 };
     let mut state = ControlState::new();
-    assert_eq!(state.apply(1, &remove), ApplyOutcome::Unchanged, "there is none");
+    assert_eq!(state.apply(1, &remove), ApplyOutcome::Unchanged, "unknown gateway");
     assert_eq!(state.apply(2, &add), ApplyOutcome::Changed);
     assert_eq!(state.apply(3, &remove), ApplyOutcome::Changed);
     assert!(state.gateways().is_empty() && state.can_add_gateway("edge-1"));
-    assert_eq!(state.apply(4, &remove), ApplyOutcome::Unchanged, "it was removed already");
+    assert_eq!(state.apply(4, &remove), ApplyOutcome::Unchanged, "already removed");
     assert_eq!(state.apply(5, &add), ApplyOutcome::Changed);
 }
 
--- a/crates/control/trial/tests/expiry.rs
+++ b/crates/control/trial/tests/expiry.rs
@@ -22,18 +22,22 @@
     clocks.record(0, "a", 9_000_000);
     clocks.record(0, "b", 98_000);
     clocks.record(0, "d", 200_000);
-    assert_eq!(terms.due_expiries(&state, S, &clocks, &voters), [], "one is far ahead, one has no vote");
+    assert_eq!(
+        terms.due_expiries(&state, S, &clocks, &voters),
+        [],
+        "one voter's clock is far ahead; the other clock past the end is no voter's"
+    );
     let command = Command::ExpireTrial { tenant: "t".into(), ends_at: 100_000 };
     assert_eq!(terms.due_expiries(&state, 2 * S, &clocks, &voters), std::slice::from_ref(&command));
     clocks.record(2 * S, "a", 0);
     assert_eq!(
         terms.due_expiries(&state, 2 * S, &clocks, &voters),
         [],
-        "and one far behind is no majority's"
+        "one clock far behind leaves no majority"
     );
     clocks.record(2 * S, "c", 100_000);
     assert_eq!(terms.due_expiries(&state, 2 * S, &clocks, &voters), [command]);
-    assert_eq!(terms.due_expiries(&state, 9 * S, &clocks, &voters), [], "nobody has been heard for too long");
+    assert_eq!(terms.due_expiries(&state, 9 * S, &clocks, &voters), [], "all readings are too old");
 }
 
 #[test]
@@ -42,7 +46,7 @@
     let mut state = ControlState::new();
     state.apply(1, &Command::ExpireTrial { tenant: "t".into(), ends_at: 100_000 });
     assert_eq!(old.expired_tenants(&state), BTreeSet::from(["t".to_string()]));
-    assert!(new.expired_tenants(&state).is_empty(), "extended");
+    assert!(new.expired_tenants(&state).is_empty(), "trial was extended");
     assert_eq!(old.limits["t"].after_trial, Some(TrialPace { rate: 5.0, max_wait: 2 * S }));
     assert_eq!(old.limits["u"].after_trial, None);
 }
