--- a/crates/gateway/handover/src/bans.rs
+++ b/crates/gateway/handover/src/bans.rs
@@ -1,56 +1,60 @@
-//! The bans by hand, as one process of a gateway leaves them for the other.
+//! The encoding of manual bans that one process of a gateway writes for the other.
 
 use interface::{Name, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// No text longer than this is read.
+/// The maximum length of an encoded text; longer ones are rejected.
 pub const MAX_BYTES: usize = 1 << 20;
 const VERSION: u32 = 1;
 
 #[derive(Serialize, Deserialize)]
-struct Text {
+struct EncodedBans {
     version: u32,
-    /// Since when, in Unix nanoseconds.
-    out: BTreeMap<String, Time>,
+    /// When each server was banned, in Unix nanoseconds.
+    #[serde(rename = "out")]
+    banned_at: BTreeMap<String, Time>,
 }
 
-/// A text that says nothing for certain: what is known already stands.
+/// An encoded text that cannot be used: the known bans stay in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InvalidBans {
     TooLong,
-    Version(u32),
-    Unreadable(String),
+    UnsupportedVersion(u32),
+    Malformed(String),
 }
 
 impl fmt::Display for InvalidBans {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             InvalidBans::TooLong => write!(f, "longer than {MAX_BYTES} bytes"),
-            InvalidBans::Version(v) => write!(f, "of version {v}: {VERSION} is wanted"),
-            InvalidBans::Unreadable(why) => f.write_str(why),
+            InvalidBans::UnsupportedVersion(v) => write!(f, "unsupported version {v}: expected {VERSION}"),
+            InvalidBans::Malformed(why) => f.write_str(why),
         }
     }
 }
 
 impl std::error::Error for InvalidBans {}
 
-/// The bans as text for the other process.
-pub fn write(out: &BTreeMap<Name, Time>) -> String {
-    let out = out.iter().map(|(name, since)| (name.to_string(), *since)).collect();
-    serde_json::to_string(&Text { version: VERSION, out }).unwrap_or_default()
+/// Encodes the bans for the other process.
+pub fn write(bans: &BTreeMap<Name, Time>) -> String {
+    let banned_at = bans.iter().map(|(name, since)| (name.to_string(), *since)).collect();
+    serde_json::to_string(&EncodedBans { version: VERSION, banned_at }).unwrap_or_default()
 }
 
+/// Decodes the bans of the other process.
+///
 /// # Errors
-/// [`InvalidBans`].
+/// Returns [`InvalidBans`] if the text is too long, malformed or of another version.
 pub fn read(text: &[u8]) -> Result<BTreeMap<Name, Time>, InvalidBans> {
     if text.len() > MAX_BYTES {
         return Err(InvalidBans::TooLong);
     }
-    let text: Text = serde_json::from_slice(text).map_err(|e| InvalidBans::Unreadable(e.to_string()))?;
-    if text.version != VERSION {
-        return Err(InvalidBans::Version(text.version));
+    let decoded: EncodedBans =
+        serde_json::from_slice(text).map_err(|e| InvalidBans::Malformed(e.to_string()))?;
+    if decoded.version != VERSION {
+        return Err(InvalidBans::UnsupportedVersion(decoded.version));
     }
-    Ok(text.out.into_iter().map(|(name, since)| (name.into(), since)).collect())
+    Ok(decoded.banned_at.into_iter().map(|(name, since)| (name.into(), since)).collect())
 }
--- a/crates/gateway/handover/src/lib.rs
+++ b/crates/gateway/handover/src/lib.rs
@@ -1,10 +1,11 @@
-//! An upgrade in service: for a few seconds two processes of one gateway share the limits of one. No I/O.
+//! Handover between two processes of one gateway during an upgrade: for a few seconds they share the limits of one. No
+//! I/O.
 //!
-//! | role | accepts clients | part of the descriptors | left by |
+//! | role | accepts clients | share of the descriptors | transitions |
 //! | --- | --- | --- | --- |
-//! | `Alone` | yes | all | `ShutdownRequested` (to `Leaving`) |
-//! | `Joining`: the one before still lives | yes | half | `OtherEnded` (to `Alone`), `ShutdownRequested` (to `Leaving`) |
-//! | `Leaving`: told to end, another may take over | no | half | its end |
+//! | `Alone` | yes | all | to `Leaving` on `ShutdownRequested` |
+//! | `Joining`: the previous process is still running | yes | half | to `Alone` on `OtherEnded`, to `Leaving` on `ShutdownRequested` |
+//! | `Leaving`: shutting down, another process may take over | no | half | none |
 #![forbid(unsafe_code)]
 
 mod bans;
@@ -19,26 +20,26 @@
     Leaving,
 }
 
-/// What changes a role.
+/// An input that may change a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// The process before this one has ended.
+    /// The previous process has ended.
     OtherEnded,
-    /// This process was told to end.
+    /// This process was asked to shut down.
     ShutdownRequested,
 }
 
 impl Role {
-    /// As it stands at the start.
-    pub fn initial(other_lives: bool) -> Self {
-        if other_lives {
+    /// Returns the role at startup.
+    pub fn initial(is_other_running: bool) -> Self {
+        if is_other_running {
             Role::Joining
         } else {
             Role::Alone
         }
     }
 
-    /// The role after an input.
+    /// Returns the role after an input.
     #[must_use]
     pub fn after(self, input: Input) -> Self {
         match (self, input) {
@@ -47,20 +48,20 @@
         }
     }
 
-    /// This process's share of what one gateway may have.
-    pub fn share_of(self, whole: usize) -> usize {
+    /// Returns this process's share of a limit that applies to the gateway.
+    pub fn share_of(self, limit: usize) -> usize {
         match self {
-            Role::Alone => whole,
-            Role::Joining | Role::Leaving => whole / 2,
+            Role::Alone => limit,
+            Role::Joining | Role::Leaving => limit / 2,
         }
     }
 
-    /// Whether its state is kept for a next process: of two processes the earlier one's is.
+    /// Returns whether this process's state is saved for its successor. Of two processes only the earlier one's is.
     pub fn saves_state(self) -> bool {
         self != Role::Joining
     }
 
-    /// Whether it takes new connections from the socket that both hold.
+    /// Returns whether this process accepts connections from the shared listening socket.
     pub fn accepts(self) -> bool {
         self != Role::Leaving
     }
