--- a/crates/gateway/engine/src/events.rs
+++ b/crates/gateway/engine/src/events.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of an [`crate::Engine`], as plain values.
+//! Inputs and outputs of [`crate::Engine`], as plain values.
 
 use interface::{Allowance, Ending, Load, Name, Node, RequestId, Scope, Time};
 use lifecycle::{FinalAnswer, Reply, Step};
@@ -6,135 +6,136 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// A client's well-formed request.
+/// A well-formed client request.
 #[derive(Clone, Debug)]
 pub struct Incoming {
     pub id: RequestId,
-    /// Indices into the settings. An unknown class follows the rules of the first.
+    /// Class and plan, as indices into the settings. An unknown class follows the rules of the first.
     pub class: usize,
     pub plan: usize,
     pub customer: Name,
-    /// How long after it came the client stops waiting.
+    /// The client's timeout, from the request's arrival.
     pub timeout: Time,
-    /// Whether its body is still arriving: the timeout then counts from [`Input::BodyCompleted`], and it can be sent
-    /// once.
+    /// Whether its body is still arriving. The timeout then counts from [`Input::BodyCompleted`], and there can be only one
+    /// attempt.
     pub body_pending: bool,
-    /// 0 or more, no more than the settings' most.
+    /// From 0 to the settings' `max_units`.
     pub units: f64,
-    /// Through how many gateways the customer's requests may arrive.
+    /// The number of gateways that the customer's requests may arrive at.
     pub spread: u32,
-    /// Whether the client marked it as a repeat.
+    /// Whether the client marked it as a retry.
     pub repeat: bool,
-    /// The pool whose servers may take it, as an index into the settings.
+    /// The index of the pool whose servers may execute it.
     pub pool: usize,
-    /// What the front end knows of its allowance.
+    /// The front end's decision on its allowance, if there is one.
     pub allowance: Allowance,
 }
 
 /// Measurements of an attempt, beside its ending.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AttemptFacts {
-    /// Since it was started.
+    /// The time since it was started.
     pub elapsed: Time,
-    /// True units, where the answer settles them.
+    /// The true units, if the answer reported them.
     pub settled: f64,
-    /// The customer's use over all gateways as a share of its rate, where the answer tells.
+    /// The customer's use over all gateways as a fraction of its rate, if the answer reported it.
     pub metered: Option<f64>,
     pub load: Option<Load>,
 }
 
-/// One entry of the server list, and where new work for it goes.
+/// An entry of the server list, and the address for new attempts.
 pub type ListEntry = (Node, Option<SocketAddr>);
 
-/// What happened.
+/// An input of the engine.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A front end: a complete request has arrived.
     Received(Incoming),
-    /// A front end: the last byte of an open request has arrived; its client waits this long from now on.
+    /// A front end: the last byte of a request with a pending body has arrived; its timeout starts now.
     BodyCompleted { id: RequestId, timeout: Time },
-    /// A front end: nobody waits for the answer any more.
+    /// A front end: the client has disconnected.
     ClientLeft { id: RequestId },
-    /// An attempt: its connection is established. The answer is `Write` or `Withhold`.
+    /// An attempt: its connection is established. The engine replies with `Write` or `Withhold`.
     Connected { id: RequestId, attempt: u32 },
-    /// An attempt: how far it has come since.
+    /// An attempt: it has reached this step.
     Progress { id: RequestId, attempt: u32, step: Step },
-    /// An attempt: a good answer has started that is streamed. An error means that nobody waits for it.
+    /// An attempt: a successful answer has started and is being streamed. An error means that no client waits for it.
     AnswerStarted { id: RequestId, attempt: u32, facts: AttemptFacts },
-    /// An attempt: its end, reported once.
+    /// An attempt: it has ended. Reported once.
     AttemptEnded { id: RequestId, attempt: u32, ending: Ending, reply: Reply, facts: AttemptFacts },
-    /// The allowance of a request that awaited it.
+    /// The decision on the allowance of a request that awaited it.
     AllowanceDecided { id: RequestId, allowance: Allowance },
-    /// Discovery: the list, or changes to it. `rev` is its number.
+    /// Discovery: the server list or changes to it, with its revision.
     ServerList { scope: Scope, rev: u64, entries: Vec<ListEntry> },
-    /// Discovery: it cannot be reached, or its answer cannot be read.
+    /// Discovery: it cannot be reached, or its answer cannot be parsed.
     DiscoveryFailed,
-    /// A planner: what it grants.
+    /// A planner: a grant.
     Grant { planner: usize, grant: Grant },
-    /// Membership: the number of gateways believed alive and this one's position among them; 0: as the settings say.
+    /// Membership: the number of gateways believed alive and this one's position among them. With 0 gateways the
+    /// settings apply.
     GatewayPosition { position: u32, gateways: u32 },
-    /// Membership: which planners are alive, in their order; none: not known.
+    /// Membership: whether each planner is alive, in their order; `None` if unknown.
     PlannerLiveness(Vec<Option<bool>>),
-    /// A tick of planning has passed: reports are wanted.
+    /// A planning tick has passed: reports are due.
     PlanningTick,
-    /// Time has passed: due timers fire, and the module is called with what has happened.
+    /// Time has passed: due timers fire, and the module is called with the queued events.
     Wake,
 }
 
-/// What to do about it, in order.
+/// An output of the engine, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Start an attempt; `Connected` must be reported before a byte is written.
     Start { id: RequestId, attempt: u32, server: Name, address: SocketAddr, attempt_deadline: Time },
     /// The attempt may write.
     Write { id: RequestId, attempt: u32 },
-    /// The attempt must not write. It ends as one that never ran.
+    /// The attempt must not write; it is to end as one that never ran.
     Withhold { id: RequestId, attempt: u32 },
-    /// Stop the attempt: nothing more is written, and its answer is not awaited.
+    /// Stop the attempt: write nothing more and do not wait for its answer.
     Abort { id: RequestId, attempt: u32 },
     /// The final answer. `Served` and `Rejected` carry the bytes of the attempt that just ended.
     Answer { id: RequestId, answer: FinalAnswer },
-    /// The request is over: all that is kept for it can be dropped.
+    /// The request has ended: its resources can be released.
     RequestEnded { id: RequestId },
     /// A report for a planner.
     Report { planner: usize, report: Report },
-    /// Something for the log.
+    /// An event for the log.
     Notice(Notice),
 }
 
-/// An event worth a line in the operators' log.
+/// An event that is logged for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// Discovery answers again.
+    /// Discovery is reachable again.
     DiscoveryRestored { rev: u64 },
-    /// Discovery does not; the old list stands.
+    /// Discovery is unreachable; the last list stays in use.
     DiscoveryLost,
-    /// The module panicked and was replaced: this many requests end.
+    /// The module panicked and was replaced; `ended` requests were answered.
     ModulePanicked { ended: usize },
-    /// The account of allowances panicked and was replaced.
+    /// The allowance account panicked and was restarted.
     AccountPanicked,
-    /// An attempt reported what cannot be; it was ended.
-    Attempt(lifecycle::InvalidInput),
+    /// An input that is invalid in the present state; it was ignored.
+    InvalidReport(lifecycle::InvalidInput),
 }
 
 impl fmt::Display for Notice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Notice::DiscoveryRestored { rev } => write!(f, "discovery: back, version {rev}"),
-            Notice::DiscoveryLost => write!(f, "discovery: lost; the old list stands"),
+            Notice::DiscoveryRestored { rev } => write!(f, "discovery: reachable again, list version {rev}"),
+            Notice::DiscoveryLost => write!(f, "discovery: unreachable; the last list stays in use"),
             Notice::ModulePanicked { ended } => {
-                write!(f, "the module panicked: a new one begins, {ended} requests end")
+                write!(f, "the module panicked: restarted from the server list, {ended} requests ended")
             }
-            Notice::AccountPanicked => write!(f, "the account of allowances panicked; a new one begins"),
-            Notice::Attempt(wrong) => write!(f, "lifecycle: {wrong}"),
+            Notice::AccountPanicked => write!(f, "the allowance account panicked and was restarted"),
+            Notice::InvalidReport(error) => write!(f, "lifecycle: {error}"),
         }
     }
 }
 
-/// An input without a meaning in the present state. Nothing has changed.
+/// An input that is invalid in the present state. Nothing has changed.
 pub type Error = lifecycle::InvalidInput;
 
-/// Final answers by kind; clients that left without theirs count as failed.
+/// Final answers by kind. Clients that disconnected before their answer count as failed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
     pub served: u64,
@@ -142,14 +143,14 @@
     pub failed: u64,
 }
 
-/// Counts since the start, and the present state of the server list.
+/// Counts since the start, and the state of the server list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
     /// By class, in the settings' order.
     pub answers: Vec<AnswerCounts>,
     /// Attempts whose last byte was written.
     pub attempts: u64,
-    /// Servers in the list; those of them without new work: banned, draining or avoided.
+    /// The number of servers in the list, and of those that get no new attempts: banned, draining or avoided.
     pub listed: usize,
     pub down: usize,
 }
@@ -159,6 +160,6 @@
 pub struct EngineCounts {
     /// Requests answered by the engine because the module had not answered by the deadline.
     pub overdue: u64,
-    /// Calls to the module.
+    /// Calls of the module.
     pub batches: u64,
 }
--- a/crates/gateway/engine/src/lib.rs
+++ b/crates/gateway/engine/src/lib.rs
@@ -1,7 +1,7 @@
-//! One whole gateway as a state machine: requests, the decision module, the account of allowances and timers. No I/O
-//! and no clock: [`Engine::handle`] takes an input with its time and returns outputs; [`Engine::next_due`] is when it
-//! wants to be woken. The proxy turns sockets into inputs and outputs into socket operations; the simulator does so in
-//! virtual time.
+//! A gateway as one state machine: requests, the decision module, the allowance account and timers. It has no I/O and no
+//! clock: [`Engine::handle`] takes an input with its time and appends outputs, and [`Engine::next_due`] returns when the
+//! next [`Input::Wake`] is due. The proxy translates socket events to inputs and outputs to socket operations; the
+//! simulator does the same in virtual time.
 #![forbid(unsafe_code)]
 
 mod admission;
@@ -21,26 +21,28 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Makes a decision module without state, from a seed and the time.
+/// Creates a decision module without state, from a seed and the time.
 pub type ModuleFactory<M> = Box<dyn Fn(u64, Time) -> Result<M, String>>;
 
 /// Time limits of requests, in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// How long before the client's time is up the final answer is due; a tenth of that time at most.
+    /// How long before the client's timeout the final answer is due, for its transmission; at most a tenth of the
+    /// timeout.
     pub way_back: Time,
-    /// How long after that the module may still answer.
+    /// How long after that deadline the module may still answer.
     pub module_grace: Time,
-    /// How long before servers forget a key its last repeat may be written.
+    /// How long before servers forget an idempotency key its last retry may be written.
     pub key_margin: Time,
-    /// The least time between two calls of the module: events in between are handed over together. 0: events are handed
-    /// over at once when the loop is idle, and otherwise with the next batch.
+    /// The minimum time between two calls of the module; events in between are delivered as one batch. 0: events are
+    /// delivered at once when the loop is idle, and otherwise with the next batch.
     pub min_batch_interval: Time,
 }
 
-/// An open request that is not complete by then is given up; its front end gives up on slow ones long before.
-const MAX_OPEN_REQUEST_TIME: Time = 3_600_000_000_000;
+/// A request whose body is incomplete after this time is given up; its front end gives up on slow ones long before.
+const MAX_PENDING_BODY_TIME: Time = 3_600_000_000_000;
 
+/// The state machine of one gateway.
 pub struct Engine<M> {
     settings: Settings,
     way_back: Time,
@@ -49,56 +51,56 @@
     module_factory: ModuleFactory<M>,
     requests: RequestTable,
     admission: Admission,
-    /// Discovery's list as it stands.
+    /// The current server list of discovery.
     nodes: BTreeMap<Name, ListEntry>,
-    /// Applied to the list wherever it is passed on.
+    /// Applied to every list entry before it is passed on.
     bans: Bans,
-    list_lost: bool,
+    is_discovery_lost: bool,
     /// Events for the module's next call, and the earliest time of that call.
     events: Vec<Event>,
     next_batch_at: Time,
     timers: BinaryHeap<Reverse<(Time, u64)>>,
-    /// The share of all work that the module was told last.
+    /// The work share last sent to the module.
     announced_share: f64,
     counts: EngineCounts,
-    /// Final answers since the start, by class; and attempts that were completely written.
+    /// Final answers since the start, by class, and attempts that were completely written.
     answers: Vec<AnswerCounts>,
     attempts: u64,
-    /// Empty between calls: kept to reuse their allocations.
-    orders: Vec<Command>,
+    /// Empty between calls; kept to reuse their allocations.
+    commands: Vec<Command>,
     actions: Vec<Action>,
 }
 
 impl<M: Module> Engine<M> {
-    /// An engine without requests that knows no server.
+    /// Creates an engine without requests and servers.
     ///
     /// # Errors
-    /// What the module says of the settings, or that they name no class.
+    /// Returns the module's reason if it rejects the settings, or an error if they contain no class.
     pub fn new(
         settings: Settings,
         seed: u64,
-        figures: Timing,
+        timing: Timing,
         now: Time,
-        make: ModuleFactory<M>,
+        module_factory: ModuleFactory<M>,
     ) -> Result<Self, String> {
         if settings.classes.is_empty() {
             return Err("no class is named".into());
         }
         let limits = Limits {
             max_attempts: settings.max_attempts,
-            grace: figures.module_grace,
-            key_margin: figures.key_margin,
+            grace: timing.module_grace,
+            key_margin: timing.key_margin,
         };
         Ok(Engine {
-            module: make(seed, now)?,
-            module_factory: make,
-            way_back: figures.way_back,
-            min_batch_interval: figures.min_batch_interval,
+            module: module_factory(seed, now)?,
+            module_factory,
+            way_back: timing.way_back,
+            min_batch_interval: timing.min_batch_interval,
             requests: RequestTable::new(limits),
             admission: Admission::default(),
             nodes: BTreeMap::new(),
             bans: Bans::default(),
-            list_lost: false,
+            is_discovery_lost: false,
             events: Vec::new(),
             next_batch_at: now,
             timers: BinaryHeap::new(),
@@ -106,96 +108,97 @@
             counts: EngineCounts::default(),
             answers: vec![AnswerCounts::default(); settings.classes.len()],
             attempts: 0,
-            orders: Vec::new(),
+            commands: Vec::new(),
             actions: Vec::new(),
             settings,
         })
     }
 
-    /// Goes on by these settings, which name at least the classes, plans and pools that the old ones did, in their
-    /// places; requests in hand keep what they came with.
+    /// Applies new settings. They contain at least the old classes, plans and pools, at their indices. Requests that
+    /// are in progress keep the terms with which they arrived.
     pub fn reconfigure(&mut self, settings: Settings) {
         self.answers.resize(settings.classes.len().max(self.answers.len()), AnswerCounts::default());
         self.module.reconfigure(&settings);
         self.settings = settings;
     }
 
-    /// From now on this account decides on allowances.
+    /// Sets the account that decides on allowances from now on.
     pub fn set_account(&mut self, account: Account) {
         self.admission.set_account(account);
     }
 
-    /// Whether some server takes new work.
+    /// Returns whether any server accepts new requests.
     pub fn can_serve(&self) -> bool {
         self.requests.server_list().any_ready()
     }
 
-    /// Whether a request with this id is not over.
+    /// Returns whether a request with this id is in progress.
     pub fn has_request(&self, id: RequestId) -> bool {
         self.requests.get(id).is_some()
     }
 
-    /// How many requests are not over.
+    /// Returns the number of requests in progress.
     pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether nothing is kept of any request.
+    /// Returns whether no state of any request is left.
     pub fn is_idle(&self) -> bool {
         self.requests.is_empty() && self.admission.is_empty()
     }
 
-    /// Where the account stands, if there is one.
+    /// Returns the mode of the allowance account, if there is one.
     pub fn mode(&self) -> Option<Mode> {
         self.admission.mode()
     }
 
-    /// Counts since the start, and the present state of the server list.
+    /// Returns the counts since the start, and the state of the server list.
     pub fn totals(&self) -> Totals {
         let avoided = self.module.avoided();
-        let down = |(node, _): &&ListEntry| {
+        let is_unavailable = |(node, _): &&ListEntry| {
             node.health != Health::Up || self.bans.is_banned(&node.name) || avoided.contains(&node.name)
         };
         Totals {
             answers: self.answers.clone(),
             attempts: self.attempts,
             listed: self.nodes.len(),
-            down: self.nodes.values().filter(down).count(),
+            down: self.nodes.values().filter(is_unavailable).count(),
         }
     }
 
-    /// The counts since the last call.
+    /// Returns the counts since the last call and resets them.
     pub fn take_counts(&mut self) -> EngineCounts {
         std::mem::take(&mut self.counts)
     }
 
-    /// When the module may next be called.
+    /// Returns the earliest time of the next call to the module.
     pub fn next_batch_at(&self) -> Time {
         self.next_batch_at
     }
 
-    /// When [`Input::Wake`] is next wanted, if nothing else happens.
+    /// Returns when the next [`Input::Wake`] is due, if no other input comes before.
     pub fn next_due(&self) -> Option<Time> {
         let timer = self.timers.peek().map(|Reverse((at, _))| *at);
         let event = (!self.events.is_empty()).then_some(self.next_batch_at);
         timer.into_iter().chain(self.requests.next_due()).chain(event).min()
     }
 
-    /// Whether events wait for the module's next call.
+    /// Returns whether events are queued for the next call to the module.
     pub fn wants_wake(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// Takes in what happened by `now` and appends what to do about it, in order.
+    /// Handles an input at time `now` and appends the resulting outputs, in order.
     ///
     /// # Errors
-    /// [`Error`], if a front or an attempt tells what can't be; nothing has changed then.
+    /// Returns [`Error`] if an input of a front end or an attempt is invalid in the present state. Nothing has changed
+    /// then.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Output>) -> Result<(), Error> {
         match input {
-            Input::Received(incoming) => return self.received(now, incoming, out),
+            Input::Received(incoming) => return self.request_received(now, incoming, out),
             Input::BodyCompleted { id, timeout } => {
-                let deadline = self.deadline(now, timeout);
-                self.feed(
+                let deadline = self.answer_deadline(now, timeout);
+                self.handle_lifecycle_input(
                     now,
                     lifecycle::Input::BodyCompleted { id, deadline },
                     AttemptFacts::default(),
@@ -203,49 +206,67 @@
                 )?;
             }
             Input::ClientLeft { id } => {
-                let (heard, class) = (self.events.len(), self.requests.get(id).map(|l| l.class()));
-                self.feed(now, lifecycle::Input::ClientLeft { id }, AttemptFacts::default(), out)?;
-                // It left without its answer; else the two have crossed.
-                if let Some(class) = class.filter(|_| self.events.len() > heard) {
-                    self.count(class, FinalAnswer::Failed { late: false });
+                let (events_before, class) =
+                    (self.events.len(), self.requests.get(id).map(|request| request.class()));
+                self.handle_lifecycle_input(
+                    now,
+                    lifecycle::Input::ClientLeft { id },
+                    AttemptFacts::default(),
+                    out,
+                )?;
+                // Counted only if it left without its answer; otherwise the two have crossed.
+                if let Some(class) = class.filter(|_| self.events.len() > events_before) {
+                    self.count_answer(class, FinalAnswer::Failed { late: false });
                 }
             }
             Input::Connected { id, attempt } => {
-                self.feed(now, lifecycle::Input::Connected { id, attempt }, AttemptFacts::default(), out)?;
+                self.handle_lifecycle_input(
+                    now,
+                    lifecycle::Input::Connected { id, attempt },
+                    AttemptFacts::default(),
+                    out,
+                )?;
             }
-            // No commands follow from progress.
+            // Progress yields no commands.
             Input::Progress { id, attempt, step } => {
                 let input = lifecycle::Input::Progress { id, attempt, step };
-                self.requests.handle(now, input, &mut self.orders)?;
+                self.requests.handle(now, input, &mut self.commands)?;
                 self.attempts += u64::from(step == Step::Written);
             }
             Input::AnswerStarted { id, attempt, facts } => {
-                self.feed(now, lifecycle::Input::AnswerStarted { id, attempt }, facts, out)?;
+                self.handle_lifecycle_input(
+                    now,
+                    lifecycle::Input::AnswerStarted { id, attempt },
+                    facts,
+                    out,
+                )?;
             }
             Input::AttemptEnded { id, attempt, ending, reply, facts } => {
                 let input = lifecycle::Input::AttemptEnded { id, attempt, ending, reply };
-                self.feed(now, input, facts, out)?;
+                self.handle_lifecycle_input(now, input, facts, out)?;
+            }
+            Input::ServerList { scope, rev, entries } => {
+                self.server_list_received(now, scope, rev, entries, out)
             }
-            Input::ServerList { scope, rev, entries } => self.list(now, scope, rev, entries, out),
             Input::AllowanceDecided { id, allowance } => {
                 self.events.push(Event::AllowanceDecided { id, allowance })
             }
             Input::DiscoveryFailed => {
-                if !std::mem::replace(&mut self.list_lost, true) {
+                if !std::mem::replace(&mut self.is_discovery_lost, true) {
                     out.push(Output::Notice(Notice::DiscoveryLost));
                 }
                 self.events.push(Event::Fleet { seq: 0, scope: Scope::Failed, nodes: Vec::new() });
             }
             Input::Grant { planner, grant } => {
                 if self.admission.grant(now, planner, &grant) {
-                    self.consider_again(now);
+                    self.retry_admission(now);
                 }
-                self.notice_account(out);
+                self.report_account_panic(out);
             }
             Input::GatewayPosition { position, gateways } => {
                 self.events.push(Event::GatewayPosition { position, gateways })
             }
-            Input::PlannerLiveness(lives) => self.admission.planners_observed(&lives),
+            Input::PlannerLiveness(alive) => self.admission.planners_observed(&alive),
             Input::PlanningTick => self.planning_tick(now, out),
             Input::Wake => self.wake(now, out),
         }
@@ -254,46 +275,54 @@
 
     // ---- Requests ----
 
-    fn received(&mut self, now: Time, r: Incoming, out: &mut Vec<Output>) -> Result<(), Error> {
+    fn request_received(
+        &mut self,
+        now: Time,
+        incoming: Incoming,
+        out: &mut Vec<Output>,
+    ) -> Result<(), Error> {
         let classes = &self.settings.classes;
-        let number = if r.class < classes.len() { r.class } else { 0 };
-        let class = &classes[number];
-        let deadline =
-            if r.body_pending { now + MAX_OPEN_REQUEST_TIME } else { self.deadline(now, r.timeout) };
+        let class_index = if incoming.class < classes.len() { incoming.class } else { 0 };
+        let class = &classes[class_index];
+        let deadline = if incoming.body_pending {
+            now + MAX_PENDING_BODY_TIME
+        } else {
+            self.answer_deadline(now, incoming.timeout)
+        };
         let (effect, group, key_ttl) = (class.effect, class.group, class.key_ttl);
         let arrival = Arrival {
-            id: r.id,
-            class: number,
+            id: incoming.id,
+            class: class_index,
             effect,
             group,
             key_ttl,
             deadline,
-            has_single_attempt: r.body_pending,
+            has_single_attempt: incoming.body_pending,
         };
-        self.feed(now, lifecycle::Input::Received(arrival), AttemptFacts::default(), out)?;
+        self.handle_lifecycle_input(now, lifecycle::Input::Received(arrival), AttemptFacts::default(), out)?;
         let request = Request {
-            id: r.id,
-            class: r.class,
-            plan: r.plan,
-            customer: r.customer,
+            id: incoming.id,
+            class: incoming.class,
+            plan: incoming.plan,
+            customer: incoming.customer,
             deadline,
-            units: r.units,
-            spread: r.spread,
-            repeat: r.repeat,
-            pool: r.pool,
-            allowance: r.allowance,
+            units: incoming.units,
+            spread: incoming.spread,
+            repeat: incoming.repeat,
+            pool: incoming.pool,
+            allowance: incoming.allowance,
         };
         self.events.extend(self.admission.admit(now, request, None).map(Event::Request));
-        self.notice_account(out);
+        self.report_account_panic(out);
         Ok(())
     }
 
-    /// When the answer is due here to a client that waits for so long.
-    fn deadline(&self, now: Time, timeout: Time) -> Time {
+    /// Returns when the final answer is due to a client with this timeout.
+    fn answer_deadline(&self, now: Time, timeout: Time) -> Time {
         now + timeout - self.way_back.min(timeout / 10)
     }
 
-    fn consider_again(&mut self, now: Time) {
+    fn retry_admission(&mut self, now: Time) {
         for (request, since) in self.admission.waiting() {
             if self.requests.get(request.id).is_some() {
                 self.events.extend(self.admission.admit(now, request, Some(since)).map(Event::Request));
@@ -304,7 +333,7 @@
     fn planning_tick(&mut self, now: Time, out: &mut Vec<Output>) {
         let reports = self.admission.reports(now);
         out.extend(reports.into_iter().map(|(planner, report)| Output::Report { planner, report }));
-        // The module is not woken for every small change.
+        // Small changes are not worth a call to the module.
         if let Some(share) = self
             .admission
             .work_share()
@@ -313,71 +342,71 @@
             self.announced_share = share;
             self.events.push(Event::WorkShare { work_share: share });
         }
-        self.consider_again(now);
-        self.notice_account(out);
+        self.retry_admission(now);
+        self.report_account_panic(out);
     }
 
-    fn notice_account(&mut self, out: &mut Vec<Output>) {
+    fn report_account_panic(&mut self, out: &mut Vec<Output>) {
         if self.admission.panicked() {
             out.push(Output::Notice(Notice::AccountPanicked));
         }
     }
 
-    // ---- Lives ----
+    // ---- Request state machines ----
 
-    /// Hands the lives an input; what they order goes on.
-    fn feed(
+    /// Passes an input to the request table and carries out the resulting commands.
+    fn handle_lifecycle_input(
         &mut self,
         now: Time,
         input: lifecycle::Input,
         facts: AttemptFacts,
         out: &mut Vec<Output>,
     ) -> Result<(), Error> {
-        let begun = matches!(input, lifecycle::Input::AnswerStarted { .. });
-        let mut orders = std::mem::take(&mut self.orders);
-        let done = self.requests.handle(now, input, &mut orders);
-        for order in orders.drain(..) {
-            match order {
-                Command::Start { id, attempt, server, address: place, attempt_deadline } => {
+        let answer_started = matches!(input, lifecycle::Input::AnswerStarted { .. });
+        let mut commands = std::mem::take(&mut self.commands);
+        let result = self.requests.handle(now, input, &mut commands);
+        for command in commands.drain(..) {
+            match command {
+                Command::Start { id, attempt, server, address, attempt_deadline } => {
                     self.admission.attempt_started(id);
-                    out.push(Output::Start { id, attempt, server, address: place, attempt_deadline });
+                    out.push(Output::Start { id, attempt, server, address, attempt_deadline });
                 }
                 Command::Write { id, attempt } => out.push(Output::Write { id, attempt }),
                 Command::Withhold { id, attempt } => out.push(Output::Withhold { id, attempt }),
                 Command::Abort { id, attempt } => out.push(Output::Abort { id, attempt }),
                 Command::Answer { id, class, answer } => {
-                    // What is passed on as it comes counts when it has come.
-                    if !begun {
-                        self.count(class, answer);
+                    // A streamed answer is counted when it ends.
+                    if !answer_started {
+                        self.count_answer(class, answer);
                     }
                     out.push(Output::Answer { id, answer });
                     self.request_ended(now, id, out);
                 }
-                Command::Streamed { id, class, is_complete: whole } => {
-                    self.count(
+                Command::Streamed { id, class, is_complete } => {
+                    self.count_answer(
                         class,
-                        if whole { FinalAnswer::Served } else { FinalAnswer::Failed { late: false } },
+                        if is_complete { FinalAnswer::Served } else { FinalAnswer::Failed { late: false } },
                     );
                     self.request_ended(now, id, out);
                 }
-                Command::NotifyModule(told) => self.notify_module(now, told, facts, out),
+                Command::NotifyModule(event) => self.notify_module(now, event, facts, out),
             }
         }
-        self.orders = orders;
-        done
+        self.commands = commands;
+        result
     }
 
-    /// The one place where answers count.
-    fn count(&mut self, class: usize, answer: FinalAnswer) {
-        let Some(calls) = self.answers.get_mut(class) else { return };
+    /// Counts a final answer. Nothing else updates these counts.
+    fn count_answer(&mut self, class: usize, answer: FinalAnswer) {
+        let Some(counts) = self.answers.get_mut(class) else { return };
         *match answer {
-            FinalAnswer::Served => &mut calls.served,
-            FinalAnswer::Refused { .. } => &mut calls.refused,
-            FinalAnswer::Rejected | FinalAnswer::Failed { .. } => &mut calls.failed,
+            FinalAnswer::Served => &mut counts.served,
+            FinalAnswer::Refused { .. } => &mut counts.refused,
+            FinalAnswer::Rejected | FinalAnswer::Failed { .. } => &mut counts.failed,
         } += 1;
     }
 
-    /// Lets go of a request whose life is over.
+    /// Releases the resources of a request if it has ended.
     fn request_ended(&mut self, now: Time, id: RequestId, out: &mut Vec<Output>) {
         if self.requests.get(id).is_none() {
             self.admission.request_ended(id, now);
@@ -385,10 +414,16 @@
         }
     }
 
-    /// Tells the module.
-    fn notify_module(&mut self, now: Time, told: ModuleEvent, facts: AttemptFacts, out: &mut Vec<Output>) {
+    /// Queues an event for the module.
+    fn notify_module(
+        &mut self,
+        now: Time,
+        module_event: ModuleEvent,
+        facts: AttemptFacts,
+        out: &mut Vec<Output>,
+    ) {
         let AttemptFacts { elapsed, settled, metered, load } = facts;
-        let event = match told {
+        let event = match module_event {
             ModuleEvent::ClientLeft { id } => {
                 self.request_ended(now, id, out);
                 Event::ClientLeft { id }
@@ -411,105 +446,115 @@
         self.events.push(event);
     }
 
-    // ---- The list ----
+    // ---- Server list ----
 
-    fn list(&mut self, now: Time, scope: Scope, rev: u64, entries: Vec<ListEntry>, out: &mut Vec<Output>) {
-        if scope != Scope::Cached && std::mem::take(&mut self.list_lost) {
+    fn server_list_received(
+        &mut self,
+        now: Time,
+        scope: Scope,
+        rev: u64,
+        entries: Vec<ListEntry>,
+        out: &mut Vec<Output>,
+    ) {
+        if scope != Scope::Cached && std::mem::take(&mut self.is_discovery_lost) {
             out.push(Output::Notice(Notice::DiscoveryRestored { rev }));
         }
         if scope != Scope::Changes {
             self.nodes.clear();
         }
-        self.bans.record_names(entries.iter().map(|(n, _)| &n.name));
-        self.nodes.extend(entries.iter().map(|e| (e.0.name.clone(), e.clone())));
-        self.nodes.retain(|_, (n, _)| n.health != Health::Removed);
+        self.bans.record_names(entries.iter().map(|(node, _)| &node.name));
+        self.nodes.extend(entries.iter().map(|entry| (entry.0.name.clone(), entry.clone())));
+        self.nodes.retain(|_, (node, _)| node.health != Health::Removed);
         let nodes = &self.nodes;
         self.bans.sweep(|name| nodes.contains_key(name));
         self.apply_list(now, scope, rev, entries);
     }
 
-    /// Entries of the list go on, under the bans: the one way by which lives and module hear of servers.
+    /// Applies the bans to list entries and passes them on. The request table and the module learn of servers in no
+    /// other way.
     fn apply_list(&mut self, now: Time, scope: Scope, seq: u64, mut entries: Vec<ListEntry>) {
-        for (node, place) in &mut entries {
+        for (node, address) in &mut entries {
             self.bans.apply_to(node);
-            *place = place.filter(|_| node.health == Health::Up);
+            *address = address.filter(|_| node.health == Health::Up);
         }
-        let servers = entries.iter().map(|(n, place)| ListedServer {
-            name: n.name.clone(),
-            zone: n.zone,
-            cell: n.cell,
-            address: *place,
-            is_removed: n.health == Health::Removed,
+        let servers = entries.iter().map(|(node, address)| ListedServer {
+            name: node.name.clone(),
+            zone: node.zone,
+            cell: node.cell,
+            address: *address,
+            is_removed: node.health == Health::Removed,
         });
-        // Before the module hears of it: an attempt on its way asks for the leave to write.
+        // Before the module is notified: an attempt that is connecting checks the list before it writes.
         let input =
             lifecycle::Input::ServerList { is_full: scope != Scope::Changes, servers: servers.collect() };
-        let done = self.requests.handle(now, input, &mut self.orders);
-        debug_assert!(done.is_ok() && self.orders.is_empty(), "a list orders nothing");
-        let nodes = entries.into_iter().map(|(n, _)| n).collect();
+        let result = self.requests.handle(now, input, &mut self.commands);
+        debug_assert!(result.is_ok() && self.commands.is_empty(), "a server list yields no commands");
+        let nodes = entries.into_iter().map(|(node, _)| node).collect();
         self.events.push(Event::Fleet { seq, scope, nodes });
     }
 
     // ---- Manual bans ----
 
-    /// Nothing new goes to this server from here on, whatever discovery says, until it is put back.
+    /// Bans a server: no new attempt is sent to it, whatever discovery reports, until it is unbanned. Returns whether
+    /// the ban is new.
     ///
     /// # Errors
-    /// If no list has ever named it.
+    /// Returns an error if no list has ever contained the server.
     pub fn ban(&mut self, now: Time, target: &str) -> Result<bool, NeverListed> {
-        let new = self.bans.ban(now, target)?;
+        let is_new = self.bans.ban(now, target)?;
         self.reapply_entries(now, &[target.into()]);
-        Ok(new)
+        Ok(is_new)
     }
 
-    /// Puts a server back. It counts as just started.
+    /// Ends the ban of a server. If it was last started before the ban, it counts as just started. Returns whether it was
+    /// banned.
     ///
     /// # Errors
-    /// If no list has ever named it.
+    /// Returns an error if no list has ever contained the server.
     pub fn unban(&mut self, now: Time, target: &str) -> Result<bool, NeverListed> {
-        let was_out = self.bans.unban(now, target)?;
+        let was_banned = self.bans.unban(now, target)?;
         self.reapply_entries(now, &[target.into()]);
-        Ok(was_out)
+        Ok(was_banned)
     }
 
-    /// What another process of this gateway is to go on with.
+    /// Returns the module's state for another process of this gateway to continue from.
     pub fn export_state(&self) -> String {
         self.module.export_state()
     }
 
-    /// Goes on with what another process of this gateway has left.
+    /// Continues from the state that another process of this gateway exported.
     ///
     /// # Errors
-    /// What is wrong with it. Nothing has changed then.
-    pub fn import_state(&mut self, now: Time, left: &str) -> Result<(), String> {
+    /// Returns the reason if the state cannot be used. Nothing has changed then, unless the module panicked.
+    pub fn import_state(&mut self, now: Time, state: &str) -> Result<(), String> {
         let module = &mut self.module;
-        // It comes from outside: a panic on it must not take the gateway along.
-        let done = catch_unwind(AssertUnwindSafe(|| module.import_state(now, left)));
-        done.unwrap_or_else(|_| Err("the module panicked on it".into()))
+        // The state comes from outside the process: a panic on it must not end the gateway.
+        let result = catch_unwind(AssertUnwindSafe(|| module.import_state(now, state)));
+        result.unwrap_or_else(|_| Err("the module panicked while importing the state".into()))
     }
 
-    /// Servers that are out by hand, and since when.
+    /// Returns the manually banned servers, and when each was banned.
     pub fn bans(&self) -> BTreeMap<Name, Time> {
         self.bans.banned().map(|(name, since)| (name.clone(), since)).collect()
     }
 
-    /// Takes over the bans that another process of this gateway holds. How many that changes.
-    pub fn adopt_bans(&mut self, now: Time, all: &BTreeMap<Name, Time>) -> usize {
-        let changed = self.bans.adopt(now, all);
+    /// Adopts the bans of another process of this gateway. Returns the number of changes.
+    pub fn adopt_bans(&mut self, now: Time, bans: &BTreeMap<Name, Time>) -> usize {
+        let changed = self.bans.adopt(now, bans);
         self.reapply_entries(now, &changed);
         changed.len()
     }
 
     fn reapply_entries(&mut self, now: Time, names: &[Name]) {
-        let entries: Vec<ListEntry> = names.iter().filter_map(|n| self.nodes.get(n).cloned()).collect();
+        let entries: Vec<ListEntry> = names.iter().filter_map(|name| self.nodes.get(name).cloned()).collect();
         if !entries.is_empty() {
             self.apply_list(now, Scope::Changes, 0, entries);
         }
     }
 
-    // ---- Time ----
+    // ---- Timers ----
 
-    /// What is due is done, and the module hears what has happened.
+    /// Fires due timers and calls the module with the queued events.
     fn wake(&mut self, now: Time, out: &mut Vec<Output>) {
         self.next_batch_at = now + self.min_batch_interval;
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
@@ -518,7 +563,7 @@
             }
         }
         if self.requests.next_due().is_some_and(|at| at <= now) {
-            self.overdue(now, out);
+            self.answer_overdue(now, out);
         }
         if self.events.is_empty() {
             return;
@@ -542,38 +587,38 @@
                     self.timers.push(Reverse((at, token)));
                     continue;
                 }
-                // The watch always stands.
+                // The caller is always subscribed to discovery.
                 Action::Subscribe { .. } => continue,
             };
-            self.feed_or_report(now, input, out);
+            self.handle_or_report(now, input, out);
         }
         self.actions = actions;
     }
 
-    /// Hands the lives what can't be wrong but by a fault of ours.
-    fn feed_or_report(&mut self, now: Time, input: lifecycle::Input, out: &mut Vec<Output>) {
-        if let Err(wrong) = self.feed(now, input, AttemptFacts::default(), out) {
-            out.push(Output::Notice(Notice::Attempt(wrong)));
+    /// Handles an input that is invalid only through a defect of this program.
+    fn handle_or_report(&mut self, now: Time, input: lifecycle::Input, out: &mut Vec<Output>) {
+        if let Err(error) = self.handle_lifecycle_input(now, input, AttemptFacts::default(), out) {
+            out.push(Output::Notice(Notice::InvalidReport(error)));
         }
     }
 
-    /// The module kept silent: what is overdue is answered all the same, and nothing more goes out for it.
-    fn overdue(&mut self, now: Time, out: &mut Vec<Output>) {
-        let unserved = |calls: &[AnswerCounts]| calls.iter().map(|c| c.refused + c.failed).sum::<u64>();
+    /// Answers requests on which the module did not decide in time, and aborts their attempts.
+    fn answer_overdue(&mut self, now: Time, out: &mut Vec<Output>) {
+        let unserved = |answers: &[AnswerCounts]| answers.iter().map(|c| c.refused + c.failed).sum::<u64>();
         let before = unserved(&self.answers);
-        self.feed_or_report(now, lifecycle::Input::Tick, out);
+        self.handle_or_report(now, lifecycle::Input::Tick, out);
         self.counts.overdue += unserved(&self.answers) - before;
     }
 
-    /// The module panicked, and what it holds can't be trusted: as after a restart, a new one begins with the
-    /// list alone, and what was held gets its answer. Connections and attempts that are out live on.
+    /// Replaces the module after a panic, since its state cannot be trusted. As after a restart, the new one starts from
+    /// the server list alone, and all requests in progress are answered. Connections and attempts in flight stay.
     fn restart_module(&mut self, now: Time, out: &mut Vec<Output>) {
         out.push(Output::Notice(Notice::ModulePanicked { ended: self.requests.len() }));
-        // These settings were good at the start.
+        // The factory's settings were valid at startup.
         let Ok(mut module) = (self.module_factory)(now, now) else { return };
         module.reconfigure(&self.settings);
         self.module = module;
-        self.feed_or_report(now, lifecycle::Input::Panicked, out);
+        self.handle_or_report(now, lifecycle::Input::Panicked, out);
         self.timers.clear();
         let entries = self.nodes.values().cloned().collect();
         self.apply_list(now, Scope::Cached, 0, entries);
--- a/crates/gateway/lifecycle/src/connection.rs
+++ b/crates/gateway/lifecycle/src/connection.rs
@@ -1,27 +1,27 @@
-//! A client's connection: HTTP/1.1, one request at a time, answers in order (RFC 9112, section 9.3).
+//! The state machine of a client connection: HTTP/1.1, one request at a time, answers in order (RFC 9112, section 9.3).
 //!
-//! | state | bytes of the next head | the head | the body | the answer | all of it written | `Close` |
+//! | state | `Bytes` | `Head` | `Accepted` | `Reply` | `Flushed` | `Close` |
 //! | --- | --- | --- | --- | --- | --- | --- |
-//! | `Idle` | `Head` | `Body` | - | - | - | `Shut`; handover: stays, if no request has come yet |
+//! | `Idle` | `Head` | `Body` | - | - | - | `Shut`; handover: stays if it has sent no request yet |
 //! | `Head` | stays | `Body` | - | - | - | `Shut`; handover: stays |
 //! | `Body` | stays | - | `Processing` | `Answering` | stays | drain: `Finish`; evict: `Shut`, or `Finish` while the previous answer is not written |
 //! | `Processing` | stays | - | - | `Answering` | stays | `Finish` |
 //! | `Answering` | stays | `Body` | - | - | `Idle` | `Finish`; evict, after [`UNREAD_ANSWER_TIMEOUT`]: `Shut` |
 //! | `Closed` | - | - | - | - | - | stays |
 //!
-//! A head may arrive while the previous answer is still being written: bytes keep their order.
+//! A head may arrive while the previous answer is still being written; answers keep their order.
 
 use interface::Time;
 use std::fmt;
 
-/// The state of a client's connection.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum State {
-    /// Nothing of a next request has arrived.
+    /// No byte of the next request has arrived.
     Idle,
-    /// A part of a head has arrived.
+    /// A part of a request head has arrived.
     Head,
-    /// A complete head has arrived; its body has not, or the request is being validated.
+    /// A complete head has arrived; the body is incomplete, or the request is being validated.
     Body,
     /// A complete and valid request waits for its answer.
     Processing,
@@ -30,49 +30,49 @@
     Closed,
 }
 
-/// Why a connection is to close.
+/// The reason to close a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Close {
-    /// The gateway shuts down: accepted requests are answered first.
+    /// The gateway shuts down; accepted requests are answered first.
     Drain,
-    /// Another process takes over: a client that is sending its first request may finish it.
+    /// Another process takes over; a client that has yet to send its first request, or is sending a head, may finish it.
     Handover,
-    /// Its descriptor is needed for another client.
+    /// Its file descriptor is needed for another client.
     Evict,
 }
 
-/// What happened on a client's connection.
+/// An input of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// Some bytes arrived.
+    /// Bytes have arrived.
     Bytes,
     /// A request's head is complete.
     Head,
     /// The request is complete and valid.
     Accepted,
-    /// The answer is known, to a valid request or to an invalid one.
+    /// The answer to a valid or invalid request is available.
     Reply,
-    /// The last byte of the answer is written.
+    /// The last byte of the answer has been written.
     Flushed,
     Close(Close),
-    /// The socket was closed, from either side.
+    /// The socket was closed by either side.
     Disconnected,
 }
 
-/// What the owner of the socket must do.
+/// A command for the owner of the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
-    /// Nothing is to be done.
+    /// Do nothing.
     None,
-    /// Close the connection now: no answer is due on it.
+    /// Close the connection now.
     Shut,
-    /// Close it once the answer that is due has been written.
+    /// Close it after the pending answer has been written.
     Finish,
-    /// Write the answer, and say whether the connection closes behind it.
+    /// Write the answer, with `Connection: close` if the connection closes after it.
     Answer { close: bool },
 }
 
-/// An input without a meaning in the present state. Nothing has changed.
+/// An input that is invalid in the present state. Nothing has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InvalidInput {
     pub state: State,
@@ -81,28 +81,29 @@
 
 impl fmt::Display for InvalidInput {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} has no meaning on a connection that is {:?}", self.input, self.state)
+        write!(f, "invalid input {:?} for a connection in state {:?}", self.input, self.state)
     }
 }
 
 impl std::error::Error for InvalidInput {}
 
-/// How long, in nanoseconds, a new client may be silent before it may be evicted.
+/// How long, in nanoseconds, a client that has sent no request may be silent before it can be evicted.
 pub const EVICTION_GRACE: Time = 100_000_000;
-/// A client that has not read its answer for this long may be evicted: longer than any request may wait.
+/// A client that has not read its answer for this long can be evicted. Longer than any request may wait.
 pub const UNREAD_ANSWER_TIMEOUT: Time = 4_000_000_000;
 
-/// A client that is silent for this long is disconnected: it holds memory.
+/// A client that is silent for this long is disconnected, since it holds memory.
 pub const IDLE_TIMEOUT: Time = 2_200_000_000;
-/// A head may take 2 s; the rest is for transmission.
+/// The timeout of a request head: 2 s, plus transmission time.
 pub const HEAD_TIMEOUT: Time = 2_400_000_000;
-/// Within 3 s of connecting a client is due an error or a close, if its first request is not complete.
+/// The timeout of a client's first head after connecting: within 3 s it must get an error or a close if its first request
+/// is incomplete.
 pub const FIRST_HEAD_TIMEOUT: Time = 2_800_000_000;
 
-/// How long a client may be silent.
+/// Read timeouts of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Timeouts {
-    /// Between two requests, and after connecting.
+    /// From connecting, or from an answer, to the next head's first byte.
     pub idle: Time,
     /// From a head's first byte to its last.
     pub head: Time,
@@ -116,28 +117,29 @@
     }
 }
 
-/// A client's connection.
+/// A client connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Connection {
     timeouts: Timeouts,
     state: State,
-    /// When it was accepted, or its last answer became known.
+    /// When the last answer became available; before the first, when the connection was accepted.
     last_answer_at: Time,
-    /// When it was accepted; when the first byte of its latest head arrived, and the latest byte.
+    /// When it was accepted, when the first byte of the latest head arrived, and when the latest byte of a head arrived.
     accepted_at: Time,
     head_started_at: Time,
     last_byte_at: Time,
-    /// Whether it has sent a complete and valid request.
+    /// Whether the client has sent a complete and valid request.
     has_requested: bool,
-    /// Whether it has had any answer.
+    /// Whether any answer became available.
     has_answered: bool,
+    /// Whether the connection closes after the next or pending answer.
     is_closing: bool,
-    /// Whether an answer has bytes that are not written yet, even while the next request is read.
+    /// Whether an answer is not completely written, even while the next request is read.
     has_unwritten: bool,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection accepted at `now`.
     pub fn new(now: Time, timeouts: Timeouts) -> Self {
         let (last_answer_at, accepted_at, head_started_at, last_byte_at) = (now, now, now, now);
         Connection {
@@ -154,24 +156,24 @@
         }
     }
 
-    /// Its state.
+    /// Returns the state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether an answer has bytes that are not written yet.
+    /// Returns whether an answer is not completely written.
     pub fn has_unwritten(&self) -> bool {
         self.has_unwritten
     }
 
-    /// Whether it has sent a complete and valid request.
+    /// Returns whether the client has sent a complete and valid request.
     pub fn has_requested(&self) -> bool {
         self.has_requested
     }
 
-    /// When it is disconnected unless more of a head arrives: a silent client after [`IDLE_TIMEOUT`], one that has
-    /// begun a head after [`HEAD_TIMEOUT`], and a first head is due by [`FIRST_HEAD_TIMEOUT`] after connecting. None
-    /// while it waits for something else.
+    /// Returns when the client is disconnected unless the expected bytes of a head arrive: an idle client after
+    /// [`Timeouts::idle`], one that has started a head after [`Timeouts::head`], and before the first answer not later than
+    /// [`Timeouts::first_head`] after connecting. `None` while no head is awaited.
     pub fn read_deadline(&self) -> Option<Time> {
         match self.state {
             State::Idle => Some(self.last_answer_at + self.timeouts.idle),
@@ -184,13 +186,13 @@
         }
     }
 
-    /// Handles an input. The time matters for `Bytes`, `Reply` and `Close` alone.
+    /// Handles an input. The time matters only for `Bytes`, `Reply` and `Close`.
     ///
     /// # Errors
-    /// [`InvalidInput`], if that can't be in the present state.
+    /// Returns [`InvalidInput`] if the input is invalid in the present state.
     pub fn handle(&mut self, now: Time, input: Input) -> Result<Command, InvalidInput> {
         use State::*;
-        let order = match (self.state, input) {
+        let command = match (self.state, input) {
             (_, Input::Disconnected) => {
                 self.state = Closed;
                 Command::None
@@ -222,7 +224,7 @@
                 Command::Answer { close: self.is_closing && !planted!(CloseNotSaid) }
             }
             (Answering, Input::Flushed) => {
-                // As a rule right after the answer: it is idle since then.
+                // Usually right after the answer, so `last_answer_at` is when the connection became idle.
                 (self.state, self.has_unwritten) = (Idle, false);
                 if self.is_closing && !planted!(FinishedStaysOpen) {
                     self.state = Closed;
@@ -254,10 +256,10 @@
             }
             (state, input) => return Err(InvalidInput { state, input }),
         };
-        Ok(order)
+        Ok(command)
     }
 
-    /// Whether its client has not read its answer for too long.
+    /// Returns whether the client has not read its answer for [`UNREAD_ANSWER_TIMEOUT`].
     fn is_answer_unread(&self, now: Time) -> bool {
         self.state == State::Answering
             && now.saturating_sub(self.last_answer_at) >= UNREAD_ANSWER_TIMEOUT
@@ -273,40 +275,41 @@
         Command::Shut
     }
 
-    /// Its rank for eviction, the first to be evicted least, and how long it is still protected; none if it must stay.
+    /// Returns the connection's rank for eviction, the lowest to be evicted first, and how long it is still protected.
+    /// `None` if it must stay.
     fn eviction_rank(&self, now: Time) -> Option<((bool, bool, Time), Time)> {
-        // A client that is still writing a head ranks behind one that only holds its connection.
+        // A client that is still sending a head ranks behind a silent one.
         let since = if planted!(ProgressIgnored) {
             self.last_answer_at
         } else {
             self.last_answer_at.max(self.last_byte_at)
         };
-        let quiet = now.saturating_sub(since);
-        let stuck = self.state == State::Answering;
-        let wait = match self.state {
+        let silence = now.saturating_sub(since);
+        let is_answer_unwritten = self.state == State::Answering;
+        let protected_for = match self.state {
             _ if self.has_unwritten && self.state != State::Answering && !planted!(NextHidesAnswer) => {
                 return None
             }
             State::Idle | State::Head | State::Body if self.has_requested => 0,
-            State::Idle | State::Head | State::Body => EVICTION_GRACE.saturating_sub(quiet),
+            State::Idle | State::Head | State::Body => EVICTION_GRACE.saturating_sub(silence),
             State::Processing if planted!(BusySpared) => 0,
-            State::Answering if quiet >= UNREAD_ANSWER_TIMEOUT => 0,
+            State::Answering if silence >= UNREAD_ANSWER_TIMEOUT => 0,
             State::Processing | State::Answering | State::Closed => return None,
         };
-        Some(((stuck, self.has_requested, since), wait))
+        Some(((is_answer_unwritten, self.has_requested, since), protected_for))
     }
 }
 
-/// The client to evict: first one that never sent a valid request, then one that idles between requests, then one that
-/// does not read its answer; among equals the one that has been so for longest. With it, how long it is still
-/// protected. None if every client is due an answer. A byte of a head counts as a new start, which [`HEAD_TIMEOUT`]
-/// bounds.
+/// Returns the client to evict, and how long it is still protected. Clients that never sent a valid request come first,
+/// then clients that are idle between requests, then clients that do not read their answer; within each group the one
+/// that has been silent longest. `None` if every client awaits an answer. Each byte of a head restarts the silence; the
+/// head's total time is limited by [`HEAD_TIMEOUT`].
 pub fn eviction_candidate<'a, K>(
     clients: impl Iterator<Item = (K, &'a Connection)>,
     now: Time,
 ) -> Option<(K, Time)> {
-    let all = clients.filter_map(|(key, c)| Some((key, c.eviction_rank(now)?)));
-    all.min_by_key(|(_, (rank, _))| *rank).map(|(key, (_, wait))| (key, wait))
+    let ranked = clients.filter_map(|(key, connection)| Some((key, connection.eviction_rank(now)?)));
+    ranked.min_by_key(|(_, (rank, _))| *rank).map(|(key, (_, protected_for))| (key, protected_for))
 }
 
 #[cfg(test)]
--- a/crates/gateway/lifecycle/src/drain.rs
+++ b/crates/gateway/lifecycle/src/drain.rs
@@ -1,40 +1,49 @@
-//! Shutdown: how long the gateway waits, and how long requests that it still accepts may wait.
+//! Draining at shutdown: how long the gateway keeps running, and how long requests that it still accepts may wait.
 //!
-//! A request that arrives in the accept window has its full time, however long the settings allow. One that is
-//! completed later, on a connection from before, is accepted too and has what is left: it gets its answer before the
-//! end.
+//! A request that arrives in the accept window has its full timeout, up to the maximum that the settings allow. A request
+//! completed later on an existing connection is accepted too, but its timeout is limited to the remaining time, so that
+//! it is answered before the process ends.
 
 use interface::Time;
 
-/// How long after the shutdown request clients may still connect.
+/// How long after the shutdown request new connections are accepted.
 pub const ACCEPT_WINDOW: Time = 500_000_000;
-/// Between the last answer's deadline and the end: half to write the answer, half for the client to read it.
+/// The time between the last answer's deadline and the end: half to write the answer, half for the client to read it.
 pub const FINAL_MARGIN: Time = 100_000_000;
 
-/// A shutdown under way.
+/// A drain in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Drain {
     end: Time,
 }
 
 impl Drain {
-    /// `longest`: the longest that any request may wait for its answer, by the settings.
-    pub fn new(told: Time, longest: Time) -> Self {
-        Drain::with_limits(told, ACCEPT_WINDOW, longest, Time::MAX)
+    /// Starts a drain. `max_deadline`: the maximum time that the settings let a request wait for its answer.
+    pub fn new(requested_at: Time, max_deadline: Time) -> Self {
+        Drain::with_limits(requested_at, ACCEPT_WINDOW, max_deadline, Time::MAX)
     }
 
-    /// The same with another window, and over after `most` in any case.
-    pub fn with_limits(told: Time, window: Time, longest: Time, most: Time) -> Self {
-        let longest = if planted!(DrainForgetsDeadline) { 3_000_000_000 } else { longest };
-        Drain { end: (told + window + longest + FINAL_MARGIN).min(told.saturating_add(most)) }
+    /// Like [`Drain::new`] with another accept window, and ending after `max_duration` in any case.
+    pub fn with_limits(
+        requested_at: Time,
+        accept_window: Time,
+        max_deadline: Time,
+        max_duration: Time,
+    ) -> Self {
+        let max_deadline = if planted!(DrainForgetsDeadline) { 3_000_000_000 } else { max_deadline };
+        Drain {
+            end: (requested_at + accept_window + max_deadline + FINAL_MARGIN)
+                .min(requested_at.saturating_add(max_duration)),
+        }
     }
 
-    /// When the gateway ends in any case: everything accepted in the window has had its time by then.
+    /// Returns when the gateway ends in any case. Unless `max_duration` is shorter, every request accepted in the window
+    /// has had its full timeout by then.
     pub fn end(&self) -> Time {
         self.end
     }
 
-    /// How long a request may wait that is complete now and whose client waits for `timeout`.
+    /// Returns how long a request may wait that is complete now and has this timeout.
     pub fn wait(&self, now: Time, timeout: Time) -> Time {
         if planted!(DrainKeepsLate) {
             return timeout;
--- a/crates/gateway/lifecycle/src/events.rs
+++ b/crates/gateway/lifecycle/src/events.rs
@@ -8,113 +8,81 @@
 /// Limits that hold for every request; times are in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// The most attempts for one request, 1 or more.
+    /// The maximum number of attempts of a request, at least 1.
     pub max_attempts: u32,
-    /// How long after its deadline the module may still answer a request.
+    /// How long after a request's deadline the module may still answer it.
     pub grace: Time,
-    /// How long before the servers forget a key its last repeat may be written: transmission takes time.
+    /// How long before the servers forget an idempotency key its last retry may be written, to allow for transmission.
     pub key_margin: Time,
 }
 
-/// A complete request.
+/// A request that has arrived, complete unless `has_single_attempt` is set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Arrival {
     pub id: RequestId,
-    /// Its class: returned with the answer, and without other meaning here.
+    /// Its class: returned with the answer and otherwise unused here.
     pub class: usize,
-    /// What a second run of it does.
+    /// The effect of executing it a second time.
     pub effect: Effect,
-    /// Which servers drop the repeats of a keyed request, and for how long from the first on.
+    /// The servers that drop repeats of a keyed request, and for how long after its first execution.
     pub group: Group,
     pub key_ttl: Time,
-    /// By then it is answered, or `grace` later at the latest.
+    /// When its answer is due; [`Limits::grace`] later it is answered in any case.
     pub deadline: Time,
-    /// Whether it cannot be written again once a byte may have been sent: its body is streamed.
+    /// Whether its body is streamed, so that it cannot be retried once a byte may have been sent.
     pub has_single_attempt: bool,
 }
 
-/// How far an attempt has come. Each step is reported once, in this order; steps may be skipped.
+/// The progress of an attempt. Each step is reported once, in this order; steps may be skipped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Step {
     /// No byte may be written yet.
     Connecting,
-    /// It may write; too little has been written for a backend to begin.
+    /// It may write; too little has been written for a backend to start execution.
     Writing,
-    /// So much of it may be out that it may have run from here on ([`crate::upstream::ExecutionStart`]).
+    /// Enough may have been written for a backend to execute it ([`crate::upstream::ExecutionStart`]).
     Written,
     /// A part of the answer has arrived.
     Answering,
 }
 
-/// What an attempt brought back, as far as it decides on the request.
+/// The reply of an attempt, as far as it matters to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reply {
     None,
     /// A complete answer that serves the request.
     Good,
-    /// A server rejected the request itself: no other would accept it.
+    /// A server rejected the request itself; no other server would accept it.
     Rejected,
 }
 
-/// What happened to a request or an attempt.
+/// An input of the request table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Input {
-    /// A front end: a complete request has arrived.
+    /// A front end: a request has arrived.
     Received(Arrival),
-    /// A front end: the last byte of a request received earlier has arrived; the deadline counts from now.
-    BodyCompleted {
-        id: RequestId,
-        deadline: Time,
-    },
-    /// A front end: nobody waits for the answer any more.
-    ClientLeft {
-        id: RequestId,
-    },
-    /// The decision module, which may say anything at any time.
-    Send {
-        id: RequestId,
-        server: Name,
-        attempt_deadline: Time,
-    },
-    Refuse {
-        id: RequestId,
-        advice: Time,
-    },
-    Fail {
-        id: RequestId,
-    },
-    Cancel {
-        id: RequestId,
-        attempt: u32,
-    },
-    /// An attempt: its connection is established. The answer is `Write` or `Withhold`.
-    Connected {
-        id: RequestId,
-        attempt: u32,
-    },
-    /// An attempt: how far it has come since.
-    Progress {
-        id: RequestId,
-        attempt: u32,
-        step: Step,
-    },
-    /// An attempt: a good answer has started and the rest is streamed. It is the final answer.
-    AnswerStarted {
-        id: RequestId,
-        attempt: u32,
-    },
-    /// An attempt: its end, reported once.
-    AttemptEnded {
-        id: RequestId,
-        attempt: u32,
-        ending: Ending,
-        reply: Reply,
-    },
-    /// The server list, whole or the changes to it.
-    ServerList {
-        is_full: bool,
-        servers: Vec<ListedServer>,
-    },
+    /// A front end: the last byte of a request received earlier has arrived; this is its new deadline.
+    BodyCompleted { id: RequestId, deadline: Time },
+    /// A front end: the client has disconnected.
+    ClientLeft { id: RequestId },
+    /// The decision module: start an attempt. Any action of the module is valid at any time.
+    Send { id: RequestId, server: Name, attempt_deadline: Time },
+    /// The decision module: refuse the request.
+    Refuse { id: RequestId, advice: Time },
+    /// The decision module: fail the request.
+    Fail { id: RequestId },
+    /// The decision module: cancel an attempt.
+    Cancel { id: RequestId, attempt: u32 },
+    /// An attempt: its connection is established. The table replies with `Write` or `Withhold`.
+    Connected { id: RequestId, attempt: u32 },
+    /// An attempt: it has reached this step.
+    Progress { id: RequestId, attempt: u32, step: Step },
+    /// An attempt: a successful answer has started and is being streamed. It is the final answer.
+    AnswerStarted { id: RequestId, attempt: u32 },
+    /// An attempt: it has ended. Reported once.
+    AttemptEnded { id: RequestId, attempt: u32, ending: Ending, reply: Reply },
+    /// The full server list, or changes to it.
+    ServerList { is_full: bool, servers: Vec<ListedServer> },
     /// Time has passed: overdue requests are answered.
     Tick,
     /// The decision module has panicked, and its state is lost.
@@ -128,20 +96,20 @@
     Served,
     /// With the rejection of the attempt that just ended.
     Rejected,
-    /// Nothing has run; the client may try again after `advice`. `tried`: whether any attempt was made.
+    /// Nothing has run; the client may retry after a delay of `advice`. `tried`: whether any attempt was made.
     Refused { tried: bool, advice: Time },
-    /// An attempt may have run, or the module gave no reason.
+    /// An attempt may have run, or the module failed the request. `late`: whether it timed out.
     Failed { late: bool },
 }
 
-/// What the decision module is told.
+/// A notification to the decision module.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ModuleEvent {
     ClientLeft { id: RequestId },
     Ended { id: RequestId, attempt: u32, server: Name, ending: Ending, last: bool },
 }
 
-/// What must be done for a request or an attempt.
+/// A command of the request table, for the owner of the sockets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
     /// Start an attempt; `Connected` must be reported before a byte is written.
@@ -157,16 +125,17 @@
         id: RequestId,
         attempt: u32,
     },
-    /// The attempt must not write. It ends as one that never ran.
+    /// The attempt must not write; it is to end as one that never ran.
     Withhold {
         id: RequestId,
         attempt: u32,
     },
-    /// Stop the attempt: nothing more is written, and its answer is not awaited.
+    /// Stop the attempt: write nothing more and do not wait for its answer.
     Abort {
         id: RequestId,
         attempt: u32,
     },
+    /// Send the final answer to the client.
     Answer {
         id: RequestId,
         class: usize,
@@ -181,26 +150,26 @@
     NotifyModule(ModuleEvent),
 }
 
-/// An input without meaning in the present state. Nothing has changed.
+/// An input that is invalid in the present state. Nothing has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidInput {
-    /// A request with this id is not over.
+    /// A request with this id is still in progress.
     IdInUse(RequestId),
     /// No attempt with this number is in flight.
     NoSuchAttempt { id: RequestId, attempt: u32 },
-    /// The attempt is past this, or has not come so far.
-    OutOfOrder { id: RequestId, attempt: u32, at: Step },
+    /// The input does not follow the attempt's present step.
+    OutOfOrder { id: RequestId, attempt: u32, step: Step },
 }
 
 impl fmt::Display for InvalidInput {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InvalidInput::IdInUse(id) => write!(f, "request {id:016x}: its id is still held"),
+            InvalidInput::IdInUse(id) => write!(f, "request {id:016x}: the id is still in use"),
             InvalidInput::NoSuchAttempt { id, attempt } => {
-                write!(f, "request {id:016x}: attempt {attempt} is not out")
+                write!(f, "request {id:016x}: attempt {attempt} is not in flight")
             }
-            InvalidInput::OutOfOrder { id, attempt, at } => {
-                write!(f, "request {id:016x}: attempt {attempt} is at {at:?}")
+            InvalidInput::OutOfOrder { id, attempt, step } => {
+                write!(f, "request {id:016x}: input out of order for attempt {attempt} at step {step:?}")
             }
         }
     }
--- a/crates/gateway/lifecycle/src/lib.rs
+++ b/crates/gateway/lifecycle/src/lib.rs
@@ -1,16 +1,16 @@
-//! State machines without I/O: of a request ([`RequestTable`]), of a client's connection ([`Connection`]) and of one to
-//! a backend ([`Upstream`]).
+//! State machines without I/O for requests ([`RequestTable`]), client connections ([`Connection`]) and backend
+//! connections ([`Upstream`]).
 //!
-//! Every request passes through [`RequestTable`], however it came in, whatever the decision module says of it and
-//! however its attempts end. The rules that must never break are enforced here and nowhere else: one final answer,
-//! never two attempts in flight, no repeat of what must not run twice, a refusal only if nothing can have run, and
-//! nothing written to a server that takes no new work. [`Connection`] does the same for a client's connection: no
-//! answer is cut short, and none is sent for an incomplete request. [`Upstream`]: no answer reaches a request that it
-//! does not belong to.
+//! Every request passes through [`RequestTable`], whichever front end received it, whatever the decision module does and
+//! however its attempts end. These invariants are enforced here and nowhere else: a request gets one final answer, never
+//! has two attempts in flight, is not retried if it must not run twice, is refused only if nothing can have run, and is
+//! not written to a server that accepts no new requests. [`Connection`] ensures that no answer to a client is cut short
+//! and that none is sent for an incomplete request; [`Upstream`], that no answer is passed to a request that it does not
+//! belong to.
 //!
-//! The first two take an input with its time and return commands for the owner of the sockets. An input that has no
-//! meaning in the present state is a typed error and changes nothing. The program runs on these machines and
-//! `model-check` explores them: it is the same code.
+//! The first two take an input with its time and return commands for the owner of the sockets. An input that is invalid
+//! in the present state is a typed error and changes nothing. The program and the checker `model-check` run the same
+//! code.
 //!
 //! ```
 //! use interface::{Effect, Group};
@@ -19,22 +19,22 @@
 //! let mut requests = RequestTable::new(Limits { max_attempts: 3, grace: 5, key_margin: 1 });
 //! let mut commands = Vec::new();
 //! let arrival = Arrival { id: 7, class: 0, effect: Effect::Unsafe, group: Group::All, key_ttl: 0, deadline: 100, has_single_attempt: false };
-//! requests.handle(0, Input::Received(arrival), &mut commands).expect("its id is free");
-//! // The decision module says nothing: the request is answered all the same.
-//! requests.handle(105, Input::Tick, &mut commands).expect("time may always pass");
+//! requests.handle(0, Input::Received(arrival), &mut commands).expect("the id is unused");
+//! // The decision module returns no action: the request is answered nevertheless.
+//! requests.handle(105, Input::Tick, &mut commands).expect("a tick is always valid");
 //! assert!(matches!(commands[0], Command::Answer { id: 7, answer: FinalAnswer::Refused { tried: false, .. }, .. }));
 //! assert!(requests.is_empty());
 //! ```
 #![forbid(unsafe_code)]
 
-/// Whether the named defect is planted; always false, and compiled out, in release builds.
+/// Whether the named defect is planted; without the feature `defects` always false, and compiled out.
 macro_rules! planted {
     ($name:ident) => {{
         #[cfg(feature = "defects")]
-        let on = crate::defects::active(crate::defects::Defect::$name);
+        let is_planted = crate::defects::active(crate::defects::Defect::$name);
         #[cfg(not(feature = "defects"))]
-        let on = false;
-        on
+        let is_planted = false;
+        is_planted
     }};
 }
 
--- a/crates/gateway/lifecycle/src/request.rs
+++ b/crates/gateway/lifecycle/src/request.rs
@@ -1,12 +1,12 @@
-//! A request's state machine, from its last byte until it is answered and no attempt is in flight.
+//! The state machine of a request, from its arrival until it is answered and no attempt is in flight.
 //!
-//! | phase | the client | the attempt | left by |
+//! | phase | client | attempt | transitions |
 //! | --- | --- | --- | --- |
-//! | `Waiting` | waits | none | `Send` (to `InFlight`), an answer or the client's leaving (both end the request) |
-//! | `InFlight` | waits | in flight, at a [`Step`] | its end (to `Waiting`, or the request's end), an answer (`Answered`), the client's leaving (`Abandoned`) |
-//! | `Streaming` | receives its answer | in flight, no longer the module's concern | the attempt's end |
-//! | `Answered` | has its answer | still to end | the attempt's end |
-//! | `Abandoned` | has left | still to end | the attempt's end |
+//! | `Waiting` | waits | none | to `InFlight` on `Send`; ends on an answer or when the client leaves |
+//! | `InFlight` | waits | in flight, at a [`Step`] | when it ends, to `Waiting` or the request's end; to `Answered` on an answer; to `Abandoned` when the client leaves |
+//! | `Streaming` | receives its answer | in flight, already reported to the module as ended | ends with the attempt |
+//! | `Answered` | has its answer | has not ended yet | ends with the attempt |
+//! | `Abandoned` | has left | has not ended yet | ends with the attempt |
 
 use crate::events::{Arrival, Command, FinalAnswer, Input, InvalidInput, Limits, ModuleEvent, Reply, Step};
 use crate::server_list::ServerList;
@@ -17,17 +17,17 @@
 /// An attempt in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Attempt {
-    /// From 0.
+    /// The attempt number, from 0.
     pub number: u32,
     pub server: Name,
     pub step: Step,
-    /// Whether it has been aborted.
+    /// Whether an abort was ordered.
     pub aborted: bool,
-    /// Where it was sent, and the server's zone and cell then.
+    /// The server's address, zone and cell when the attempt started.
     address: SocketAddr,
     zone: u32,
     cell: u32,
-    /// When it was allowed to write; until then when it was started.
+    /// When it was allowed to write; before that, when it started.
     since: Time,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// The earliest attempt that may have run: not before `since`, on a server of this zone and cell.
+/// The first attempt that may have run: not before `since`, on a server of this zone and cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct PossibleExecution {
     pub since: Time,
@@ -49,7 +49,7 @@
     pub cell: u32,
 }
 
-/// What a request waits for.
+/// The phase of a request; see the table above.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Phase {
     Waiting,
@@ -63,20 +63,21 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestState {
     pub phase: Phase,
-    /// Attempts made.
+    /// The number of attempts made.
     pub attempts: u32,
+    /// `None` while it is certain that no attempt has run.
     pub possible_execution: Option<PossibleExecution>,
     /// Whether the latest attempt timed out.
     has_timed_out: bool,
     arrival: Arrival,
 }
 
-/// All requests that are not over, and the server list as far as their attempts need it.
+/// All requests in progress, and the part of the server list that their attempts need.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RequestTable {
     limits: Limits,
     requests: BTreeMap<RequestId, RequestState>,
-    /// When waiting requests are overdue.
+    /// When requests without an answer become overdue.
     deadlines: BTreeSet<(Time, RequestId)>,
     server_list: ServerList,
 }
@@ -84,7 +85,7 @@
 type HandleResult = Result<(), InvalidInput>;
 
 impl RequestTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: Limits) -> Self {
         RequestTable {
             limits,
@@ -94,39 +95,40 @@
         }
     }
 
-    /// Whether nothing is kept of any request.
+    /// Returns whether no state of any request is left.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty() && self.deadlines.is_empty()
     }
 
-    /// How many requests are not over.
+    /// Returns the number of requests in progress.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// When `Tick` is next wanted.
+    /// Returns when the next `Tick` is due.
     pub fn next_due(&self) -> Option<Time> {
-        self.deadlines.first().map(|(at, _)| *at)
+        self.deadlines.first().map(|(due_at, _)| *due_at)
     }
 
-    /// The state of a request that is not over.
+    /// Returns the state of a request in progress.
     pub fn get(&self, id: RequestId) -> Option<&RequestState> {
         self.requests.get(&id)
     }
 
-    /// The servers that may be written to.
+    /// Returns the servers that may be written to.
     pub fn server_list(&self) -> &ServerList {
         &self.server_list
     }
 
-    /// Takes what happened by `now` and appends what to do about it, in order.
+    /// Handles an input at time `now` and appends the resulting commands, in order.
     ///
     /// # Errors
-    /// [`InvalidInput`], if a front or an attempt tells what can't be; nothing has changed then. The module's words
-    /// are never an error: what is not to be done is not done, and it hears so.
+    /// Returns [`InvalidInput`] if an input of a front end or an attempt is invalid in the present state. Nothing has
+    /// changed then. The module's actions are never an error: an action that must not be carried out is skipped, and for
+    /// a `Send` the module is notified.
     pub fn handle(&mut self, now: Time, input: Input, out: &mut Vec<Command>) -> HandleResult {
         match input {
-            Input::Received(arrival) => return self.received(arrival),
+            Input::Received(arrival) => return self.request_received(arrival),
             Input::BodyCompleted { id, deadline } => self.body_completed(id, deadline),
             Input::ClientLeft { id } => self.client_left(id, out),
             Input::Send { id, server, attempt_deadline } => self.send(now, id, server, attempt_deadline, out),
@@ -139,7 +141,7 @@
             Input::AttemptEnded { id, attempt, ending, reply } => {
                 return self.attempt_ended(id, attempt, ending, reply, out);
             }
-            Input::ServerList { is_full: whole, servers } => self.server_list.update(whole, servers),
+            Input::ServerList { is_full, servers } => self.server_list.update(is_full, servers),
             Input::Tick => self.tick(now, out),
             Input::Panicked => self.panicked(out),
         }
@@ -148,9 +150,9 @@
 
     // ---- Clients ----
 
-    fn received(&mut self, arrival: Arrival) -> HandleResult {
+    fn request_received(&mut self, arrival: Arrival) -> HandleResult {
         let id = arrival.id;
-        // Two attempts with one id must not be in flight at once.
+        // Attempts of two requests with the same id must not be in flight at once.
         if self.requests.contains_key(&id) && !planted!(IdReusedWhileHeld) {
             return Err(InvalidInput::IdInUse(id));
         }
@@ -169,26 +171,26 @@
     }
 
     fn body_completed(&mut self, id: RequestId, deadline: Time) {
-        // It may have been answered before its body was complete.
-        let Some(life) = self.requests.get_mut(&id) else { return };
+        // The request may have been answered before its body was complete.
+        let Some(request) = self.requests.get_mut(&id) else { return };
         let grace = self.limits.grace;
-        if self.deadlines.remove(&(life.arrival.deadline + grace, id)) {
+        if self.deadlines.remove(&(request.arrival.deadline + grace, id)) {
             self.deadlines.insert((deadline + grace, id));
         }
-        life.arrival.deadline = deadline;
+        request.arrival.deadline = deadline;
     }
 
     fn client_left(&mut self, id: RequestId, out: &mut Vec<Command>) {
-        // The client's leaving may have crossed the answer.
-        let Some(life) = self.requests.get_mut(&id) else { return };
-        match std::mem::replace(&mut life.phase, Phase::Waiting) {
+        // The client may have left just as the answer was sent.
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        match std::mem::replace(&mut request.phase, Phase::Waiting) {
             Phase::Waiting => self.remove(id),
             Phase::InFlight(mut attempt) => {
-                // What no server can have run is aborted; else the module decides.
+                // Aborted if no server can have run it; otherwise the module decides.
                 if !attempt.may_have_run() && !planted!(NoAbortOnLeave) {
                     abort(id, &mut attempt, out);
                 }
-                life.phase = if planted!(LeftStillServed) {
+                request.phase = if planted!(LeftStillServed) {
                     Phase::InFlight(attempt)
                 } else {
                     Phase::Abandoned(attempt)
@@ -199,11 +201,11 @@
             }
             Phase::Streaming(mut attempt) => {
                 abort(id, &mut attempt, out);
-                life.phase = Phase::Streaming(attempt);
+                request.phase = Phase::Streaming(attempt);
                 return;
             }
-            over => {
-                life.phase = over;
+            ended => {
+                request.phase = ended;
                 return;
             }
         }
@@ -220,12 +222,12 @@
         attempt_deadline: Time,
         out: &mut Vec<Command>,
     ) {
-        let never = |attempt, server, ending| {
+        let ended_unsent = |attempt, server, ending| {
             Command::NotifyModule(ModuleEvent::Ended { id, attempt, server, ending, last: false })
         };
         let limits = self.limits;
         let ready = self.server_list.ready_server(&server);
-        let Some(life) = self.requests.get_mut(&id) else {
+        let Some(request) = self.requests.get_mut(&id) else {
             return out.push(Command::NotifyModule(ModuleEvent::Ended {
                 id,
                 attempt: 0,
@@ -234,91 +236,93 @@
                 last: true,
             }));
         };
-        let idle = matches!(life.phase, Phase::Waiting)
-            || planted!(SendWhileOut) && matches!(life.phase, Phase::InFlight(_));
-        let more = life.attempts < limits.max_attempts
-            || planted!(OneAttemptTooMany) && life.attempts == limits.max_attempts;
-        if !idle || !more || now >= life.arrival.deadline {
-            return out.push(never(life.attempts, server, Ending::Stale));
+        let is_waiting = matches!(request.phase, Phase::Waiting)
+            || planted!(SendWhileOut) && matches!(request.phase, Phase::InFlight(_));
+        let has_attempts_left = request.attempts < limits.max_attempts
+            || planted!(OneAttemptTooMany) && request.attempts == limits.max_attempts;
+        if !is_waiting || !has_attempts_left || now >= request.arrival.deadline {
+            return out.push(ended_unsent(request.attempts, server, Ending::Stale));
         }
-        let Some((listed, place)) = ready else {
-            // It counts as an attempt, or a module that insists would be told so for ever.
-            life.attempts += 1;
-            return out.push(never(life.attempts - 1, server, Ending::Unreachable));
+        let Some((listed, address)) = ready else {
+            // Counted as an attempt: otherwise a module that keeps choosing this server would never run out of attempts.
+            request.attempts += 1;
+            return out.push(ended_unsent(request.attempts - 1, server, Ending::Unreachable));
         };
-        if !life.may_repeat(now, listed.zone, listed.cell, limits) {
-            return out.push(never(life.attempts, server, Ending::Stale));
+        if !request.may_repeat(now, listed.zone, listed.cell, limits) {
+            return out.push(ended_unsent(request.attempts, server, Ending::Stale));
         }
-        let attempt = life.attempts;
-        life.attempts += 1;
+        let attempt = request.attempts;
+        request.attempts += 1;
         let attempt_deadline = if attempt_deadline == 0 {
-            life.arrival.deadline
+            request.arrival.deadline
         } else {
-            attempt_deadline.min(life.arrival.deadline)
+            attempt_deadline.min(request.arrival.deadline)
         };
-        life.phase = Phase::InFlight(Attempt {
+        request.phase = Phase::InFlight(Attempt {
             number: attempt,
             server: server.clone(),
             step: Step::Connecting,
             aborted: false,
-            address: place,
+            address,
             zone: listed.zone,
             cell: listed.cell,
             since: now,
         });
-        out.push(Command::Start { id, attempt, server, address: place, attempt_deadline });
+        out.push(Command::Start { id, attempt, server, address, attempt_deadline });
     }
 
     fn cancel(&mut self, id: RequestId, attempt: u32, out: &mut Vec<Command>) {
-        let Some(life) = self.requests.get_mut(&id) else { return };
-        // A streaming answer is final: the module can no longer stop it.
-        if let Phase::InFlight(a) | Phase::Answered(a) | Phase::Abandoned(a) = &mut life.phase {
-            if a.number == attempt {
-                abort(id, a, out);
-                if planted!(CancelFreesAtOnce) && matches!(life.phase, Phase::InFlight(_)) {
-                    life.phase = Phase::Waiting;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        // A streaming answer is final: the module can no longer cancel it.
+        if let Phase::InFlight(current) | Phase::Answered(current) | Phase::Abandoned(current) =
+            &mut request.phase
+        {
+            if current.number == attempt {
+                abort(id, current, out);
+                if planted!(CancelFreesAtOnce) && matches!(request.phase, Phase::InFlight(_)) {
+                    request.phase = Phase::Waiting;
                 }
             }
         }
     }
 
-    /// Ends a request that was not served.
+    /// Answers a request that was not served.
     fn finish(&mut self, id: RequestId, refuse: bool, advice: Time, overdue: bool, out: &mut Vec<Command>) {
-        let Some(life) = self.requests.get_mut(&id) else { return };
-        life.has_timed_out |= overdue;
-        match std::mem::replace(&mut life.phase, Phase::Waiting) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.has_timed_out |= overdue;
+        match std::mem::replace(&mut request.phase, Phase::Waiting) {
             Phase::Waiting => {
-                let (answer, class) = (life.unserved_answer(refuse, advice), life.arrival.class);
+                let (answer, class) = (request.unserved_answer(refuse, advice), request.arrival.class);
                 self.remove(id);
                 out.push(Command::Answer { id, class, answer });
             }
             Phase::InFlight(mut attempt) => {
                 if attempt.may_have_run() && !planted!(OutNotCounted) {
-                    life.possible_execution.get_or_insert(attempt.possible_execution());
+                    request.possible_execution.get_or_insert(attempt.possible_execution());
                 }
-                let (answer, class) = (life.unserved_answer(refuse, advice), life.arrival.class);
+                let (answer, class) = (request.unserved_answer(refuse, advice), request.arrival.class);
                 out.push(Command::Answer { id, class, answer });
                 if !planted!(NoAbortOnAnswer) {
                     abort(id, &mut attempt, out);
                 }
-                life.phase = Phase::Answered(attempt);
+                request.phase = Phase::Answered(attempt);
                 if !planted!(DeadlineOutlivesAnswer) {
                     self.clear_deadline(id);
                 }
             }
-            // The module's action has crossed the answer.
-            over => life.phase = over,
+            // The request was answered or abandoned before the module's action arrived.
+            ended => request.phase = ended,
         }
     }
 
     fn tick(&mut self, now: Time, out: &mut Vec<Command>) {
-        while let Some(&(at, id)) = self.deadlines.first() {
-            if at > now || planted!(OverdueByOne) && at == now {
+        while let Some(&(due_at, id)) = self.deadlines.first() {
+            if due_at > now || planted!(OverdueByOne) && due_at == now {
                 return;
             }
             self.deadlines.pop_first();
             if planted!(OverdueSparesAttempts)
-                && self.requests.get(&id).is_some_and(|l| matches!(l.phase, Phase::InFlight(_)))
+                && self.requests.get(&id).is_some_and(|request| matches!(request.phase, Phase::InFlight(_)))
             {
                 continue;
             }
@@ -342,50 +346,53 @@
 
     fn connected(&mut self, now: Time, id: RequestId, attempt: u32, out: &mut Vec<Command>) -> HandleResult {
         let limits = self.limits;
-        let a = find_attempt(&mut self.requests, id, attempt)?;
-        if a.step != Step::Connecting {
-            return Err(InvalidInput::OutOfOrder { id, attempt, at: a.step });
+        let current = find_attempt(&mut self.requests, id, attempt)?;
+        if current.step != Step::Connecting {
+            return Err(InvalidInput::OutOfOrder { id, attempt, step: current.step });
         }
-        // After an answer, or the client's leaving, an attempt that wrote nothing yet has been aborted.
-        let go_on = !a.aborted || planted!(WriteAfterAbort);
-        // While it connected the server may have begun to drain, or another may have taken its address.
-        let there = match self.server_list.ready_server(&a.server) {
-            Some((_, place)) => place == a.address || planted!(WriteToNewOwner),
+        // An attempt that had written nothing was aborted when its request was answered or its client left.
+        let may_continue = !current.aborted || planted!(WriteAfterAbort);
+        // While the attempt connected, the server may have started to drain or moved to another address, which may now
+        // belong to another server.
+        let is_address_current = match self.server_list.ready_server(&current.server) {
+            Some((_, address)) => address == current.address || planted!(WriteToNewOwner),
             None => planted!(WriteAfterDrain),
         };
-        let (zone, cell) = (a.zone, a.cell);
-        let life = self.requests.get_mut(&id).expect("just seen");
-        // The key may have expired meanwhile.
-        if !go_on || !there || !life.may_repeat(now, zone, cell, limits) {
+        let (zone, cell) = (current.zone, current.cell);
+        let request = self.requests.get_mut(&id).expect("the attempt was found above");
+        // The idempotency key may have expired meanwhile.
+        if !may_continue || !is_address_current || !request.may_repeat(now, zone, cell, limits) {
             out.push(Command::Withhold { id, attempt });
             return Ok(());
         }
-        if let Phase::InFlight(a) | Phase::Answered(a) | Phase::Abandoned(a) = &mut life.phase {
-            (a.step, a.since) = (Step::Writing, now);
+        if let Phase::InFlight(current) | Phase::Answered(current) | Phase::Abandoned(current) =
+            &mut request.phase
+        {
+            (current.step, current.since) = (Step::Writing, now);
         }
         out.push(Command::Write { id, attempt });
         Ok(())
     }
 
     fn progress(&mut self, id: RequestId, attempt: u32, step: Step) -> HandleResult {
-        let a = find_attempt(&mut self.requests, id, attempt)?;
-        if a.step < Step::Writing || step <= a.step {
-            return Err(InvalidInput::OutOfOrder { id, attempt, at: a.step });
+        let current = find_attempt(&mut self.requests, id, attempt)?;
+        if current.step < Step::Writing || step <= current.step {
+            return Err(InvalidInput::OutOfOrder { id, attempt, step: current.step });
         }
-        a.step = step;
+        current.step = step;
         Ok(())
     }
 
     fn answer_started(&mut self, id: RequestId, attempt: u32, out: &mut Vec<Command>) -> HandleResult {
-        let a = find_attempt(&mut self.requests, id, attempt)?;
-        if a.step < Step::Writing {
-            return Err(InvalidInput::OutOfOrder { id, attempt, at: a.step });
+        let current = find_attempt(&mut self.requests, id, attempt)?;
+        if current.step < Step::Writing {
+            return Err(InvalidInput::OutOfOrder { id, attempt, step: current.step });
         }
-        let life = self.requests.get_mut(&id).expect("just seen");
-        match std::mem::replace(&mut life.phase, Phase::Waiting) {
-            Phase::InFlight(a) => {
-                let (server, class) = (a.server.clone(), life.arrival.class);
-                life.phase = Phase::Streaming(a);
+        let request = self.requests.get_mut(&id).expect("the attempt was found above");
+        match std::mem::replace(&mut request.phase, Phase::Waiting) {
+            Phase::InFlight(current) => {
+                let (server, class) = (current.server.clone(), request.arrival.class);
+                request.phase = Phase::Streaming(current);
                 if !planted!(DeadlineOutlivesAnswer) {
                     self.clear_deadline(id);
                 }
@@ -400,9 +407,10 @@
                 }));
                 Ok(())
             }
-            // It crossed an answer or the client's leaving, or has started already: nobody waits for it.
+            // The request was answered or its client left meanwhile, or the answer has already started: no client waits
+            // for this one.
             other => {
-                life.phase = other;
+                request.phase = other;
                 Err(InvalidInput::NoSuchAttempt { id, attempt })
             }
         }
@@ -416,61 +424,68 @@
         reply: Reply,
         out: &mut Vec<Command>,
     ) -> HandleResult {
-        let a = find_attempt(&mut self.requests, id, attempt)?;
-        if reply != Reply::None && a.step < Step::Writing {
-            return Err(InvalidInput::OutOfOrder { id, attempt, at: a.step });
+        let current = find_attempt(&mut self.requests, id, attempt)?;
+        if reply != Reply::None && current.step < Step::Writing {
+            return Err(InvalidInput::OutOfOrder { id, attempt, step: current.step });
         }
-        // Cancelled before its last byte was written: nothing has run, and the server is not to blame.
-        let unsent = ending == Ending::Cancelled && reply == Reply::None && !a.may_have_run();
+        // Cancelled before it could have run: nothing has run, and the server is not at fault.
+        let unsent = ending == Ending::Cancelled && reply == Reply::None && !current.may_have_run();
         let ending = if unsent || planted!(UndoneTakenForProof) && ending == Ending::Cancelled {
             Ending::Stale
         } else {
             ending
         };
-        let never = matches!(ending, Ending::Overloaded | Ending::Unreachable | Ending::Stale)
+        let never_ran = matches!(ending, Ending::Overloaded | Ending::Unreachable | Ending::Stale)
             || planted!(LateTakenForProof) && ending == Ending::TimedOut;
-        let life = self.requests.get_mut(&id).expect("just seen");
-        let (a, awaited) = match std::mem::replace(&mut life.phase, Phase::Waiting) {
-            Phase::InFlight(a) => (a, true),
-            Phase::Answered(a) => (a, planted!(LateAnswerAccepted)),
-            Phase::Abandoned(a) => (a, false),
+        let request = self.requests.get_mut(&id).expect("the attempt was found above");
+        let (current, client_waits) = match std::mem::replace(&mut request.phase, Phase::Waiting) {
+            Phase::InFlight(current) => (current, true),
+            Phase::Answered(current) => (current, planted!(LateAnswerAccepted)),
+            Phase::Abandoned(current) => (current, false),
             Phase::Streaming(_) if planted!(StreamNeverForgotten) => return Ok(()),
-            // The module has already been told of its end.
+            // The module has already been notified of its end.
             Phase::Streaming(_) => {
-                let class = life.arrival.class;
+                let class = request.arrival.class;
                 self.remove(id);
                 out.push(Command::Streamed { id, class, is_complete: ending == Ending::Success });
                 return Ok(());
             }
             Phase::Waiting => return Err(InvalidInput::NoSuchAttempt { id, attempt }),
         };
-        if !never {
-            life.possible_execution.get_or_insert(a.possible_execution());
+        if !never_ran {
+            request.possible_execution.get_or_insert(current.possible_execution());
         }
-        life.has_timed_out = ending == Ending::TimedOut;
-        let class = life.arrival.class;
-        let spent = life.arrival.has_single_attempt && a.step >= Step::Writing && !planted!(OnceForgotten);
+        request.has_timed_out = ending == Ending::TimedOut;
+        let class = request.arrival.class;
+        let is_body_consumed =
+            request.arrival.has_single_attempt && current.step >= Step::Writing && !planted!(OnceForgotten);
         let answer = match reply {
-            // Its body is gone: this was its only attempt.
-            Reply::None if spent && awaited => Some(life.unserved_answer(true, 0)),
+            // Its body has been consumed: this was its only attempt.
+            Reply::None if is_body_consumed && client_waits => Some(request.unserved_answer(true, 0)),
             Reply::None => None,
             Reply::Good => Some(FinalAnswer::Served),
             Reply::Rejected => Some(FinalAnswer::Rejected),
         };
-        if let Some(answer) = answer.filter(|_| awaited) {
+        if let Some(answer) = answer.filter(|_| client_waits) {
             out.push(Command::Answer { id, class, answer });
         }
-        let last = !awaited || answer.is_some();
-        if last && (awaited || !planted!(AnsweredNeverForgotten)) {
+        let last = !client_waits || answer.is_some();
+        if last && (client_waits || !planted!(AnsweredNeverForgotten)) {
             self.remove(id);
         }
-        out.push(Command::NotifyModule(ModuleEvent::Ended { id, attempt, server: a.server, ending, last }));
+        out.push(Command::NotifyModule(ModuleEvent::Ended {
+            id,
+            attempt,
+            server: current.server,
+            ending,
+            last,
+        }));
         Ok(())
     }
 
     fn clear_deadline(&mut self, id: RequestId) {
-        if let Some(life) = self.requests.get(&id) {
-            self.deadlines.remove(&(life.arrival.deadline + self.limits.grace, id));
+        if let Some(request) = self.requests.get(&id) {
+            self.deadlines.remove(&(request.arrival.deadline + self.limits.grace, id));
         }
     }
 
@@ -483,33 +498,34 @@
 }
 
 impl RequestState {
-    /// The request's class.
+    /// Returns the request's class.
     pub fn class(&self) -> usize {
         self.arrival.class
     }
 
-    /// Whether another attempt at this server is safe: what must not run twice is not sent where it might.
+    /// Returns whether another attempt on a server of this zone and cell is safe. A request that must not run twice is not
+    /// sent where that could happen.
     fn may_repeat(&self, now: Time, zone: u32, cell: u32, limits: Limits) -> bool {
-        let Some(ran) = self.possible_execution else { return true };
+        let Some(execution) = self.possible_execution else { return true };
         let arrival = &self.arrival;
         match arrival.effect {
             Effect::Safe => true,
             Effect::Unsafe => planted!(UnsafeRepeated),
             Effect::Keyed => {
-                let same = match arrival.group {
+                let is_same_group = match arrival.group {
                     Group::All => true,
-                    Group::Zone => ran.zone == zone,
-                    Group::Cell => ran.cell == cell,
+                    Group::Zone => execution.zone == zone,
+                    Group::Cell => execution.cell == cell,
                 };
-                let forgotten = ran.since + arrival.key_ttl;
-                let in_time = now + limits.key_margin < forgotten
-                    || planted!(KeyWindowByOne) && now + limits.key_margin == forgotten;
-                (same || planted!(KeyOutsideGroup)) && in_time
+                let key_expires_at = execution.since + arrival.key_ttl;
+                let is_key_valid = now + limits.key_margin < key_expires_at
+                    || planted!(KeyWindowByOne) && now + limits.key_margin == key_expires_at;
+                (is_same_group || planted!(KeyOutsideGroup)) && is_key_valid
             }
         }
     }
 
-    /// A refusal only if nothing can have run.
+    /// Returns the answer of a request that was not served: a refusal only if no attempt can have run.
     fn unserved_answer(&self, refuse: bool, advice: Time) -> FinalAnswer {
         if refuse && (self.possible_execution.is_none() || planted!(RefusedThoughRun)) {
             FinalAnswer::Refused { tried: self.attempts > 0, advice }
@@ -519,20 +535,23 @@
     }
 }
 
-/// The attempt with this number, if it is in flight.
+/// Returns the attempt with this number if it is in flight.
 fn find_attempt(
-    live: &mut BTreeMap<RequestId, RequestState>,
+    requests: &mut BTreeMap<RequestId, RequestState>,
     id: RequestId,
     number: u32,
 ) -> Result<&mut Attempt, InvalidInput> {
-    let wrong = InvalidInput::NoSuchAttempt { id, attempt: number };
-    match &mut live.get_mut(&id).ok_or(wrong)?.phase {
-        Phase::InFlight(a) | Phase::Streaming(a) | Phase::Answered(a) | Phase::Abandoned(a)
-            if a.number == number =>
+    let error = InvalidInput::NoSuchAttempt { id, attempt: number };
+    match &mut requests.get_mut(&id).ok_or(error)?.phase {
+        Phase::InFlight(current)
+        | Phase::Streaming(current)
+        | Phase::Answered(current)
+        | Phase::Abandoned(current)
+            if current.number == number =>
         {
-            Ok(a)
+            Ok(current)
         }
-        _ => Err(wrong),
+        _ => Err(error),
     }
 }
 
--- a/crates/gateway/lifecycle/src/server_list.rs
+++ b/crates/gateway/lifecycle/src/server_list.rs
@@ -1,16 +1,16 @@
-//! The servers that may be written to.
+//! The server list, as far as attempts need it.
 
 use interface::Name;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// One server of discovery's list.
+/// An entry of the server list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ListedServer {
     pub name: Name,
     pub zone: u32,
     pub cell: u32,
-    /// Where new work goes; none while the server takes no new work, or has no valid address.
+    /// The address for new attempts; `None` while the server accepts none, or if it has no valid address.
     pub address: Option<SocketAddr>,
     /// Whether it was removed from the list.
     pub is_removed: bool,
@@ -23,12 +23,12 @@
 }
 
 impl ServerList {
-    /// Applies a full list, or changes to the present one.
-    pub(crate) fn update(&mut self, whole: bool, news: Vec<ListedServer>) {
-        if whole {
+    /// Applies a full list, or changes to the current one.
+    pub(crate) fn update(&mut self, is_full: bool, updates: Vec<ListedServer>) {
+        if is_full {
             self.servers.clear();
         }
-        for listed in news {
+        for listed in updates {
             if listed.is_removed {
                 self.servers.remove(&listed.name);
             } else {
@@ -37,14 +37,14 @@
         }
     }
 
-    /// A server that may be written to, with its address.
+    /// Returns a server that may be written to, with its address.
     pub(crate) fn ready_server(&self, name: &Name) -> Option<(&ListedServer, SocketAddr)> {
         let listed = self.servers.get(name)?;
         Some((listed, listed.address?))
     }
 
-    /// Whether any server takes new work.
+    /// Returns whether any server accepts new requests.
     pub fn any_ready(&self) -> bool {
-        self.servers.values().any(|s| s.address.is_some())
+        self.servers.values().any(|server| server.address.is_some())
     }
 }
--- a/crates/gateway/lifecycle/src/upstream.rs
+++ b/crates/gateway/lifecycle/src/upstream.rs
@@ -1,25 +1,26 @@
-//! A connection to a backend: which request may be written to it, to which request an answer belongs, and from which
-//! byte on a request may have run.
+//! The state of a connection to a backend: which requests may be written to it, which request an answer belongs to, and
+//! after which byte a request may have run.
 //!
 //! | state | a request | a complete answer | bytes or a close | an interruption |
 //! | --- | --- | --- | --- | --- |
-//! | `Idle` | `Busy`, if it may be carried | - | `Closed` | - |
-//! | `Busy` | never | `Idle`, if nothing stands behind it | the answer's | `Closed` |
+//! | `Idle` | to `Busy` if [`Upstream::may_carry`] | - | to `Closed` | - |
+//! | `Busy` | never | to `Idle` if no bytes follow it | part of the answer | to `Closed` |
 //! | `Closed` | never | - | - | - |
 
 use interface::Time;
 
-/// How much of a request a backend needs to begin to execute it.
+/// How much of a request a backend must receive before it may execute it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ExecutionStart {
-    /// Backends are known to wait for the last byte.
+    /// Backends are known to wait for the request's last byte.
     FullRequest,
-    /// A complete head may be enough.
+    /// A complete head may be sufficient.
     FullHead,
 }
 
 impl ExecutionStart {
-    /// After how many written bytes it may have run, by the length of the head and, if known, of the body.
+    /// Returns the number of written bytes after which a request may have run, from the lengths of its head and, if known,
+    /// its body.
     pub fn byte_count(self, head: usize, body: Option<usize>) -> usize {
         if self == ExecutionStart::FullRequest || planted!(HeadTakenForProof) {
             body.map_or(usize::MAX, |body| head + body)
@@ -29,16 +30,15 @@
     }
 }
 
-/// Which request's id an answer bears.
+/// The request id echoed in an answer, compared with the request's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Echo {
-    /// That of the waiting request, or answers bear no ids here.
+    /// The id of the waiting request; also where answers carry no ids.
     Same,
+    /// Another request's id.
     Other,
-    /// None, where answers bear ids: only a rejection may lack it.
-    Missing {
-        is_rejection: bool,
-    },
+    /// No id, where answers carry ids: accepted only for a rejection.
+    Missing { is_rejection: bool },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -53,14 +53,14 @@
 pub struct Upstream {
     number: u64,
     state: State,
-    /// Whether it has carried a request before the present one.
+    /// Whether an earlier request has been sent on this connection.
     is_used: bool,
-    /// Whether the latest answer bore no id: a second copy of it would be taken for the next one's.
+    /// Whether the latest answer carried no id: a duplicate of it would be taken for the next request's answer.
     was_last_answer_without_id: bool,
 }
 
 impl Upstream {
-    /// An established connection. No other has its number.
+    /// Creates the state of an established connection, with a number unique to it.
     pub fn new(number: u64, now: Time) -> Self {
         Upstream {
             number,
@@ -70,22 +70,22 @@
         }
     }
 
-    /// Its number, which no other connection has.
+    /// Returns the connection's unique number.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Whether it has carried a request before.
+    /// Returns whether an earlier request has been sent on it.
     pub fn is_used(&self) -> bool {
         self.is_used
     }
 
-    /// Whether it can carry no further request.
+    /// Returns whether it can carry no further request.
     pub fn is_closed(&self) -> bool {
         self.state == State::Closed
     }
 
-    /// How long it has been idle; none if it is not.
+    /// Returns how long it has been idle; `None` if it is not idle.
     pub fn idle_time(&self, now: Time) -> Option<Time> {
         match self.state {
             State::Idle { since } => Some(now.saturating_sub(since)),
@@ -93,33 +93,34 @@
         }
     }
 
-    /// Whether it has been idle for less than `rest`.
-    pub fn is_idle_for_less_than(&self, now: Time, rest: Time) -> bool {
-        self.idle_time(now).is_some_and(|rested| rested < rest)
+    /// Returns whether it is idle, and has been for less than `limit`.
+    pub fn is_idle_for_less_than(&self, now: Time, limit: Time) -> bool {
+        self.idle_time(now).is_some_and(|idle_time| idle_time < limit)
     }
 
-    /// Whether a request may be written to it whose earlier attempts used the connections with these numbers: a second
-    /// copy of such an attempt's answer would bear the request's id. Where the latest answer bore none, only a request
-    /// that may run twice is written: a second copy of that rejection would have it sent again while it runs.
+    /// Returns whether a request may be written to it. `earlier`: the connections of the request's earlier attempts. They
+    /// are excluded, since a duplicate of such an attempt's answer would carry the request's id. If the latest answer
+    /// carried no id, only a request that may run twice is written: a duplicate of that rejection would have the request
+    /// sent again while it runs.
     pub fn may_carry(&self, at_most_once: bool, earlier: &[u64]) -> bool {
-        let again = earlier.contains(&self.number) && !planted!(SameConnectionAgain);
-        let doubtful = at_most_once && self.was_last_answer_without_id && !planted!(NamelessKept);
-        matches!(self.state, State::Idle { .. }) && !again && !doubtful
+        let was_used_before = earlier.contains(&self.number) && !planted!(SameConnectionAgain);
+        let is_ambiguous = at_most_once && self.was_last_answer_without_id && !planted!(NamelessKept);
+        matches!(self.state, State::Idle { .. }) && !was_used_before && !is_ambiguous
     }
 
-    /// A request is written to it.
+    /// Records that a request is written to it.
     pub fn begin_exchange(&mut self) {
         self.state = State::Busy;
     }
 
-    /// Something arrived while it was idle: a close, or bytes that belong to no request.
+    /// Records input while it was idle: a close, or bytes that belong to no request.
     pub fn on_unexpected_bytes(&mut self) {
         if !planted!(SurplusKept) {
             self.state = State::Closed;
         }
     }
 
-    /// Whether an answer belongs to the request that it carries.
+    /// Returns whether an answer with this echo belongs to the request in progress.
     pub fn is_answer(&mut self, echo: Echo) -> bool {
         match echo {
             Echo::Same => {
@@ -127,46 +128,47 @@
                 true
             }
             Echo::Other => planted!(EchoIgnored),
-            Echo::Missing { is_rejection: turned_away } => {
+            Echo::Missing { is_rejection } => {
                 self.was_last_answer_without_id = true;
-                turned_away
+                is_rejection
             }
         }
     }
 
-    /// The exchange is over. `clean`: request and answer were complete, and nothing followed them.
-    pub fn end_exchange(&mut self, now: Time, clean: bool) {
+    /// Records the end of an exchange. `is_clean`: request and answer were complete, and no bytes followed.
+    pub fn end_exchange(&mut self, now: Time, is_clean: bool) {
         self.is_used = true;
-        self.state = if clean { State::Idle { since: now } } else { State::Closed };
+        self.state = if is_clean { State::Idle { since: now } } else { State::Closed };
     }
 }
 
-/// How long a connection may have been idle to carry a request that cannot be repeated: backends may drop idle
-/// connections silently, and sooner than they announce.
+/// The maximum idle time of a connection for a request that cannot be retried. Backends may drop idle connections silently
+/// and earlier than announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IdleLimit {
     usual: Time,
     narrowed_for: Time,
     min: Time,
+    /// The narrowed limit, and when it was set.
     narrowed: Option<(Time, Time)>,
 }
 
 impl IdleLimit {
-    /// The limit is `usual`; for `narrowed_for` after a reset it is half of that connection's idle time, at least
-    /// `min`.
+    /// Creates a limit of `usual`. For `narrowed_for` after a reset it is at most half of that connection's idle time, but at
+    /// least `min`.
     pub fn new(usual: Time, narrowed_for: Time, min: Time) -> Self {
         IdleLimit { usual, narrowed_for, min, narrowed: None }
     }
 
-    /// A connection that had been idle for this long accepted a request and was reset.
-    pub fn on_reset(&mut self, now: Time, rested: Time) {
-        let limit = self.limit(now).min(rested / 2).max(self.min.min(self.usual));
+    /// Narrows the limit: a connection that had been idle for this long was reset after a request was written.
+    pub fn on_reset(&mut self, now: Time, idle_time: Time) {
+        let limit = self.limit(now).min(idle_time / 2).max(self.min.min(self.usual));
         self.narrowed = Some((limit, now));
     }
 
-    /// The limit in force now.
+    /// Returns the current limit.
     pub fn limit(&self, now: Time) -> Time {
-        let narrowed = self.narrowed.filter(|(_, at)| now < at + self.narrowed_for);
+        let narrowed = self.narrowed.filter(|(_, set_at)| now < set_at + self.narrowed_for);
         narrowed.map_or(self.usual, |(limit, _)| limit)
     }
 }
