--- a/crates/gateway/engine/src/events.rs
+++ b/crates/gateway/engine/src/events.rs
@@ -122,7 +122,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Notice::DiscoveryRestored { rev } => write!(f, "discovery: reachable again, list version {rev}"),
-            Notice::DiscoveryLost => write!(f, "discovery: unreachable; the last list stays in use"),
+            Notice::DiscoveryLost => write!(f, "discovery: lost; the old list stands"),
             Notice::ModulePanicked { ended } => {
                 write!(f, "the module panicked: restarted from the server list, {ended} requests ended")
             }
