--- a/crates/gateway/engine/src/admission.rs
+++ b/crates/gateway/engine/src/admission.rs
@@ -117,7 +117,7 @@
     /// Updates which planners are believed alive.
     pub fn planners_observed(&mut self, alive: &[Option<bool>]) {
         if let Some(account) = &mut self.account {
-            account.planners_observed(alive);
+            account.set_planner_liveness(alive);
         }
     }
 
