--- a/crates/gateway/engine/src/admission.rs
+++ b/crates/gateway/engine/src/admission.rs
@@ -115,7 +115,7 @@
     }
 
     /// Updates which planners are believed alive.
-    pub fn planners_observed(&mut self, alive: &[Option<bool>]) {
+    pub fn set_planner_liveness(&mut self, alive: &[Option<bool>]) {
         if let Some(account) = &mut self.account {
             account.set_planner_liveness(alive);
         }
--- a/crates/gateway/engine/src/lib.rs
+++ b/crates/gateway/engine/src/lib.rs
@@ -266,7 +266,7 @@
             Input::GatewayPosition { position, gateways } => {
                 self.events.push(Event::GatewayPosition { position, gateways })
             }
-            Input::PlannerLiveness(alive) => self.admission.planners_observed(&alive),
+            Input::PlannerLiveness(alive) => self.admission.set_planner_liveness(&alive),
             Input::PlanningTick => self.planning_tick(now, out),
             Input::Wake => self.wake(now, out),
         }
