--- a/crates/common/quota/src/contact.rs
+++ b/crates/common/quota/src/contact.rs
@@ -19,11 +19,12 @@
 /// Contact state of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ContactState {
-    /// The gateway has not contacted this coordinator; it may continue at the rate granted by the predecessor.
+    /// The gateway has not contacted this coordinator; it may continue at a fraction of its grant rate from
+    /// the predecessor.
     Unseen,
     /// The gateway sent a request recently, so its usage is reported.
     Active,
-    /// The gateway may continue at the rate of its last grants.
+    /// The gateway may continue at [`crate::CONTINUATION_RATIO`] of its grant rate.
     RecentlySilent,
     /// The gateway has only its fallback share.
     Silent,
@@ -94,7 +95,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct GatewayContacts {
     contacts: BTreeMap<String, Contact>,
-    /// Pending deadlines, at most one per gateway.
+    /// `Contact::deadline` of each gateway that has one, with the gateway's name.
     deadlines: BTreeSet<(Time, String)>,
     /// Number of gateways that are not active.
     silent: usize,
@@ -238,7 +239,7 @@
         rates.map(move |(tenant, rate)| (tenant.as_str(), rate.at(last_request_at)))
     }
 
-    /// Returns the gateways that may continue at the rate of their last grants.
+    /// Returns the gateways in the state [`ContactState::RecentlySilent`].
     pub fn recently_silent(&self) -> impl Iterator<Item = &str> {
         let is_recent = |contact: &Contact| contact.state == ContactState::RecentlySilent;
         self.contacts.iter().filter(move |(_, contact)| is_recent(contact)).map(|(name, _)| name.as_str())
--- a/crates/common/quota/src/lease.rs
+++ b/crates/common/quota/src/lease.rs
@@ -57,7 +57,7 @@
 /// The coordinator's answer to a [`LeaseRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Number of the request.
+    /// [`LeaseRequest::number`] of the request that this answers.
     pub number: u64,
     /// Id of the coordinator. A gateway holds turns of one coordinator at a time.
     pub coordinator: u64,
--- a/crates/common/quota/src/quota_client.rs
+++ b/crates/common/quota/src/quota_client.rs
@@ -149,7 +149,7 @@
         self.last_contact.is_some()
     }
 
-    /// Whether the gateway is isolated from the coordinator.
+    /// Whether the gateway is isolated: no request that it sent less than [`ISOLATION_TIMEOUT`] ago has been answered.
     pub fn is_isolated(&self, now: Time) -> bool {
         self.last_contact.is_none_or(|at| now.saturating_sub(at) >= ISOLATION_TIMEOUT)
     }
--- a/crates/common/quota/src/stats.rs
+++ b/crates/common/quota/src/stats.rs
@@ -26,7 +26,7 @@
     pub gateways: usize,
     /// Known gateways whose fallback share is reserved.
     pub silent: usize,
-    /// Silent gateways that may continue at the rate of their last grants.
+    /// Silent gateways that may continue at [`crate::CONTINUATION_RATIO`] of their grant rates.
     pub recently_silent: usize,
     /// Fraction of the total rate that is reserved, for fallback shares and continuations together.
     pub reserved_share: f64,
--- a/crates/common/quota/src/tenant_quota.rs
+++ b/crates/common/quota/src/tenant_quota.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TenantQuota {
     pub limit: Limit,
-    /// Grants in order of expiry.
+    /// Grants in order of arrival, which is the order of expiry unless answers overtake each other.
     grants: VecDeque<Grant>,
     /// Accrued units of the fallback share.
     fallback_units: f64,
@@ -134,8 +134,8 @@
         is_available
     }
 
-    /// Returns the request to send to the coordinator, or `None` if there is nothing to request or report. `waiting` is
-    /// the number of requests waiting for a unit.
+    /// Returns the request to send to the coordinator, or `None` if there is nothing to request or report and the
+    /// refusal probability is 0. `waiting` is the number of requests waiting for a unit.
     pub fn unit_request(&mut self, now: Time, tenant: &str, waiting: u32) -> Option<UnitRequest> {
         let available_units: u32 = self.grants.iter().map(|grant| grant.units).sum();
         let prefetch_units = (self.demand.at(now) * PREFETCH_S) as u32;
--- a/crates/common/quota/src/token_bucket.rs
+++ b/crates/common/quota/src/token_bucket.rs
@@ -14,7 +14,8 @@
 /// Turns granted per request, in seconds of the pace, but at least one turn. A gateway that needs more asks again, 25
 /// times per second, so that simultaneous requests of many gateways are served in turn.
 const TURN_BATCH_S: f64 = 0.06;
-/// Maximum use by gateways beyond the content of the bucket, in seconds of the rate.
+/// Use by gateways beyond the content of the bucket is limited to this many seconds of the rate, or to the burst if
+/// that is more.
 const MAX_DEBT_S: f64 = 1.0;
 
 #[derive(Clone, Debug)]
@@ -70,31 +71,31 @@
         self.continued_rate
     }
 
-    /// Adds a gateway that continues at `rate`. The bucket must be refilled.
+    /// Adds a gateway that continues at `rate`. The bucket must already be refilled.
     pub fn begin_continuation(&mut self, rate: f64) {
         self.continued_rate += rate;
         self.continuing_gateways += 1;
     }
 
-    /// Removes a gateway that continued at `rate`. The bucket must be refilled.
+    /// Removes a gateway that continued at `rate`. The bucket must already be refilled.
     pub fn end_continuation(&mut self, rate: f64) {
         self.continuing_gateways = self.continuing_gateways.saturating_sub(1);
         let remaining_rate = (self.continued_rate - rate).max(0.0);
         self.continued_rate = if self.continuing_gateways > 0 { remaining_rate } else { 0.0 };
     }
 
-    /// Removes all continuing gateways. The bucket must be refilled.
+    /// Ends the continuations of all gateways. The bucket must already be refilled.
     pub fn end_all_continuations(&mut self) {
         (self.continued_rate, self.continuing_gateways) = (0.0, 0);
     }
 
-    /// Returns how far below 0 the level may fall.
+    /// Returns how far below 0 the level may fall: [`MAX_DEBT_S`] of the rate, or the burst if that is more.
     fn max_debt(&self) -> f64 {
         self.limit.burst.max(self.limit.rate * MAX_DEBT_S)
     }
 
     /// Grants the available units, up to the number requested. A throttled tenant gets none, because its requests need
-    /// turns. The bucket must be refilled.
+    /// turns. The bucket must already be refilled.
     pub fn grant_units(&mut self, now: Time, request: &UnitRequest) -> UnitGrant {
         self.arrivals.record(now, request.arrivals);
         self.level = (self.level + f64::from(request.returned)).min(self.limit.burst);
@@ -111,7 +112,7 @@
     }
 
     /// Grants the next turns, up to the number requested, that fall within the maximum wait. `share` is the available
-    /// fraction of the pace. The bucket must be refilled.
+    /// fraction of the pace. The bucket must already be refilled.
     pub fn grant_turns(
         &mut self,
         now: Time,
--- a/crates/control/consensus/src/bootstrap.rs
+++ b/crates/control/consensus/src/bootstrap.rs
@@ -117,6 +117,7 @@
         self.handle_own(replies)
     }
 
+    /// Addresses a message to each seed, including this one.
     fn to_all_seeds(&self, message: &BootstrapMessage) -> Vec<Outgoing> {
         self.seeds.iter().map(|seed| (seed.clone(), message.clone())).collect()
     }
--- a/crates/control/consensus/src/event.rs
+++ b/crates/control/consensus/src/event.rs
@@ -89,7 +89,8 @@
         /// Tag of the [`Input::ReadIndex`].
         tag: u64,
     },
-    /// This node is not the leader, or is no longer: the outcome of the proposal or read is unknown.
+    /// This node does not lead, no longer leads, or is transferring leadership. The proposal was not appended, or the
+    /// read was not confirmed.
     NotLeader {
         /// Tag of the proposal or read.
         tag: u64,
--- a/crates/control/consensus/src/node/leader.rs
+++ b/crates/control/consensus/src/node/leader.rs
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Returns the start of the latest heartbeat round that a majority has responded to; 0 before the first.
+    /// Returns the start of the latest heartbeat round that a majority has responded to; 0 before the first, and
+    /// `Time::MAX` if this node is the only voter.
     pub(super) fn quorum_contact(&self, leader: &LeaderState) -> Time {
         self.log.voters().quorum_value(|id| self.last_contact_with(leader, id)).unwrap_or(0)
     }
--- a/crates/control/consensus/src/transfer.rs
+++ b/crates/control/consensus/src/transfer.rs
@@ -169,7 +169,7 @@
     }
 }
 
-/// A received chunk.
+/// A chunk that the follower received: `bytes` at `offset` of the content, which has `size` bytes in all.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedChunk {
     pub content: TransferContent,
--- a/crates/control/consensus/tests/small_worlds.rs
+++ b/crates/control/consensus/tests/small_worlds.rs
@@ -124,7 +124,7 @@
         to.map_or(Ok(()), |n| self.handle(n, Input::Message(message)).map(drop))
     }
 
-    /// Handles an input. Puts the requests that the member sends in flight, and returns its responses.
+    /// Handles an input. Puts the member's requests in flight, and returns its responses.
     fn handle(&mut self, n: usize, input: Input) -> Result<Vec<Message>, Violation> {
         let mut responses = Vec::new();
         let last_index_before = self.members[n].last_index();
--- a/crates/control/consensus/tests/storage_health.rs
+++ b/crates/control/consensus/tests/storage_health.rs
@@ -88,6 +88,7 @@
         self.handle(n, Input::StorageHealth { healthy: false });
     }
 
+    /// Repairs the disk of a running node: its whole state is saved before it learns that storage is healthy.
     fn restore_storage(&mut self, n: usize) {
         self.storage_failed[n] = false;
         self.disks[n] = self.nodes[n].persisted_state();
--- a/src/decide/answers.rs
+++ b/src/decide/answers.rs
@@ -109,7 +109,7 @@
         out.push(req.executed.map_or_else(refusal, |_| Action::Fail { id }));
     }
 
-    /// Returns the delay after which to retry: as many attempts then have ended as wait, at the present rate.
+    /// Returns the delay after which to retry: the time that all waiting requests and one more take.
     pub(super) fn retry_advice(&self) -> Time {
         let waiting: usize = self.schedulers.iter().flat_map(|s| &s.queues).map(VecDeque::len).sum();
         let in_flight: f64 = self.schedulers.iter().step_by(RESOURCES).map(|s| s.in_flight).sum();
--- a/src/decide/mod.rs
+++ b/src/decide/mod.rs
@@ -41,8 +41,8 @@
 const AVOID_THRESHOLD: f64 = 0.5;
 /// Cost of a failure, relative to a wait of one latency target.
 const FAILURE_COST: f64 = 2.0;
-/// Weight of a local request as evidence of demand, relative to a metered one: with many gateways, a second
-/// request at one gateway is rare except from heavy customers.
+/// Weight, as evidence of demand, of a request to this gateway, relative to one that only the meter shows:
+/// with many gateways, one rarely gets a second request of a customer whose demand is not high.
 const LOCAL_REQUEST_WEIGHT: f64 = 12.0;
 /// Steepness of the admission chance per request missing in the bucket, where excess costs its full value.
 const SHORTAGE_STEEPNESS: f64 = 4.7;
@@ -203,7 +203,7 @@
     fleet: FleetView,
     pending: BTreeMap<RequestId, PendingRequest>,
     customers: BTreeMap<Name, Customer>,
-    /// `RESOURCES` for each pool, so that overload of one pool does not affect another.
+    /// One for each resource of each pool, in order of pools: overload of one pool does not affect another.
     schedulers: Vec<SubScheduler>,
     timers: BTreeMap<u64, RequestId>,
     next_timer: u64,
@@ -218,7 +218,7 @@
     retry_budget: f64,
     /// Usable fraction of all capacities: lowered by late answers, raised by timely ones.
     usable: f64,
-    /// EWMA of an attempt's duration, in seconds.
+    /// EWMA of the duration of attempts, whatever their outcome, in seconds.
     attempt_time: f64,
     mean_load: f64,
     /// This gateway's share of all work: even, unless a planner sets another.
@@ -288,7 +288,7 @@
         self.dispatch(out);
     }
 
-    /// Moves the work share and all capacities towards a planner's share, by a factor of two at most.
+    /// Moves the work share to a planner's by a factor of at most two; all capacities change by that factor.
     fn set_work_share(&mut self, share: f64) {
         let share = if share > 0.0 && share <= 1.0 { share } else { return };
         let factor = (share / self.work_share).clamp(0.5, 2.0);
@@ -297,14 +297,14 @@
         self.servers.values_mut().for_each(|s| s.capacity = (s.capacity * factor).max(min_capacity));
     }
 
-    /// Sets the position among the gateways believed alive, on which only the subset of servers depends.
+    /// Sets the position among the gateways believed alive; it affects only the subset of servers.
     fn set_position(&mut self, index: u32, gateways: u32) {
         let Settings { gateway_index, gateways: configured, .. } = self.settings;
         let position = if gateways == 0 { (gateway_index, configured) } else { (index, gateways) };
         self.fleet.stale |= std::mem::replace(&mut self.position, position) != position;
     }
 
-    /// Applies new settings, which contain at least the old classes and plans, at their indices.
+    /// Applies settings if valid and with as many plans and pools as before; old classes keep their indices.
     pub fn reconfigure(&mut self, s: &Settings) {
         if s.plans.len() != self.settings.plans.len() || s.pools != self.settings.pools || check(s).is_err() {
             return;
--- a/src/decide/queues.rs
+++ b/src/decide/queues.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// One turn of a sub-scheduler: sends the head under its pointer if all availability and deficit counters
+    /// One turn of a sub-scheduler: picks the head under its pointer if all availability and deficit counters
     /// of its plan cover it, else advances the pointer. Sets `short` where only a deficit was too small.
     fn pick(&mut self, resource: usize, free: Capacities, short: &mut bool) -> Option<(RequestId, Name)> {
         let plans = self.settings.plans.len();
--- a/src/decide/server_list.rs
+++ b/src/decide/server_list.rs
@@ -51,7 +51,7 @@
         self.fleet.stale = true;
     }
 
-    /// Refreshes the fleet's summary: always for a small fleet, at intervals for a large one.
+    /// Refreshes the fleet's summary: of a large fleet only at intervals, or if the server list has changed.
     pub(super) fn refresh_fleet(&mut self) {
         let now = self.now;
         let due = self.fleet.updated_at + REFRESH_INTERVAL;
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Returns this gateway's share of one server: the smaller its subset, the larger.
+    /// Returns this gateway's share of one server; it is larger where the subset is smaller.
     pub(super) fn server_share(&self, servers: usize) -> f64 {
         let kept = self.subset_size(servers, self.settings.gateways).max(1);
         self.work_share * servers.max(1) as f64 / kept as f64
     }
 
-    /// Builds a pool of the servers that take new work, in the order of this gateway's subset.
+    /// Builds pool `n`: its servers that take new work, in the order in which they join the subset.
     pub(super) fn build_pool(&self, n: usize) -> Pool {
         let up = self.servers.iter().filter(|(_, s)| s.health == Health::Up && s.pools & (1 << n) != 0);
         let up: Vec<Name> = up.map(|(name, _)| name.clone()).collect();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -103,7 +103,7 @@
     stream: bool,
 }
 
-/// Parses settings from their JSON form.
+/// Parses settings from their JSON form. Numbers out of range are not rejected here: `check` rejects them.
 pub fn read(json: &Value) -> Result<Settings, String> {
     let wire = WireSettings::deserialize(json).map_err(|e| e.to_string())?;
     let classes = wire.services.into_iter().map(class).collect::<Result<_, String>>()?;
