--- a/crates/control/change-log/src/quorum_contact.rs
+++ b/crates/control/change-log/src/quorum_contact.rs
@@ -38,7 +38,7 @@
 }
 
 impl QuorumContact {
-    /// Records that a request is sent now, and returns its number.
+    /// Records that a request to the leader is sent now, and returns its number.
     pub fn request(&mut self, now: Time) -> u64 {
         self.last_request += 1;
         push_bounded(&mut self.requests, Request { number: self.last_request, sent_at: now });
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Handles that the log has been applied up to `index`.
+    /// Records that the log has been applied up to `index`: the proofs that waited for this become valid.
     pub fn on_applied(&mut self, index: u64) {
         self.applied_index = self.applied_index.max(index);
         let applied_index = self.applied_index;
--- a/crates/control/control-node/src/bootstrapper.rs
+++ b/crates/control/control-node/src/bootstrapper.rs
@@ -1,8 +1,8 @@
 //! Bootstrap at the first start of the system: the seeds agree on the initial voters ([`consensus::Bootstrap`]).
 //!
-//! The first seed by name proposes voters once it has heard from all seeds and from no new node for a while; later
-//! seeds follow if that proposal does not succeed. Each chosen voter then starts a log on its own disk. A restarted
-//! node, or a node that lost its disk, is not at its first start.
+//! The first seed by name proposes voters once it has heard from all seeds, or has waited for them long enough, and
+//! has heard from no new node for a while; later seeds follow if that proposal does not succeed. Each chosen voter
+//! then starts a log on its own disk. A restarted node, or a node that lost its disk, is not at its first start.
 
 use crate::{ControlNode, NodeConfig, Time, MS};
 use consensus::{Bootstrap, BootstrapMessage, Input, NodeId, VoterSet};
@@ -16,7 +16,7 @@
 const SETTLING_TIME: Time = 900 * MS;
 /// Additional delay of each following seed, by rank.
 const RANK_DELAY: Time = 1000 * MS;
-/// Seeds not heard from within this time are no longer waited for.
+/// Seeds that have not been heard from are waited for until this long after the start of this node.
 const SEED_TIMEOUT: Time = 3000 * MS;
 
 /// State of a node that takes part in the bootstrap.
@@ -65,7 +65,8 @@
         self.starting_nodes.insert(name.into(), disk_id);
     }
 
-    /// Returns whether it is this seed's turn to propose.
+    /// Returns whether it is this seed's turn to propose: it waits for no further seed, and has learned of no new node
+    /// for [`SETTLING_TIME`] and its delay by rank.
     fn is_turn(&mut self, now: Time) -> bool {
         let Some(rank) = self.rank else { return false };
         let node_count = self.starting_nodes.len();
@@ -86,7 +87,8 @@
 }
 
 impl ControlNode {
-    /// Proposes the initial voters if a check is due and it is this seed's turn.
+    /// If a check is due and it is this seed's turn, proposes the initial voters, or sends them out once they are
+    /// chosen. Stops the checks when this node knows of a log.
     pub(crate) fn try_bootstrap(&mut self) {
         let now = self.now;
         let Some(bootstrapper) = self.bootstrapper.as_mut().filter(|b| b.next_poll <= now) else { return };
--- a/crates/control/control-node/src/change_feed.rs
+++ b/crates/control/control-node/src/change_feed.rs
@@ -11,7 +11,7 @@
 /// Number of retained changes; a subscriber further behind needs a snapshot.
 const MAX_RETAINED_CHANGES: usize = 1024;
 
-/// Log of fleet changes and configuration deltas.
+/// The latest fleet changes, and the latest deltas between configurations, kept for subscribers.
 #[derive(Debug)]
 pub(crate) struct ChangeFeed {
     log: ChangeLog<FleetChange>,
--- a/crates/control/control-node/src/commit.rs
+++ b/crates/control/control-node/src/commit.rs
@@ -68,13 +68,15 @@
         newest_only.encode()
     }
 
-    /// Resolves the proposals at or below `index`, whose entry has been committed and applied.
+    /// Resolves the proposals at or below `index` after the entry of `term` at `index` has been applied: the proposal
+    /// of this entry by `applied`, all others as [`Outcome::NotLeader`].
     fn resolve_proposals(&mut self, index: LogIndex, term: Term, applied: ApplyOutcome) {
         while let Some(first) = self.persistence.proposals.first_entry().filter(|p| *p.key() <= index) {
             let is_this_entry = *first.key() == index && first.get().term == term;
             let tag = first.remove().tag;
             let outcome = match applied {
-                // Another entry was committed at the proposal's index, so the proposal never will be.
+                // Another entry was committed at the proposal's index, or a snapshot covers that index and the
+                // outcome is unknown.
                 _ if !is_this_entry => Outcome::NotLeader,
                 ApplyOutcome::Conflict => Outcome::Conflict,
                 ApplyOutcome::Changed | ApplyOutcome::Unchanged => Outcome::Committed,
--- a/crates/control/control-node/src/control_messages.rs
+++ b/crates/control/control-node/src/control_messages.rs
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Adds a control node, or updates its zone. Ignores names that are not IP addresses, and new nodes beyond
-    /// `MAX_KNOWN_NODES`.
+    /// Adds a control node, or updates its zone; an empty `zone` leaves a known one unchanged. Ignores names that are
+    /// not IP addresses, and new nodes beyond `MAX_KNOWN_NODES`.
     pub fn learn_node(&mut self, name: &str, zone: &str) {
         let has_room = self.known_nodes.len() < MAX_KNOWN_NODES || self.known_nodes.contains_key(name);
         if name.parse::<IpAddr>().is_err() || !has_room {
--- a/crates/control/control-node/src/drains.rs
+++ b/crates/control/control-node/src/drains.rs
@@ -15,7 +15,7 @@
 pub(crate) struct PendingDrain {
     call: u64,
     instance: String,
-    /// Whether the backend deregisters.
+    /// Whether the backend is to be removed once its drain is committed.
     deregisters: bool,
     deadline: Time,
     next_attempt: Time,
@@ -28,8 +28,8 @@
         self.start_drain(call, instance, true);
     }
 
-    /// Proposes the drain of a backend and replies once it is committed, or [`Reply::Unavailable`] when the call
-    /// times out.
+    /// Proposes the drain of a backend and replies once it is committed. Replies [`Reply::Unavailable`] when the call
+    /// times out, or at once if this node has no quorum contact or too many drains are pending.
     pub(crate) fn start_drain(&mut self, call: u64, instance: &str, deregisters: bool) {
         let drain = PendingDrain {
             call,
@@ -63,7 +63,8 @@
         due.min().unwrap_or(Time::MAX)
     }
 
-    /// Proposes pending drains again when their next attempt is due, and ends calls whose deadline has passed.
+    /// Proposes the pending drains whose next attempt is due. Replies [`Reply::Unavailable`] to calls whose deadline
+    /// has passed, and no longer proposes their drains.
     pub(crate) fn retry_drains(&mut self) {
         let now = self.now;
         let (overdue, mut drains): (Vec<PendingDrain>, Vec<PendingDrain>) =
--- a/crates/control/control-node/src/node.rs
+++ b/crates/control/control-node/src/node.rs
@@ -67,7 +67,8 @@
     /// Heartbeats to forward to the other control nodes.
     pub(crate) pending_heartbeats: PendingHeartbeats,
     pub(crate) quota: QuotaState,
-    /// All control nodes learned so far, by name; the value is the zone, empty while unknown.
+    /// All control nodes learned so far, including this one, by name; none is removed. The value is the zone, empty
+    /// while unknown.
     pub(crate) known_nodes: BTreeMap<String, String>,
     /// Present only at the first start of the system.
     pub(crate) bootstrapper: Option<Bootstrapper>,
--- a/crates/control/control-node/src/quorum_contact.rs
+++ b/crates/control/control-node/src/quorum_contact.rs
@@ -8,7 +8,7 @@
 /// After this long without quorum contact a node no longer acknowledges heartbeats or starts drains.
 const CONTACT_TIMEOUT: Time = 1500 * MS;
 /// After this long without quorum contact a node does not redirect operators to the leader it knows: another leader
-/// is about to be elected.
+/// may soon be elected.
 const REDIRECT_TIMEOUT: Time = 800 * MS;
 
 impl ControlNode {
@@ -70,7 +70,8 @@
         self.quorum_contact_age(self.now) < CONTACT_TIMEOUT
     }
 
-    /// Returns whether the known leader most likely still leads.
+    /// Returns whether contact with a quorum is recent enough to redirect operators to the leader that this node knows,
+    /// if it knows one.
     pub(crate) fn can_redirect(&mut self) -> bool {
         self.quorum_contact_age(self.now) < REDIRECT_TIMEOUT
     }
--- a/crates/control/control-state/src/delta.rs
+++ b/crates/control/control-state/src/delta.rs
@@ -1,4 +1,4 @@
-//! A binary delta between two configurations: runs copied from the old one, and new bytes inserted between them.
+//! A binary delta between two configurations: byte ranges copied from the old one, and new bytes inserted between them.
 //!
 //! Applying the delta to the old configuration yields the new one byte for byte, which the caller verifies by a digest. The
 //! bytes are not interpreted, so that any two byte strings work. The delta is short for JSON in which most objects keep
@@ -99,11 +99,12 @@
     offsets
 }
 
+/// Splits bytes into runs, each up to and including the next [`RUN_END`].
 fn runs(bytes: &[u8]) -> impl Iterator<Item = &[u8]> {
     bytes.split_inclusive(|byte| *byte == RUN_END)
 }
 
-/// Collects edits, merging adjacent runs.
+/// Collects the edits of a delta. Adjacent runs that are copied become one edit, as do adjacent runs that are inserted.
 #[derive(Default)]
 struct DeltaBuilder {
     edits: Vec<Edit>,
--- a/crates/control/control-state/src/state.rs
+++ b/crates/control/control-state/src/state.rs
@@ -18,7 +18,7 @@
 const MAX_DRAINING: usize = 4096;
 /// Maximum number of gateways. More indicate a fault of the platform.
 const MAX_GATEWAYS: usize = 4096;
-/// Maximum number of expired trials that are kept, the most recent ones.
+/// Maximum number of tenants' expired trials that are kept, the most recent ones.
 const MAX_EXPIRED_TRIALS: usize = 4096;
 
 /// Effect of applying a command.
--- a/crates/control/registry/src/heartbeat.rs
+++ b/crates/control/registry/src/heartbeat.rs
@@ -17,7 +17,7 @@
     pub zone: String,
     /// Version of the backend's software.
     pub version: String,
-    /// Number of requests that the backend processes concurrently.
+    /// Maximum number of requests that the backend processes concurrently.
     pub slots: u32,
     /// Whether the backend accepts no new work.
     pub draining: bool,
--- a/crates/control/registry/src/zone_registry.rs
+++ b/crates/control/registry/src/zone_registry.rs
@@ -24,7 +24,7 @@
     Full,
 }
 
-/// A known backend.
+/// A known backend, with its latest heartbeat and the state of its expiry.
 #[derive(Clone, Debug)]
 struct Instance {
     heartbeat: Heartbeat,
--- a/crates/control/trial/src/clock_readings.rs
+++ b/crates/control/trial/src/clock_readings.rs
@@ -23,7 +23,8 @@
 pub struct ClockReadings(BTreeMap<String, Reading>);
 
 impl ClockReadings {
-    /// Records the time that a machine reports.
+    /// Records the time that a machine reports, in place of its previous reading. Ignores new machines beyond
+    /// `MAX_CLOCKS`.
     pub fn record(&mut self, now: Time, machine: &str, unix_ms: UnixMillis) {
         if self.0.len() < MAX_CLOCKS || self.0.contains_key(machine) {
             self.0.insert(machine.to_string(), Reading { unix_ms, received_at: now });
--- a/crates/control/trial/src/tenant_terms.rs
+++ b/crates/control/trial/src/tenant_terms.rs
@@ -19,7 +19,7 @@
 /// Terms of the tenants in a configuration: their limits and the ends of their trials.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantTerms {
-    /// Limits by tenant name.
+    /// Rate limits by tenant name.
     pub limits: BTreeMap<String, Limit>,
     /// Trial ends of the tenants on trial.
     pub trial_ends: Vec<TrialEnd>,
--- a/crates/gateway/engine/src/events.rs
+++ b/crates/gateway/engine/src/events.rs
@@ -27,7 +27,7 @@
     pub repeat: bool,
     /// The index of the pool whose servers may execute it.
     pub pool: usize,
-    /// The front end's decision on its allowance, if there is one.
+    /// The quota decision on the request, as far as the front end knows it; [`Allowance::Unknown`] if there is none.
     pub allowance: Allowance,
 }
 
@@ -95,7 +95,7 @@
     Abort { id: RequestId, attempt: u32 },
     /// The final answer. `Served` and `Rejected` carry the bytes of the attempt that just ended.
     Answer { id: RequestId, answer: FinalAnswer },
-    /// The request has ended: its resources can be released.
+    /// The request has ended: its resources can be released. May be output more than once for a request.
     RequestEnded { id: RequestId },
     /// A report for a planner.
     Report { planner: usize, report: Report },
@@ -148,7 +148,7 @@
 pub struct Totals {
     /// By class, in the settings' order.
     pub answers: Vec<AnswerCounts>,
-    /// Attempts whose last byte was written.
+    /// Attempts of which enough was written that a backend may execute them: those that reached [`Step::Written`].
     pub attempts: u64,
     /// The number of servers in the list, and of those that get no new attempts: banned, draining or avoided.
     pub listed: usize,
--- a/crates/gateway/engine/src/lib.rs
+++ b/crates/gateway/engine/src/lib.rs
@@ -60,10 +60,11 @@
     events: Vec<Event>,
     next_batch_at: Time,
     timers: BinaryHeap<Reverse<(Time, u64)>>,
-    /// The work share last sent to the module.
+    /// This gateway's share of all work, as last sent to the module; before that, 1 divided by the settings' number of
+    /// gateways.
     announced_share: f64,
     counts: EngineCounts,
-    /// Final answers since the start, by class, and attempts that were completely written.
+    /// Since the start: final answers by class, and attempts that reached [`Step::Written`].
     answers: Vec<AnswerCounts>,
     attempts: u64,
     /// Empty between calls; kept to reuse their allocations.
@@ -214,7 +215,7 @@
                     AttemptFacts::default(),
                     out,
                 )?;
-                // Counted only if it left without its answer; otherwise the two have crossed.
+                // Counted only if it left without its answer, and not if it left just as the answer was sent.
                 if let Some(class) = class.filter(|_| self.events.len() > events_before) {
                     self.count_answer(class, FinalAnswer::Failed { late: false });
                 }
@@ -317,7 +318,8 @@
         Ok(())
     }
 
-    /// Returns when the final answer is due to a client with this timeout.
+    /// Returns when the final answer is due to a client with this timeout: [`Timing::way_back`] before the timeout, but
+    /// at most a tenth of it.
     fn answer_deadline(&self, now: Time, timeout: Time) -> Time {
         now + timeout - self.way_back.min(timeout / 10)
     }
--- a/crates/gateway/lifecycle/src/drain.rs
+++ b/crates/gateway/lifecycle/src/drain.rs
@@ -11,7 +11,7 @@
 /// The time between the last answer's deadline and the end: half to write the answer, half for the client to read it.
 pub const FINAL_MARGIN: Time = 100_000_000;
 
-/// A drain in progress.
+/// A drain of this gateway in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Drain {
     end: Time,
--- a/crates/gateway/lifecycle/src/events.rs
+++ b/crates/gateway/lifecycle/src/events.rs
@@ -24,8 +24,9 @@
     pub class: usize,
     /// The effect of executing it a second time.
     pub effect: Effect,
-    /// The servers that drop repeats of a keyed request, and for how long after its first execution.
+    /// The servers that drop repeats of a keyed request.
     pub group: Group,
+    /// For how long they drop them, counted from the first attempt that may have run.
     pub key_ttl: Time,
     /// When its answer is due; [`Limits::grace`] later it is answered in any case.
     pub deadline: Time,
--- a/crates/gateway/lifecycle/src/request.rs
+++ b/crates/gateway/lifecycle/src/request.rs
@@ -115,7 +115,7 @@
         self.requests.get(&id)
     }
 
-    /// Returns the servers that may be written to.
+    /// Returns the server list, including servers that accept no new attempts.
     pub fn server_list(&self) -> &ServerList {
         &self.server_list
     }
--- a/crates/gateway/lifecycle/src/server_list.rs
+++ b/crates/gateway/lifecycle/src/server_list.rs
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns a server that may be written to, with its address.
+    /// Returns the server of this name and its address, if it accepts new attempts.
     pub(crate) fn ready_server(&self, name: &Name) -> Option<(&ListedServer, SocketAddr)> {
         let listed = self.servers.get(name)?;
         Some((listed, listed.address?))
--- a/crates/gateway/lifecycle/src/upstream.rs
+++ b/crates/gateway/lifecycle/src/upstream.rs
@@ -53,14 +53,14 @@
 pub struct Upstream {
     number: u64,
     state: State,
-    /// Whether an earlier request has been sent on this connection.
+    /// Whether an exchange on this connection has ended, so that the next is not its first.
     is_used: bool,
     /// Whether the latest answer carried no id: a duplicate of it would be taken for the next request's answer.
     was_last_answer_without_id: bool,
 }
 
 impl Upstream {
-    /// Creates the state of an established connection, with a number unique to it.
+    /// Creates the state of a connection that has just been established. `number` must be unique.
     pub fn new(number: u64, now: Time) -> Self {
         Upstream {
             number,
@@ -75,7 +75,7 @@
         self.number
     }
 
-    /// Returns whether an earlier request has been sent on it.
+    /// Returns whether an exchange on it has ended, so that the next is not its first.
     pub fn is_used(&self) -> bool {
         self.is_used
     }
@@ -149,7 +149,7 @@
     usual: Time,
     narrowed_for: Time,
     min: Time,
-    /// The narrowed limit, and when it was set.
+    /// The narrowed limit of the idle time, and the time at which it was set.
     narrowed: Option<(Time, Time)>,
 }
 
