--- a/crates/service/snapshot/src/format.rs
+++ b/crates/service/snapshot/src/format.rs
@@ -30,9 +30,9 @@
     /// The gateway's, the same after a restart.
     pub name: String,
     /// Unix milliseconds at the process's start.
-    pub life: u64,
+    pub generation: u64,
     /// When it was true.
-    pub at: Time,
+    pub taken_at: Time,
 }
 
 /// What a section holds.
@@ -127,7 +127,7 @@
 
 /// What was found in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Read {
+pub struct Snapshot {
     pub author: Author,
     pub sections: BTreeMap<Kind, Result<Vec<u8>, Spoilt>>,
     /// Sections that this program knows nothing of.
@@ -206,12 +206,12 @@
 ///
 /// # Errors
 /// [`Refused`], if nothing of it may be used.
-pub fn decode(bytes: &[u8], name: &str, now: Time) -> Result<Read, Refused> {
+pub fn decode(bytes: &[u8], name: &str, now: Time) -> Result<Snapshot, Refused> {
     let read = inspect(bytes)?;
     if read.author.name != name && !planted!(AuthorNotAsked) {
         return Err(Refused::Author { name: read.author.name });
     }
-    let ahead = read.author.at.saturating_sub(now);
+    let ahead = read.author.taken_at.saturating_sub(now);
     if ahead > AHEAD && !planted!(FutureTaken) {
         return Err(Refused::Future { ahead_ms: ahead / 1_000_000 });
     }
@@ -222,7 +222,7 @@
 ///
 /// # Errors
 /// [`Refused`], if it can't be read.
-pub fn inspect(bytes: &[u8]) -> Result<Read, Refused> {
+pub fn inspect(bytes: &[u8]) -> Result<Snapshot, Refused> {
     if bytes.len() > MOST_BYTES {
         return Err(Refused::TooLong(bytes.len()));
     }
@@ -262,5 +262,5 @@
         }
         at = end;
     }
-    Ok(Read { author: table.author, sections, unknown, table_damaged })
+    Ok(Snapshot { author: table.author, sections, unknown, table_damaged })
 }
--- a/crates/service/snapshot/src/lib.rs
+++ b/crates/service/snapshot/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod files;
 mod format;
 
-pub use format::{decode, encode, inspect, Author, Kind, Read, Refused, Section, Spoilt, MOST_BYTES};
+pub use format::{decode, encode, inspect, Author, Kind, Refused, Section, Snapshot, Spoilt, MOST_BYTES};
 
 /// Unix nanoseconds.
 pub type Time = u64;
--- a/crates/service/snapshot/src/tests/file.rs
+++ b/crates/service/snapshot/src/tests/file.rs
@@ -6,7 +6,7 @@
 const NOW: Time = 1_800_000_000_000_000_000;
 
 pub(super) fn author() -> Author {
-    Author { name: "g1".into(), life: 1_799_999_999_000, at: NOW - 1_000_000_000 }
+    Author { name: "g1".into(), generation: 1_799_999_999_000, taken_at: NOW - 1_000_000_000 }
 }
 
 fn sections() -> Vec<Section> {
@@ -15,7 +15,7 @@
 }
 
 /// How many sections can be used.
-fn usable(read: &crate::Read) -> usize {
+fn usable(read: &crate::Snapshot) -> usize {
     let sound = |(kind, bytes): (&Kind, &Result<Vec<u8>, Spoilt>)| {
         sections().iter().any(|s| s.kind == *kind && bytes.as_ref() == Ok(&s.bytes))
     };
--- a/crates/testing/compatibility/tests/service.rs
+++ b/crates/testing/compatibility/tests/service.rs
@@ -119,7 +119,11 @@
 #[test]
 fn a_gateways_snapshot_keeps_its_bytes() {
     let mut golden = Golden::open("snapshot");
-    let author = Author { name: "gateway-1".into(), life: 1_798_758_000_000, at: 1_798_758_001_000_000_000 };
+    let author = Author {
+        name: "gateway-1".into(),
+        generation: 1_798_758_000_000,
+        taken_at: 1_798_758_001_000_000_000,
+    };
     let kinds = [Kind::Bans, Kind::Stores, Kind::Servers, Kind::List];
     let sections = kinds.map(|kind| Section { kind, bytes: format!("{{\"{kind}\":1}}").into_bytes() });
     let recorded = golden.assert_bytes("all-sections", &encode(&author, &sections));
--- a/crates/testing/fleet-sim/src/world/memory.rs
+++ b/crates/testing/fleet-sim/src/world/memory.rs
@@ -20,7 +20,7 @@
             return;
         }
         let Some((stores, servers)) = split(&p.engine.export_state()) else { return };
-        let author = Author { name: name(gateway), life: p.life, at: p.clock(now) };
+        let author = Author { name: name(gateway), generation: p.life, taken_at: p.clock(now) };
         let section = |kind, bytes| Section { kind, bytes };
         p.kept.push_back(encode(&author, &[section(Kind::Stores, stores), section(Kind::Servers, servers)]));
         if p.kept.len() > KEPT {
@@ -48,7 +48,7 @@
         let p = &mut self.processes[g];
         let now = p.clock(self.now);
         let text = decode(&bytes, &name(g), now).map_err(|refused| refused.to_string()).and_then(|read| {
-            let times = Times::new(read.author.at, every, now);
+            let times = Times::new(read.author.taken_at, every, now);
             let section = |kind| read.sections.get(&kind).and_then(|s| s.as_deref().ok());
             let stores = section(Kind::Stores).ok_or("the stores are damaged")?;
             join(stores, section(Kind::Servers), &plans, times).ok_or_else(|| "no memory".to_string())
--- a/src/bin/granitethread/snapshot.rs
+++ b/src/bin/granitethread/snapshot.rs
@@ -131,7 +131,7 @@
         if let Some(list) = memory.list {
             sections.push(Section { kind: Kind::List, bytes: list.into_bytes() });
         }
-        let author = Author { name: name.into(), life, at: memory.at };
+        let author = Author { name: name.into(), generation: life, taken_at: memory.at };
         match save(&mut disk, &encode(&author, &sections)) {
             Ok(()) => wrong = None,
             Err(e) => told_once(&mut wrong, &disk, &e),
@@ -154,7 +154,7 @@
         Ok(read) => read,
         Err(refused) => return warn!(cause = %refused, "snapshot: {refused}; begun with nothing"),
     };
-    let times = Times::new(read.author.at, table.every.as_nanos() as u64, now);
+    let times = Times::new(read.author.taken_at, table.every.as_nanos() as u64, now);
     for (kind, spoilt) in read.sections.iter().filter_map(|(k, s)| Some((k, s.as_ref().err()?))) {
         warn!(cause = %spoilt, "snapshot: {kind}: {spoilt}; begun without");
     }
@@ -176,7 +176,7 @@
     }
     let plans: Vec<Quota> = settings.plans.iter().map(|p| Quota { rate: p.rate, depth: p.depth }).collect();
     let text = section(Kind::Stores).and_then(|stores| join(stores, section(Kind::Servers), &plans, times));
-    let age = now.saturating_sub(read.author.at) / 1_000_000;
+    let age = now.saturating_sub(read.author.taken_at) / 1_000_000;
     match text.map(|text| driver.import_state(&text)) {
         Some(Ok(())) => info!(age, bytes = bytes.len(), "snapshot: goes on with one that is {age} ms old"),
         Some(Err(what)) => warn!(cause = what, "snapshot: stores and servers: {what}; begun without"),
@@ -192,7 +192,7 @@
     File::open(file).map_err(wrong)?.take(most).read_to_end(&mut bytes).map_err(wrong)?;
     let read = inspect(&bytes).map_err(|refused| format!("{}: {refused}", file.display()))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-    let age = now.saturating_sub(read.author.at) / 1_000_000;
+    let age = now.saturating_sub(read.author.taken_at) / 1_000_000;
     let sections: Vec<_> = read
         .sections
         .iter()
@@ -209,13 +209,17 @@
         format!(
             "{}\n",
             json!({
-                "name": author.name, "life": author.life, "age_ms": age, "bytes": bytes.len(), "sections": all,
+                "name": author.name, "life": author.generation, "age_ms": age, "bytes": bytes.len(), "sections": all,
                 "table_damaged": read.table_damaged, "unknown_sections": read.unknown,
             })
         )
     } else {
-        let mut text =
-            format!("{}, life {}, {age} ms old, {} bytes\n", read.author.name, read.author.life, bytes.len());
+        let mut text = format!(
+            "{}, life {}, {age} ms old, {} bytes\n",
+            read.author.name,
+            read.author.generation,
+            bytes.len()
+        );
         for (kind, bytes, wrong) in &sections {
             let state = wrong.as_deref().map_or_else(|| "sound".to_string(), |w| format!("of no use: {w}"));
             text.push_str(&format!("{kind:10} {bytes:>10} bytes  {state}\n"));
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -62,7 +62,8 @@
 fn kept(folder: &Folder) {
     let (asked, until) = (now(), Instant::now() + LIMIT);
     loop {
-        let at = std::fs::read(folder.file()).ok().and_then(|b| inspect(&b).ok()).map(|read| read.author.at);
+        let at =
+            std::fs::read(folder.file()).ok().and_then(|b| inspect(&b).ok()).map(|read| read.author.taken_at);
         if at.is_some_and(|at| at > asked) {
             return;
         }
@@ -152,7 +153,7 @@
     // Killed as soon as the drain is on the disk, long before the next second.
     discovery.tell(2, told(2, "Terminating"));
     let until = Instant::now() + LIMIT;
-    let listed = |read: snapshot::Read| read.sections[&Kind::List].clone().expect("a list");
+    let listed = |read: snapshot::Snapshot| read.sections[&Kind::List].clone().expect("a list");
     let holds = |bytes: Vec<u8>| {
         String::from_utf8_lossy(&listed(inspect(&bytes).expect("whole"))).contains("Terminating")
     };
@@ -171,7 +172,7 @@
     drop(second);
     let old = std::fs::read(folder.file()).expect("the snapshot");
     let old = inspect(&old).expect("a snapshot");
-    let author = snapshot::Author { at: now() - 700_000_000_000, ..old.author.clone() };
+    let author = snapshot::Author { taken_at: now() - 700_000_000_000, ..old.author.clone() };
     let section = |(kind, bytes): (&Kind, &Result<Vec<u8>, _>)| snapshot::Section {
         kind: *kind,
         bytes: bytes.clone().expect("sound"),
