--- a/crates/common/configuration/src/error.rs
+++ b/crates/common/configuration/src/error.rs
@@ -1,54 +1,55 @@
-//! What is wrong with a configuration.
+//! Validation errors of a configuration.
 
 use displaydoc::Display;
 
-/// What is wrong with a configuration. Its text is the answer to the operator, so that causes are kept as text.
+/// The reason why a configuration is invalid. Its text is returned to the operator, so underlying errors are kept as
+/// text.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum ConfigurationError {
-    /// it cannot be read: {0}
+    /// not a valid configuration: {0}
     Malformed(String),
     /// at {path}: {reason}
     Schema {
-        /// JSON pointer to the value.
+        /// JSON pointer to the invalid value.
         path: String,
-        /// What the schema wants of it.
+        /// The schema violation.
         reason: String,
     },
-    /// route {route}: no service is named {service}
+    /// route {route}: unknown service {service}
     UnknownService {
-        /// The route's name.
+        /// Name of the route.
         route: String,
-        /// What it names.
+        /// The service name that the route refers to.
         service: String,
     },
-    /// route {0}: it names no service
+    /// route {0}: no target service
     NoTarget(String),
-    /// route {0}: all its targets have the weight 0
+    /// route {0}: all targets have weight 0
     NoWeight(String),
     /// routes {first} and {second} have the same host and prefix
     DuplicateRoute {
-        /// The earlier route's name.
+        /// Name of the earlier route.
         first: String,
-        /// The later route's name.
+        /// Name of the later route.
         second: String,
     },
-    /// tenants {first} and {second} have a key in common
+    /// tenants {first} and {second} share an API key
     SharedKey {
-        /// The earlier tenant's name.
+        /// Name of the earlier tenant.
         first: String,
-        /// The later tenant's name.
+        /// Name of the later tenant.
         second: String,
     },
-    /// tenant {tenant}: {ends_at:?} is no time like 2026-12-31T23:00:00Z
+    /// tenant {tenant}: {ends_at:?} is not an RFC 3339 time in UTC such as 2026-12-31T23:00:00Z
     InvalidTrialEnd {
-        /// The tenant's name.
+        /// Name of the tenant.
         tenant: String,
-        /// What stands there.
+        /// The value of `endsAt`.
         ends_at: String,
     },
-    /// tenant {0}: its trial's pacePerS is more than its ratePerS
+    /// tenant {0}: the trial's pacePerS exceeds the tenant's ratePerS
     PaceOverRate(String),
-    /// tenant {0}: twice its trial's pacePerS over waitMs does not fit into its burstSize
+    /// tenant {0}: twice the trial's pacePerS times waitMs exceeds the tenant's burstSize
     WaitOverBurst(String),
 }
 
--- a/crates/common/configuration/src/lib.rs
+++ b/crates/common/configuration/src/lib.rs
@@ -1,7 +1,8 @@
-//! The configuration: reading and validating it, and what it says of a request. No I/O.
+//! The configuration: its data model, validation, and the lookup of a request's route, service and tenant. No I/O.
 //!
-//! What an operator sends is validated once, where it is committed ([`validate`], with the schema of
-//! `schema/configuration.json`); all others are handed the same bytes and read them with [`Configuration::parse`].
+//! A configuration is validated once, when it is committed ([`validate`], with the schema in
+//! `schema/configuration.json`). All other components receive the same bytes and read them with
+//! [`Configuration::parse`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -17,5 +18,5 @@
 #[cfg(feature = "check")]
 pub use validation::{validate, Validator};
 
-/// A configuration's version: eight hexadecimal digits on the wire.
+/// The version of a configuration; written as eight hexadecimal digits on the wire.
 pub type Version = u32;
--- a/crates/common/configuration/src/model.rs
+++ b/crates/common/configuration/src/model.rs
@@ -1,112 +1,112 @@
-//! The configuration as the operators' pages word it. Fields that are not known are ignored.
+//! The data model of a configuration, with the field names of the operator documentation. Unknown fields are ignored.
 
 use crate::error::ConfigurationError;
 use crate::Version;
 use serde::{Deserialize, Deserializer};
 use std::time::UNIX_EPOCH;
 
-/// The configuration.
+/// A gateway configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Configuration {
-    /// Its own version.
+    /// Version of this configuration.
     #[serde(deserialize_with = "version")]
     pub config_version: Version,
-    /// The version that it replaces; 0 before the first.
+    /// Version that this configuration replaces; 0 for the first one.
     #[serde(default, deserialize_with = "version")]
     pub base_version: Version,
-    /// Which requests go to which services.
+    /// Routes, which map requests to services.
     pub routes: Vec<Route>,
-    /// What backends are part of.
+    /// Services, which group backends.
     pub services: Vec<Service>,
-    /// What clients are held to.
+    /// Limits on client connections and requests.
     #[serde(default)]
     pub limits: ClientLimits,
-    /// Without any, requests need no API key.
+    /// Tenants. If the list is empty, requests need no API key.
     #[serde(default)]
     pub tenants: Vec<Tenant>,
 }
 
-/// Which requests go to which service, and on which terms.
+/// A mapping from host and path prefix to a service, with the limits and the priority of its requests.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
-    /// The `Host` header that it takes requests of.
+    /// The `Host` header that the route matches.
     pub host: String,
-    /// The beginning of the paths that it takes requests of; the longest wins.
+    /// The path prefix that the route matches; the longest matching prefix wins.
     pub path_prefix: String,
-    /// Whether its requests may run more than once.
+    /// Whether its requests may be executed more than once.
     pub route_kind: RouteKind,
-    /// The longest that a request is held, in milliseconds; 0: no longer than its client waits.
+    /// Time limit of a request in milliseconds; 0: the route sets no limit of its own.
     #[serde(default)]
     pub timeout_ms: f64,
-    /// The time within which an answer earns its full worth, in milliseconds.
+    /// The latency in milliseconds up to which a response has its full value.
     #[serde(default)]
     pub target_latency_ms: f64,
-    /// 0 is the highest.
+    /// Priority of its requests; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
-    /// The most backends that one try of a client may be sent to.
+    /// Maximum number of backends that one client attempt may be sent to.
     #[serde(default = "one_attempt")]
     pub max_attempts: u32,
-    /// Requests need no API key.
+    /// Whether requests are accepted without an API key.
     #[serde(default)]
     pub public: bool,
-    /// The service that takes all requests, if it is one.
+    /// The service that receives all requests. If absent, `weighted_targets` applies.
     #[serde(default)]
     pub target_service: Option<String>,
-    /// Else services with their weights.
+    /// Services among which requests are split by weight, if there is no `target_service`.
     #[serde(default)]
     pub weighted_targets: Vec<WeightedTarget>,
 }
 
-/// Whether a route's requests may run more than once.
+/// Whether a route's requests may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RouteKind {
-    /// They may.
+    /// Requests may be executed more than once.
     Safe,
-    /// At most once.
+    /// Requests must be executed at most once.
     Unsafe,
 }
 
-/// One of a route's services.
+/// One weighted target service of a route.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WeightedTarget {
-    /// The service's name.
+    /// Name of the service.
     pub target_service: String,
-    /// Its share of requests is its weight over the sum of all.
+    /// Weight of the service. Its share of the requests is this weight divided by the sum of all weights.
     pub weight: f64,
 }
 
-/// What backends are part of.
+/// A service: a named group of backends.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Where backends tell their health.
+    /// Path of the backends' health check.
     #[serde(default)]
     pub health_path: String,
-    /// Over all gateways together.
+    /// Maximum number of connections over all gateways together.
     #[serde(default)]
     pub max_connections: u32,
 }
 
-/// What clients are held to.
+/// Limits on client connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ClientLimits {
-    /// Of a request's head.
+    /// Maximum size of a request head in bytes.
     pub max_header_bytes: u64,
-    /// Of a request's body.
+    /// Maximum size of a request body in bytes.
     pub max_body_bytes: u64,
-    /// How long a head may take to arrive, in milliseconds.
+    /// Time limit for receiving a request head, in milliseconds.
     pub header_timeout_ms: f64,
-    /// How long a connection may be idle, in milliseconds.
+    /// Idle timeout of a client connection, in milliseconds.
     pub idle_timeout_ms: f64,
 }
 
@@ -121,54 +121,54 @@
     }
 }
 
-/// Who sends requests, told by API keys.
+/// A sender of requests, identified by its API keys.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Any of these identifies it.
+    /// API keys, each of which identifies the tenant.
     pub api_keys: Vec<String>,
-    /// In place of the route's, if stated.
+    /// Priority of the tenant's requests, which overrides the route's priority if set.
     #[serde(default)]
     pub priority: Option<u32>,
-    /// Requests a second over all gateways; 0: no limit.
+    /// Rate limit in requests per second over all gateways; 0: no limit.
     #[serde(default)]
     pub rate_per_s: f64,
-    /// Requests that may be sent at once.
+    /// Number of requests that may be sent in a burst.
     #[serde(default)]
     pub burst_size: f64,
-    /// None: its limits are its own for good.
+    /// The trial period. If absent, the tenant's limits do not expire.
     #[serde(default)]
     pub trial: Option<Trial>,
 }
 
-/// Until when a tenant has its limits, and what it is throttled to then (`docs/operate/trials.md`).
+/// A trial period: its end, and the throttling that follows (`docs/operate/trials.md`).
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Trial {
-    /// A time in UTC (RFC 3339).
+    /// End of the trial: a UTC time in RFC 3339 format.
     pub ends_at: String,
-    /// Requests a second over all gateways.
+    /// Throttled rate after the trial, in requests per second over all gateways.
     pub pace_per_s: f64,
-    /// How long a request waits for its turn at most, in milliseconds.
+    /// Maximum time that a throttled request waits in the queue, in milliseconds.
     #[serde(default = "two_seconds")]
     pub wait_ms: f64,
 }
 
 impl Trial {
-    /// In Unix milliseconds; none if `ends_at` is no time after 1970.
+    /// Returns the end of the trial in Unix milliseconds, or `None` if `ends_at` is not a valid time since 1970.
     pub fn ends_ms(&self) -> Option<u64> {
         let ends_at = humantime::parse_rfc3339(&self.ends_at).ok()?;
-        ends_at.duration_since(UNIX_EPOCH).ok().map(|since| since.as_millis() as u64)
+        ends_at.duration_since(UNIX_EPOCH).ok().map(|since_epoch| since_epoch.as_millis() as u64)
     }
 }
 
 impl Configuration {
-    /// Reads what was validated.
+    /// Parses a configuration that was validated before.
     ///
     /// # Errors
-    /// [`ConfigurationError::Malformed`], if it is no configuration.
+    /// [`ConfigurationError::Malformed`] if the bytes are not a configuration.
     pub fn parse(body: &[u8]) -> Result<Configuration, ConfigurationError> {
         serde_json::from_slice(body).map_err(|error| ConfigurationError::Malformed(error.to_string()))
     }
@@ -182,16 +182,16 @@
     2000.0
 }
 
-/// A version on the wire: hexadecimal digits, or a number.
-fn version<'de, D: Deserializer<'de>>(from: D) -> Result<Version, D::Error> {
+/// Deserializes a version from its wire formats: a string of hexadecimal digits, or a number.
+fn version<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Version, D::Error> {
     #[derive(Deserialize)]
     #[serde(untagged)]
-    enum VersionForm {
+    enum VersionFormat {
         Digits(String),
         Number(u32),
     }
-    match VersionForm::deserialize(from)? {
-        VersionForm::Number(number) => Ok(number),
-        VersionForm::Digits(text) => Version::from_str_radix(&text, 16).map_err(serde::de::Error::custom),
+    match VersionFormat::deserialize(deserializer)? {
+        VersionFormat::Number(number) => Ok(number),
+        VersionFormat::Digits(text) => Version::from_str_radix(&text, 16).map_err(serde::de::Error::custom),
     }
 }
--- a/crates/common/configuration/src/validation.rs
+++ b/crates/common/configuration/src/validation.rs
@@ -1,4 +1,5 @@
-//! Whether what an operator sends is sound: by the schema, and by what a schema cannot say.
+//! Validation of a configuration that an operator sends: against the JSON schema, and by rules that a schema cannot
+//! express.
 
 use crate::error::ConfigurationError;
 use crate::model::{Configuration, Route, Tenant};
@@ -7,21 +8,22 @@
 
 const SCHEMA: &str = include_str!("../schema/configuration.json");
 
-/// The compiled schema.
+/// A validator that holds the compiled JSON schema.
 pub struct Validator(jsonschema::Validator);
 
 impl Default for Validator {
     fn default() -> Self {
         let schema: Value = serde_json::from_str(SCHEMA).expect("the built-in schema is JSON");
-        Validator(jsonschema::draft7::new(&schema).expect("the built-in schema is one"))
+        Validator(jsonschema::draft7::new(&schema).expect("the built-in schema is valid"))
     }
 }
 
 impl Validator {
-    /// Reads a configuration whole: by the schema, then by what a schema cannot say.
+    /// Parses and validates a configuration, first against the schema, then by the rules that a schema cannot
+    /// express.
     ///
     /// # Errors
-    /// The first thing that is wrong with it.
+    /// The first violation.
     pub fn validate(&self, body: &[u8]) -> Result<Configuration, ConfigurationError> {
         let value: Value =
             serde_json::from_slice(body).map_err(|error| ConfigurationError::Malformed(error.to_string()))?;
@@ -29,7 +31,8 @@
             let (path, reason) = (error.instance_path.to_string(), error.to_string());
             return Err(ConfigurationError::Schema { path, reason });
         }
-        // From the bytes, as whoever is handed them reads them: a `Value` keeps one of two equal names, and hides the other.
+        // Parses the bytes, as every reader of the configuration does. A `Value` keeps only one of two fields with
+        // the same name, which would hide the duplicate.
         let configuration = Configuration::parse(body)?;
         validate_routes(&configuration)?;
         validate_keys(&configuration.tenants)?;
@@ -38,16 +41,17 @@
     }
 }
 
-/// Validates one configuration.
+/// Validates a single configuration.
 ///
 /// # Errors
-/// The first thing that is wrong with it.
+/// The first violation.
 pub fn validate(body: &[u8]) -> Result<Configuration, ConfigurationError> {
     Validator::default().validate(body)
 }
 
 fn validate_routes(configuration: &Configuration) -> Result<(), ConfigurationError> {
-    let services: HashSet<&str> = configuration.services.iter().map(|s| s.name.as_str()).collect();
+    let services: HashSet<&str> =
+        configuration.services.iter().map(|service| service.name.as_str()).collect();
     let mut by_host_and_prefix = HashMap::new();
     for route in &configuration.routes {
         validate_targets(route, &services)?;
@@ -70,14 +74,14 @@
         let (route, service) = (route.name.clone(), unknown.clone());
         return Err(ConfigurationError::UnknownService { route, service });
     }
-    let has_no_weight = route.weighted_targets.iter().all(|target| target.weight <= 0.0);
-    if route.target_service.is_none() && has_no_weight {
+    let all_weights_are_zero = route.weighted_targets.iter().all(|target| target.weight <= 0.0);
+    if route.target_service.is_none() && all_weights_are_zero {
         return Err(ConfigurationError::NoWeight(route.name.clone()));
     }
     Ok(())
 }
 
-/// No API key identifies two tenants.
+/// Checks that no API key belongs to two tenants.
 fn validate_keys(tenants: &[Tenant]) -> Result<(), ConfigurationError> {
     let mut tenants_by_key = HashMap::new();
     for tenant in tenants {
@@ -92,7 +96,8 @@
     Ok(())
 }
 
-/// A tenant's trial has an end, and a pace behind it that stays within the tenant's limits (`docs/design/trials.md`).
+/// Checks that a tenant's trial has a valid end, and that its throttled rate and queue wait stay within the tenant's
+/// limits (`docs/design/trials.md`).
 fn validate_trial(tenant: &Tenant) -> Result<(), ConfigurationError> {
     let Some(trial) = &tenant.trial else { return Ok(()) };
     let name = || tenant.name.clone();
--- a/crates/common/configuration/tests/route_table.rs
+++ b/crates/common/configuration/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! What a configuration says of a request.
+//! Route, target and tenant lookup.
 
 use configuration::{Configuration, RouteTable};
 
@@ -14,8 +14,8 @@
 
 #[test]
 fn longest_prefix_of_the_host_wins() {
-    let t = table();
-    let name = |host, path| t.route(host, path).map(|r| r.name.as_str());
+    let table = table();
+    let name = |host, path| table.route(host, path).map(|route| route.name.as_str());
     assert_eq!(name("a.example", "/x/y/z"), Some("deep"));
     assert_eq!(name("A.Example:8080", "/x/z"), Some("x"));
     assert_eq!(name("a.example", "/x"), Some("all"));
@@ -24,14 +24,14 @@
 
 #[test]
 fn weighted_targets_follow_their_weights() {
-    let t = table();
-    let deep = t.route("a.example", "/x/y/").unwrap();
+    let table = table();
+    let deep = table.route("a.example", "/x/y/").unwrap();
     let targets = [0.0, 0.74, 0.76, 1.0].map(|draw| deep.target(draw));
     assert_eq!(targets, [Some("t"), Some("t"), Some("u"), Some("u")]);
 }
 
 #[test]
 fn api_key_identifies_its_tenant() {
-    assert_eq!(table().tenant("k2").map(|t| t.name.as_str()), Some("t1"));
+    assert_eq!(table().tenant("k2").map(|tenant| tenant.name.as_str()), Some("t1"));
     assert!(table().requires_api_key() && table().tenant("k3").is_none());
 }
--- a/crates/common/configuration/tests/validation.rs
+++ b/crates/common/configuration/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Which configurations are refused, and why.
+//! Accepted and refused configurations, with the error of each refusal.
 
 use configuration::{validate, Configuration, ConfigurationError};
 use serde_json::{json, Value};
@@ -29,31 +29,31 @@
 
 #[test]
 fn trial_needs_an_end_and_a_pace_within_the_limits() {
-    let trial = |ends: &str, pace: f64, wait: f64| {
-        let trial = json!({"endsAt": ends, "pacePerS": pace, "waitMs": wait});
+    let with_trial = |ends_at: &str, pace: f64, wait_ms: f64| {
+        let trial = json!({"endsAt": ends_at, "pacePerS": pace, "waitMs": wait_ms});
         validate_changed(move |v| v["tenants"][0]["trial"] = trial)
     };
     let end = "2026-12-31T23:00:00Z";
-    let valid = trial(end, 5.0, 2000.0).unwrap();
+    let valid = with_trial(end, 5.0, 2000.0).unwrap();
     assert_eq!(valid.tenants[0].trial.as_ref().unwrap().ends_ms(), Some(1_798_758_000_000));
     assert_eq!(
-        trial("tomorrow", 5.0, 0.0),
+        with_trial("tomorrow", 5.0, 0.0),
         Err(ConfigurationError::InvalidTrialEnd { tenant: "t1".into(), ends_at: "tomorrow".into() })
     );
-    assert_eq!(trial(end, 147.0, 0.0), Err(ConfigurationError::PaceOverRate("t1".into())));
-    assert_eq!(trial(end, 40.0, 2000.0), Err(ConfigurationError::WaitOverBurst("t1".into())));
+    assert_eq!(with_trial(end, 147.0, 0.0), Err(ConfigurationError::PaceOverRate("t1".into())));
+    assert_eq!(with_trial(end, 40.0, 2000.0), Err(ConfigurationError::WaitOverBurst("t1".into())));
     assert!(
-        matches!(trial(end, 0.0, 0.0), Err(ConfigurationError::Schema { .. })),
-        "a rate of 0 would shut the tenant out"
+        matches!(with_trial(end, 0.0, 0.0), Err(ConfigurationError::Schema { .. })),
+        "a rate of 0 would block the tenant"
     );
-    assert!(matches!(trial(end, 5.0, 60_000.0), Err(ConfigurationError::Schema { .. })));
+    assert!(matches!(with_trial(end, 5.0, 60_000.0), Err(ConfigurationError::Schema { .. })));
 }
 
 #[test]
 fn every_invalid_configuration_is_refused() {
     let route = |key: &'static str, value: Value| move |v: &mut Value| v["routes"][0][key] = value;
     let truncated = validate(&valid().to_string().as_bytes()[..200]);
-    assert!(matches!(truncated, Err(ConfigurationError::Malformed(_))), "cut short");
+    assert!(matches!(truncated, Err(ConfigurationError::Malformed(_))), "truncated");
     for result in [
         validate_changed(route("weightedTargets", json!([{"targetService": "s", "weight": -1}]))),
         validate_changed(route("pathPrefix", json!("a/"))),
@@ -74,26 +74,32 @@
         validate_changed(route("weightedTargets", json!([]))),
         Err(ConfigurationError::NoTarget("a".into()))
     );
-    let nothing = json!([{"targetService": "s", "weight": 0}, {"targetService": "t", "weight": 0}]);
+    let without_weight = json!([{"targetService": "s", "weight": 0}, {"targetService": "t", "weight": 0}]);
     assert_eq!(
-        validate_changed(route("weightedTargets", nothing)),
+        validate_changed(route("weightedTargets", without_weight)),
         Err(ConfigurationError::NoWeight("a".into()))
     );
-    let one = json!([{"targetService": "s", "weight": 0}, {"targetService": "t", "weight": 1}]);
-    assert!(validate_changed(route("weightedTargets", one)).is_ok());
-    let shared = |key: &'static str| {
+    let one_weighted = json!([{"targetService": "s", "weight": 0}, {"targetService": "t", "weight": 1}]);
+    assert!(validate_changed(route("weightedTargets", one_weighted)).is_ok());
+    let with_second_tenant = |key: &'static str| {
         validate_changed(move |v| {
             let tenants = v["tenants"].as_array_mut().unwrap();
             tenants.push(json!({"name": "t2", "apiKeys": [key, key]}));
         })
     };
-    assert_eq!(shared("k"), Err(ConfigurationError::SharedKey { first: "t1".into(), second: "t2".into() }));
-    assert!(shared("l").is_ok(), "twice with one tenant");
-    let twice = validate_changed(|v| {
+    assert_eq!(
+        with_second_tenant("k"),
+        Err(ConfigurationError::SharedKey { first: "t1".into(), second: "t2".into() })
+    );
+    assert!(with_second_tenant("l").is_ok(), "a tenant may list a key twice");
+    let duplicate_route = validate_changed(|v| {
         let mut same = v["routes"][0].clone();
         same["name"] = json!("b");
         same["host"] = json!("H.example");
         v["routes"].as_array_mut().unwrap().push(same);
     });
-    assert_eq!(twice, Err(ConfigurationError::DuplicateRoute { first: "a".into(), second: "b".into() }));
+    assert_eq!(
+        duplicate_route,
+        Err(ConfigurationError::DuplicateRoute { first: "a".into(), second: "b".into() })
+    );
 }
