--- a/crates/common/messages/src/control_message.rs
+++ b/crates/common/messages/src/control_message.rs
@@ -1,4 +1,4 @@
-//! Messages from one control node to another.
+//! Messages between control nodes.
 
 use consensus::{BootstrapMessage, Message, NodeId, Term, VoterSet};
 use control_state::LogIndex;
@@ -9,91 +9,93 @@
 /// A message from one control node to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ControlMessage {
-    /// Who the sender is, twice a second.
+    /// The sender's identity and state; sent twice per second.
     Hello {
-        /// The sender.
+        /// The sender's node id.
         id: NodeId,
-        /// Its zone.
+        /// The sender's zone.
         zone: String,
-        /// It is at the first start of the whole system.
+        /// Whether the sender was started for the first start of the whole system.
         initial_start: bool,
-        /// It has a disk, and so may vote.
+        /// Whether the sender has a disk and may therefore vote.
         can_vote: bool,
-        /// The control nodes that it knows, each with its zone.
+        /// Addresses of the control nodes that the sender knows, each with its zone.
         known_nodes: Vec<(String, String)>,
-        /// Its time of day, in Unix milliseconds.
+        /// The sender's wall-clock time in Unix milliseconds.
         unix_ms: u64,
     },
-    /// Among seeds at the first start of all: which nodes are the first voters.
+    /// Exchanged between seeds at the first start of the system to choose the first voters.
     #[serde(rename = "Founding")]
     Bootstrap(BootstrapMessage),
-    /// From a seed that knows what was chosen: these are the first voters.
+    /// Sent by a seed that knows the outcome of the bootstrap: the first voters.
     #[serde(rename = "Found")]
     BootstrapChosen {
-        /// The voters.
+        /// The first voters.
         voters: VoterSet,
     },
     /// A message of the consensus group.
     #[serde(rename = "Agree")]
     Consensus(Message),
-    /// Backends' heartbeats since the last message of this kind.
+    /// Heartbeats of backends since the last message of this kind.
     #[serde(rename = "Beats")]
     Heartbeats {
-        /// Those that say something new.
+        /// Heartbeats with new content.
         changed: Vec<Heartbeat>,
-        /// Of the others, the backend's id and the heartbeat's sequence number.
+        /// Backend id and heartbeat sequence number of each heartbeat without new content.
         unchanged: Vec<(String, u64)>,
     },
-    /// This backend has deregistered.
+    /// A backend has deregistered.
     #[serde(rename = "Over")]
     Deregistered {
-        /// Its id.
+        /// Id of the backend.
         instance: String,
     },
-    /// To the leader: a command to propose. It may be lost; who wants it committed asks again.
+    /// Sent to the leader: a command to propose. The message may be lost; the sender repeats it until the command is
+    /// committed.
     Propose {
         /// An encoded [`control_state::Command`].
         #[serde(with = "serde_bytes")]
         command: Vec<u8>,
     },
-    /// To the leader: when was a majority in contact, and what was committed by then ([`change_log::QuorumContact`])?
+    /// Sent to the leader: asks when a majority was last in contact, and what was committed by then
+    /// ([`change_log::QuorumContact`]).
     #[serde(rename = "Contact")]
     ContactRequest {
-        /// Repeated in the answer.
+        /// Request number, which the response repeats.
         number: u64,
     },
-    /// The leader's answer.
+    /// The leader's response to a [`ControlMessage::ContactRequest`].
     #[serde(rename = "Contacted")]
     ContactResponse {
-        /// Of the request.
+        /// Number of the request.
         number: u64,
-        /// How long ago a majority was in contact, in nanoseconds.
+        /// Time since a majority was in contact, in nanoseconds.
         age_ns: u64,
-        /// All that was committed by then stands up to here.
+        /// Log index that covers everything committed by then.
         commit_index: LogIndex,
     },
-    /// To the leader: a gateway's request for quota.
+    /// Sent to the leader: a gateway's request for quota.
     #[serde(rename = "Ask")]
     LeaseRequest {
-        /// The gateway's name.
+        /// Name of the gateway.
         gateway: String,
-        /// What it asks for.
+        /// The gateway's request.
         request: LeaseRequest,
     },
-    /// The leader's answer.
+    /// The leader's response to a [`ControlMessage::LeaseRequest`].
     #[serde(rename = "Lent")]
     LeaseGrant {
-        /// The gateway's name.
+        /// Name of the gateway.
         gateway: String,
         /// The leader's term.
         term: Term,
-        /// What it is granted.
+        /// The grant.
         grant: LeaseGrant,
     },
-    /// Backends that were named by id alone and are not known here: their heartbeats are wanted whole.
+    /// Reports backends that were listed by id only and are unknown to the sender; requests their full heartbeats.
     #[serde(rename = "Unknown")]
     UnknownInstances {
-        /// Their ids.
+        /// Ids of the backends.
         instances: Vec<String>,
     },
 }
--- a/crates/common/messages/src/frame.rs
+++ b/crates/common/messages/src/frame.rs
@@ -1,4 +1,4 @@
-//! Messages on a connection: a length of four bytes, then `rmp-serde`.
+//! Frames on a connection: a length prefix of four bytes, then a message encoded by `rmp-serde`.
 
 use futures_util::{SinkExt, StreamExt};
 use serde::de::DeserializeOwned;
@@ -15,24 +15,26 @@
 use tokio_util::bytes::Bytes;
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// The longest frame of a peer that has not identified itself: memory is set aside for what it claims.
+/// Maximum frame length from a peer that has not identified itself. Memory is allocated for the length that a frame
+/// claims.
 const MAX_UNIDENTIFIED_FRAME_BYTES: usize = 4 << 10;
-/// The longest frame. A configuration of thousands of routes fits; a frame that claims to be longer ends the connection.
+/// Maximum frame length. A configuration of thousands of routes fits; a frame that claims to be longer ends the
+/// connection.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
-/// A connection at rest holds no large buffers.
+/// Initial read buffer size. Idle connections hold no large buffers.
 const READ_BUFFER_BYTES: usize = 2048;
 
 fn codec(max_frame_bytes: usize) -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(max_frame_bytes).new_codec()
 }
 
-/// The reading half of a connection.
+/// The read half of a connection.
 pub struct FrameReader {
     frames: FramedRead<ActivityTracker, LengthDelimitedCodec>,
     last_activity: Rc<Cell<Instant>>,
 }
 
-/// Notes when bytes arrive: while a long message comes on a slow link, the peer is not silent.
+/// Records when bytes arrive: a peer whose long message is still arriving over a slow link is not silent.
 struct ActivityTracker {
     inner: OwnedReadHalf,
     last_activity: Rc<Cell<Instant>>,
@@ -44,19 +46,20 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         let polled = Pin::new(&mut self.inner).poll_read(cx, buf);
-        if buf.filled().len() > before {
+        if buf.filled().len() > filled_before {
             self.last_activity.set(Instant::now());
         }
         polled
     }
 }
 
-/// The writing half of a connection.
+/// The write half of a connection.
 pub struct FrameWriter(FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>);
 
-/// The two halves of a connection. The reader takes short frames only, until [`FrameReader::accept_long_frames`].
+/// Splits a connection into its reader and writer. The reader accepts short frames only, until
+/// [`FrameReader::accept_long_frames`] is called.
 pub fn split(stream: TcpStream) -> (FrameReader, FrameWriter) {
     let (read, write) = stream.into_split();
     let last_activity = Rc::new(Cell::new(Instant::now()));
@@ -67,20 +70,20 @@
 }
 
 impl FrameReader {
-    /// The peer has identified itself as one of the system.
+    /// Raises the frame limit to [`MAX_FRAME_BYTES`], once the peer has identified itself as part of the system.
     pub fn accept_long_frames(&mut self) {
         self.frames.decoder_mut().set_max_frame_length(MAX_FRAME_BYTES);
     }
 
-    /// When bytes last arrived.
+    /// Returns when bytes last arrived.
     pub fn last_activity(&self) -> Instant {
         self.last_activity.get()
     }
 
-    /// The next message; none at the connection's end.
+    /// Reads the next message; returns `None` at the end of the connection.
     ///
     /// # Errors
-    /// The connection's, or [`io::ErrorKind::InvalidData`] if what arrived is no such message.
+    /// An I/O error of the connection, or [`io::ErrorKind::InvalidData`] if the frame is not a message of this type.
     pub async fn read<M: DeserializeOwned>(&mut self) -> io::Result<Option<M>> {
         let Some(bytes) = self.frames.next().await.transpose()? else { return Ok(None) };
         rmp_serde::from_slice(&bytes).map(Some).map_err(invalid_data)
@@ -88,28 +91,28 @@
 }
 
 impl FrameWriter {
-    /// Sends a message.
+    /// Writes a message and flushes it.
     ///
     /// # Errors
-    /// The connection's.
+    /// An I/O error of the connection, or [`io::ErrorKind::InvalidData`] if the message cannot be encoded.
     pub async fn write<M: Serialize>(&mut self, message: &M) -> io::Result<()> {
         self.feed(message).await?;
         self.flush().await
     }
 
-    /// Buffers a message: it is not sent before [`FrameWriter::flush`] unless there is much.
+    /// Buffers a message. It is sent at the next [`FrameWriter::flush`], or earlier if much is buffered.
     ///
     /// # Errors
-    /// The connection's.
+    /// As for [`FrameWriter::write`].
     pub async fn feed<M: Serialize>(&mut self, message: &M) -> io::Result<()> {
         let bytes = rmp_serde::to_vec(message).map_err(invalid_data)?;
         self.0.feed(Bytes::from(bytes)).await
     }
 
-    /// Sends what is buffered.
+    /// Sends all buffered messages.
     ///
     /// # Errors
-    /// The connection's.
+    /// An I/O error of the connection.
     pub async fn flush(&mut self) -> io::Result<()> {
         SinkExt::<Bytes>::flush(&mut self.0).await
     }
--- a/crates/common/messages/src/gateway_message.rs
+++ b/crates/common/messages/src/gateway_message.rs
@@ -1,4 +1,4 @@
-//! Messages from a gateway to the control node that it subscribes to, and the other way.
+//! Messages between a gateway and the control node that it subscribes to.
 
 use change_log::Offset;
 use control_state::{ConfigurationChunk, LogIndex};
@@ -12,93 +12,93 @@
     /// A request for quota.
     #[serde(rename = "Ask")]
     LeaseRequest(LeaseRequest),
-    /// Gateways that it suspects or believes to be gone, whenever that changes.
+    /// The gateways that the sender suspects or has confirmed as failed; sent whenever the list changes.
     #[serde(rename = "Company")]
     MissingGateways {
-        /// Their names.
+        /// Names of the missing gateways.
         missing: Vec<String>,
     },
-    /// So many bytes have arrived of the transfer that leads to the configuration of `index`.
+    /// Progress of the transfer of the configuration at `index`.
     #[serde(rename = "Got")]
     ChunkReceived {
-        /// [`control_state::TransferHeader::index`].
+        /// The configuration's log index, from [`control_state::TransferHeader::index`].
         index: LogIndex,
-        /// Bytes from the start on.
+        /// Number of bytes received since the start of the transfer.
         received: u32,
     },
-    /// It does not hold a delta's base: the whole configuration is needed.
+    /// The gateway does not hold the base of a delta; it needs the whole configuration.
     #[serde(rename = "Lacks")]
     BaseMissing,
-    /// The next heartbeat is to repeat this number, so that the gateway knows how old that is at most.
+    /// A number for the next heartbeat to repeat, which bounds how old that heartbeat is.
     #[serde(rename = "Contact")]
     ContactNumber {
-        /// Rises.
+        /// Contact number; increases with each message.
         number: u64,
     },
 }
 
-/// A message from a control node to a gateway that subscribes to it.
+/// An update from a control node to a gateway that subscribes to it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum GatewayUpdate {
-    /// All that is known, as of an offset.
+    /// The control node's full state as of an offset.
     #[serde(rename = "Scene")]
     Snapshot {
-        /// The changes behind it follow.
+        /// Offset at which the following changes start.
         offset: Offset,
-        /// What is known.
+        /// The state.
         snapshot: Box<FleetSnapshot>,
     },
-    /// Changes.
+    /// Consecutive changes to the state.
     Changes {
-        /// The offset of the first.
+        /// Offset of the first change.
         from: Offset,
-        /// In order.
+        /// The changes in order.
         changes: Vec<FleetChange>,
     },
     /// The next chunk of a newer configuration.
     #[serde(rename = "Configuration")]
     ConfigurationChunk(ConfigurationChunk),
-    /// Each 200 ms: how fresh the control node is.
+    /// Reports how fresh the control node's state is; sent every 200 ms.
     #[serde(rename = "Pulse")]
     Heartbeat {
         /// The latest [`GatewayMessage::ContactNumber`].
         contact_number: u64,
-        /// All that was committed by so many milliseconds ago is known to the control node.
+        /// Age of the control node's state in milliseconds: it knows everything that was committed by then.
         quorum_contact_ms: u32,
-        /// The index of the newest configuration of that; 0: there is none.
+        /// Log index of the newest configuration in that state; 0: there is none.
         newest_configuration: LogIndex,
-        /// The control nodes by address, each with its zone as far as that is known.
+        /// Control nodes by address, each with its zone if known.
         control_nodes: Vec<(String, String)>,
     },
-    /// The answer to a request for quota.
+    /// The response to a request for quota.
     #[serde(rename = "Lent")]
     LeaseGrant(LeaseGrant),
 }
 
-/// All that a gateway follows, except the configuration, which comes in chunks.
+/// The state that a gateway follows, except for the configuration, which is sent in chunks.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct FleetSnapshot {
-    /// Their latest heartbeats.
+    /// Latest heartbeat of each backend.
     pub backends: Vec<Heartbeat>,
-    /// Whether there are no backends but these: a control node that has just started does not know yet.
+    /// Whether the list of backends is complete. A control node that has just started does not know all backends yet.
     pub complete: bool,
-    /// The ids of draining backends.
+    /// Ids of draining backends.
     pub draining: Vec<String>,
-    /// The gateways' names.
+    /// Names of the gateways.
     pub gateways: Vec<String>,
 }
 
-/// A change of what a gateway follows.
+/// A change to the state that a gateway follows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum FleetChange {
-    /// A backend is new, or says something new.
+    /// A backend is new, or its heartbeat has new content.
     Backend(Heartbeat),
-    /// The backend of this id has ended.
+    /// The backend with this id was removed.
     #[serde(rename = "Over")]
     BackendRemoved(String),
-    /// The backend of this id takes no new work.
+    /// The backend with this id is draining and takes no new requests.
     #[serde(rename = "Leaving")]
     BackendDraining(String),
-    /// These are the gateways.
+    /// The complete list of gateways.
     Gateways(Vec<String>),
 }
--- a/crates/common/messages/src/greeting.rs
+++ b/crates/common/messages/src/greeting.rs
@@ -5,39 +5,40 @@
 use control_state::LogIndex;
 use serde::{Deserialize, Serialize};
 
-/// The format of all messages of this crate.
+/// Version of the format of all messages in this crate.
 pub const MESSAGE_FORMAT: u32 = 4;
 
-/// Whose connection it is.
+/// Identifies the peer that opened the connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Greeting {
-    /// A control node's: [`crate::ControlMessage`] follows.
+    /// A control node. [`crate::ControlMessage`] follows.
     #[serde(rename = "Prompter")]
     ControlNode {
-        /// [`MESSAGE_FORMAT`].
+        /// The sender's [`MESSAGE_FORMAT`].
         format: u32,
-        /// The node.
+        /// Id of the node.
         id: NodeId,
     },
-    /// A gateway's: [`crate::GatewayMessage`] follows, and [`crate::GatewayUpdate`] the other way.
+    /// A gateway. [`crate::GatewayMessage`] follows, and [`crate::GatewayUpdate`] in the other direction.
     Gateway {
-        /// [`MESSAGE_FORMAT`].
+        /// The sender's [`MESSAGE_FORMAT`].
         format: u32,
-        /// The gateway's name.
+        /// Name of the gateway.
         name: String,
-        /// Its zone.
+        /// Zone of the gateway.
         zone: String,
-        /// How far it has followed this control node's changes.
+        /// Offset up to which the gateway has followed this control node's changes.
         offset: Option<Offset>,
-        /// The index of the configuration that it holds; 0: none.
+        /// Log index of the configuration that the gateway holds; 0: none.
         configuration_index: LogIndex,
-        /// As in [`crate::GatewayMessage::ContactNumber`].
+        /// A contact number, as in [`crate::GatewayMessage::ContactNumber`].
         contact_number: u64,
     },
-    /// `granitethread-ctl`'s: [`crate::Query`] follows, and [`crate::QueryResponse`] the other way.
+    /// A client that queries the node, such as `granitethread-ctl`. [`crate::Query`] follows, and
+    /// [`crate::QueryResponse`] in the other direction.
     #[serde(rename = "Shell")]
     QueryClient {
-        /// [`MESSAGE_FORMAT`].
+        /// The sender's [`MESSAGE_FORMAT`].
         format: u32,
     },
 }
--- a/crates/common/messages/src/lib.rs
+++ b/crates/common/messages/src/lib.rs
@@ -1,11 +1,11 @@
-//! Messages between processes of the system, and the frames that carry them on a connection.
+//! Messages between the processes of the system, and the frames that carry them on a connection.
 //!
-//! The first message on a connection is a [`Greeting`], which tells whose it is and in which format it speaks; a greeting
+//! The first message on a connection is a [`Greeting`], which identifies the peer and its message format. A greeting
 //! of another format ends the connection.
 //!
-//! `rmp-serde` writes an enum's variants by name and a struct's fields by place. A variant whose name in the code has
-//! changed since [`MESSAGE_FORMAT`] 4 was fixed keeps its old name in `serde(rename)`, so that processes of two versions
-//! understand each other while machines are changed one at a time; `crates/testing/compatibility` holds the bytes.
+//! `rmp-serde` writes enum variants by name and struct fields by position. A variant that was renamed in the code
+//! after [`MESSAGE_FORMAT`] 4 was fixed keeps its wire name in `serde(rename)`, so that processes of two versions
+//! understand each other during a rolling upgrade. `crates/testing/compatibility` checks the encoded bytes.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/common/messages/src/query.rs
+++ b/crates/common/messages/src/query.rs
@@ -1,103 +1,104 @@
-//! Questions of `granitethread-ctl`, and what a control node answers. The names that `serde` gives to fields are those of
-//! the tool's JSON output.
+//! Queries of `granitethread-ctl` and the control node's responses. The field names given by `serde` are those of the
+//! tool's JSON output.
 
 use consensus::Term;
 use registry::Heartbeat;
 use serde::{Deserialize, Serialize};
 
-/// A question.
+/// A query to a control node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Query {
-    /// The node itself.
+    /// State of the node itself.
     Status,
-    /// All backends.
+    /// All known backends.
     Backends,
     /// All gateways.
     Gateways,
     /// The configuration in force.
     Configuration,
-    /// All tenants on trial.
+    /// All tenants with a trial.
     Trials,
 }
 
-/// What a control node knows, and how fresh that is.
+/// A control node's answer, and how fresh it is.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct QueryResponse {
-    /// Who answers.
+    /// Name of the responding node.
     #[serde(rename = "by")]
     pub node: String,
-    /// Its zone.
+    /// Zone of the responding node.
     pub zone: String,
-    /// How long ago it last knew of a majority, in milliseconds; none: not since it started. Older than a second: the answer
-    /// may be old.
+    /// Time since the node was last in contact with a majority, in milliseconds; none: no contact since it started.
+    /// If this exceeds one second, the answer may be stale.
     #[serde(rename = "touch_ms")]
     pub quorum_contact_ms: Option<u64>,
-    /// What it knows.
+    /// The answer.
     pub answer: QueryAnswer,
 }
 
-/// What a control node knows.
+/// The answer to a [`Query`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum QueryAnswer {
-    /// To [`Query::Status`].
+    /// Answer to [`Query::Status`].
     Status {
-        /// Name and disk id.
+        /// Name and disk id of the node.
         id: String,
-        /// The current term.
+        /// The node's current term.
         term: Term,
-        /// Name and disk id of the leader, if one is known.
+        /// Name and disk id of the leader, if known.
         #[serde(rename = "holder")]
         leader: Option<String>,
-        /// Names and disk ids.
+        /// Names and disk ids of the voters.
         voters: Vec<String>,
-        /// The version and the log index of the configuration in force.
+        /// Version and log index of the configuration in force.
         configuration: Option<(u32, u64)>,
-        /// How many are known.
+        /// Number of known backends.
         backends: usize,
-        /// How many of all that ever were drain.
+        /// Number of replicated drains, including those of backends that are gone.
         #[serde(rename = "leaving")]
         draining: usize,
-        /// How many are replicated.
+        /// Number of replicated gateways.
         gateways: usize,
-        /// The names of the gateways that subscribe to this node.
+        /// Names of the gateways that subscribe to this node.
         followers: Vec<String>,
         /// Control nodes by address, each with its zone.
         #[serde(rename = "prompters")]
         control_nodes: Vec<(String, String)>,
     },
-    /// To [`Query::Backends`]: each with whether it drains.
+    /// Answer to [`Query::Backends`]: each backend's heartbeat, and whether the backend is draining.
     Backends(Vec<(Heartbeat, bool)>),
-    /// To [`Query::Gateways`]: each with whether it subscribes to this node, and which of the subscribers believe it to be
-    /// gone.
+    /// Answer to [`Query::Gateways`]: each gateway's name, whether it subscribes to this node, and the subscribers
+    /// that report it as missing.
     Gateways(Vec<(String, bool, Vec<String>)>),
-    /// To [`Query::Configuration`]: as the operator sent it.
+    /// Answer to [`Query::Configuration`]: the text that the operator sent.
     Configuration(Option<String>),
-    /// To [`Query::Trials`].
+    /// Answer to [`Query::Trials`].
     Trials(Vec<TrialReport>),
 }
 
-/// A tenant's trial, as a control node knows it.
+/// The state of a tenant's trial, as a control node knows it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TrialReport {
-    /// Whose.
+    /// Name of the tenant.
     pub tenant: String,
-    /// In Unix milliseconds.
+    /// End of the trial in Unix milliseconds.
     #[serde(rename = "ends")]
     pub ends_at: u64,
-    /// Whether that is replicated to have passed.
+    /// Whether the expiry is replicated.
     #[serde(rename = "over")]
     pub expired: bool,
-    /// Requests a second behind it.
+    /// Throttled rate after the trial, in requests per second.
     #[serde(rename = "pace")]
     pub rate: f64,
-    /// How long a request waits at most, in milliseconds.
+    /// Maximum time that a throttled request waits, in milliseconds.
     #[serde(rename = "wait_ms")]
     pub max_wait_ms: u64,
-    /// By the quota coordinator alone: whether the tenant is throttled now, and in how many milliseconds that changes.
+    /// Reported by the quota coordinator only: whether the tenant is throttled now, and the time until that changes,
+    /// in milliseconds.
     #[serde(rename = "now")]
     pub throttle: Option<(bool, Option<u64>)>,
-    /// What gateways said of it: name, how many milliseconds ago, how many requests wait there, and for how many milliseconds
-    /// those had waited that went lately.
+    /// The gateways' latest reports: gateway name, age of the report in milliseconds, number of waiting requests, and
+    /// the mean wait of recently released requests in milliseconds.
     #[serde(rename = "nodes")]
     pub gateways: Vec<(String, u64, u32, u64)>,
 }
--- a/crates/common/process/src/command_line.rs
+++ b/crates/common/process/src/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of both daemons, and how they start and end.
+//! The command line of both daemons, and the start and end of their processes.
 
 use crate::log_ring::{start_logging, LogRing};
 use crate::settings::{settings_path, Settings, SettingsError, PATH_VARIABLE};
@@ -10,31 +10,32 @@
 use std::process::ExitCode;
 use tokio::task::{spawn_local, JoinError};
 
-/// What a daemon is called, and what it is.
+/// Identification of a daemon program.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// The binary's name.
+    /// Name of the binary.
     pub name: &'static str,
-    /// One line for `--help`.
+    /// One-line description for `--help`.
     pub summary: &'static str,
-    /// For `--version`.
+    /// Version for `--version`.
     pub version: &'static str,
 }
 
-/// Why a daemon ends with a failure; its text is the last line of the log.
+/// The failure that ended a daemon. Its text is the last line of the log.
 #[derive(Debug, Display)]
 enum DaemonError<E> {
     /// {0}
     Settings(SettingsError),
     /// cannot start the event loop: {0}
     EventLoop(io::Error),
-    /// the main task was lost: {0}
-    Lost(JoinError),
+    /// the main task failed: {0}
+    MainTask(JoinError),
     /// {0}
     Daemon(E),
 }
 
-/// Reads the command line and the settings file, starts the log and an event loop of one thread, and runs the daemon.
+/// Parses the command line, loads the settings file, starts the log and a single-threaded event loop, and runs the
+/// daemon.
 pub fn run_daemon<F, E, R>(program: Program, run: R) -> ExitCode
 where
     F: Future<Output = Result<(), E>> + 'static,
@@ -44,11 +45,11 @@
     let options = options();
     let matches = match options.parse(std::env::args_os().skip(1)) {
         Ok(matches) if matches.free.is_empty() => matches,
-        Ok(matches) => return fail(program, &format!("{:?} is not known; see --help", matches.free[0])),
+        Ok(matches) => return fail(program, &format!("unexpected argument {:?}; see --help", matches.free[0])),
         Err(error) => return fail(program, &format!("{error}; see --help")),
     };
-    if let Some(ended) = answer(program, &options, &matches) {
-        return ended;
+    if let Some(exit_code) = handle_exit_options(program, &options, &matches) {
+        return exit_code;
     }
     let ring = start_logging(program.name, matches.opt_present("verbose"));
     match run_event_loop(ring, run) {
@@ -65,15 +66,17 @@
     options.optflag("h", "help", "print this and exit");
     options.optflag("V", "version", "print the version and exit");
     options.optflag("v", "verbose", "write every log line to standard error at once");
-    options.optopt("c", "check", "read a settings file, say what is wrong with it, and exit", "FILE");
+    options.optopt("c", "check", "check a settings file, report the first error, and exit", "FILE");
     options
 }
 
-/// What is asked on the command line alone, if anything is.
-fn answer(program: Program, options: &Options, matches: &Matches) -> Option<ExitCode> {
+/// Handles the options that print or check something and exit; returns `None` if the daemon is to be started.
+fn handle_exit_options(program: Program, options: &Options, matches: &Matches) -> Option<ExitCode> {
     let Program { name, summary, version } = program;
     if matches.opt_present("help") {
-        let usage = format!("Usage: {name} [options]\n\nIts settings file is named by {PATH_VARIABLE}.");
+        let usage = format!(
+            "Usage: {name} [options]\n\nThe environment variable {PATH_VARIABLE} names the settings file."
+        );
         print!("{}", options.usage(&format!("{name}: {summary}.\n\n{usage}")));
         return Some(ExitCode::SUCCESS);
     }
@@ -82,10 +85,10 @@
         return Some(ExitCode::SUCCESS);
     }
     let file = matches.opt_str("check")?;
-    let checked = std::fs::read_to_string(&file)
+    let result = std::fs::read_to_string(&file)
         .map_err(|error| SettingsError::Malformed { file: file.clone(), reason: error.to_string() })
         .and_then(|text| Settings::validate(&file, &text));
-    Some(match checked {
+    Some(match result {
         Ok(_) => ExitCode::SUCCESS,
         Err(error) => fail(program, &error.to_string()),
     })
@@ -107,7 +110,7 @@
         .enable_all()
         .build_local(Default::default())
         .map_err(DaemonError::EventLoop)?;
-    // As a task: what wakes the future of `block_on` itself costs a write to an eventfd each time.
-    let ended = runtime.block_on(async { spawn_local(run(settings, ring)).await });
-    ended.map_err(DaemonError::Lost)?.map_err(DaemonError::Daemon)
+    // Runs as a task: each wake-up of the future passed to `block_on` itself costs a write to an eventfd.
+    let result = runtime.block_on(async { spawn_local(run(settings, ring)).await });
+    result.map_err(DaemonError::MainTask)?.map_err(DaemonError::Daemon)
 }
--- a/crates/common/process/src/lib.rs
+++ b/crates/common/process/src/lib.rs
@@ -1,5 +1,5 @@
-//! What every process of the system needs beside its own work: settings, the command line and the log. Nothing is decided
-//! here.
+//! Common parts of every process of the system: settings, command line and log. Contains no gateway or control plane
+//! logic.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/common/process/src/log_ring.rs
+++ b/crates/common/process/src/log_ring.rs
@@ -1,5 +1,5 @@
-//! The log: a ring in memory that is written out when something goes wrong. Warnings and errors go to standard error at
-//! once; the rest stays in the ring, and is written out behind an error, a panic, or when that is asked for.
+//! The log, with a ring buffer of recent lines. Warnings and errors are written to standard error immediately. All
+//! lines are kept in the ring, which is dumped after an error, on a panic, or on request.
 
 #[cfg(test)]
 mod tests;
@@ -10,12 +10,12 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Lines that are kept. With [`MAX_LINE_BYTES`] the ring takes 64 KiB at most.
+/// Capacity of the ring in lines. With [`MAX_LINE_BYTES`] the ring takes at most 64 KiB.
 const MAX_LINES: usize = 256;
-/// A longer line is cut.
+/// Longer lines are truncated.
 const MAX_LINE_BYTES: usize = 256;
 
-/// The ring. Clones share it.
+/// A ring buffer of log lines. Clones share the same buffer.
 #[derive(Clone)]
 pub struct LogRing {
     lines: Arc<Mutex<VecDeque<String>>>,
@@ -28,7 +28,7 @@
     }
 
     fn lines(&self) -> MutexGuard<'_, VecDeque<String>> {
-        // The lines are whole even if a thread has panicked over them.
+        // A thread that panics while it holds the lock leaves every line intact.
         self.lines.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -45,19 +45,19 @@
         lines.push_back(line);
     }
 
-    /// Writes out what the ring holds, under a heading, and empties it.
-    pub fn dump(&self, heading: &str, to: &mut impl Write) {
+    /// Writes all lines of the ring under a heading, and empties the ring.
+    pub fn dump(&self, heading: &str, writer: &mut impl Write) {
         let lines = std::mem::take(&mut *self.lines());
-        // A log that cannot be written is no reason to end.
-        let _ = writeln!(to, "ring: {heading}, {} lines", lines.len());
+        // A failure to write the log must not end the process.
+        let _ = writeln!(writer, "ring: {heading}, {} lines", lines.len());
         for line in lines {
-            let _ = writeln!(to, "ring: {line}");
+            let _ = writeln!(writer, "ring: {line}");
         }
-        let _ = to.flush();
+        let _ = writer.flush();
     }
 }
 
-/// Keeps lines in the ring, and dumps it behind an error.
+/// A logger that appends lines to the ring, and dumps the ring after each error.
 struct RingLogger(LogRing);
 
 impl Log for RingLogger {
@@ -76,20 +76,20 @@
     fn flush(&self) {}
 }
 
-/// Starts the log of a process. `verbose`: every line goes to standard error at once.
+/// Starts the log of a process. With `verbose`, every line is also written to standard error immediately.
 pub fn start_logging(program: &'static str, verbose: bool) -> LogRing {
     let ring = LogRing::new();
     let started = ring.started;
     let to_stderr = fern::Dispatch::new()
         .level(if verbose { LevelFilter::Info } else { LevelFilter::Warn })
-        .format(move |out, message, record| {
+        .format(move |callback, message, record| {
             let ms = started.elapsed().as_millis();
-            out.finish(format_args!("{program} {ms} {} {message}", record.level()));
+            callback.finish(format_args!("{program} {ms} {} {message}", record.level()));
         })
         .chain(stderr());
     let ring_logger = Box::new(RingLogger(ring.clone())) as Box<dyn Log>;
     let to_ring = fern::Dispatch::new().level(LevelFilter::Info).chain(ring_logger);
-    // A second start in one process, as in tests, leaves the first in place.
+    // A second call in the same process, as in tests, keeps the first logger.
     let _ = fern::Dispatch::new().chain(to_stderr).chain(to_ring).apply();
     dump_on_panic(ring.clone());
     ring
--- a/crates/common/process/src/settings.rs
+++ b/crates/common/process/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings file that the variable [`PATH_VARIABLE`] names (`DEPLOY.md`, What a process is told). Fields that are not
-//! known are ignored.
+//! The settings file, whose path is given by the environment variable [`PATH_VARIABLE`] (`DEPLOY.md`, What a process
+//! is told). Unknown fields are ignored.
 
 #[cfg(test)]
 mod tests;
@@ -11,56 +11,56 @@
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// Names the file.
+/// Environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "GRANITETHREAD_BOOT";
 const DEFAULT_PATH: &str = "/etc/granitethread/settings.toml";
 const SCHEMA: &str = include_str!("../schema/settings.json");
 
-/// What a process is told.
+/// The settings of a process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct Settings {
-    /// Who it is.
+    /// Identity of the process.
     #[serde(rename = "ownIdentity")]
     pub identity: Identity,
-    /// Where it and others are.
+    /// Addresses and zones.
     #[serde(rename = "networkTerms")]
     pub network: Network,
-    /// What the platform does.
+    /// Properties of the platform.
     #[serde(default, rename = "platformTerms")]
     pub platform: Platform,
-    /// What it is held to.
+    /// Contractual bounds.
     #[serde(default, rename = "contractTerms")]
     pub contract: Contract,
 }
 
-/// Who a process is.
+/// The identity of a process and its machine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Identity {
-    /// The machine's name.
+    /// Name of the machine.
     pub node_name: String,
-    /// The machine's address.
+    /// Address of the machine.
     pub ip_address: IpAddr,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// This is the first start of the whole system.
+    /// Whether this is the first start of the whole system.
     #[serde(default)]
     pub initial_start: bool,
-    /// Where a disk is, if there is one.
+    /// Data directory on disk, if the machine has a disk.
     #[serde(default)]
     pub data_directory: Option<PathBuf>,
-    /// What the process may use.
+    /// Resource limits of the process.
     #[serde(default)]
     pub limits: ResourceLimits,
 }
 
-/// What a process may use.
+/// Resource limits of a process.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ResourceLimits {
-    /// In megabytes.
+    /// Memory in megabytes.
     pub memory_mb: f64,
-    /// Files and sockets.
+    /// Number of file descriptors, for files and sockets together.
     pub max_file_descriptors: usize,
 }
 
@@ -70,38 +70,38 @@
     }
 }
 
-/// Where a process and others are.
+/// Network addresses, ports and zones.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Network {
-    /// The first and the last port that is free for the system's own use.
+    /// First and last port of the range for internal use by the system.
     pub internal_port_range: (u16, u16),
-    /// `controlPlane` addresses of machines that serve it, or served it when the file was written.
+    /// `controlPlane` addresses of machines that run a control node, or did so when the file was written.
     pub seed_nodes: Vec<SocketAddr>,
-    /// Where the process listens.
+    /// Listen addresses of the process.
     pub listen_addresses: ListenAddresses,
-    /// Regions by zone.
+    /// Region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
 }
 
-/// Where a process listens, by what it serves.
+/// Listen addresses of a process.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct ListenAddresses {
-    /// Clients.
+    /// Address for client requests over HTTP/1.1.
     pub front_http1: Option<SocketAddr>,
-    /// Readiness checks.
+    /// Address for readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// Backends and operators.
+    /// Address for requests of backends and operators.
     pub control_plane: Option<SocketAddr>,
 }
 
-/// What the platform does.
+/// Properties of the platform.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Platform {
-    /// Between two heartbeats of a backend, in milliseconds.
+    /// Interval between two heartbeats of a backend, in milliseconds.
     pub heartbeat_interval_ms: f64,
 }
 
@@ -111,23 +111,23 @@
     }
 }
 
-/// What a process is held to.
+/// The contractual bounds of a process.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct Contract {
-    /// The figures of the rules.
+    /// The bounds.
     pub bounds: Bounds,
 }
 
-/// The figures of the rules (`RULES.md`) that a process uses.
+/// The bounds stated by the rules (`RULES.md`), as far as a process uses them.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub struct Bounds {
-    /// From SIGTERM to SIGKILL, in seconds.
+    /// Time between SIGTERM and SIGKILL, in seconds.
     pub grace_s: f64,
-    /// How long a draining backend serves on, in milliseconds.
+    /// Time for which a draining backend continues to serve requests, in milliseconds.
     pub drain_ms: f64,
-    /// Retries for each request.
+    /// Retry budget: allowed retries as a ratio of the requests.
     pub retry_budget_ratio: f64,
 }
 
@@ -137,39 +137,39 @@
     }
 }
 
-/// What is wrong with a settings file, in one line. Causes are kept as text.
+/// The reason why a settings file is invalid, in one line. Underlying errors are kept as text.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum SettingsError {
     /// {file}: {reason}
     Malformed {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// What the system or the parser says.
+        /// The error of the operating system or the parser.
         reason: String,
     },
     /// {file}: at {path}: {reason}
     Schema {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// JSON pointer to the value.
+        /// JSON pointer to the invalid value.
         path: String,
-        /// What the schema wants of it.
+        /// The schema violation.
         reason: String,
     },
 }
 
 impl std::error::Error for SettingsError {}
 
-/// The file's path: the variable's, or the default.
+/// Returns the path of the settings file: the value of [`PATH_VARIABLE`], or the default.
 pub fn settings_path() -> PathBuf {
     std::env::var_os(PATH_VARIABLE).map_or_else(|| DEFAULT_PATH.into(), PathBuf::from)
 }
 
 impl Settings {
-    /// Reads a file.
+    /// Loads a settings file.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The file cannot be read, or its content is invalid.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -177,13 +177,13 @@
         Settings::parse(&file, &text)
     }
 
-    /// Reads the text of a file of this name.
+    /// Parses the text of a settings file with the given name.
     ///
-    /// What the types accept is taken as it is; only what they do not is validated by the schema, which says where the fault
-    /// is: its library takes 7 MB, more than the rest of a gateway.
+    /// Text that deserializes is accepted as it is. The schema validates only text that does not, to locate the
+    /// error: the schema library takes 7 MB, more than the rest of a gateway.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The text is invalid.
     pub fn parse(file: &str, text: &str) -> Result<Settings, SettingsError> {
         match toml::from_str::<Settings>(text) {
             Ok(settings) => Ok(settings),
@@ -191,15 +191,15 @@
         }
     }
 
-    /// Validates a file's text by the schema and reads it.
+    /// Validates the text of a settings file against the schema and parses it.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// The text is invalid.
     pub fn validate(file: &str, text: &str) -> Result<Settings, SettingsError> {
         let value: Value = toml::from_str(text).map_err(|error| malformed(file, &error))?;
         let schema: Value = serde_json::from_str(SCHEMA).expect("the built-in schema is JSON");
         let options = jsonschema::draft7::options();
-        let schema = options.build(&schema).expect("the built-in schema is one");
+        let schema = options.build(&schema).expect("the built-in schema is valid");
         if let Err(error) = schema.validate(&value) {
             let (path, reason) = (error.instance_path.to_string(), error.to_string());
             return Err(SettingsError::Schema { file: file.into(), path, reason });
@@ -207,30 +207,31 @@
         serde_json::from_value(value).map_err(|error| malformed(file, &error))
     }
 
-    /// Where control nodes listen for each other and for gateways; the same on all machines.
+    /// Returns the port on which control nodes listen for each other and for gateways; the same on all machines.
     pub fn control_port(&self) -> u16 {
         self.network.internal_port_range.0
     }
 
-    /// Where gateways relay others to their control node, if the range has room for it.
+    /// Returns the port on which gateways relay other gateways to their control node, if the port range has room for
+    /// it.
     pub fn relay_port(&self) -> Option<u16> {
         let (first, last) = self.network.internal_port_range;
         (first < last).then(|| first + 1)
     }
 
-    /// Where gateways probe each other, if the range has room for it.
+    /// Returns the port on which gateways probe each other, if the port range has room for it.
     pub fn membership_port(&self) -> Option<u16> {
         let (first, last) = self.network.internal_port_range;
         (last >= first.saturating_add(2)).then(|| first + 2)
     }
 
-    /// The seeds' machines.
+    /// Returns the addresses of the seed machines.
     pub fn seed_addresses(&self) -> Vec<IpAddr> {
         self.network.seed_nodes.iter().map(SocketAddr::ip).collect()
     }
 }
 
-/// A parser's error in one line.
+/// Converts a parser's error to a one-line [`SettingsError`].
 fn malformed(file: &str, error: &impl std::fmt::Display) -> SettingsError {
     let reason = error.to_string().trim_end().replace('\n', " ");
     SettingsError::Malformed { file: file.into(), reason }
--- a/crates/common/sockets/src/lib.rs
+++ b/crates/common/sockets/src/lib.rs
@@ -1,4 +1,4 @@
-//! Listening sockets, and connections that notice when the other side is gone without a word.
+//! Listening sockets, and connections that detect a dead peer.
 #![forbid(unsafe_code)]
 
 use displaydoc::Display;
@@ -9,7 +9,8 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// A machine without power is silent: a connection ends when what was written is not acknowledged for this long.
+/// A connection is closed if written data is not acknowledged for this long: a machine that lost power sends no
+/// reset.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(900);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
@@ -19,9 +20,9 @@
 /// cannot listen on {address}: {source}
 #[derive(Debug, Display)]
 pub struct ListenError {
-    /// Where.
+    /// Address to listen on.
     pub address: SocketAddr,
-    /// Why not.
+    /// Error of the operating system.
     pub source: io::Error,
 }
 
@@ -31,10 +32,10 @@
     }
 }
 
-/// Listens, also where connections of a process before this one are not closed yet.
+/// Listens on an address, even if connections of a previous process on that address are not closed yet.
 ///
 /// # Errors
-/// The system's, with the address.
+/// The error of the operating system, with the address.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     let open = || {
         let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
@@ -45,10 +46,10 @@
     open().map_err(|source| ListenError { address, source })
 }
 
-/// Connects within 200 ms, or not at all.
+/// Connects to an address, with a timeout of 200 ms.
 ///
 /// # Errors
-/// The system's, or [`io::ErrorKind::TimedOut`].
+/// The error of the operating system, or [`io::ErrorKind::TimedOut`].
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     let stream = connecting.await.map_err(|_| io::ErrorKind::TimedOut)??;
@@ -56,10 +57,10 @@
     Ok(stream)
 }
 
-/// Has the system end this connection when the other side is gone.
+/// Configures a connection so that the operating system closes it when the peer is gone.
 ///
 /// # Errors
-/// The system's.
+/// The error of the operating system.
 pub fn detect_dead_peer(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
