--- a/crates/data/data-plane/src/main.rs
+++ b/crates/data/data-plane/src/main.rs
@@ -1,5 +1,5 @@
-//! granitethread's data plane: serves clients according to the configuration and the backends that the control plane
-//! reports. See `docs/operate/system.md`.
+//! granitethread's data plane as part of the whole system: serves clients according to the configuration and the
+//! backends that the control plane reports. See `docs/operate/system.md`.
 #![forbid(unsafe_code)]
 
 mod backend_protocol;
