--- a/crates/control/control-plane/src/calls.rs
+++ b/crates/control/control-plane/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of backends and operators (`PROTOCOL.md`). Each is declared in [`CALLS`] beside its handler.
+//! HTTP server for the calls of backends and operators (`PROTOCOL.md`). Each call is declared in [`CALLS`] with its handler.
 
 mod body;
 mod callers;
@@ -29,28 +29,28 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a body may pause while it arrives, and a connection may linger at its end.
+/// Time limit between two frames of a body, and for closing a connection that has reached its maximum age.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a body may take in all: 8 MiB at 2 Mbit/s.
+/// Time limit for a whole body: 8 MiB at 2 Mbit/s.
 const BODY_TIMEOUT: Duration = Duration::from_secs(35);
-/// How long a caller keeps its connection.
+/// Age at which a caller's connection is shut down gracefully.
 const MAX_CONNECTION_AGE: Duration = Duration::from_secs(60);
-/// A connection that makes room for another is closed within so long.
+/// Time limit for closing a connection that is evicted for another one.
 const EVICTION_TIMEOUT: Duration = Duration::from_millis(200);
-/// After a failure to accept.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// No backend is slow from its start for longer, in milliseconds.
+/// Upper limit on a backend's remaining warmup, in milliseconds.
 const MAX_WARMUP_MS: f64 = 3.6e6;
 
 type HttpResponse = Response<Full<Bytes>>;
 type Handler =
     for<'a> fn(&'a Rc<CallServer>, &'a str, Body) -> Pin<Box<dyn Future<Output = HttpResponse> + 'a>>;
 
-/// A call.
+/// A call of the protocol.
 struct Call {
     method: Method,
-    /// A trailing `/` stands for a name behind it.
+    /// A path that ends in `/` is followed by an instance name.
     path: &'static str,
     handler: Handler,
 }
@@ -127,23 +127,23 @@
     }
 }
 
-/// Serves the calls.
+/// The server of the calls.
 pub struct CallServer {
     driver: Rc<Driver>,
-    /// Where operators are redirected to at another control node.
+    /// The port to which operators are redirected on another control node.
     port: u16,
     callers: Rc<Callers>,
-    /// Bytes of bodies that are held here.
+    /// Total bytes of the bodies that this server holds.
     held_body_bytes: Rc<Cell<usize>>,
 }
 
 impl CallServer {
-    /// `port`: where all control nodes serve calls.
+    /// `port`: the port on which every control node serves calls.
     pub fn new(driver: Rc<Driver>, port: u16) -> Rc<Self> {
         Rc::new(CallServer { driver, port, callers: Rc::default(), held_body_bytes: Rc::default() })
     }
 
-    /// Serves callers for as long as the process lives.
+    /// Serves callers until the process exits.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         loop {
             match listener.accept().await {
@@ -167,17 +167,17 @@
             caller.end_request(Instant::now());
             Ok::<_, Infallible>(response)
         });
-        let mut http = http1::Builder::new();
-        let connection = http.max_buf_size(MAX_HEAD_BYTES).serve_connection(TokioIo::new(stream), service);
+        let mut builder = http1::Builder::new();
+        let connection = builder.max_buf_size(MAX_HEAD_BYTES).serve_connection(TokioIo::new(stream), service);
         let mut connection = pin!(connection);
-        // Errors are the caller's. One that has been there for long is let go behind its next answer.
-        let closing_time = tokio::select! {
+        // Connection errors are the caller's. A connection at its maximum age is closed after its next response.
+        let closing_timeout = tokio::select! {
             _ = connection.as_mut() => return,
             () = sleep(MAX_CONNECTION_AGE) => READ_TIMEOUT,
             () = caller.evicted() => EVICTION_TIMEOUT,
         };
         connection.as_mut().graceful_shutdown();
-        let _ = timeout(closing_time, connection).await;
+        let _ = timeout(closing_timeout, connection).await;
     }
 
     async fn dispatch(self: &Rc<Self>, request: Request<Incoming>) -> HttpResponse {
@@ -187,13 +187,15 @@
             return error_response(StatusCode::NOT_FOUND, "no such call");
         };
         if head.method != call.method {
-            return error_response(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted");
+            return error_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed");
         }
-        let collecting = Body::collect(&self.driver, self.held_body_bytes.clone(), body);
-        let body = match timeout(BODY_TIMEOUT, collecting).await {
+        let collect_body = Body::collect(&self.driver, self.held_body_bytes.clone(), body);
+        let body = match timeout(BODY_TIMEOUT, collect_body).await {
             Ok(Ok(body)) => body,
             Ok(Err(response)) => return response,
-            Err(_) => return error_response(StatusCode::REQUEST_TIMEOUT, "it did not come"),
+            Err(_) => {
+                return error_response(StatusCode::REQUEST_TIMEOUT, "timed out waiting for the request body")
+            }
         };
         (call.handler)(self, path.strip_prefix(call.path).unwrap_or_default(), body).await
     }
@@ -206,7 +208,7 @@
             Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         if heartbeat.address.parse::<SocketAddr>().is_err() {
-            return error_response(StatusCode::BAD_REQUEST, "its address is none");
+            return error_response(StatusCode::BAD_REQUEST, "address is not an IP address and port");
         }
         let heartbeat = heartbeat.into_heartbeat(id);
         drop(body);
@@ -232,16 +234,19 @@
         self.response(reply, READ_PATH)
     }
 
-    /// The node's reply in the protocol's words. `path`: of the call, at the leader.
+    /// Converts the node's reply to a response of the protocol. `path`: the path to which a redirect leads.
     fn response(&self, reply: Option<Reply>, path: &str) -> HttpResponse {
         match reply {
             Some(Reply::Acknowledged) => json_response(StatusCode::OK, "{}"),
             Some(Reply::Invalid(reason)) => error_response(StatusCode::BAD_REQUEST, &reason.to_string()),
-            Some(Reply::Conflict { current }) => {
-                error_response(StatusCode::PRECONDITION_FAILED, &format!("{current:08x} stands"))
-            }
+            Some(Reply::Conflict { current }) => error_response(
+                StatusCode::PRECONDITION_FAILED,
+                &format!("the current version is {current:08x}"),
+            ),
             Some(Reply::Current(Some(current))) => json_response(StatusCode::OK, current.body.clone()),
-            Some(Reply::Current(None)) => error_response(StatusCode::NOT_FOUND, "there is none yet"),
+            Some(Reply::Current(None)) => {
+                error_response(StatusCode::NOT_FOUND, "no configuration has been applied yet")
+            }
             Some(Reply::Redirect(leader)) => self.redirect(&leader, path).unwrap_or_else(unavailable),
             Some(Reply::Unavailable) | None => unavailable(),
         }
@@ -276,9 +281,10 @@
     json_response(status, serde_json::json!({ "errorText": reason }).to_string())
 }
 
-/// Nothing is known, or nobody can say now: another gateway may.
+/// Returns the response for a request that this node cannot decide now; another node may be able to.
 fn unavailable() -> HttpResponse {
-    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, "nobody can say now");
+    let mut response =
+        error_response(StatusCode::SERVICE_UNAVAILABLE, "temporarily unavailable; try another control node");
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("0.2"));
     response
 }
--- a/crates/control/control-plane/src/calls/body.rs
+++ b/crates/control/control-plane/src/calls/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of calls: bounded each, and all together.
+//! Request bodies of calls, bounded individually and in total.
 
 use super::{error_response, unavailable, HttpResponse, READ_TIMEOUT};
 use crate::driver::Driver;
@@ -10,29 +10,30 @@
 use std::rc::Rc;
 use tokio::time::timeout;
 
-/// The largest body of a call.
+/// Maximum length of a call's body.
 const MAX_BODY_BYTES: usize = 8 << 20;
-/// The most bytes of bodies that are held at once, here and by the node: one more body is told to come later.
+/// Limit on the total bytes of bodies held by this server and the node; a body that would exceed it is refused as
+/// temporarily unavailable.
 const MAX_HELD_BODY_BYTES: usize = 24 << 20;
 
-/// A call's body, counted among all that are held for as long as it is.
+/// A call's body. Its bytes count towards the held total until it is dropped.
 pub struct Body {
     bytes: Bytes,
-    held: Rc<Cell<usize>>,
-    counted: usize,
+    held_bytes: Rc<Cell<usize>>,
+    counted_bytes: usize,
 }
 
 impl Body {
-    /// Reads a body whole.
+    /// Reads a whole body.
     ///
     /// # Errors
-    /// The response, if it did not arrive or there is no room for it.
+    /// Returns the error response if the body does not arrive, is too long or would exceed the limit on held bytes.
     pub async fn collect(
         driver: &Driver,
-        held: Rc<Cell<usize>>,
+        held_bytes: Rc<Cell<usize>>,
         mut incoming: Incoming,
     ) -> Result<Body, HttpResponse> {
-        let mut body = Body { bytes: Bytes::new(), held, counted: 0 };
+        let mut body = Body { bytes: Bytes::new(), held_bytes, counted_bytes: 0 };
         let mut collected = BytesMut::new();
         loop {
             let frame = match timeout(READ_TIMEOUT, incoming.frame()).await {
@@ -41,14 +42,19 @@
                     return Err(error_response(StatusCode::BAD_REQUEST, "it is cut short"));
                 }
                 Ok(None) => break,
-                Err(_) => return Err(error_response(StatusCode::REQUEST_TIMEOUT, "it did not come")),
+                Err(_) => {
+                    return Err(error_response(
+                        StatusCode::REQUEST_TIMEOUT,
+                        "timed out waiting for the request body",
+                    ))
+                }
             };
             let Ok(bytes) = frame.into_data() else { continue };
             if collected.len() + bytes.len() > MAX_BODY_BYTES {
-                return Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, "it is too long"));
+                return Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, "request body too long"));
             }
-            let held_in_all = body.held.get() + driver.node().change_body_bytes();
-            if held_in_all + bytes.len() > MAX_HELD_BODY_BYTES {
+            let total_held_bytes = body.held_bytes.get() + driver.node().change_body_bytes();
+            if total_held_bytes + bytes.len() > MAX_HELD_BODY_BYTES {
                 return Err(unavailable());
             }
             body.count(bytes.len());
@@ -58,17 +64,17 @@
         Ok(body)
     }
 
-    /// The bytes.
+    /// Returns the bytes of the body.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
     fn count(&mut self, bytes: usize) {
-        self.held.set(self.held.get() + bytes);
-        self.counted += bytes;
+        self.held_bytes.set(self.held_bytes.get() + bytes);
+        self.counted_bytes += bytes;
     }
 
-    /// Counted by the node from now on.
+    /// Releases the bytes to the node, which counts them from then on.
     pub fn release(mut self) -> Bytes {
         std::mem::take(&mut self.bytes)
     }
@@ -76,6 +82,6 @@
 
 impl Drop for Body {
     fn drop(&mut self) {
-        self.held.set(self.held.get() - self.counted);
+        self.held_bytes.set(self.held_bytes.get() - self.counted_bytes);
     }
 }
--- a/crates/control/control-plane/src/calls/callers.rs
+++ b/crates/control/control-plane/src/calls/callers.rs
@@ -1,5 +1,5 @@
-//! Connections of callers: a bounded number, of which idle ones make room for new ones. Backends keep theirs between
-//! heartbeats; without room, operators and backends whose node has ended could not call for as long as those stay.
+//! Limit on the connections of callers, with eviction of idle ones. Backends keep their connections open between heartbeats;
+//! without eviction, these would lock out operators, and backends whose control node has failed, until they close.
 
 #[cfg(test)]
 mod tests;
@@ -11,34 +11,35 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Callers at once, at most.
+/// Limit on concurrent callers.
 pub(super) const MAX_CALLERS: usize = 256;
-/// Connections that were told to close and are not closed yet, at most.
+/// Limit on evicted connections that are not closed yet.
 const MAX_CLOSING: usize = 64;
-/// Callers that were turned away are logged this often at most.
+/// Minimum interval between log lines on refused callers.
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A connection that is open.
+/// An open connection.
 #[derive(Debug)]
 struct OpenCaller {
-    /// None while a request is being answered.
+    /// `None` while a request is in progress.
     idle_since: Option<Instant>,
     eviction: Rc<Notify>,
 }
 
-/// All callers' connections.
+/// The connections of all callers.
 #[derive(Debug, Default)]
 pub(super) struct Callers {
     open: RefCell<BTreeMap<u64, OpenCaller>>,
     closing: Cell<usize>,
     last_id: Cell<u64>,
-    /// Callers that were turned away and are not logged yet.
+    /// Number of refused callers since the last log line.
     refused: Cell<u32>,
     refusals_logged_at: Cell<Option<Instant>>,
 }
 
 impl Callers {
-    /// A new connection, if there is room for it: of too many the one that has been idle for the longest is evicted.
+    /// Admits a new connection. At the limit, evicts the connection that has been idle longest; returns `None` if none can be
+    /// evicted.
     pub fn admit(self: &Rc<Self>, now: Instant) -> Option<Caller> {
         if self.open.borrow().len() >= MAX_CALLERS && !self.evict_idle() {
             self.record_refusal(now);
@@ -52,7 +53,7 @@
         Some(Caller { callers: self.clone(), id, eviction })
     }
 
-    /// Whether there was one, and may be closed now.
+    /// Evicts the connection that has been idle longest; returns whether one was evicted.
     fn evict_idle(&self) -> bool {
         if self.closing.get() >= MAX_CLOSING {
             return false;
@@ -70,7 +71,7 @@
     fn record_refusal(&self, now: Instant) {
         self.refused.set(self.refused.get() + 1);
         let logged_at = self.refusals_logged_at.get();
-        if logged_at.is_none_or(|at| now.duration_since(at) >= REFUSAL_LOG_INTERVAL) {
+        if logged_at.is_none_or(|last_logged| now.duration_since(last_logged) >= REFUSAL_LOG_INTERVAL) {
             log::info!("calls: {} callers turned away, {MAX_CALLERS} are connected", self.refused.take());
             self.refusals_logged_at.set(Some(now));
         }
@@ -89,7 +90,7 @@
     }
 }
 
-/// One caller's connection; it counts until this is dropped.
+/// One caller's connection, counted until it is dropped.
 #[derive(Debug)]
 pub(super) struct Caller {
     callers: Rc<Callers>,
@@ -98,17 +99,17 @@
 }
 
 impl Caller {
-    /// A request has come: the connection is not evicted until it is answered.
+    /// Marks the connection as busy, which exempts it from eviction.
     pub fn begin_request(&self) {
         self.callers.set_idle_since(self.id, None);
     }
 
-    /// The request is answered.
+    /// Marks the connection as idle since `now`.
     pub fn end_request(&self, now: Instant) {
         self.callers.set_idle_since(self.id, Some(now));
     }
 
-    /// Completes when the connection is to be closed for another one.
+    /// Completes when the connection is evicted for another one.
     pub async fn evicted(&self) {
         self.eviction.notified().await;
     }
--- a/crates/control/control-plane/src/connections.rs
+++ b/crates/control/control-plane/src/connections.rs
@@ -13,14 +13,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// How long a connection may take to identify itself.
+/// Time limit for the greeting of a new connection.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
-/// Connections at once, at most; one more is closed.
+/// Limit on concurrent connections; any further one is closed.
 const MAX_CONNECTIONS: usize = 384;
-/// After a failure to accept.
+/// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
-/// Accepts connections for as long as the process lives.
+/// Accepts connections until the process exits.
 pub async fn accept(driver: Rc<Driver>, links: Rc<PeerLinks>, listener: TcpListener) {
     let open = Rc::new(Cell::new(0));
     loop {
@@ -62,7 +62,7 @@
         Ok(Ok(Some(Greeting::QueryClient { format: MESSAGE_FORMAT }))) => {
             queries::serve(driver, reader, writer).await;
         }
-        // Of another format, or no greeting.
-        _ => log::info!("connections: one without a greeting of our format was closed"),
+        // No greeting, or one of another format.
+        _ => log::info!("connections: closed a connection that sent no greeting of this format"),
     }
 }
--- a/crates/control/control-plane/src/driver.rs
+++ b/crates/control/control-plane/src/driver.rs
@@ -1,5 +1,5 @@
-//! The driver of the one value that decides here, [`ControlNode`]: hands it what arrives, with the time, and carries out
-//! what it wants done, with storage, links to other nodes, gateways that subscribe, callers.
+//! The driver of [`ControlNode`], which makes all decisions without I/O: passes it inputs with the current time, and
+//! performs its effects on storage, links to other nodes, subscribed gateways and waiting callers.
 
 mod load;
 #[cfg(test)]
@@ -21,26 +21,26 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::{sleep_until, Instant};
 
-/// Larger configurations are validated on another thread: 700 KB take 80 ms of a core, 8 MB 0.4 s, and this thread has
-/// heartbeats to answer.
+/// Size limit for validation on this thread. Larger configurations are validated on a blocking thread, because 700 KB take
+/// 80 ms of CPU time and 8 MB take 0.4 s, while this thread has to answer heartbeats.
 const MAX_INLINE_VALIDATION_BYTES: usize = 64 << 10;
-/// Timers further away than this are set anew meanwhile.
+/// Longest single sleep; a later timer is set again when this has elapsed.
 const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
-/// Validates a configuration: what it declares, or what is wrong with it.
+/// Validates a configuration: returns the versions that it declares, or an error.
 pub type Validate = Arc<dyn Fn(&[u8]) -> Result<DeclaredVersions, ConfigurationError> + Send + Sync>;
 
-/// The connection of a gateway that subscribes.
+/// The connection of a subscribed gateway.
 pub struct GatewayLink {
-    /// Tells its connections apart.
-    pub link: u64,
-    /// What is to be sent to it beside changes and chunks.
+    /// Distinguishes successive connections of the same gateway.
+    pub link_id: u64,
+    /// Queue of lease grants to send, besides changes and configuration chunks.
     pub grants: mpsc::Sender<GatewayUpdate>,
-    /// There may be a chunk for it.
+    /// Notified when a configuration chunk may be ready to send.
     pub chunk_window: Rc<Notify>,
 }
 
-/// A write that storage is working on.
+/// A write that storage has not completed yet.
 struct PendingWrite {
     number: u64,
     completion: Completion,
@@ -53,29 +53,29 @@
     node: RefCell<ControlNode>,
     storage: StorageHandle,
     validate: Validate,
-    /// Handed over to [`Driver::run`].
+    /// The next write for [`Driver::run`] to wait for.
     pending_write: RefCell<Option<PendingWrite>>,
     /// Links to the other control nodes, by name.
     pub links: RefCell<BTreeMap<String, mpsc::Sender<ControlMessage>>>,
-    /// Gateways that subscribe, by name.
+    /// Subscribed gateways, by name.
     pub gateway_links: RefCell<HashMap<String, GatewayLink>>,
-    /// Calls that wait, by number.
+    /// Calls waiting for a reply, by number.
     calls: RefCell<BTreeMap<u64, oneshot::Sender<Reply>>>,
     last_call: Cell<u64>,
     changes: watch::Sender<()>,
-    /// The node wants to advance sooner than [`Driver::run`] sleeps.
+    /// Wakes [`Driver::run`] when the node has to advance before the end of its sleep.
     wake: Notify,
     sleeping_until: Cell<Time>,
     load: Load,
 }
 
-/// This machine's time of day, in Unix milliseconds. Alone it decides nothing.
+/// Returns the wall-clock time of this machine in Unix milliseconds. No decision rests on it alone.
 pub fn unix_millis() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
 impl Driver {
-    /// `node`: as of time 0.
+    /// Creates the driver. `node` must have been created at time 0.
     pub fn new(node: ControlNode, storage: StorageHandle, validate: Validate) -> Rc<Self> {
         Rc::new_cyclic(|weak_self| Driver {
             weak_self: weak_self.clone(),
@@ -95,7 +95,7 @@
         })
     }
 
-    /// Nanoseconds since the process started, on the steady clock.
+    /// Returns the nanoseconds since the driver was created, on the monotonic clock.
     pub fn now(&self) -> Time {
         self.started.elapsed().as_nanos() as Time
     }
@@ -104,36 +104,37 @@
         self.started + Duration::from_nanos(time).min(self.started.elapsed() + MAX_SLEEP)
     }
 
-    /// Notifies of each change from now on.
+    /// Returns a receiver that is notified whenever there may be an update for subscribers.
     pub fn changes(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
 
-    /// What the node knows.
+    /// Borrows the node for reading.
     pub fn node(&self) -> Ref<'_, ControlNode> {
         self.node.borrow()
     }
 
-    /// Hands something to the node, and carries out what it wants done.
-    pub fn with<T>(&self, act: impl FnOnce(&mut ControlNode, Time) -> T) -> T {
+    /// Calls `operation` on the node with the current time, and performs the resulting effects.
+    pub fn with<T>(&self, operation: impl FnOnce(&mut ControlNode, Time) -> T) -> T {
         let now = self.now();
-        let result = act(&mut self.node.borrow_mut(), now);
+        let result = operation(&mut self.node.borrow_mut(), now);
         self.perform_effects();
         self.load.record_work(now, self.now());
         result
     }
 
-    /// A call, which the node always answers in time; none: the process is ending.
-    pub async fn call(&self, act: impl FnOnce(&mut ControlNode, Time, u64)) -> Option<Reply> {
+    /// Starts a call and waits for the node's reply. The node answers every call within a time limit; returns `None` if the
+    /// process is shutting down.
+    pub async fn call(&self, operation: impl FnOnce(&mut ControlNode, Time, u64)) -> Option<Reply> {
         self.last_call.set(self.last_call.get() + 1);
         let call = self.last_call.get();
         let (sender, reply) = oneshot::channel();
         self.calls.borrow_mut().insert(call, sender);
-        self.with(|node, now| act(node, now, call));
+        self.with(|node, now| operation(node, now, call));
         reply.await.ok()
     }
 
-    /// Runs the node. It ends only with the process.
+    /// Advances the node when its timers are due or storage completes a write. Runs until the process exits.
     pub async fn run(self: Rc<Self>) {
         let mut writing = None;
         loop {
@@ -176,7 +177,7 @@
 
     fn perform(&self, effect: Effect) {
         match effect {
-            // Whatever is sent may be lost.
+            // Messages are best effort: they are dropped if the link is missing or its queue is full.
             Effect::SendToNode { to, message } => {
                 if let Some(link) = self.links.borrow().get(&to) {
                     let _ = link.try_send(message);
@@ -208,7 +209,7 @@
             Effect::Validate { change, body } => self.validate(change, body),
             Effect::Reply { call, reply } => {
                 if let Some(caller) = self.calls.borrow_mut().remove(&call) {
-                    // It may have given up waiting.
+                    // The caller may have gone.
                     let _ = caller.send(reply);
                 }
             }
@@ -231,7 +232,7 @@
     }
 }
 
-/// What storage says of the pending write, if there is one.
+/// Waits for the pending write and returns its result; never completes if there is none.
 async fn storage_completion(pending: &mut Option<PendingWrite>) -> (u64, Result<(), StorageError>) {
     match pending {
         Some(write) => {
--- a/crates/control/control-plane/src/error.rs
+++ b/crates/control/control-plane/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the process ends with a failure.
+//! Errors that end the process.
 
 use crate::storage::StorageError;
 use displaydoc::Display;
@@ -6,22 +6,22 @@
 use std::io;
 use tokio::task::JoinError;
 
-/// Why the process ends with a failure.
+/// An error that ends the process.
 #[derive(Debug, Display)]
 pub enum ControlPlaneError {
     /// cannot listen for signals: {0}
     Signals(io::Error),
-    /// no controlPlane address is given
+    /// networkTerms.listenAddresses.controlPlane is not set
     NoControlAddress,
     /// {0}
     Listen(ListenError),
     /// {0}
     Storage(StorageError),
-    /// no random numbers are to be had: {0}
+    /// cannot obtain random numbers: {0}
     Random(getrandom::Error),
-    /// consensus ended: {0:?}
+    /// the consensus task ended unexpectedly: {0:?}
     ConsensusEnded(Result<(), JoinError>),
-    /// the call server ended: {0:?}
+    /// the call server ended unexpectedly: {0:?}
     CallServerEnded(Result<(), JoinError>),
 }
 
--- a/crates/control/control-plane/src/links.rs
+++ b/crates/control/control-plane/src/links.rs
@@ -1,4 +1,4 @@
-//! Links among control nodes, one each way: each node dials all others that it has heard of and sends on that connection.
+//! Links between control nodes, one per direction: each node dials every other known node and sends on that connection.
 
 use crate::driver::{unix_millis, Driver};
 use consensus::NodeId;
@@ -15,30 +15,30 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, sleep_until, Instant, MissedTickBehavior};
 
-/// Messages that wait for a link; more are lost, as on a network.
+/// Capacity of a link's queue; messages beyond it are dropped, as on a lossy network.
 const QUEUE_LENGTH: usize = 512;
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// Nodes that were newly heard of are looked for this often.
+/// Interval at which newly discovered nodes are dialed.
 const DIAL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The links to all other control nodes.
+/// The outgoing links to all other control nodes.
 pub struct PeerLinks {
     driver: Rc<Driver>,
     port: u16,
 }
 
 impl PeerLinks {
-    /// `port`: where control nodes listen for each other.
+    /// `port`: the port on which control nodes accept each other's connections.
     pub fn new(driver: Rc<Driver>, port: u16) -> Rc<Self> {
         Rc::new(PeerLinks { driver, port })
     }
 
-    /// Keeps a link to each other control node that is known.
+    /// Maintains a link to each other known control node.
     pub async fn run(self: Rc<Self>) {
-        let mut every = interval(DIAL_INTERVAL);
-        every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut dial_interval = interval(DIAL_INTERVAL);
+        dial_interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            every.tick().await;
+            dial_interval.tick().await;
             let own_name = self.driver.node().id().name.clone();
             let known_nodes = self.driver.node().known_nodes();
             for (name, _) in known_nodes {
@@ -56,10 +56,10 @@
         let address = SocketAddr::new(ip, self.port);
         loop {
             if let Ok(stream) = connect(address).await {
-                // What has waited for a link that was not there is old.
+                // Messages queued while there was no connection are stale.
                 while queue.try_recv().is_ok() {}
                 if self.send_messages(stream, &mut queue).await.is_ok() {
-                    // Nobody sends on this link any more.
+                    // The sender was dropped: the link is no longer used.
                     return;
                 }
             }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Receives what another control node sends on its connection, until that ends.
+    /// Receives the messages of another control node until its connection closes.
     pub async fn receive(self: Rc<Self>, from: NodeId, mut reader: FrameReader) {
         self.driver.with(|node, _| node.learn_node(&from.name, ""));
         while let Ok(Some(message)) = reader.read::<ControlMessage>().await {
@@ -104,7 +104,7 @@
     }
 }
 
-/// Writes a message and whatever waits behind it, with one flush.
+/// Writes a message and all that are queued behind it, with one flush.
 async fn write_batch(
     writer: &mut FrameWriter,
     first: ControlMessage,
--- a/crates/control/control-plane/src/main.rs
+++ b/crates/control/control-plane/src/main.rs
@@ -1,5 +1,5 @@
-//! granitethread's control plane: takes heartbeats, drains and configurations, replicates them with the control nodes of the
-//! other zones, and tells the gateways that subscribe. `docs/operate/system.md` is its page.
+//! granitethread's control plane: accepts heartbeats, drains and configurations, replicates them with the control nodes of
+//! the other zones, and streams updates to the subscribed gateways. See `docs/operate/system.md`.
 #![forbid(unsafe_code)]
 
 mod calls;
@@ -36,9 +36,9 @@
 use tokio::time::sleep;
 use trial::TenantTerms;
 
-/// The registry is saved this often, if it has changed.
+/// Interval at which the registry is saved if it has changed.
 const REGISTRY_SAVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Between the signal to end and the end: for leadership to be transferred, and for calls under way.
+/// Time limit for a graceful shutdown: covers the leadership transfer and calls in flight.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1200);
 
 fn main() -> ExitCode {
@@ -58,7 +58,7 @@
     let call_listener = listen(control_address)?;
     let opened = tokio::select! {
         opened = open_storage(&settings) => opened,
-        // The disk may not answer.
+        // A disk that does not respond must not block the shutdown.
         () = signals.shutdown() => return Ok(()),
     };
     let (storage, loaded) = opened?;
@@ -132,7 +132,8 @@
     }
 }
 
-/// The schema is compiled with the first change that is validated here: its library takes some megabytes.
+/// Returns the validator of configurations. The schema is compiled with the first change that is validated on this node,
+/// because the schema library takes several megabytes.
 fn validator() -> Validate {
     let validator = OnceLock::<Validator>::new();
     Arc::new(move |body| {
@@ -141,17 +142,18 @@
     })
 }
 
-/// SIGHUP: seeds of the settings file as it is now.
+/// Handles SIGHUP: adds the seeds of the current settings file to the known nodes.
 fn reload_seeds(driver: &Driver) {
     match Settings::load(&settings_path()) {
         Ok(settings) => driver.with(|node, _| {
             settings.seed_addresses().iter().for_each(|seed| node.learn_node(&seed.to_string(), ""));
         }),
-        Err(error) => log::warn!("SIGHUP: {error}; the old settings stand"),
+        Err(error) => log::warn!("SIGHUP: {error}; keeping the previous settings"),
     }
 }
 
-/// Saves the registry, for gateways that subscribe after a restart before heartbeats have arrived.
+/// Saves the registry periodically, so that gateways that subscribe right after a restart get backends before the first
+/// heartbeats arrive.
 async fn save_registry_periodically(driver: Rc<Driver>, storage: StorageHandle) {
     let mut saved_version = 0;
     loop {
--- a/crates/control/control-plane/src/queries.rs
+++ b/crates/control/control-plane/src/queries.rs
@@ -1,4 +1,5 @@
-//! Queries of `granitethread-ctl`, answered from what this node knows; each answer says how fresh that is.
+//! Answers queries of `granitethread-ctl` from the local state of this node. Each response carries the time since the last
+//! contact with a quorum.
 
 use crate::driver::Driver;
 use consensus::NodeId;
@@ -12,11 +13,11 @@
 use tokio::time::timeout;
 use trial::{TenantTerms, TrialEnd};
 
-/// A connection without a query for so long is closed.
+/// A connection is closed after this long without a query.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(600);
 const NANOS_PER_MILLI: Time = 1_000_000;
 
-/// Answers queries until the connection ends.
+/// Answers queries until the connection closes.
 pub async fn serve(driver: Rc<Driver>, mut reader: FrameReader, mut writer: FrameWriter) {
     while let Ok(Ok(Some(query))) = timeout(IDLE_TIMEOUT, reader.read::<Query>()).await {
         let response = driver.with(|node, now| answer_query(node, now, query));
@@ -27,7 +28,7 @@
 }
 
 fn answer_query(node: &mut ControlNode, now: Time, query: Query) -> QueryResponse {
-    let contact = node.last_quorum_contact(now);
+    let last_contact = node.last_quorum_contact(now);
     let answer = match query {
         Query::Status => status(node),
         Query::Backends => {
@@ -50,7 +51,7 @@
     QueryResponse {
         node: node.id().name.clone(),
         zone: node.zone().into(),
-        quorum_contact_ms: contact.map(|at| to_millis(now.saturating_sub(at))),
+        quorum_contact_ms: last_contact.map(|at| to_millis(now.saturating_sub(at))),
         answer,
     }
 }
@@ -80,11 +81,12 @@
         by.map(|(name, _)| name.clone()).collect()
     };
     let subscribes = |gateway: &String| node.subscribers().any(|(name, _)| name == gateway);
-    let all = node.state().gateways().iter();
-    QueryAnswer::Gateways(all.map(|name| (name.clone(), subscribes(name), missed_by(name))).collect())
+    let names = node.state().gateways().iter();
+    QueryAnswer::Gateways(names.map(|name| (name.clone(), subscribes(name), missed_by(name))).collect())
 }
 
-/// What is replicated, with what the quota coordinator knows, if that is this node.
+/// Reports on the trials in the replicated state. The status of the quota coordinator is added if this node is the
+/// coordinator.
 fn trial_reports(
     now: Time,
     terms: &TenantTerms,
--- a/crates/control/control-plane/src/signals.rs
+++ b/crates/control/control-plane/src/signals.rs
@@ -1,20 +1,20 @@
-//! The signals that the process listens for.
+//! Signals that the process handles.
 
 use crate::error::ControlPlaneError;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a signal asks for.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SignalRequest {
     /// SIGTERM or SIGINT.
     Shutdown,
-    /// SIGHUP: the settings file is to be read again.
+    /// SIGHUP: read the settings file again.
     Reload,
-    /// SIGUSR1: the log ring is to be written out.
+    /// SIGUSR1: write out the log ring.
     DumpLog,
 }
 
-/// The signals that the process listens for.
+/// Streams of the handled signals.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -23,10 +23,10 @@
 }
 
 impl Signals {
-    /// Listens from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// The system's.
+    /// The operating system's error if a handler cannot be installed.
     pub fn listen() -> Result<Self, ControlPlaneError> {
         let listen = |kind| signal(kind).map_err(ControlPlaneError::Signals);
         Ok(Signals {
@@ -37,7 +37,7 @@
         })
     }
 
-    /// The next signal.
+    /// Waits for the next signal.
     pub async fn next(&mut self) -> SignalRequest {
         tokio::select! {
             _ = self.terminate.recv() => SignalRequest::Shutdown,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The next signal to end; others wait until [`Signals::next`].
+    /// Waits for a signal to shut down; other signals stay pending for [`Signals::next`].
     pub async fn shutdown(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/crates/control/control-plane/src/storage.rs
+++ b/crates/control/control-plane/src/storage.rs
@@ -1,5 +1,5 @@
-//! What this node has on its disk: its id, and what consensus persists, in bytes that are bounded whatever comes. One thread
-//! writes and waits for the disk; nobody else does. `docs/design/disk.md` says why it holds.
+//! Durable state of this node: the id of its disk and the state that consensus persists, in a bounded number of bytes. One
+//! thread performs all writes and waits for the disk. `docs/design/disk.md` explains why this is crash-safe.
 
 mod blobs;
 mod database_file;
@@ -30,16 +30,16 @@
 use store::Store;
 use tokio::sync::oneshot;
 
-/// The store's own directory in the data directory.
+/// Name of the store's directory in the data directory.
 const STORE_DIRECTORY: &str = "agreement";
-/// The same of an earlier format, which is not read.
+/// Directory name of an earlier format, which is not read.
 const LEGACY_STORE_DIRECTORY: &str = "prompter";
-/// A disk that refuses to be read is tried again this often.
+/// Delay between attempts to read a disk that returns errors.
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// A warning is logged with each so many tries.
+/// Number of attempts per logged warning.
 const RETRIES_PER_WARNING: u32 = 32;
 
-/// What is wrong with storage.
+/// An error of the storage.
 #[derive(Debug, Display)]
 pub enum StorageError {
     /// {0}: {1}
@@ -48,13 +48,13 @@
     Store(String, Box<redb::Error>),
     /// {0}
     Damaged(String),
-    /// it holds as much as it may
+    /// the size limit of the store is reached
     SizeLimit,
-    /// an earlier save has failed
+    /// an earlier save failed; a full save is required
     PreviousFailure,
-    /// no random numbers are to be had: {0}
+    /// cannot obtain random numbers: {0}
     Random(getrandom::Error),
-    /// the storage thread has ended
+    /// the storage thread has exited
     ThreadEnded,
 }
 
@@ -73,7 +73,7 @@
 }
 
 impl StorageError {
-    /// Something that was done to the directory itself.
+    /// Returns the error of an operation on the store's directory itself.
     fn of_directory(error: io::Error) -> Self {
         StorageError::Io("the store's directory".into(), error)
     }
@@ -81,63 +81,63 @@
 
 enum StorageCommand {
     Request(StorageRequest, oneshot::Sender<Result<(), StorageError>>),
-    /// The registry is to be saved for the next start: not synced by itself.
+    /// Writes the latest registry for the next start; does not itself require a sync.
     SaveRegistry,
 }
 
-/// A handle to the thread that writes; without a disk there is none, and nothing is kept.
+/// A handle to the storage thread. Without a disk there is no thread, and nothing is stored.
 #[derive(Clone)]
 pub struct StorageHandle(Option<StorageThread>);
 
 #[derive(Clone)]
 struct StorageThread {
     commands: mpsc::Sender<StorageCommand>,
-    /// The latest registry to be saved.
+    /// The latest registry to save.
     latest_registry: LatestRegistry,
 }
 
-/// The latest registry to be saved, until the thread takes it.
+/// The latest registry to save, until the storage thread takes it.
 #[derive(Clone, Default)]
 struct LatestRegistry(Arc<Mutex<Option<Vec<Heartbeat>>>>);
 
 impl LatestRegistry {
     fn lock(&self) -> MutexGuard<'_, Option<Vec<Heartbeat>>> {
-        // It is whole even if a thread has panicked over it.
+        // The value is consistent even if a thread panicked while holding the lock.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// What a disk holds at the start.
+/// State loaded from the disk at startup.
 #[derive(Debug)]
 pub struct LoadedState {
-    /// The disk's own id.
+    /// Id of the disk.
     pub disk_id: u64,
-    /// What consensus persisted.
+    /// The state that consensus persisted.
     pub stored: PersistedState,
-    /// Backends as they were known last, maybe long ago.
+    /// The last saved heartbeats of the backends, possibly old.
     pub heartbeats: Vec<Heartbeat>,
 }
 
-/// What comes of a request: waits for the disk.
+/// Receives the result of a request once the disk has completed it.
 pub type Completion = oneshot::Receiver<Result<(), StorageError>>;
 
 impl StorageHandle {
-    /// No disk: such a node has no vote, and another id at each start.
+    /// Returns a handle without a disk. Such a node cannot vote, and gets a new id at each start.
     ///
     /// # Errors
-    /// No random numbers are to be had.
+    /// Returns an error if no random number can be obtained.
     pub fn without_disk() -> Result<(StorageHandle, LoadedState), StorageError> {
         let loaded =
             LoadedState { disk_id: random_id()?, stored: PersistedState::default(), heartbeats: Vec::new() };
         Ok((StorageHandle(None), loaded))
     }
 
-    /// Reads what is there; nothing is written before [`StorageRequest::Full`]. An empty directory gets a new id, and so does
-    /// one that is damaged, of another format or another node's: that is a lost disk. One that refuses to be read is tried
-    /// again until it does not.
+    /// Loads the stored state; nothing is written before [`StorageRequest::Full`]. An empty directory gets a new id, and so does
+    /// one that is damaged, of another format or of another node, which counts as a lost disk. Read errors are retried until
+    /// the read succeeds.
     ///
     /// # Errors
-    /// There is no thread or no random number to be had.
+    /// Returns an error if the thread cannot be started or no random number can be obtained.
     pub async fn open(
         data_directory: &Path,
         name: &str,
@@ -147,7 +147,7 @@
         StorageHandle::spawn(move || open_with_retries(&data_directory, &name), legacy).await
     }
 
-    /// Starts the thread. `legacy`: where a store of an earlier format may be.
+    /// Starts the storage thread. `legacy`: the path at which a store of an earlier format may exist.
     pub(crate) async fn spawn(
         open: impl FnOnce() -> Result<(Store, LoadedState), StorageError> + Send + 'static,
         legacy: PathBuf,
@@ -158,7 +158,7 @@
         let thread = StorageThread { commands: sender, latest_registry: latest_registry.clone() };
         let run = move || match open() {
             Ok((store, loaded)) => {
-                // Nobody waits for it any more if the process ends.
+                // The receiver is gone if the process is shutting down.
                 let _ = send_loaded.send(Ok(loaded));
                 serve(store, &commands, &latest_registry, legacy);
             }
@@ -170,29 +170,29 @@
         Ok((StorageHandle(Some(thread)), loaded))
     }
 
-    /// Has something written.
+    /// Sends a write request to the storage thread.
     pub fn request(&self, request: StorageRequest) -> Completion {
         let (sender, completion) = oneshot::channel();
         match &self.0 {
-            // If the thread has ended, `sender` is dropped with the command, and whoever waits learns that.
+            // If the thread has exited, `sender` is dropped with the command, and the receiver gets an error.
             Some(thread) => drop(thread.commands.send(StorageCommand::Request(request, sender))),
             None => drop(sender.send(Ok(()))),
         }
         completion
     }
 
-    /// Saves the registry for the next start, some time.
+    /// Schedules a save of the registry for the next start.
     pub fn save_registry(&self, heartbeats: Vec<Heartbeat>) {
         let Some(thread) = &self.0 else { return };
         let is_waiting = thread.latest_registry.lock().replace(heartbeats).is_some();
         if !is_waiting {
-            // If the thread has ended, the next request tells.
+            // If the thread has exited, the next request fails.
             let _ = thread.commands.send(StorageCommand::SaveRegistry);
         }
     }
 }
 
-/// Carries out commands until nobody is left to send any.
+/// Executes commands until all senders are dropped.
 fn serve(
     mut store: Store,
     commands: &mpsc::Receiver<StorageCommand>,
@@ -202,15 +202,15 @@
     let mut legacy = Some(legacy).filter(|legacy| legacy.exists());
     for command in commands {
         match command {
-            StorageCommand::Request(StorageRequest::Append { changes, commit_index }, completed) => {
-                drop(completed.send(store.save(&changes, commit_index)));
+            StorageCommand::Request(StorageRequest::Append { changes, commit_index }, completion_sender) => {
+                drop(completion_sender.send(store.save(&changes, commit_index)));
             }
-            StorageCommand::Request(StorageRequest::Full(stored), completed) => {
+            StorageCommand::Request(StorageRequest::Full(stored), completion_sender) => {
                 let saved = store.save_full(&stored);
                 if let Some(legacy) = legacy.take_if(|_| saved.is_ok()) {
                     remove_legacy_store(&legacy);
                 }
-                drop(completed.send(saved));
+                drop(completion_sender.send(saved));
             }
             StorageCommand::SaveRegistry => {
                 let heartbeats = latest_registry.lock().take();
@@ -221,22 +221,22 @@
     }
 }
 
-/// Tries until the disk can be read.
+/// Opens the store, retrying until the disk can be read.
 fn open_with_retries(data_directory: &Path, name: &str) -> Result<(Store, LoadedState), StorageError> {
     if data_directory.join(LEGACY_STORE_DIRECTORY).exists() {
         log::warn!("storage: a store of an earlier format is not read: as with a lost disk");
     }
-    let mut tries = 0_u32;
+    let mut attempts = 0_u32;
     loop {
         let error = match open(data_directory, name) {
             Err(error @ StorageError::Random(_)) => return Err(error),
             Err(error) => error,
             opened => return opened,
         };
-        if tries.is_multiple_of(RETRIES_PER_WARNING) {
+        if attempts.is_multiple_of(RETRIES_PER_WARNING) {
             log::warn!("storage: {error}; retrying until it can be read");
         }
-        tries += 1;
+        attempts += 1;
         std::thread::sleep(RETRY_INTERVAL);
     }
 }
@@ -251,19 +251,19 @@
 fn remove_legacy_store(path: &Path) {
     match std::fs::remove_dir_all(path) {
         Ok(()) => log::warn!("storage: the store of an earlier format was removed"),
-        Err(error) => log::warn!("storage: {}: {error}; it stays", path.display()),
+        Err(error) => log::warn!("storage: {}: {error}; it was not removed", path.display()),
     }
 }
 
-/// The line to log if a data directory is empty though this is not the first start of the system: the node then begins no
-/// log, and has no vote until the others have replaced its old disk's id.
+/// Returns the warning to log if the data directory is empty though this is not the initial start of the system. Such a node
+/// does not bootstrap a log, and cannot vote until the other nodes have replaced the id of its old disk.
 pub fn empty_directory_warning(settings: &Settings, stored: &PersistedState) -> Option<String> {
     let data_directory = settings.identity.data_directory.as_ref()?;
     let is_empty = stored.term == 0 && stored.snapshot.index == 0;
     (is_empty && !settings.identity.initial_start).then(|| {
         format!(
-            "storage: {} holds no log though the system has started before: as with a lost disk, this node waits for a \
-             vote; was the directory to be moved (docs/operate/upgrade.md)?",
+            "storage: {} holds no log though this is not the initial start: as with a lost disk, this node cannot vote until \
+             the others admit it; should the directory have been moved (docs/operate/upgrade.md)?",
             data_directory.display()
         )
     })
--- a/crates/control/control-plane/src/storage/blobs.rs
+++ b/crates/control/control-plane/src/storage/blobs.rs
@@ -1,5 +1,6 @@
-//! Long runs of bytes, most of them configurations: each is stored once, under its digest, however many entries and snapshots
-//! hold it. The longest are files of their own, which takes two more syncs; the others are values in the generation file.
+//! Deduplicated storage of long byte slices, most of which are configurations. Each is stored once under its digest, however
+//! many entries and snapshots contain it. The longest are separate files, which costs two more syncs; the others are values in
+//! the generation file.
 
 use super::directory::Directory;
 use super::StorageError;
@@ -10,64 +11,64 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 
-/// From this length on, in bytes, a run is a file.
+/// Minimum length in bytes at which a slice is stored as a separate file.
 pub const MIN_BLOB_BYTES: usize = 64 << 10;
-/// All files together, in bytes: five configurations of the longest that is accepted. One more is refused.
+/// Limit on the total bytes of all blobs: five configurations of the maximum accepted length. A blob beyond it is refused.
 pub const MAX_TOTAL_BYTES: u64 = 40 << 20;
 const PREFIX: &str = "blob-";
 
-/// SHA-256 of a run.
+/// SHA-256 digest of a slice.
 pub type Digest = [u8; 32];
 
-/// A segment of what an entry or a snapshot holds. Variants are stored under the names of store format 2.
+/// A segment of the payload of an entry or snapshot. Variants are stored under the names of store format 2.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Segment {
-    /// Its bytes.
+    /// The bytes themselves.
     #[serde(rename = "Here")]
     Inline(#[serde(with = "serde_bytes")] Vec<u8>),
-    /// A value in the generation file.
+    /// Digest of a value in the generation file.
     Value(Digest),
-    /// A file of its own.
+    /// Digest of a blob, which is a separate file.
     Blob(Digest),
 }
 
-/// Values of a generation file.
+/// The values of a generation file, by digest.
 pub type Values = BTreeMap<Digest, Vec<u8>>;
 
 /// The blobs of one directory.
 #[derive(Debug, Default)]
 pub struct Blobs {
-    /// Whole and synced, with their lengths.
+    /// Lengths of the blobs that are complete and whose contents are synced.
     known: BTreeMap<Digest, u64>,
-    /// Of them those whose names may not last.
+    /// Blobs in `known` whose file names are not durable yet.
     unsynced: Vec<Digest>,
 }
 
 impl Blobs {
-    /// Bytes of all blobs.
+    /// Returns the total bytes of all blobs.
     pub fn bytes(&self) -> u64 {
         self.known.values().sum()
     }
 
-    /// Splits bytes into segments. What is to be a value is added to `values`; a blob is on the disk when this returns, and
-    /// lasts after [`Blobs::make_durable`].
+    /// Splits bytes into segments. Adds new values to `values`, and writes new blobs to the disk; these are durable after
+    /// [`Blobs::make_durable`].
     ///
     /// # Errors
-    /// The disk refuses, or there would be too many bytes.
+    /// Returns an error if the disk fails or the limit on total bytes would be exceeded.
     pub fn put(
         &mut self,
         directory: &dyn Directory,
         bytes: &[u8],
         values: &mut Values,
     ) -> Result<Vec<Segment>, StorageError> {
-        let runs = split_body(bytes).into_iter().filter(|run| !run.is_empty());
-        runs.map(|run| self.put_run(directory, run, values)).collect()
+        let slices = split_body(bytes).into_iter().filter(|slice| !slice.is_empty());
+        slices.map(|slice| self.put_slice(directory, slice, values)).collect()
     }
 
-    /// Whatever was put lasts from here on.
+    /// Makes all blobs durable that [`Blobs::put`] has written.
     ///
     /// # Errors
-    /// The disk refuses; then what is new is written again when it is next put.
+    /// Returns an error if the disk fails; the new blobs are then written again by the next [`Blobs::put`].
     pub fn make_durable(&mut self, directory: &dyn Directory) -> Result<(), StorageError> {
         let unsynced = std::mem::take(&mut self.unsynced);
         if unsynced.is_empty() {
@@ -79,7 +80,7 @@
         })
     }
 
-    fn put_run(
+    fn put_slice(
         &mut self,
         directory: &dyn Directory,
         bytes: &[u8],
@@ -105,10 +106,11 @@
         Ok(Segment::Blob(digest))
     }
 
-    /// Puts segments together. A blob that an earlier process has put, and something refers to, was made durable by it.
+    /// Joins segments into the original bytes. A referenced blob of an earlier process is durable already, because that process
+    /// made it so before it stored the reference.
     ///
     /// # Errors
-    /// A value or blob is missing or damaged; or the disk refuses.
+    /// Returns an error if a value or blob is missing or damaged, or if the disk fails.
     pub fn assemble(
         &mut self,
         directory: &dyn Directory,
@@ -118,7 +120,7 @@
         let mut bytes = Vec::new();
         for segment in segments {
             match segment {
-                Segment::Inline(run) => bytes.extend_from_slice(run),
+                Segment::Inline(slice) => bytes.extend_from_slice(slice),
                 Segment::Value(digest) => match values.get(digest) {
                     Some(value) if Digest::from(Sha256::digest(value)) == *digest => bytes.extend(value),
                     _ => return Err(StorageError::Damaged("a value does not match its digest".into())),
@@ -133,34 +135,35 @@
         Ok(bytes)
     }
 
-    /// Removes all others. One that cannot be removed, or comes back after a loss of power, goes another time.
-    pub fn retain(&mut self, wanted: &BTreeSet<Digest>, directory: &dyn Directory) {
+    /// Removes all blobs that are not referenced. One that cannot be removed, or reappears after a power loss, is removed by
+    /// [`Blobs::remove_unreferenced`].
+    pub fn retain(&mut self, referenced: &BTreeSet<Digest>, directory: &dyn Directory) {
         self.known.retain(|digest, _| {
-            wanted.contains(digest) || {
+            referenced.contains(digest) || {
                 if let Err(error) = directory.remove(&file_name(digest)) {
-                    log::warn!("storage: {}: {error}; it stays for now", file_name(digest));
+                    log::warn!("storage: {}: {error}; it will be removed later", file_name(digest));
                 }
                 false
             }
         });
     }
 
-    /// The same, also of those that an earlier process has left.
+    /// Removes all blob files that are not referenced, including those left by earlier processes.
     ///
     /// # Errors
-    /// The disk refuses.
+    /// Returns an error if the disk fails.
     pub fn remove_unreferenced(
         &mut self,
-        wanted: &BTreeSet<Digest>,
+        referenced: &BTreeSet<Digest>,
         directory: &dyn Directory,
     ) -> io::Result<()> {
-        let wanted_names: BTreeSet<String> = wanted.iter().map(file_name).collect();
+        let referenced_names: BTreeSet<String> = referenced.iter().map(file_name).collect();
         for (name, _) in directory.list()? {
-            if name.starts_with(PREFIX) && !wanted_names.contains(&name) {
+            if name.starts_with(PREFIX) && !referenced_names.contains(&name) {
                 directory.remove(&name)?;
             }
         }
-        self.known.retain(|digest, _| wanted.contains(digest));
+        self.known.retain(|digest, _| referenced.contains(digest));
         Ok(())
     }
 }
@@ -177,7 +180,7 @@
         file.sync()
     });
     written.map_err(|error| {
-        // Half of it would only take room.
+        // An incomplete file would only use space.
         let _ = directory.remove(&name);
         StorageError::Io(name, error)
     })
@@ -195,7 +198,8 @@
     }
 }
 
-/// What stands before the configuration that a command or a state holds, the configuration, and what stands behind it.
+/// Splits an encoded command or state into the bytes before the configuration that it contains, the configuration, and the
+/// bytes after it.
 fn split_body(bytes: &[u8]) -> [&[u8]; 3] {
     let unsplit = [bytes, &[], &[]];
     if bytes.len() < MIN_DEDUP_BYTES {
--- a/crates/control/control-plane/src/storage/database_file.rs
+++ b/crates/control/control-plane/src/storage/database_file.rs
@@ -1,15 +1,15 @@
-//! What `redb` reads and writes: a file that is bounded, and a copy of one in memory.
+//! Storage backends for `redb`: a file with a size limit, and an in-memory copy of a file.
 
 use super::directory::DataFile;
 use redb::StorageBackend;
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The most that a generation file takes, in bytes: the entries behind the snapshot and the values that they refer to, which
-/// the leader bounds to half of it.
+/// Size limit of a generation file, in bytes. It holds the entries after the snapshot and the values that they refer to, which
+/// the leader limits to half of this.
 pub const MAX_BYTES: u64 = 5 << 20;
 
-/// A file that takes [`MAX_BYTES`] and no more. A longer file is synced before anything is written there.
+/// A file of at most [`MAX_BYTES`]. After a change of the length the file is synced before anything is written to the new part.
 #[derive(Debug)]
 pub struct BoundedFile(pub Arc<dyn DataFile>);
 
@@ -24,7 +24,7 @@
 
     fn set_len(&self, length: u64) -> io::Result<()> {
         if length > MAX_BYTES {
-            let reason = "it would be longer than its bound";
+            let reason = "the file would grow longer than its limit";
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, reason));
         }
         self.0.set_len(length)?;
@@ -40,20 +40,20 @@
     }
 }
 
-/// A copy of a file: whatever `redb` does to it, the file stays as it is.
+/// An in-memory copy of a file, so that `redb` cannot modify the file itself.
 #[derive(Debug)]
 pub struct MemoryCopy(Mutex<Vec<u8>>);
 
 impl MemoryCopy {
-    /// A copy of these bytes.
+    /// Wraps a copy of the file's bytes.
     pub fn new(bytes: Vec<u8>) -> Self {
         MemoryCopy(Mutex::new(bytes))
     }
 
-    fn with<T>(&self, act: impl FnOnce(&mut Vec<u8>) -> Option<T>) -> io::Result<T> {
-        // It is whole even if a thread has panicked over it.
+    fn with<T>(&self, operation: impl FnOnce(&mut Vec<u8>) -> Option<T>) -> io::Result<T> {
+        // The bytes are usable even if a thread panicked while holding the lock.
         let mut bytes = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        act(&mut bytes).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
+        operation(&mut bytes).ok_or_else(|| io::ErrorKind::UnexpectedEof.into())
     }
 }
 
@@ -72,7 +72,7 @@
 
     fn set_len(&self, length: u64) -> io::Result<()> {
         self.with(|bytes| {
-            // A damaged file may ask for anything.
+            // A damaged file may cause a request for any length.
             let length = usize::try_from(length).ok().filter(|length| *length as u64 <= 2 * MAX_BYTES)?;
             bytes.resize(length, 0);
             Some(())
--- a/crates/control/control-plane/src/storage/directory.rs
+++ b/crates/control/control-plane/src/storage/directory.rs
@@ -1,5 +1,4 @@
-//! The few operations that storage needs of a disk, so that a test can stand in for one: files in one directory, and
-//! their names.
+//! The file-system operations that storage needs: files in one directory. They are traits so that tests can use a fake disk.
 
 use std::fmt::Debug;
 use std::fs::{File, OpenOptions};
@@ -8,45 +7,45 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// One directory. Names that were created, renamed or removed last once the directory was synced.
+/// One directory. Creating, renaming or removing a name is durable once the directory has been synced.
 pub trait Directory: Debug + Send + Sync {
-    /// Names of files and their lengths in bytes.
+    /// Returns the names of the files and their lengths in bytes.
     fn list(&self) -> io::Result<Vec<(String, u64)>>;
-    /// A file's bytes.
+    /// Reads a whole file.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Opens a file; `truncate`: it is created if it is not there, and empty in any case.
+    /// Opens a file. With `truncate`, creates the file if it does not exist and truncates it otherwise.
     fn open(&self, name: &str, truncate: bool) -> io::Result<Arc<dyn DataFile>>;
-    /// Removes a name.
+    /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
     /// Renames a file.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Makes the names durable.
+    /// Makes changes of names durable.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// An open file. What was written or isolated lasts once the file was synced.
+/// An open file. Writes and changes of the length are durable once the file has been synced.
 pub trait DataFile: Debug + Send + Sync {
-    /// Its length in bytes.
+    /// Returns the length in bytes.
     fn len(&self) -> io::Result<u64>;
-    /// Reads exactly as many bytes as `out` has.
+    /// Fills `out` with the bytes from `offset` on.
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()>;
-    /// Writes all bytes.
+    /// Writes all `bytes` at `offset`.
     fn write(&self, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts it off or extends it.
+    /// Truncates or extends the file.
     fn set_len(&self, length: u64) -> io::Result<()>;
-    /// Makes its bytes durable.
+    /// Makes the contents and the length durable.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A directory of the operating system's.
+/// A directory of the operating system.
 #[derive(Debug)]
 pub struct SystemDirectory(PathBuf);
 
 impl SystemDirectory {
-    /// The directory is created if it is not there.
+    /// Creates the directory if it does not exist.
     ///
     /// # Errors
-    /// It can neither be found nor created.
+    /// Returns an error if the directory does not exist and cannot be created.
     pub fn new(path: PathBuf) -> io::Result<Self> {
         std::fs::create_dir_all(&path)?;
         Ok(SystemDirectory(path))
--- a/crates/control/control-plane/src/storage/generation.rs
+++ b/crates/control/control-plane/src/storage/generation.rs
@@ -1,5 +1,5 @@
-//! One file of the store, `agreed-N`: all that consensus has persisted, but for the blobs that it refers to. Each save is one
-//! transaction of `redb` with one sync: after a crash it is there whole or not at all.
+//! Generation files of the store, `agreed-N`. Each holds all that consensus has persisted except the blobs that it refers to.
+//! Each save is one transaction of `redb` with one sync, so that after a crash it is present as a whole or not at all.
 
 use super::blobs::{Digest, Values};
 use super::database_file::{BoundedFile, MemoryCopy};
@@ -16,40 +16,40 @@
 
 pub use super::database_file::MAX_BYTES;
 
-/// Of the pages of a file, in bytes.
+/// Size of the page cache of `redb`, in bytes.
 const CACHE_BYTES: usize = 256 << 10;
 const PREFIX: &str = "agreed-";
-/// The format of what is stored.
+/// Version of the stored format.
 const FORMAT: u32 = 2;
-/// The names of the tables and keys are part of that format.
+/// Table of the records. The names of tables and keys are part of the stored format.
 const RECORDS: TableDefinition<&[u8], &[u8]> = TableDefinition::new("agreed");
-/// Under a digest and a number, [`VALUE_CHUNK_BYTES`] of a value.
+/// Table of the values, in chunks of [`VALUE_CHUNK_BYTES`]. The key is the value's digest and the chunk's number.
 const VALUES: TableDefinition<&[u8], &[u8]> = TableDefinition::new("values");
 const OWNER_KEY: &[u8] = b"owner";
 const HARD_STATE_KEY: &[u8] = b"term";
 const SNAPSHOT_KEY: &[u8] = b"snapshot";
 const COMMIT_INDEX_KEY: &[u8] = b"agreed";
-/// Fits into one page: a longer value would take a power of two.
+/// Fits into one page; the space for a longer chunk would be rounded up to a power of two.
 const VALUE_CHUNK_BYTES: usize = 3900;
 
-/// Whose the file is.
+/// The owner of a file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
     format: u32,
-    /// The node's name, which is its address.
+    /// Name of the node, which is its address.
     pub name: String,
-    /// The disk's id.
+    /// Id of the disk.
     pub disk_id: u64,
 }
 
 impl Owner {
-    /// This node, with its disk's id.
+    /// Creates the owner record for a node and the id of its disk.
     pub fn new(name: &str, disk_id: u64) -> Self {
         Owner { format: FORMAT, name: name.into(), disk_id }
     }
 }
 
-/// What a file held.
+/// The contents of a generation file.
 #[derive(Debug)]
 pub struct GenerationContents {
     pub owner: Owner,
@@ -61,27 +61,27 @@
     pub values: Values,
 }
 
-/// The file that is written to.
+/// The generation file that is open for writing.
 #[derive(Debug)]
 pub struct Generation {
     database: Database,
-    /// The values and blobs that the snapshot refers to.
+    /// Digests of the values and blobs that the snapshot refers to.
     snapshot_references: BTreeSet<Digest>,
-    /// The same of each entry.
+    /// Digests of the values and blobs that each entry refers to.
     entry_references: BTreeMap<LogIndex, BTreeSet<Digest>>,
-    /// The values that the file holds.
+    /// Digests of the values in the file.
     values: BTreeSet<Digest>,
 }
 
-/// The name of the generation file of this number.
+/// Returns the name of the generation file with this number.
 pub fn file_name(number: u64) -> String {
     format!("{PREFIX}{number:08}")
 }
 
-/// The numbers of the files that are there, the latest first.
+/// Returns the numbers of the generation files in a directory, the newest first.
 ///
 /// # Errors
-/// The disk refuses.
+/// Returns an error if the directory cannot be listed.
 pub fn numbers(directory: &dyn Directory) -> io::Result<Vec<u64>> {
     let files = directory.list()?;
     let number = |name: &str| name.strip_prefix(PREFIX)?.parse().ok();
@@ -91,10 +91,10 @@
 }
 
 impl Generation {
-    /// A new file with all of this in it, synced. If it fails, nothing is left of it.
+    /// Creates a file with the given contents and syncs it. Removes the file again on failure.
     ///
     /// # Errors
-    /// What the disk says.
+    /// Returns the error of the disk or of `redb`.
     pub fn create(
         directory: &dyn Directory,
         number: u64,
@@ -118,16 +118,17 @@
             Ok(generation)
         });
         if created.is_err() {
-            // Half of it would only take room.
+            // An incomplete file would only use space.
             let _ = directory.remove(&name);
         }
         created
     }
 
-    /// Writes all of it in one transaction, synced.
+    /// Writes the changes in one transaction and syncs it.
     ///
     /// # Errors
-    /// What the disk says; then nothing is known of what the file holds, and it is not to be written to again.
+    /// Returns the error of the disk or of `redb`. The contents of the file are unknown after that, and it must not be written
+    /// to again.
     pub fn save(
         &mut self,
         changes: &[StoredChange],
@@ -137,10 +138,10 @@
         catch_store_panic("agreed", || self.write(None, changes, values, commit_index))
     }
 
-    /// The values and blobs that the file refers to.
+    /// Returns the digests of all values and blobs that the file refers to.
     pub fn references(&self) -> BTreeSet<Digest> {
-        let of_entries = self.entry_references.values().flatten();
-        self.snapshot_references.iter().chain(of_entries).copied().collect()
+        let from_entries = self.entry_references.values().flatten();
+        self.snapshot_references.iter().chain(from_entries).copied().collect()
     }
 
     fn write(
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Adds the values that are referred to, and removes those that are no more.
+    /// Adds the values that are referred to and removes those that no longer are.
     fn write_values(&mut self, stored: &mut Table<&[u8], &[u8]>, values: &Values) -> Result<(), redb::Error> {
         let references = self.references();
         for (digest, value) in values.iter().filter(|(digest, _)| references.contains(*digest)) {
@@ -213,17 +214,16 @@
 }
 
 impl GenerationContents {
-    /// What a file holds, which is not written to. None, if nothing was ever saved in it: its first save never came to an
-    /// end.
+    /// Reads a file without modifying it. Returns `None` if its first save was never completed.
     ///
     /// # Errors
-    /// It is damaged; or the disk refuses.
+    /// Returns an error if the file is damaged or the disk fails.
     pub fn read(directory: &dyn Directory, number: u64) -> Result<Option<GenerationContents>, StorageError> {
         let name = file_name(number);
         let io = |error| StorageError::Io(name.clone(), error);
         let files = directory.list().map_err(io)?;
         if files.iter().any(|(file, length)| *file == name && *length > MAX_BYTES) {
-            return Err(StorageError::Damaged(format!("{name} is longer than any that is written")));
+            return Err(StorageError::Damaged(format!("{name} is longer than the size limit")));
         }
         let bytes = directory.read(&name).map_err(io)?;
         if bytes.is_empty() {
@@ -231,9 +231,9 @@
         }
         match catch_store_panic(&name, || GenerationContents::parse(bytes)) {
             Ok(Parsed::Contents(contents)) => Ok(Some(*contents)),
-            Ok(Parsed::NeverSaved) => Ok(None),
+            Ok(Parsed::NeverCompleted) => Ok(None),
             Ok(Parsed::Inconsistent) => Err(StorageError::Damaged(format!("{name}: an entry is missing"))),
-            // It was in memory: what is wrong is in it.
+            // `redb` read a copy in memory, so the error comes from the contents.
             Err(StorageError::Store(name, error)) => Err(StorageError::Damaged(format!("{name}: {error}"))),
             Err(error) => Err(error),
         }
@@ -244,7 +244,7 @@
         builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
         let database = builder.create_with_backend(MemoryCopy::new(bytes))?;
         let records = match database.begin_read()?.open_table(RECORDS) {
-            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(Parsed::NeverSaved),
+            Err(redb::TableError::TableDoesNotExist(_)) => return Ok(Parsed::NeverCompleted),
             records => records?,
         };
         let owner: Option<Owner> = get(&records, OWNER_KEY)?;
@@ -264,22 +264,22 @@
         Ok(Parsed::Contents(Box::new(contents)))
     }
 
-    /// The values and blobs that it refers to.
+    /// Returns the digests of all values and blobs that the contents refer to.
     pub fn references(&self) -> BTreeSet<Digest> {
-        let of_entries = self.entries.iter().flat_map(StoredEntry::references);
-        of_entries.chain(self.snapshot.references()).collect()
+        let from_entries = self.entries.iter().flat_map(StoredEntry::references);
+        from_entries.chain(self.snapshot.references()).collect()
     }
 }
 
-/// What a file's bytes are.
+/// Result of parsing a file.
 enum Parsed {
     Contents(Box<GenerationContents>),
-    /// Nothing was ever saved in it.
-    NeverSaved,
+    /// The first save was never completed.
+    NeverCompleted,
     Inconsistent,
 }
 
-/// The entries from an index on without a gap; none if there is one, or an entry cannot be read.
+/// Reads the entries from index `first` on. Returns `None` if an entry is missing or cannot be decoded.
 fn read_entries(
     records: &impl ReadableTable<&'static [u8], &'static [u8]>,
     first: LogIndex,
@@ -295,7 +295,7 @@
     Ok(Some(entries))
 }
 
-/// All values; none if a key is no value's.
+/// Reads all values. Returns `None` if a key is too short to hold a digest.
 fn read_values(
     table: &impl ReadableTable<&'static [u8], &'static [u8]>,
 ) -> Result<Option<Values>, redb::Error> {
@@ -308,14 +308,14 @@
     Ok(Some(values))
 }
 
-/// `e` and the index, big-endian, so that entries are in order.
+/// Returns the key of an entry: `e` and the index in big-endian order, so that keys sort by index.
 fn entry_key(index: LogIndex) -> [u8; 9] {
     let mut key = [b'e'; 9];
     key[1..].copy_from_slice(&index.to_be_bytes());
     key
 }
 
-/// The digest and the chunk's number, big-endian.
+/// Returns the key of a value's chunk: the digest and the chunk's number in big-endian order.
 fn value_key(digest: &Digest, chunk: u32) -> [u8; 36] {
     let mut key = [0; 36];
     key[..32].copy_from_slice(digest);
@@ -329,7 +329,7 @@
     Ok(())
 }
 
-/// What stands under a key. What cannot be read is an error of the file's.
+/// Reads the record under a key. A record that cannot be decoded is reported as corruption of the file.
 fn get<T: DeserializeOwned>(
     records: &impl ReadableTable<&'static [u8], &'static [u8]>,
     key: &[u8],
@@ -348,10 +348,13 @@
     Ok(())
 }
 
-/// Whatever `redb` makes of a damaged file is an outcome, not the end of the process.
-fn catch_store_panic<T>(name: &str, act: impl FnOnce() -> Result<T, redb::Error>) -> Result<T, StorageError> {
-    match catch_unwind(AssertUnwindSafe(act)) {
+/// Turns a panic of `redb` over a damaged file into an error.
+fn catch_store_panic<T>(
+    name: &str,
+    operation: impl FnOnce() -> Result<T, redb::Error>,
+) -> Result<T, StorageError> {
+    match catch_unwind(AssertUnwindSafe(operation)) {
         Ok(result) => result.map_err(|error| StorageError::Store(name.into(), Box::new(error))),
-        Err(_) => Err(StorageError::Damaged(format!("{name}: the store panicked over it"))),
+        Err(_) => Err(StorageError::Damaged(format!("{name}: the store panicked while accessing it"))),
     }
 }
--- a/crates/control/control-plane/src/storage/registry_file.rs
+++ b/crates/control/control-plane/src/storage/registry_file.rs
@@ -1,4 +1,5 @@
-//! The registry for the next start: soft state, in two files by turns, so that one of them is whole whenever power is lost.
+//! The registry as saved for the next start. This is soft state, written to two files alternately, so that one of them is
+//! intact whenever power is lost.
 
 use super::directory::{DataFile, Directory};
 use registry::Heartbeat;
@@ -6,7 +7,7 @@
 use std::io;
 use std::sync::Arc;
 
-/// The most that one of the two files takes, in bytes; a registry that takes more is not saved.
+/// Size limit of each of the two files, in bytes; a larger registry is not saved.
 pub const MAX_BYTES: usize = 2 << 20;
 const FILE_NAMES: [&str; 2] = ["cell-a", "cell-b"];
 const DIGEST_BYTES: usize = 32;
@@ -14,18 +15,18 @@
 /// The two files.
 #[derive(Debug, Default)]
 pub struct RegistryFile {
-    /// Rises with each write; the file of the higher one is the later.
+    /// Incremented by each write; the file with the higher generation is the newer one.
     generation: u64,
-    /// Which of the two is written next.
+    /// Index of the file that is written next.
     next: usize,
-    /// The file that was written and is not synced yet.
+    /// The file that has been written but not synced.
     unsynced: Option<Arc<dyn DataFile>>,
-    /// How often this process has synced.
+    /// Number of syncs by this process.
     sync_count: usize,
 }
 
 impl RegistryFile {
-    /// What was saved last. What cannot be read is learnt from heartbeats.
+    /// Reads the registry that was saved last. Heartbeats will supply whatever cannot be read.
     pub fn read(directory: &dyn Directory) -> (RegistryFile, Vec<Heartbeat>) {
         let mut found: Vec<_> =
             FILE_NAMES.iter().map(|name| read_file(directory, name)).enumerate().collect();
@@ -38,15 +39,15 @@
         }
     }
 
-    /// Writes the registry, not synced: over what was written last if that is not synced yet.
+    /// Writes the registry without a sync; overwrites the last written file if that has not been synced yet.
     ///
     /// # Errors
-    /// The disk refuses, or the registry is too long.
+    /// Returns an error if the disk fails or the registry is too large.
     pub fn write(&mut self, directory: &dyn Directory, heartbeats: &[Heartbeat]) -> io::Result<()> {
         let contents = rmp_serde::to_vec(&(self.generation + 1, heartbeats))
             .expect("a heartbeat has no value that cannot be encoded");
         if DIGEST_BYTES + contents.len() > MAX_BYTES {
-            let reason = "more backends than are saved";
+            let reason = "the registry exceeds the size limit";
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, reason));
         }
         let mut bytes = Sha256::digest(&contents).to_vec();
@@ -58,16 +59,16 @@
         Ok(())
     }
 
-    /// Syncs what was written last, if that is not done yet.
+    /// Syncs the last written file, if it has not been synced yet.
     ///
     /// # Errors
-    /// The disk refuses.
+    /// Returns an error if the disk fails.
     pub fn sync(&mut self, directory: &dyn Directory) -> io::Result<()> {
         let Some(file) = self.unsynced.take() else { return Ok(()) };
         file.sync()?;
         self.next = 1 - self.next;
         self.sync_count += 1;
-        // Each name is new the first time.
+        // The first sync of each file may have created its name.
         if self.sync_count <= FILE_NAMES.len() {
             directory.sync()?;
         }
@@ -75,10 +76,10 @@
     }
 }
 
-/// One file's generation and registry, if it is whole.
+/// Reads one file's generation and registry, if the file is intact.
 fn read_file(directory: &dyn Directory, name: &str) -> Option<(u64, Vec<Heartbeat>)> {
     let bytes = directory.read(name).ok().filter(|bytes| bytes.len() <= MAX_BYTES)?;
     let (digest, contents) = bytes.split_at_checked(DIGEST_BYTES)?;
-    let is_whole = *digest == Sha256::digest(contents)[..];
-    is_whole.then(|| rmp_serde::from_slice(contents).ok())?
+    let is_intact = *digest == Sha256::digest(contents)[..];
+    is_intact.then(|| rmp_serde::from_slice(contents).ok())?
 }
--- a/crates/control/control-plane/src/storage/store.rs
+++ b/crates/control/control-plane/src/storage/store.rs
@@ -1,5 +1,5 @@
-//! What is in the directory, and in which order it is written: blobs before what refers to them; a new generation whole and
-//! synced, and every other one gone for good, before anything rests on it.
+//! The store's directory and the order of its writes. Blobs are written before the records that refer to them. A new
+//! generation is complete and synced, and the removal of all other generations is durable, before anything relies on it.
 
 use super::blobs::{self, Blobs, Digest, Values};
 use super::directory::Directory;
@@ -12,51 +12,52 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Bytes on the disk at most, whatever comes: blobs, two generations, one that is damaged, and the registry's two files.
+/// Limit on the disk usage in bytes: blobs, two generations, a damaged one, and the two registry files.
 pub const MAX_BYTES: u64 =
     blobs::MAX_TOTAL_BYTES + 3 * generation::MAX_BYTES + 2 * registry_file::MAX_BYTES as u64;
-/// A generation that was damaged, for whoever wants to look at it.
+/// Name under which a damaged generation is kept for inspection.
 const DAMAGED_FILE: &str = "damaged";
-/// How much is on the disk is logged with each so many saves.
+/// Number of saves between log lines on the disk usage.
 const REPORT_INTERVAL: u64 = 64;
 
-/// The directory, as the thread that writes holds it.
+/// The store's directory, owned by the storage thread.
 #[derive(Debug)]
 pub struct Store {
     directory: Arc<dyn Directory>,
     owner: Owner,
-    /// The generation that is written to. None: everything is to be saved first.
+    /// The generation that is written to; `None` if a full save has to come first.
     generation: Option<Generation>,
-    /// The number of the latest generation that is whole; no later one is.
+    /// Number of the newest complete generation, or of the newest file if none is complete; 0 if there is no file.
     number: u64,
-    /// One that was damaged.
+    /// Number of a damaged generation.
     damaged: Option<u64>,
     blobs: Blobs,
-    /// Blobs that are referred to by what would be found after a crash, whichever of the saves under way is found.
+    /// Digests that the state found after a crash may refer to, whichever of the unfinished saves survives it.
     referenced: BTreeSet<Digest>,
     registry_file: RegistryFile,
     saves: u64,
 }
 
-/// A generation that is whole.
-struct FoundGeneration {
+/// A complete generation.
+struct CompleteGeneration {
     number: u64,
     contents: GenerationContents,
     stored: PersistedState,
 }
 
-/// What the generations in a directory come to.
+/// Result of examining the generations of a directory.
 #[derive(Default)]
-struct Found {
-    newest_whole: Option<FoundGeneration>,
+struct GenerationScan {
+    newest_complete: Option<CompleteGeneration>,
     damaged: Option<u64>,
 }
 
 impl Store {
-    /// Reads what is there. Nothing is written, so that nothing can be lost. `new_disk_id`: if there is none.
+    /// Loads the stored state. Nothing is written, so that nothing can be lost. `new_disk_id` is used if the directory holds no
+    /// complete generation.
     ///
     /// # Errors
-    /// The disk refuses to be read.
+    /// Returns an error if the disk cannot be read.
     pub fn open(
         directory: Arc<dyn Directory>,
         name: &str,
@@ -65,8 +66,9 @@
         let (registry_file, heartbeats) = RegistryFile::read(&*directory);
         let numbers = generation::numbers(&*directory).map_err(StorageError::of_directory)?;
         let mut blobs = Blobs::default();
-        let Found { newest_whole, damaged } = find_newest(&*directory, &numbers, name, &mut blobs)?;
-        let (number, referenced, disk_id, stored) = match newest_whole {
+        let GenerationScan { newest_complete, damaged } =
+            find_newest(&*directory, &numbers, name, &mut blobs)?;
+        let (number, referenced, disk_id, stored) = match newest_complete {
             Some(found) => {
                 let referenced = found.contents.references();
                 (found.number, referenced, found.contents.owner.disk_id, found.stored)
@@ -93,10 +95,10 @@
         Ok((store, LoadedState { disk_id, stored, heartbeats }))
     }
 
-    /// Saves all of it, in order, synced together.
+    /// Saves the changes in order, with one sync.
     ///
     /// # Errors
-    /// What the disk says. Then nothing but [`Store::save_full`] succeeds.
+    /// Returns the error of the disk or of `redb`. After an error only [`Store::save_full`] can succeed.
     pub fn save(&mut self, changes: &[Persist], commit_index: LogIndex) -> Result<(), StorageError> {
         let mut generation = self.generation.take().ok_or(StorageError::PreviousFailure)?;
         let (changes, values) = self.prepare(changes)?;
@@ -108,10 +110,10 @@
         Ok(())
     }
 
-    /// Saves everything: in the generation that is written to, or in a new one if that has failed or there is none yet.
+    /// Saves the whole state: in the current generation, or in a new one if that has failed or there is none yet.
     ///
     /// # Errors
-    /// What the disk says. Then nothing but [`Store::save_full`] succeeds.
+    /// Returns the error of the disk or of `redb`. After an error only [`Store::save_full`] can succeed.
     pub fn save_full(&mut self, stored: &PersistedState) -> Result<(), StorageError> {
         let changes = [
             Persist::HardState { term: stored.term, vote: stored.vote.clone() },
@@ -130,11 +132,12 @@
         let generation =
             Generation::create(&*directory, number, &self.owner, &changes, &values, commit_index)?;
         directory.sync().map_err(StorageError::of_directory)?;
-        // It is whole and holds all that there was, and nothing rests on it yet: either may be found after a crash.
+        // The new generation is complete and holds all of the previous state, but nothing relies on it yet. After a crash either
+        // generation may be found.
         self.number = number;
         self.remove_earlier_generations()?;
         directory.sync().map_err(StorageError::of_directory)?;
-        // From here on it alone is found.
+        // From here on only the new generation can be found.
         self.referenced = generation.references();
         self.remove_unreferenced_blobs()?;
         self.generation = Some(generation);
@@ -142,7 +145,7 @@
         Ok(())
     }
 
-    /// Removes generations of earlier tries that never became whole.
+    /// Removes generations whose creation was not completed.
     fn remove_unfinished_generations(&self) -> Result<(), StorageError> {
         let numbers = generation::numbers(&*self.directory).map_err(StorageError::of_directory)?;
         for number in numbers.into_iter().filter(|number| *number > self.number) {
@@ -152,7 +155,7 @@
         Ok(())
     }
 
-    /// Removes all generations but the latest; one that was damaged is kept under another name.
+    /// Removes all generations except the newest; a damaged one is renamed and kept.
     fn remove_earlier_generations(&mut self) -> Result<(), StorageError> {
         let numbers = generation::numbers(&*self.directory).map_err(StorageError::of_directory)?;
         for number in numbers.into_iter().filter(|number| *number != self.number) {
@@ -173,29 +176,29 @@
         removed.map_err(StorageError::of_directory)
     }
 
-    /// Writes the registry, for the next start.
+    /// Writes the registry for the next start, without a sync.
     pub fn write_registry(&mut self, heartbeats: &[Heartbeat]) {
         if let Err(error) = self.registry_file.write(&*self.directory, heartbeats) {
-            log::warn!("storage: the registry is not saved: {error}");
+            log::warn!("storage: the registry was not saved: {error}");
         }
     }
 
-    /// Syncs the registry behind a save, when whoever waited for that waits no longer.
+    /// Syncs the registry. Called after a save has been reported as complete, so that no request waits for this sync.
     pub fn sync_registry(&mut self) {
         if self.generation.is_none() {
             return;
         }
         if let Err(error) = self.registry_file.sync(&*self.directory) {
-            log::warn!("storage: the registry is not saved: {error}");
+            log::warn!("storage: the registry was not saved: {error}");
         }
     }
 
-    /// What is to be stored, with its blobs on the disk, and the values that it refers to.
+    /// Converts changes to their stored form. Returns them with the values that they refer to; their blobs are durable then.
     fn prepare(&mut self, changes: &[Persist]) -> Result<(Vec<StoredChange>, Values), StorageError> {
         let (mut prepared, mut values) = (Vec::new(), Values::new());
         for change in changes {
             let change = self.prepare_change(change, &mut values)?;
-            // The save may fail and be found all the same.
+            // A save that fails may still be found after a crash.
             self.referenced.extend(change.references());
             prepared.push(change);
         }
@@ -248,20 +251,20 @@
     }
 }
 
-/// The newest generation that is whole. Of two that are whole the later one holds all of the earlier. One that is damaged
-/// beside an earlier one was never whole, for nothing rests on a generation before all others are gone.
+/// Finds the newest complete generation. Of two complete ones the newer holds all of the older one's state. A damaged generation
+/// next to an older one was never completed, because nothing relies on a generation before all others are gone.
 fn find_newest(
     directory: &dyn Directory,
     numbers: &[u64],
     name: &str,
     blobs: &mut Blobs,
-) -> Result<Found, StorageError> {
-    let mut found = Found::default();
+) -> Result<GenerationScan, StorageError> {
+    let mut found = GenerationScan::default();
     for number in numbers {
         match read_generation(directory, *number, name, blobs) {
-            Ok(None) => log::info!("storage: {} was never whole", generation::file_name(*number)),
+            Ok(None) => log::info!("storage: {} was never completed", generation::file_name(*number)),
             Ok(Some((contents, stored))) => {
-                found.newest_whole = Some(FoundGeneration { number: *number, contents, stored });
+                found.newest_complete = Some(CompleteGeneration { number: *number, contents, stored });
                 break;
             }
             Err(StorageError::Damaged(reason)) => {
@@ -274,7 +277,7 @@
     Ok(found)
 }
 
-/// What a generation holds, with its blobs. None, if nothing was ever saved in it.
+/// Reads a generation and its blobs. Returns `None` if its first save was never completed.
 fn read_generation(
     directory: &dyn Directory,
     number: u64,
@@ -285,7 +288,7 @@
     if contents.owner.name != name {
         let file = generation::file_name(number);
         let owner = &contents.owner.name;
-        return Err(StorageError::Damaged(format!("{file} is {owner}'s, not {name}'s")));
+        return Err(StorageError::Damaged(format!("{file} belongs to {owner}, not to {name}")));
     }
     let mut entries = Vec::new();
     for entry in &contents.entries {
--- a/crates/control/control-plane/src/storage/stored_log.rs
+++ b/crates/control/control-plane/src/storage/stored_log.rs
@@ -1,11 +1,11 @@
-//! The log and the snapshot as the generation file holds them: long runs are replaced by their digests.
+//! Stored form of the log and the snapshot in the generation file: long byte slices are replaced by their digests.
 
 use super::blobs::{Digest, Segment};
 use consensus::{LogIndex, NodeId, Term, VoterSet};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// [`consensus::EntryPayload`]. Variants are stored under the names of store format 2.
+/// Stored form of [`consensus::EntryPayload`]. Variants are stored under the names of store format 2.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum StoredPayload {
     #[serde(rename = "Nothing")]
@@ -14,12 +14,12 @@
     Configuration(VoterSet),
     #[serde(rename = "Word")]
     Command(Vec<Segment>),
-    /// The old voters and the new ones.
+    /// The old and the new voters.
     #[serde(rename = "Joint")]
     JointConfiguration(VoterSet, VoterSet),
 }
 
-/// [`consensus::Entry`].
+/// Stored form of [`consensus::Entry`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StoredEntry {
     pub term: Term,
@@ -27,7 +27,7 @@
 }
 
 impl StoredEntry {
-    /// The values and blobs that it refers to.
+    /// Returns the digests of the referenced values and blobs.
     pub fn references(&self) -> BTreeSet<Digest> {
         match &self.payload {
             StoredPayload::Command(segments) => references(segments),
@@ -36,7 +36,7 @@
     }
 }
 
-/// [`consensus::Snapshot`].
+/// Stored form of [`consensus::Snapshot`].
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct StoredSnapshot {
     pub index: LogIndex,
@@ -46,13 +46,13 @@
 }
 
 impl StoredSnapshot {
-    /// The values and blobs that it refers to.
+    /// Returns the digests of the referenced values and blobs.
     pub fn references(&self) -> BTreeSet<Digest> {
         references(&self.state)
     }
 }
 
-/// [`consensus::Persist`].
+/// Stored form of [`consensus::Persist`].
 pub enum StoredChange {
     HardState { term: Term, vote: Option<NodeId> },
     Entries { from: LogIndex, entries: Vec<StoredEntry> },
@@ -60,7 +60,7 @@
 }
 
 impl StoredChange {
-    /// The values and blobs that it refers to.
+    /// Returns the digests of the referenced values and blobs.
     pub fn references(&self) -> BTreeSet<Digest> {
         match self {
             StoredChange::HardState { .. } => BTreeSet::new(),
--- a/crates/control/control-plane/src/subscribers.rs
+++ b/crates/control/control-plane/src/subscribers.rs
@@ -1,4 +1,5 @@
-//! Gateways that subscribe: what they are sent goes out as they can take it, what they send comes in.
+//! Connections of subscribed gateways: sends them updates, configuration chunks and grants as flow control permits, and
+//! receives their messages.
 
 use crate::driver::{Driver, GatewayLink};
 use change_log::Offset;
@@ -13,43 +14,43 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Grants that wait for a gateway; it asks again for what is lost.
+/// Capacity of a gateway's grant queue; a gateway requests a lost grant again.
 const GRANT_QUEUE_LENGTH: usize = 64;
 
-/// What a gateway says of itself when it subscribes.
+/// The parameters with which a gateway subscribes.
 pub struct Subscription {
-    /// Its name.
+    /// Name of the gateway.
     pub name: String,
-    /// How far it has followed this node's changes.
+    /// The gateway's position in this node's change log.
     pub offset: Option<Offset>,
-    /// The configuration that it holds; 0: none.
+    /// Log index of the configuration that the gateway holds; 0 if it has none.
     pub configuration_index: LogIndex,
-    /// For its first heartbeat.
+    /// Contact number for the first heartbeat to this gateway.
     pub contact_number: u64,
 }
 
-/// Serves one gateway until its connection ends.
+/// Serves one gateway until its connection closes.
 pub async fn serve(driver: Rc<Driver>, subscription: Subscription, reader: FrameReader, writer: FrameWriter) {
     let Subscription { name, offset, configuration_index, contact_number } = subscription;
-    let (grants, granted) = mpsc::channel(GRANT_QUEUE_LENGTH);
+    let (grants, queued_grants) = mpsc::channel(GRANT_QUEUE_LENGTH);
     let chunk_window = Rc::new(Notify::new());
-    let link = driver.with(|node, _| node.subscribe(&name, offset, configuration_index, contact_number));
-    let gateway_link = GatewayLink { link, grants, chunk_window: chunk_window.clone() };
+    let link_id = driver.with(|node, _| node.subscribe(&name, offset, configuration_index, contact_number));
+    let gateway_link = GatewayLink { link_id, grants, chunk_window: chunk_window.clone() };
     driver.gateway_links.borrow_mut().insert(name.clone(), gateway_link);
     tokio::select! {
-        _ = send_updates(&driver, &name, link, granted, &chunk_window, writer) => {}
-        () = receive_messages(&driver, &name, link, reader) => {}
+        _ = send_updates(&driver, &name, link_id, queued_grants, &chunk_window, writer) => {}
+        () = receive_messages(&driver, &name, link_id, reader) => {}
     }
-    driver.with(|node, _| node.unsubscribe(&name, link));
-    // It may have subscribed again on another connection.
-    driver.gateway_links.borrow_mut().retain(|other, gateway| *other != name || gateway.link != link);
+    driver.with(|node, _| node.unsubscribe(&name, link_id));
+    // The gateway may have subscribed again on another connection; that entry stays.
+    driver.gateway_links.borrow_mut().retain(|other, gateway| *other != name || gateway.link_id != link_id);
 }
 
 async fn send_updates(
     driver: &Driver,
     name: &str,
-    link: u64,
-    mut granted: mpsc::Receiver<GatewayUpdate>,
+    link_id: u64,
+    mut queued_grants: mpsc::Receiver<GatewayUpdate>,
     chunk_window: &Notify,
     mut writer: FrameWriter,
 ) -> io::Result<()> {
@@ -57,22 +58,22 @@
     let mut heartbeat = interval(Duration::from_nanos(UPDATE_INTERVAL));
     heartbeat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        // What is sent and what has changed since are seen in one step, so that nothing is missed between them.
-        if let Some(update) = driver.with(|node, now| node.next_update(now, name, link)) {
+        // Changes are read and marked as sent in one step, so that no change is missed in between.
+        if let Some(update) = driver.with(|node, now| node.next_update(now, name, link_id)) {
             writer.write(&update).await?;
         }
-        let chunk = driver.with(|node, _| node.next_chunk(name, link));
+        let chunk = driver.with(|node, _| node.next_chunk(name, link_id));
         let may_have_more = chunk.is_some();
         if let Some(chunk) = chunk {
             writer.write(&chunk).await?;
         }
         tokio::select! {
             biased;
-            grant = granted.recv() => match grant {
+            grant = queued_grants.recv() => match grant {
                 None => return Ok(()),
                 Some(grant) => writer.write(&grant).await?,
             },
-            _ = heartbeat.tick() => match driver.with(|node, now| node.heartbeat_update(now, name, link)) {
+            _ = heartbeat.tick() => match driver.with(|node, now| node.heartbeat_update(now, name, link_id)) {
                 None => return Ok(()),
                 Some(heartbeat) => writer.write(&heartbeat).await?,
             },
@@ -83,8 +84,8 @@
     }
 }
 
-async fn receive_messages(driver: &Driver, name: &str, link: u64, mut reader: FrameReader) {
+async fn receive_messages(driver: &Driver, name: &str, link_id: u64, mut reader: FrameReader) {
     while let Ok(Some(message)) = reader.read::<GatewayMessage>().await {
-        driver.with(|node, now| node.on_gateway_message(now, name, link, message));
+        driver.with(|node, now| node.on_gateway_message(now, name, link_id, message));
     }
 }
