--- a/crates/control/control-plane/src/driver/tests.rs
+++ b/crates/control/control-plane/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Three control nodes in one process, each with a disk that a test may fill, stall, or take power from.
+//! Tests of three control nodes in one process, each on a fake disk that can fill up, stall or lose power.
 
 use super::*;
 use crate::storage::directory::Directory;
@@ -12,16 +12,16 @@
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::timeout;
 
-/// Nothing takes so long.
-const LONG_ENOUGH: Duration = Duration::from_secs(20);
-struct One {
+/// Time limit for each wait.
+const TIMEOUT: Duration = Duration::from_secs(20);
+struct RunningNode {
     driver: Rc<Driver>,
     task: JoinHandle<()>,
 }
 
-struct Three {
+struct Cluster {
     disks: Vec<FakeDisk>,
-    ones: Vec<Option<One>>,
+    nodes: Vec<Option<RunningNode>>,
     starts: u64,
 }
 
@@ -29,49 +29,52 @@
     format!("10.0.0.{}", n + 1)
 }
 
-/// A configuration here: its base, its version, then whatever.
-fn body(base: u32, version: u32, fill: usize) -> Vec<u8> {
-    let mut body = vec![version as u8; fill.max(8)];
+/// Returns a configuration in the format of these tests: base, version and filler bytes.
+fn body(base: u32, version: u32, length: usize) -> Vec<u8> {
+    let mut body = vec![version as u8; length.max(8)];
     body[..4].copy_from_slice(&base.to_be_bytes());
     body[4..8].copy_from_slice(&version.to_be_bytes());
     body
 }
 
-fn check(body: &[u8]) -> Result<DeclaredVersions, ConfigurationError> {
-    let number = |at: usize| body.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
-    let read = number(0).zip(number(4));
-    read.map(|(base, version)| DeclaredVersions { base, version })
+fn parse_versions(body: &[u8]) -> Result<DeclaredVersions, ConfigurationError> {
+    let number = |offset: usize| {
+        body.get(offset..offset + 4).and_then(|bytes| bytes.try_into().ok()).map(u32::from_be_bytes)
+    };
+    let versions = number(0).zip(number(4));
+    versions
+        .map(|(base, version)| DeclaredVersions { base, version })
         .ok_or_else(|| ConfigurationError::Malformed("too short".into()))
 }
 
-impl Three {
+impl Cluster {
     async fn new() -> Self {
         let disks = (0..3).map(|_| FakeDisk::default()).collect();
-        let mut three = Three { disks, ones: vec![None, None, None], starts: 0 };
-        let mut members = VoterSet::new();
+        let mut cluster = Cluster { disks, nodes: vec![None, None, None], starts: 0 };
+        let mut voters = VoterSet::new();
         for n in 0..3 {
-            members.insert(name(n), three.start(n).await);
+            voters.insert(name(n), cluster.start(n).await);
         }
-        // Its first save makes it a voter; before that it founds nothing.
-        while three.leader().is_none() {
-            three.say(0, ControlMessage::BootstrapChosen { voters: members.clone() });
-            three.news(0).await;
+        // A node can vote, and so bootstrap the cluster, only after its first save; until then the message has no effect.
+        while cluster.leader().is_none() {
+            cluster.deliver(0, ControlMessage::BootstrapChosen { voters: voters.clone() });
+            cluster.wait_for_change(0).await;
         }
-        three
+        cluster
     }
 
-    fn one(&self, n: usize) -> &One {
-        self.ones[n].as_ref().unwrap()
+    fn running_node(&self, n: usize) -> &RunningNode {
+        self.nodes[n].as_ref().unwrap()
     }
 
     async fn start(&mut self, n: usize) -> u64 {
         self.starts += 1;
-        let (folder, id) =
+        let (directory, disk_id) =
             (Arc::new(self.disks[n].clone()) as Arc<dyn Directory>, 100 * self.starts + n as u64);
-        let opens = move || Store::open(folder, &name(n), id);
-        let (disk, held) = StorageHandle::spawn(opens, PathBuf::new()).await.unwrap();
-        let setup = NodeConfig {
-            id: NodeId { name: name(n), disk_id: held.disk_id },
+        let open = move || Store::open(directory, &name(n), disk_id);
+        let (storage, loaded) = StorageHandle::spawn(open, PathBuf::new()).await.unwrap();
+        let config = NodeConfig {
+            id: NodeId { name: name(n), disk_id: loaded.disk_id },
             zone: "a".into(),
             can_vote: true,
             initial_start: true,
@@ -81,243 +84,268 @@
             fallback_lifetime: quota::FALLBACK_LIFETIME,
             seed: self.starts,
         };
-        let driver =
-            Driver::new(ControlNode::new(setup, held.stored, held.heartbeats, 0), disk, Arc::new(check));
-        self.ones[n] = Some(One { task: spawn_local(driver.clone().run()), driver });
+        let driver = Driver::new(
+            ControlNode::new(config, loaded.stored, loaded.heartbeats, 0),
+            storage,
+            Arc::new(parse_versions),
+        );
+        self.nodes[n] = Some(RunningNode { task: spawn_local(driver.clone().run()), driver });
         (0..3).for_each(|other| self.connect(other));
-        held.disk_id
+        loaded.disk_id
     }
 
-    /// Another control-plane node says this.
-    fn say(&self, n: usize, peer: ControlMessage) {
+    /// Delivers a message from another control node to node `n`.
+    fn deliver(&self, n: usize, message: ControlMessage) {
         let from = NodeId { name: name((n + 1) % 3), disk_id: 0 };
-        self.one(n).driver.with(|p, now| p.on_control_message(now, &from, peer));
+        self.running_node(n).driver.with(|node, now| node.on_control_message(now, &from, message));
     }
 
-    /// What this one says reaches those that run.
+    /// Connects node `n` to all running nodes, for the messages that it sends.
     fn connect(&self, n: usize) {
-        let Some(one) = &self.ones[n] else { return };
-        one.driver.links.borrow_mut().clear();
-        for (to, other) in self.ones.iter().enumerate().filter(|(to, _)| *to != n) {
+        let Some(sending_node) = &self.nodes[n] else { return };
+        sending_node.driver.links.borrow_mut().clear();
+        for (to, other) in self.nodes.iter().enumerate().filter(|(to, _)| *to != n) {
             let Some(other) = other else { continue };
             let (sender, mut queue) = mpsc::channel(512);
-            one.driver.links.borrow_mut().insert(name(to), sender);
-            let (driver, from) = (other.driver.clone(), one.driver.node().id().clone());
+            sending_node.driver.links.borrow_mut().insert(name(to), sender);
+            let (driver, from) = (other.driver.clone(), sending_node.driver.node().id().clone());
             spawn_local(async move {
                 while let Some(message) = queue.recv().await {
-                    driver.with(|p, now| p.on_control_message(now, &from, message));
+                    driver.with(|node, now| node.on_control_message(now, &from, message));
                 }
             });
         }
     }
 
-    /// Nothing that it says reaches anybody, nor the other way.
-    fn cut(&self, n: usize) {
-        for (other, one) in self.ones.iter().enumerate() {
-            if let Some(one) = one {
-                let mut links = one.driver.links.borrow_mut();
+    /// Cuts node `n` off from all others, in both directions.
+    fn isolate(&self, n: usize) {
+        for (other, node) in self.nodes.iter().enumerate() {
+            if let Some(node) = node {
+                let mut links = node.driver.links.borrow_mut();
                 links.retain(|to, _| other != n && *to != name(n));
             }
         }
     }
 
     fn stop(&mut self, n: usize) {
-        self.ones[n].take().unwrap().task.abort();
+        self.nodes[n].take().unwrap().task.abort();
         (0..3).for_each(|other| self.connect(other));
     }
 
-    /// Something has happened at this one, or some time has passed.
-    async fn news(&self, n: usize) {
-        let _ = timeout(Duration::from_millis(20), self.one(n).driver.changes().changed()).await;
+    /// Waits until node `n` reports a change or 20 ms have passed.
+    async fn wait_for_change(&self, n: usize) {
+        let _ = timeout(Duration::from_millis(20), self.running_node(n).driver.changes().changed()).await;
     }
 
     fn leader(&self) -> Option<usize> {
-        (0..3).find(|n| self.ones[*n].as_ref().is_some_and(|o| o.driver.node().leadership().is_leader))
+        (0..3).find(|n| self.nodes[*n].as_ref().is_some_and(|node| node.driver.node().leadership().is_leader))
     }
 
-    async fn until(&self, what: &str, holds: impl Fn(&Three) -> bool) {
+    async fn wait_until(&self, condition: &str, holds: impl Fn(&Cluster) -> bool) {
         let wait = async {
             while !holds(self) {
-                self.news((0..3).find(|n| self.ones[*n].is_some()).unwrap()).await;
+                self.wait_for_change((0..3).find(|n| self.nodes[*n].is_some()).unwrap()).await;
             }
         };
-        timeout(LONG_ENOUGH, wait).await.unwrap_or_else(|_| panic!("never: {what}"));
+        timeout(TIMEOUT, wait).await.unwrap_or_else(|_| panic!("timed out waiting until {condition}"));
     }
 
     fn version(&self, n: usize) -> u32 {
-        self.one(n).driver.node().state().version()
+        self.running_node(n).driver.node().state().version()
     }
 
-    /// Changes to this version, at whoever leads, until it is taken.
-    async fn change(&self, version: u32, bytes: usize) -> usize {
+    /// Retries a change to this version at the current leader until it is acknowledged; returns that leader.
+    async fn replace_configuration(&self, version: u32, bytes: usize) -> usize {
         let body = body(version - 1, version, bytes);
-        let taken = async {
+        let acknowledged = async {
             loop {
                 if let Some(leader) = self.leader() {
                     let body = body.clone().into();
                     let reply = self
-                        .one(leader)
+                        .running_node(leader)
                         .driver
-                        .call(|p, now, call| p.replace_configuration(now, call, body))
+                        .call(|node, now, call| node.replace_configuration(now, call, body))
                         .await;
-                    // It may have been taken without an answer.
+                    // A change that was applied without a reply is acknowledged when it is repeated.
                     if reply == Some(Reply::Acknowledged) {
                         return leader;
                     }
                 }
-                self.news((0..3).find(|n| self.ones[*n].is_some()).unwrap()).await;
+                self.wait_for_change((0..3).find(|n| self.nodes[*n].is_some()).unwrap()).await;
             }
         };
-        timeout(LONG_ENOUGH, taken).await.expect("it was never taken")
+        timeout(TIMEOUT, acknowledged).await.expect("the change is acknowledged in time")
     }
 
-    /// Has a command agreed on, by whoever leads.
-    async fn take(&self, command: &Command, stands: impl Fn(&control_state::ControlState) -> bool) {
-        let taken = async {
-            while !self.leader().is_some_and(|n| stands(self.one(n).driver.node().state())) {
+    /// Proposes a command at the current leader until it is applied there.
+    async fn commit_command(
+        &self,
+        command: &Command,
+        is_applied: impl Fn(&control_state::ControlState) -> bool,
+    ) {
+        let applied = async {
+            while !self.leader().is_some_and(|n| is_applied(self.running_node(n).driver.node().state())) {
                 if let Some(leader) = self.leader() {
-                    self.say(leader, ControlMessage::Propose { command: command.encode() });
+                    self.deliver(leader, ControlMessage::Propose { command: command.encode() });
                 }
-                self.news(0).await;
+                self.wait_for_change(0).await;
             }
         };
-        timeout(LONG_ENOUGH, taken).await.expect("it was never taken");
+        timeout(TIMEOUT, applied).await.expect("the command is applied in time");
     }
 }
 
-async fn local<T>(work: impl Future<Output = T>) -> T {
-    LocalSet::new().run_until(work).await
+async fn run_local<T>(future: impl Future<Output = T>) -> T {
+    LocalSet::new().run_until(future).await
 }
 
-/// The leader's disk takes nothing, or does not answer: another leads, changes are taken, this one hears of them; and it counts again
-/// once it holds all.
-async fn without_the_leaders_disk(mood: DiskBehaviour) {
-    let mut three = Three::new().await;
-    let old = three.change(1, 9000).await;
-    three.disks[old].set_behaviour(mood);
-    let new = three.change(2, 9000).await;
-    assert!(new != old, "{mood:?}: nothing is agreed on under a leader that cannot save");
-    three.until("it hears of it", |t| t.version(old) == 2).await;
-    assert!(!three.one(old).task.is_finished());
-    let follows = |t: &Three| {
-        t.one(old).driver.node().leadership().leader.as_ref().is_some_and(|h| h.name != name(old))
+/// The leader's disk fails writes or stalls: another node becomes leader, changes are committed, and the former leader learns of
+/// them. Once its disk works again, it counts towards the quorum.
+async fn check_leader_disk_failure(behaviour: DiskBehaviour) {
+    let mut cluster = Cluster::new().await;
+    let old = cluster.replace_configuration(1, 9000).await;
+    cluster.disks[old].set_behaviour(behaviour);
+    let new = cluster.replace_configuration(2, 9000).await;
+    assert!(new != old, "{behaviour:?}: a leader that cannot save commits nothing");
+    cluster.wait_until("the former leader has applied version 2", |c| c.version(old) == 2).await;
+    assert!(!cluster.running_node(old).task.is_finished());
+    let follows_another = |c: &Cluster| {
+        c.running_node(old).driver.node().leadership().leader.as_ref().is_some_and(|id| id.name != name(old))
     };
-    three.until("it follows another", follows).await;
-    three.disks[old].set_behaviour(DiskBehaviour::Healthy);
-    // Its command is wanted now.
-    three.cut(3 - old - new);
-    three.change(3, 9000).await;
-    three.until("it has it", |t| t.version(old) == 3).await;
-    // All that was agreed on is on two disks, whoever lost power.
-    three.stop(new);
-    three.stop(old);
-    three.disks[old] = three.disks[old].after(PowerLoss::All);
-    three.start(old).await;
-    (0..3).for_each(|n| three.connect(n));
-    three.until("both hold it", |t| t.version(old) == 3 && t.version(3 - old - new) == 3).await;
+    cluster.wait_until("the former leader follows another", follows_another).await;
+    cluster.disks[old].set_behaviour(DiskBehaviour::Healthy);
+    // With the third node isolated, the quorum needs the former leader.
+    cluster.isolate(3 - old - new);
+    cluster.replace_configuration(3, 9000).await;
+    cluster.wait_until("the former leader has applied version 3", |c| c.version(old) == 3).await;
+    // Every committed entry is on two disks, so that it survives a power loss of either node.
+    cluster.stop(new);
+    cluster.stop(old);
+    cluster.disks[old] = cluster.disks[old].restarted_after(PowerLoss::All);
+    cluster.start(old).await;
+    (0..3).for_each(|n| cluster.connect(n));
+    cluster
+        .wait_until("both remaining nodes have applied version 3", |c| {
+            c.version(old) == 3 && c.version(3 - old - new) == 3
+        })
+        .await;
 }
 
 #[tokio::test]
 async fn full_disk_of_the_leader_transfers_leadership() {
-    local(without_the_leaders_disk(DiskBehaviour::Full)).await;
+    run_local(check_leader_disk_failure(DiskBehaviour::Full)).await;
 }
 
 #[tokio::test]
 async fn stalled_disk_of_the_leader_transfers_leadership() {
-    local(without_the_leaders_disk(DiskBehaviour::Stalled)).await;
+    run_local(check_leader_disk_failure(DiskBehaviour::Stalled)).await;
 }
 
-/// All disks are full at once, as with one log on all of them: nothing is taken, nothing ends, and it goes on when they work.
+/// All disks are full at once, as can happen because all hold the same log: nothing is committed, no node exits, and the cluster
+/// continues when the disks work again.
 #[tokio::test]
 async fn all_disks_full_at_once_lose_nothing() {
-    local(async {
-        let mut three = Three::new().await;
-        three.change(1, 9000).await;
-        three.disks.iter().for_each(|d| d.set_behaviour(DiskBehaviour::Full));
-        let leader = three.leader().unwrap();
-        let (one, order) = (&three.one(leader).driver, body(1, 2, 9000).into());
+    run_local(async {
+        let mut cluster = Cluster::new().await;
+        cluster.replace_configuration(1, 9000).await;
+        cluster.disks.iter().for_each(|d| d.set_behaviour(DiskBehaviour::Full));
+        let leader = cluster.leader().unwrap();
+        let (driver, new_body) = (&cluster.running_node(leader).driver, body(1, 2, 9000).into());
         let (drain, change) = tokio::join!(
-            one.call(|p, now, call| p.deregister(now, call, "i-1")),
-            one.call(|p, now, call| p.replace_configuration(now, call, order)),
+            driver.call(|node, now, call| node.deregister(now, call, "i-1")),
+            driver.call(|node, now, call| node.replace_configuration(now, call, new_body)),
         );
-        assert_eq!(drain, Some(Reply::Unavailable), "nothing is confirmed that is on no disk");
-        assert_eq!(change, Some(Reply::Unavailable), "nothing is confirmed that is on no disk");
-        three.until("nobody leads", |t| t.leader().is_none()).await;
-        assert!((0..3).all(|n| !three.one(n).task.is_finished()));
-        // Power is lost while they are full, and they stay so for a while.
+        assert_eq!(drain, Some(Reply::Unavailable), "nothing is acknowledged before it is on a disk");
+        assert_eq!(change, Some(Reply::Unavailable), "nothing is acknowledged before it is on a disk");
+        cluster.wait_until("there is no leader", |c| c.leader().is_none()).await;
+        assert!((0..3).all(|n| !cluster.running_node(n).task.is_finished()));
+        // All nodes lose power while their disks are full, and the disks stay full for a while.
         for n in 0..3 {
-            three.stop(n);
-            three.disks[n] = three.disks[n].after(PowerLoss::All);
-            three.disks[n].set_behaviour(DiskBehaviour::Full);
+            cluster.stop(n);
+            cluster.disks[n] = cluster.disks[n].restarted_after(PowerLoss::All);
+            cluster.disks[n].set_behaviour(DiskBehaviour::Full);
         }
         for n in 0..3 {
-            three.start(n).await;
+            cluster.start(n).await;
         }
         for _ in 0..60 {
-            three.news(0).await;
-            assert_eq!(three.leader(), None, "a vote needs a disk");
+            cluster.wait_for_change(0).await;
+            assert_eq!(cluster.leader(), None, "a vote needs a durable write");
         }
-        three.disks.iter().for_each(|d| d.set_behaviour(DiskBehaviour::Healthy));
-        three.change(2, 9000).await;
+        cluster.disks.iter().for_each(|d| d.set_behaviour(DiskBehaviour::Healthy));
+        cluster.replace_configuration(2, 9000).await;
     })
     .await;
 }
 
-/// A member that was away for hundreds of changes, and is started anew: it has the state at once, and whoever leads then, leads with it.
+/// A node restarts after missing hundreds of changes: it catches up, and after the leader is lost the cluster continues with it
+/// and the complete state.
 #[tokio::test]
 async fn node_returning_after_hundreds_of_changes_catches_up_and_leads() {
-    local(async {
-        let mut three = Three::new().await;
-        three.take(&Command::Drain { instance: "i-1".into() }, |b| b.is_draining("i-1")).await;
-        three.take(&Command::AddGateway { name: "g-1".into() }, |b| b.gateways().contains("g-1")).await;
-        three
-            .take(&Command::ExpireTrial { tenant: "t-1".into(), ends_at: 7 }, |b| {
-                b.is_trial_expired("t-1", 7)
+    run_local(async {
+        let mut cluster = Cluster::new().await;
+        cluster
+            .commit_command(&Command::Drain { instance: "i-1".into() }, |state| state.is_draining("i-1"))
+            .await;
+        cluster
+            .commit_command(&Command::AddGateway { name: "g-1".into() }, |state| {
+                state.gateways().contains("g-1")
+            })
+            .await;
+        cluster
+            .commit_command(&Command::ExpireTrial { tenant: "t-1".into(), ends_at: 7 }, |state| {
+                state.is_trial_expired("t-1", 7)
             })
             .await;
         for version in 1..=70 {
-            three.change(version, 5000).await;
+            cluster.replace_configuration(version, 5000).await;
         }
-        let leader = three.leader().unwrap();
-        let (away, other) = ((leader + 1) % 3, (leader + 2) % 3);
-        three.until("all have it", |t| t.version(away) == 70).await;
-        three.stop(away);
+        let leader = cluster.leader().unwrap();
+        let (stopped, other) = ((leader + 1) % 3, (leader + 2) % 3);
+        cluster
+            .wait_until("the node to be stopped has applied version 70", |c| c.version(stopped) == 70)
+            .await;
+        cluster.stop(stopped);
         for version in 71..=470 {
-            three.change(version, 5000).await;
+            cluster.replace_configuration(version, 5000).await;
         }
-        three.disks[away] = three.disks[away].after(PowerLoss::All);
-        three.start(away).await;
-        assert!(three.version(away) >= 65, "what was saved: {}", three.version(away));
-        three.until("it has caught up", |t| t.version(away) == 470).await;
-        // The leader goes: of the two that are left one leads, with all.
-        three.cut(leader);
-        three
-            .until("another leads", |t| {
-                [away, other].iter().any(|n| t.one(*n).driver.node().leadership().is_leader)
+        cluster.disks[stopped] = cluster.disks[stopped].restarted_after(PowerLoss::All);
+        cluster.start(stopped).await;
+        assert!(cluster.version(stopped) >= 65, "the saved version is {}", cluster.version(stopped));
+        cluster.wait_until("the restarted node has caught up", |c| c.version(stopped) == 470).await;
+        // The leader is lost: one of the two remaining nodes becomes leader with the complete state.
+        cluster.isolate(leader);
+        cluster
+            .wait_until("another node leads", |c| {
+                [stopped, other].iter().any(|n| c.running_node(*n).driver.node().leadership().is_leader)
+            })
+            .await;
+        cluster.stop(leader);
+        cluster.replace_configuration(471, 5000).await;
+        cluster
+            .wait_until("both have applied version 471", |c| {
+                c.version(stopped) == 471 && c.version(other) == 471
             })
             .await;
-        three.stop(leader);
-        three.change(471, 5000).await;
-        three.until("both have it", |t| t.version(away) == 471 && t.version(other) == 471).await;
-        // The snapshot holds all that was ever said, and both know earlier configurations again in the same way.
-        let before = three.one(away).driver.node().state().clone();
-        assert_eq!(before, *three.one(other).driver.node().state());
-        let state = &before;
+        // The snapshot covers all commands, and both nodes recognize earlier configurations in the same way.
+        let expected_state = cluster.running_node(stopped).driver.node().state().clone();
+        assert_eq!(expected_state, *cluster.running_node(other).driver.node().state());
+        let state = &expected_state;
         assert!(
             state.is_draining("i-1") && state.gateways().contains("g-1") && state.is_trial_expired("t-1", 7)
         );
         assert!(state.is_applied_as(470, &body(469, 470, 5000)));
-        // All lose power: the same is there again.
-        for n in [away, other] {
-            three.stop(n);
-            three.disks[n] = three.disks[n].after(PowerLoss::All);
+        // Both lose power: they recover the same state.
+        for n in [stopped, other] {
+            cluster.stop(n);
+            cluster.disks[n] = cluster.disks[n].restarted_after(PowerLoss::All);
         }
-        for n in [away, other] {
-            three.start(n).await;
+        for n in [stopped, other] {
+            cluster.start(n).await;
         }
-        three
-            .until("both have it again", |t| {
-                [away, other].iter().all(|n| *t.one(*n).driver.node().state() == before)
+        cluster
+            .wait_until("both have recovered the state", |c| {
+                [stopped, other].iter().all(|n| *c.running_node(*n).driver.node().state() == expected_state)
             })
             .await;
     })
--- a/crates/control/control-plane/src/storage/golden_tests.rs
+++ b/crates/control/control-plane/src/storage/golden_tests.rs
@@ -1,4 +1,5 @@
-//! A folder that an earlier version wrote is opened with all that it held, and the same is written byte for byte.
+//! Compatibility tests: a store written by an earlier version is read completely, and the same state is written byte for byte
+//! as that version wrote it.
 
 use super::directory::{Directory, SystemDirectory};
 use super::store::Store;
@@ -9,15 +10,15 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 
 pub(super) const NAME: &str = "10.0.0.1";
-pub(super) const ID: u64 = 77;
+pub(super) const DISK_ID: u64 = 77;
 
-/// The folder as it was written by version 0.1.0 before names were changed.
-pub(super) fn recorded() -> PathBuf {
+/// Path of the store as written by version 0.1.0, before identifiers were renamed.
+pub(super) fn recorded_directory() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../testing/compatibility/golden/agreement")
 }
 
-fn members() -> VoterSet {
-    [(NAME.to_string(), ID), ("10.0.0.2".to_string(), 78), ("10.0.0.3".to_string(), 79)].into()
+fn voters() -> VoterSet {
+    [(NAME.to_string(), DISK_ID), ("10.0.0.2".to_string(), 78), ("10.0.0.3".to_string(), 79)].into()
 }
 
 fn configuration(base: u32, bytes: usize) -> EntryPayload {
@@ -25,24 +26,24 @@
     EntryPayload::Command(Command::ReplaceConfiguration { base, version: base + 1, body }.encode())
 }
 
-/// Entries of each kind, with configurations that stand where they are, as values, and as files of their own.
-pub(super) fn stored() -> PersistedState {
+/// A state with entries of each kind; their configurations are stored inline, as values and as blobs.
+pub(super) fn stored_state() -> PersistedState {
     let mut state = ControlState::new();
     state.apply(2, &Command::ReplaceConfiguration { base: 0, version: 1, body: vec![b'x'; 5000] });
     state.apply(3, &Command::Drain { instance: "i-1".into() });
-    let said = [
+    let payloads = [
         EntryPayload::Noop,
-        EntryPayload::Configuration(members()),
+        EntryPayload::Configuration(voters()),
         configuration(1, 1000),
         configuration(2, 9000),
         configuration(3, 70_000),
-        EntryPayload::JointConfiguration { old: members(), new: VoterSet::new() },
+        EntryPayload::JointConfiguration { old: voters(), new: VoterSet::new() },
     ];
     PersistedState {
         term: 5,
         vote: Some(NodeId { name: "10.0.0.2".into(), disk_id: 78 }),
-        snapshot: Snapshot { index: 3, term: 4, voters: members(), state: state.encode() },
-        entries: said.into_iter().map(|said| Entry { term: 5, payload: said }).collect(),
+        snapshot: Snapshot { index: 3, term: 4, voters: voters(), state: state.encode() },
+        entries: payloads.into_iter().map(|payload| Entry { term: 5, payload }).collect(),
         commit_index: 4,
     }
 }
@@ -58,12 +59,12 @@
 }
 
 fn open(path: &Path) -> (Store, LoadedState) {
-    let folder = SystemDirectory::new(path.to_path_buf()).unwrap();
-    Store::open(Arc::new(folder) as Arc<dyn Directory>, NAME, ID).unwrap()
+    let directory = SystemDirectory::new(path.to_path_buf()).unwrap();
+    Store::open(Arc::new(directory) as Arc<dyn Directory>, NAME, DISK_ID).unwrap()
 }
 
-/// An empty folder of this test's own.
-pub(super) fn scratch(test: &str) -> PathBuf {
+/// Creates an empty temporary directory for one test.
+pub(super) fn scratch_directory(test: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("granitethread-{test}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
@@ -71,13 +72,13 @@
 }
 
 fn write(path: &Path) {
-    let (mut storage, _) = open(path);
-    storage.save_full(&stored()).unwrap();
-    storage.write_registry(&heartbeats());
-    storage.sync_registry();
+    let (mut store, _) = open(path);
+    store.save_full(&stored_state()).unwrap();
+    store.write_registry(&heartbeats());
+    store.sync_registry();
 }
 
-pub(super) fn copy(from: &Path, to: &Path) {
+pub(super) fn copy_files(from: &Path, to: &Path) {
     for entry in std::fs::read_dir(from).unwrap() {
         let entry = entry.unwrap();
         std::fs::copy(entry.path(), to.join(entry.file_name())).unwrap();
@@ -86,10 +87,10 @@
 
 fn rows(path: &Path) -> Vec<(String, Vec<u8>)> {
     let database = Database::open(path).unwrap();
-    let read = database.begin_read().unwrap();
+    let transaction = database.begin_read().unwrap();
     let mut rows = Vec::new();
     for name in ["agreed", "values"] {
-        let table = read.open_table(TableDefinition::<&[u8], &[u8]>::new(name)).unwrap();
+        let table = transaction.open_table(TableDefinition::<&[u8], &[u8]>::new(name)).unwrap();
         for row in table.iter().unwrap() {
             let (key, value) = row.unwrap();
             let key: String = key.value().iter().map(|b| format!("{b:02x}")).collect();
@@ -101,21 +102,21 @@
 
 #[test]
 fn directory_of_the_previous_version_is_opened_with_all_it_held() {
-    if std::env::var_os(RECORD_VARIABLE).is_some() && !recorded().exists() {
-        std::fs::create_dir_all(recorded()).unwrap();
-        write(&recorded());
+    if std::env::var_os(RECORD_VARIABLE).is_some() && !recorded_directory().exists() {
+        std::fs::create_dir_all(recorded_directory()).unwrap();
+        write(&recorded_directory());
     }
-    let path = scratch("opened");
-    copy(&recorded(), &path);
-    let (_, held) = open(&path);
-    assert_eq!((held.disk_id, held.stored, held.heartbeats), (ID, stored(), heartbeats()));
+    let path = scratch_directory("opened");
+    copy_files(&recorded_directory(), &path);
+    let (_, loaded) = open(&path);
+    assert_eq!((loaded.disk_id, loaded.stored, loaded.heartbeats), (DISK_ID, stored_state(), heartbeats()));
     std::fs::remove_dir_all(path).unwrap();
 }
 
 #[test]
 fn state_is_written_as_the_same_rows_and_files_as_before() {
     let mut golden = Golden::open("stored-rows");
-    let path = scratch("written");
+    let path = scratch_directory("written");
     write(&path);
     let names = |path: &Path| {
         let entries = std::fs::read_dir(path).unwrap().map(|e| e.unwrap().file_name());
@@ -123,12 +124,13 @@
         names.sort();
         names
     };
-    assert_eq!(names(&path), names(&recorded()));
+    assert_eq!(names(&path), names(&recorded_directory()));
     for name in names(&path) {
         let name = name.to_str().unwrap();
         if !name.starts_with("agreed-") {
             assert!(
-                std::fs::read(path.join(name)).unwrap() == std::fs::read(recorded().join(name)).unwrap(),
+                std::fs::read(path.join(name)).unwrap()
+                    == std::fs::read(recorded_directory().join(name)).unwrap(),
                 "{name}"
             );
         }
--- a/crates/control/control-plane/src/storage/role_directory_tests.rs
+++ b/crates/control/control-plane/src/storage/role_directory_tests.rs
@@ -1,18 +1,18 @@
-//! A data directory bears its role's name, and the role's name has changed: what an operator moves is opened with all that it
-//! held, and an empty directory at a later start begins no log (`docs/operate/upgrade.md`).
+//! The data directory is named after its role, and the role was renamed. A directory that an operator moves to the new name is
+//! opened with all its contents; an empty directory at a later start does not bootstrap a log (`docs/operate/upgrade.md`).
 
-use super::golden_tests::{copy, recorded, scratch, stored, ID, NAME};
+use super::golden_tests::{copy_files, recorded_directory, scratch_directory, stored_state, DISK_ID, NAME};
 use super::*;
 use control_node::{ControlNode, Effect, NodeConfig};
 use trial::TenantTerms;
 
 const SECOND: u64 = 1_000_000_000;
 
-/// A data directory as a role of this name would have it, with what an earlier version wrote.
+/// Creates the data directory of a role with this name, which holds a store written by an earlier version.
 fn data_directory(parent: &Path, role: &str) -> PathBuf {
     let path = parent.join(role);
     std::fs::create_dir_all(path.join(STORE_DIRECTORY)).unwrap();
-    copy(&recorded(), &path.join(STORE_DIRECTORY));
+    copy_files(&recorded_directory(), &path.join(STORE_DIRECTORY));
     path
 }
 
@@ -37,28 +37,32 @@
 
 #[tokio::test]
 async fn directory_moved_from_the_previous_role_name_is_opened_with_all_it_held() {
-    let parent = scratch("moved-role");
+    let parent = scratch_directory("moved-role");
     let (old, new) = (data_directory(&parent, "prompter"), parent.join("control-plane"));
     std::fs::rename(old, &new).unwrap();
     let (storage, loaded) = StorageHandle::open(&new, NAME).await.unwrap();
-    assert_eq!((loaded.disk_id, &loaded.stored), (ID, &stored()));
+    assert_eq!((loaded.disk_id, &loaded.stored), (DISK_ID, &stored_state()));
     assert_eq!(empty_directory_warning(&settings(&new, false), &loaded.stored), None);
-    // And it is written on.
+    // The store accepts further writes.
     storage.request(StorageRequest::Full(Box::new(loaded.stored))).await.unwrap().unwrap();
-    let (_, again) = StorageHandle::open(&new, NAME).await.unwrap();
-    assert_eq!((again.disk_id, again.stored), (ID, stored()));
+    let (_, reloaded) = StorageHandle::open(&new, NAME).await.unwrap();
+    assert_eq!((reloaded.disk_id, reloaded.stored), (DISK_ID, stored_state()));
     std::fs::remove_dir_all(parent).unwrap();
 }
 
 #[tokio::test]
 async fn empty_directory_at_a_later_start_begins_no_log_and_is_reported_in_one_line() {
-    let parent = scratch("empty-role");
+    let parent = scratch_directory("empty-role");
     let (_, loaded) = StorageHandle::open(&parent, NAME).await.unwrap();
     assert_eq!(loaded.stored, PersistedState::default());
     let warning = empty_directory_warning(&settings(&parent, false), &loaded.stored).unwrap();
     assert!(warning.contains(parent.to_str().unwrap()) && warning.contains("upgrade.md"), "{warning}");
     assert!(!warning.contains('\n'), "{warning}");
-    assert_eq!(empty_directory_warning(&settings(&parent, true), &loaded.stored), None, "the first start");
+    assert_eq!(
+        empty_directory_warning(&settings(&parent, true), &loaded.stored),
+        None,
+        "no warning at the initial start"
+    );
     let config = NodeConfig {
         id: consensus::NodeId { name: NAME.into(), disk_id: loaded.disk_id },
         zone: "a".into(),
