--- a/crates/control/control-plane/tests/wire/cluster.rs
+++ b/crates/control/control-plane/tests/wire/cluster.rs
@@ -1,4 +1,4 @@
-//! Control-plane node as processes on loopback, and calls as operators and backends make them.
+//! Harness that runs control nodes as processes on loopback and makes the calls of operators and backends.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,143 +7,155 @@
 use std::sync::atomic::{AtomicU32, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// How long anything may take here, on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+/// Time limit for each wait, long enough for a busy machine.
+pub const TIMEOUT: Duration = Duration::from_secs(40);
 
-pub struct Core {
-    folder: PathBuf,
+/// Control nodes as processes; they are killed and their directory is removed on drop.
+pub struct Cluster {
+    directory: PathBuf,
     pub ips: Vec<String>,
-    control: u16,
-    pub inner: u16,
-    programs: Vec<Option<Child>>,
+    control_port: u16,
+    pub internal_port: u16,
+    processes: Vec<Option<Child>>,
 }
 
-impl Drop for Core {
+impl Drop for Cluster {
     fn drop(&mut self) {
-        (0..self.programs.len()).for_each(|n| self.kill(n));
-        let _ = std::fs::remove_dir_all(&self.folder);
+        (0..self.processes.len()).for_each(|n| self.kill(n));
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
-impl Core {
-    pub fn open(count: usize) -> Core {
+impl Cluster {
+    /// Starts `count` nodes on addresses and ports that are free.
+    pub fn launch(count: usize) -> Cluster {
         static NEXT: AtomicU32 = AtomicU32::new(0);
-        let net = 10 + (std::process::id() + 37 * NEXT.fetch_add(1, Relaxed)) % 80;
-        let ips: Vec<String> = (1..=count).map(|n| format!("127.0.{net}.{n}")).collect();
-        let free = |port: u16| ips.iter().all(|ip| TcpListener::bind((ip.as_str(), port)).is_ok());
-        let any = || TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).unwrap().port();
-        let control = std::iter::repeat_with(any).find(|p| free(*p)).unwrap();
-        let inner = std::iter::repeat_with(any)
-            .find(|p| *p < 65_000 && p.abs_diff(control) > 3 && (0..3).all(|n| free(p + n)))
+        let subnet = 10 + (std::process::id() + 37 * NEXT.fetch_add(1, Relaxed)) % 80;
+        let ips: Vec<String> = (1..=count).map(|n| format!("127.0.{subnet}.{n}")).collect();
+        let is_free = |port: u16| ips.iter().all(|ip| TcpListener::bind((ip.as_str(), port)).is_ok());
+        let ephemeral_port = || TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).unwrap().port();
+        let control_port = std::iter::repeat_with(ephemeral_port).find(|p| is_free(*p)).unwrap();
+        let internal_port = std::iter::repeat_with(ephemeral_port)
+            .find(|p| *p < 65_000 && p.abs_diff(control_port) > 3 && (0..3).all(|n| is_free(p + n)))
             .unwrap();
-        let folder = std::env::temp_dir().join(format!("prompter-orders-{}-{net}", std::process::id()));
-        let seeds: Vec<String> = ips.iter().map(|ip| format!("\"{ip}:{control}\"")).collect();
+        let directory = std::env::temp_dir().join(format!("prompter-orders-{}-{subnet}", std::process::id()));
+        let seeds: Vec<String> = ips.iter().map(|ip| format!("\"{ip}:{control_port}\"")).collect();
         for (n, ip) in ips.iter().enumerate() {
-            let data = folder.join(n.to_string());
-            std::fs::create_dir_all(&data).unwrap();
+            let data_directory = directory.join(n.to_string());
+            std::fs::create_dir_all(&data_directory).unwrap();
             let text = format!(
                 "[ownIdentity]\nnodeName = \"core-{n}\"\nipAddress = \"{ip}\"\nzone = \"zone-{n}\"\n\
-                 initialStart = true\ndataDirectory = {data:?}\n[networkTerms]\n\
-                 internalPortRange = [{inner}, {}]\nseedNodes = [{}]\n[networkTerms.listenAddresses]\n\
-                 controlPlane = \"{ip}:{control}\"\n[platformTerms]\nheartbeatIntervalMs = 500\n",
-                inner + 2,
+                 initialStart = true\ndataDirectory = {data_directory:?}\n[networkTerms]\n\
+                 internalPortRange = [{internal_port}, {}]\nseedNodes = [{}]\n[networkTerms.listenAddresses]\n\
+                 controlPlane = \"{ip}:{control_port}\"\n[platformTerms]\nheartbeatIntervalMs = 500\n",
+                internal_port + 2,
                 seeds.join(", ")
             );
-            std::fs::write(folder.join(format!("{n}.toml")), text).unwrap();
+            std::fs::write(directory.join(format!("{n}.toml")), text).unwrap();
         }
-        let mut core = Core { folder, ips, control, inner, programs: (0..count).map(|_| None).collect() };
-        (0..count).for_each(|n| core.start(n));
-        core
+        let mut cluster = Cluster {
+            directory,
+            ips,
+            control_port,
+            internal_port,
+            processes: (0..count).map(|_| None).collect(),
+        };
+        (0..count).for_each(|n| cluster.start(n));
+        cluster
     }
 
     pub fn start(&mut self, n: usize) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_granitethread-control-plane"));
-        command.env("GRANITETHREAD_BOOT", self.folder.join(format!("{n}.toml")));
+        command.env("GRANITETHREAD_BOOT", self.directory.join(format!("{n}.toml")));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
-        self.programs[n] = Some(command.spawn().unwrap());
+        self.processes[n] = Some(command.spawn().unwrap());
     }
 
     pub fn kill(&mut self, n: usize) {
-        if let Some(mut program) = self.programs[n].take() {
-            let _ = program.kill();
-            let _ = program.wait();
+        if let Some(mut process) = self.processes[n].take() {
+            let _ = process.kill();
+            let _ = process.wait();
         }
     }
 
     pub fn address(&self, n: usize) -> SocketAddr {
-        format!("{}:{}", self.ips[n], self.control).parse().unwrap()
+        format!("{}:{}", self.ips[n], self.control_port).parse().unwrap()
     }
 
-    /// As operators do it: two redirects are followed, and whatever is unclear is sent again, to the next.
-    pub fn order(&self, first: usize, body: &[u8]) -> u16 {
-        let until = Instant::now() + PATIENCE;
+    /// Sends a configuration as operators do: follows two redirects, and retries at the next node after an inconclusive response.
+    pub fn replace_configuration(&self, first: usize, body: &[u8]) -> u16 {
+        let deadline = Instant::now() + TIMEOUT;
         let mut n = first;
-        while Instant::now() < until {
-            let mut at = self.address(n % self.ips.len());
+        while Instant::now() < deadline {
+            let mut address = self.address(n % self.ips.len());
             for _ in 0..3 {
-                let Some(answer) = post(at, body) else { break };
-                match (answer.status, &answer.location) {
-                    (307, Some(location)) => at = *location,
+                let Some(response) = post_configuration(address, body) else { break };
+                match (response.status, &response.location) {
+                    (307, Some(location)) => address = *location,
                     (503 | 408 | 429, _) => break,
                     (status, _) => return status,
                 }
             }
             n += 1;
         }
-        panic!("no clear answer in {PATIENCE:?}");
+        panic!("no conclusive response in {TIMEOUT:?}");
     }
 
-    /// Who leads: whoever acknowledges again what was taken, and sends nobody on.
-    pub fn leader(&self, taken: &[u8]) -> usize {
-        let until = Instant::now() + PATIENCE;
-        let leads = |n: &usize| post(self.address(*n), taken).is_some_and(|a| a.status == 200);
-        while Instant::now() < until {
-            if let Some(n) = (0..self.ips.len()).find(leads) {
+    /// Returns the leader: the node that acknowledges an already acknowledged configuration again without a redirect.
+    pub fn leader(&self, acknowledged: &[u8]) -> usize {
+        let deadline = Instant::now() + TIMEOUT;
+        let is_leader = |n: &usize| {
+            post_configuration(self.address(*n), acknowledged).is_some_and(|response| response.status == 200)
+        };
+        while Instant::now() < deadline {
+            if let Some(n) = (0..self.ips.len()).find(is_leader) {
                 return n;
             }
         }
-        panic!("nobody leads for {PATIENCE:?}");
+        panic!("no leader in {TIMEOUT:?}");
     }
 
-    /// Stops a process, or has it go on.
+    /// Sends a signal to a process.
     pub fn signal(&self, n: usize, name: &str) {
-        let id = self.programs[n].as_ref().unwrap().id().to_string();
+        let id = self.processes[n].as_ref().unwrap().id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    pub fn read(&self) -> Vec<u8> {
-        let until = Instant::now() + PATIENCE;
-        while Instant::now() < until {
+    /// Reads the configuration from the first node that returns it.
+    pub fn read_configuration(&self) -> Vec<u8> {
+        let deadline = Instant::now() + TIMEOUT;
+        while Instant::now() < deadline {
             for n in 0..self.ips.len() {
-                let answer = call(self.address(n), "GET", "/-/Configuration.Read", &[]);
-                if let Some(answer) = answer.filter(|a| a.status == 200) {
-                    return answer.body;
+                let response = call(self.address(n), "GET", "/-/Configuration.Read", &[]);
+                if let Some(response) = response.filter(|response| response.status == 200) {
+                    return response.body;
                 }
             }
         }
-        panic!("nothing was read in {PATIENCE:?}");
+        panic!("no configuration was read in {TIMEOUT:?}");
     }
 }
 
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub retry_after: bool,
     location: Option<SocketAddr>,
     pub body: Vec<u8>,
 }
 
-pub fn connect(at: SocketAddr) -> Option<TcpStream> {
-    let stream = TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok()?;
-    // A caller goes elsewhere after a second of silence.
+pub fn connect(address: SocketAddr) -> Option<TcpStream> {
+    let stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
+    // Callers switch to another node after a second without a response.
     stream.set_read_timeout(Some(Duration::from_secs(1))).ok()?;
     Some(stream)
 }
 
-pub fn head(method: &str, path: &str, length: usize) -> String {
+pub fn request_head(method: &str, path: &str, length: usize) -> String {
     format!("{method} {path} HTTP/1.1\r\nHost: core\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n")
 }
 
-pub fn answer(stream: &mut TcpStream) -> Option<Answer> {
+/// Reads until the connection closes; returns `None` if there is no complete head.
+pub fn read_response(stream: &mut TcpStream) -> Option<Response> {
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all);
     let end = all.windows(4).position(|w| w == b"\r\n\r\n")?;
@@ -152,7 +164,7 @@
     let location = field("location:").and_then(|l| {
         l.strip_prefix("http://").and_then(|l| l.split('/').next()).and_then(|l| l.parse().ok())
     });
-    Some(Answer {
+    Some(Response {
         status: text.split(' ').nth(1)?.parse().ok()?,
         retry_after: field("retry-after:").is_some(),
         location,
@@ -160,30 +172,30 @@
     })
 }
 
-/// Sends a call, whose answer is read later.
-pub fn send(at: SocketAddr, method: &str, path: &str, body: &[u8]) -> TcpStream {
-    let mut stream = connect(at).unwrap();
-    stream.write_all(head(method, path, body.len()).as_bytes()).unwrap();
+/// Sends a call without reading its response.
+pub fn send(address: SocketAddr, method: &str, path: &str, body: &[u8]) -> TcpStream {
+    let mut stream = connect(address).unwrap();
+    stream.write_all(request_head(method, path, body.len()).as_bytes()).unwrap();
     stream.write_all(body).unwrap();
     stream
 }
 
-pub fn call(at: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<Answer> {
-    let mut stream = connect(at)?;
-    stream.write_all(head(method, path, body.len()).as_bytes()).ok()?;
+pub fn call(address: SocketAddr, method: &str, path: &str, body: &[u8]) -> Option<Response> {
+    let mut stream = connect(address)?;
+    stream.write_all(request_head(method, path, body.len()).as_bytes()).ok()?;
     stream.write_all(body).ok()?;
-    answer(&mut stream)
+    read_response(&mut stream)
 }
 
-pub fn post(at: SocketAddr, body: &[u8]) -> Option<Answer> {
-    call(at, "POST", "/-/Configuration.Replace", body)
+pub fn post_configuration(address: SocketAddr, body: &[u8]) -> Option<Response> {
+    call(address, "POST", "/-/Configuration.Replace", body)
 }
 
-/// A configuration; `by` tells two of one number apart.
-pub fn configuration(base: u32, version: u32, by: &str, routes: usize) -> Vec<u8> {
+/// Returns a configuration; `label` distinguishes two of the same version.
+pub fn configuration(base: u32, version: u32, label: &str, routes: usize) -> Vec<u8> {
     let route = |n: usize| {
         format!(
-            r#"{{"name":"r-{n}-{by}","host":"h{}.example","pathPrefix":"/p{n}/","routeKind":"safe","timeoutMs":2500,"targetLatencyMs":400,"priority":2,"targetService":"s","maxAttempts":2,"public":false}}"#,
+            r#"{{"name":"r-{n}-{label}","host":"h{}.example","pathPrefix":"/p{n}/","routeKind":"safe","timeoutMs":2500,"targetLatencyMs":400,"priority":2,"targetService":"s","maxAttempts":2,"public":false}}"#,
             n % 40
         )
     };
--- a/crates/control/control-plane/tests/wire/main.rs
+++ b/crates/control/control-plane/tests/wire/main.rs
@@ -1,5 +1,5 @@
-//! Control planes as processes, over real sockets.
+//! Tests of control nodes as processes, over real sockets.
 
+mod cluster;
 mod configuration_changes;
-mod core;
 mod subscribers;
