--- a/crates/control/control-plane/src/calls.rs
+++ b/crates/control/control-plane/src/calls.rs
@@ -187,15 +187,13 @@
             return error_response(StatusCode::NOT_FOUND, "no such call");
         };
         if head.method != call.method {
-            return error_response(StatusCode::METHOD_NOT_ALLOWED, "method not allowed");
+            return error_response(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted");
         }
         let collect_body = Body::collect(&self.driver, self.held_body_bytes.clone(), body);
         let body = match timeout(BODY_TIMEOUT, collect_body).await {
             Ok(Ok(body)) => body,
             Ok(Err(response)) => return response,
-            Err(_) => {
-                return error_response(StatusCode::REQUEST_TIMEOUT, "timed out waiting for the request body")
-            }
+            Err(_) => return error_response(StatusCode::REQUEST_TIMEOUT, "it did not come"),
         };
         (call.handler)(self, path.strip_prefix(call.path).unwrap_or_default(), body).await
     }
@@ -208,7 +206,7 @@
             Err(error) => return error_response(StatusCode::BAD_REQUEST, &error.to_string()),
         };
         if heartbeat.address.parse::<SocketAddr>().is_err() {
-            return error_response(StatusCode::BAD_REQUEST, "address is not an IP address and port");
+            return error_response(StatusCode::BAD_REQUEST, "its address is none");
         }
         let heartbeat = heartbeat.into_heartbeat(id);
         drop(body);
@@ -239,14 +237,11 @@
         match reply {
             Some(Reply::Acknowledged) => json_response(StatusCode::OK, "{}"),
             Some(Reply::Invalid(reason)) => error_response(StatusCode::BAD_REQUEST, &reason.to_string()),
-            Some(Reply::Conflict { current }) => error_response(
-                StatusCode::PRECONDITION_FAILED,
-                &format!("the current version is {current:08x}"),
-            ),
-            Some(Reply::Current(Some(current))) => json_response(StatusCode::OK, current.body.clone()),
-            Some(Reply::Current(None)) => {
-                error_response(StatusCode::NOT_FOUND, "no configuration has been applied yet")
+            Some(Reply::Conflict { current }) => {
+                error_response(StatusCode::PRECONDITION_FAILED, &format!("{current:08x} stands"))
             }
+            Some(Reply::Current(Some(current))) => json_response(StatusCode::OK, current.body.clone()),
+            Some(Reply::Current(None)) => error_response(StatusCode::NOT_FOUND, "there is none yet"),
             Some(Reply::Redirect(leader)) => self.redirect(&leader, path).unwrap_or_else(unavailable),
             Some(Reply::Unavailable) | None => unavailable(),
         }
@@ -283,8 +278,7 @@
 
 /// Returns the response for a request that this node cannot decide now; another node may be able to.
 fn unavailable() -> HttpResponse {
-    let mut response =
-        error_response(StatusCode::SERVICE_UNAVAILABLE, "temporarily unavailable; try another control node");
+    let mut response = error_response(StatusCode::SERVICE_UNAVAILABLE, "nobody can say now");
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("0.2"));
     response
 }
--- a/crates/control/control-plane/src/calls/body.rs
+++ b/crates/control/control-plane/src/calls/body.rs
@@ -42,16 +42,11 @@
                     return Err(error_response(StatusCode::BAD_REQUEST, "it is cut short"));
                 }
                 Ok(None) => break,
-                Err(_) => {
-                    return Err(error_response(
-                        StatusCode::REQUEST_TIMEOUT,
-                        "timed out waiting for the request body",
-                    ))
-                }
+                Err(_) => return Err(error_response(StatusCode::REQUEST_TIMEOUT, "it did not come")),
             };
             let Ok(bytes) = frame.into_data() else { continue };
             if collected.len() + bytes.len() > MAX_BODY_BYTES {
-                return Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, "request body too long"));
+                return Err(error_response(StatusCode::PAYLOAD_TOO_LARGE, "it is too long"));
             }
             let total_held_bytes = body.held_bytes.get() + driver.node().change_body_bytes();
             if total_held_bytes + bytes.len() > MAX_HELD_BODY_BYTES {
--- a/crates/control/control-plane/src/storage.rs
+++ b/crates/control/control-plane/src/storage.rs
@@ -48,7 +48,7 @@
     Store(String, Box<redb::Error>),
     /// {0}
     Damaged(String),
-    /// the size limit of the store is reached
+    /// it holds as much as it may
     SizeLimit,
     /// an earlier save failed; a full save is required
     PreviousFailure,
