--- a/crates/gateway/forward/src/lib.rs
+++ b/crates/gateway/forward/src/lib.rs
@@ -1,92 +1,92 @@
-//! The forwarder's account: what is left of each lease, what was spent, what to report, and what may be spent
-//! when every planner is lost.
+//! Quota account of a forwarder: the unspent amounts of its leases, the amounts to report, and the forwarder's own share
+//! to spend when no planner is reachable.
 //!
-//! Spending is one look-up and a subtraction; no message goes out for a request. No I/O.
+//! Spending takes one look-up and a subtraction; no message is sent per request. No I/O.
 //!
-//! | mode | spends from | left by |
+//! | mode | spends from | ends with |
 //! | --- | --- | --- |
-//! | `Cooling` | nothing: an earlier life's loan may not have ended | its time; a planner that still holds the loan (`Lent`) |
+//! | `CoolingDown` | nothing: the loan of an earlier incarnation may not have expired | time (`Own`); a planner that still holds the loan (`Lent`) |
 //! | `Own` | its own share, empty at first | a grant (`Lent`) |
-//! | `Lent` | leases alone | no grant for a loan's life (`Own`) |
+//! | `Lent` | leases only | no grant for the lifetime of a loan (`Own`) |
 #![forbid(unsafe_code)]
 
-/// Whether a named defect is planted. Constantly false, and gone, in what is shipped.
+/// Whether a named defect is planted. A constant `false`, removed by the compiler, without the feature `defects`.
 macro_rules! planted {
     ($name:literal) => {{
         #[cfg(feature = "defects")]
-        let on = plan::defects::active($name);
+        let is_planted = plan::defects::active($name);
         #[cfg(not(feature = "defects"))]
-        let on = false;
-        on
+        let is_planted = false;
+        is_planted
     }};
 }
 
-mod own;
+mod customer;
 
+use customer::CustomerAccount;
 use indexmap::IndexMap;
 use interface::{Name, Time};
-use own::CustomerAccount;
 use plan::message::{Entry, Grant, Instance, Report, Seat, HARD_LIMIT, QUOTA, SLOTS};
 use plan::LeaseConfig;
 use std::collections::VecDeque;
 use std::fmt;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// The most customers in one report; the others come in the next.
+/// Maximum number of customers in one report. The others follow in the next report.
 pub const MAX_REPORT_ENTRIES: usize = 2048;
-/// Reports of which the time of sending is remembered.
+/// Number of reports whose send times are remembered.
 const MAX_REMEMBERED_REPORTS: usize = 64;
-/// So many ticks without a grant, and another planner is asked.
+/// Number of ticks without a grant after which the next planner is asked.
 const TICKS_BEFORE_NEXT_PLANNER: u64 = 4;
-/// So often, in ticks, a planner that goes before the present one is looked for.
+/// Interval, in ticks, at which planners preferred to the current one are probed.
 const PROBE_INTERVAL_TICKS: u64 = 20;
-/// So many probes answered in a row bring a forwarder back to it.
+/// Number of consecutive answered probes after which a forwarder returns to a preferred planner.
 const PROBES_BEFORE_RETURN: u32 = 5;
-/// In every so many turns round the planners, those who are believed dead are asked as well: a belief may be wrong.
-const ROUNDS_BETWEEN_DOUBTS: u32 = 4;
-/// A customer that has asked nothing for so long, in ticks, is forgotten.
-const IDLE_TICKS: u64 = 200;
+/// One in this many rounds over the planners includes those reported dead, since failure detection may be wrong.
+const DEAD_PLANNER_RETRY_ROUNDS: u32 = 4;
+/// Number of ticks without a request after which a customer is forgotten.
+const MAX_IDLE_TICKS: u64 = 200;
 
-/// Whether a request may go.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Its units are taken.
+    /// Its units have been spent.
     Granted,
-    /// The next grant may bring what it needs.
+    /// The next grant may bring enough units.
     Wait,
-    /// Nothing is to be had; come back after so long.
+    /// No units are available; retry after `advice`.
     Refused { advice: Time },
 }
 
-/// A grant that is not taken.
+/// Why a grant is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidGrant {
-    /// Meant for another seat or another life.
+    /// The grant is for another seat or another incarnation.
     WrongAddressee,
-    /// It comes from an earlier life of the planner than one that is known.
+    /// The grant is from an earlier instance of the planner than the known one.
     Fenced { epoch: u64, known: u64 },
-    /// It comes from a planner that the share is not with.
+    /// The grant is from a planner instance that the share is not lent to.
     OtherPlanner,
-    /// It is no later than one that was taken.
+    /// The grant is not newer than the last one applied.
     Outdated { number: u64 },
 }
 
 impl fmt::Display for InvalidGrant {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            InvalidGrant::WrongAddressee => write!(f, "a grant for another"),
-            InvalidGrant::Fenced { epoch, known: seen } => {
-                write!(f, "a grant of epoch {epoch}, and {seen} is known")
+            InvalidGrant::WrongAddressee => write!(f, "grant is for another seat or incarnation"),
+            InvalidGrant::Fenced { epoch, known } => {
+                write!(f, "grant has epoch {epoch}, but epoch {known} is known")
             }
-            InvalidGrant::OtherPlanner => write!(f, "a grant from a planner that the share is not with"),
-            InvalidGrant::Outdated { number } => write!(f, "grant {number} is old"),
+            InvalidGrant::OtherPlanner => write!(f, "grant is from a planner that the share is not lent to"),
+            InvalidGrant::Outdated { number } => write!(f, "grant {number} is outdated"),
         }
     }
 }
 
 impl std::error::Error for InvalidGrant {}
 
-/// What requests are charged to.
+/// Source that requests are charged to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
     CoolingDown { until: Time },
@@ -94,72 +94,72 @@
     Lent { planner: usize, nonce: u64, grant: u64, granted_at: Time },
 }
 
-/// What is known of a planner.
+/// State of a planner as known to the forwarder.
 #[derive(Clone, Copy, Debug, Default)]
 struct PlannerRecord {
     instance: Instance,
     last_heard_at: Time,
     answered_probes: u32,
-    /// What a view of the fleet says; none: nothing.
+    /// Liveness according to the membership view, if it has an entry.
     is_alive: Option<bool>,
 }
 
-/// A forwarder's account of all customers' allowances.
+/// Account of all customers' allowances at one forwarder.
 pub struct Account {
-    terms: LeaseConfig,
+    config: LeaseConfig,
     seat: Seat,
     incarnation: u64,
     mode: Mode,
     planners: Vec<PlannerRecord>,
-    /// Whom the next report goes to, and since which tick.
+    /// Planner that is asked for a loan, and the number of ticks it has been asked.
     target: usize,
     target_ticks: u64,
-    /// Turns round the planners.
+    /// Completed rounds over the planners.
     rounds: u32,
-    /// Whether the present planner is left for one that goes before it.
+    /// Whether the forwarder is letting its loan expire in order to move to a preferred planner.
     is_switching_planner: bool,
     number: u64,
     sent_reports: VecDeque<(u64, Time)>,
-    /// In the order in which they came: what a report says must not turn on a process's chance.
+    /// In order of insertion, so that reports do not depend on a process's hash seed.
     customers: IndexMap<Name, CustomerAccount>,
-    /// Where the last report ended, if not all customers fitted.
+    /// Position after the last report's entries, if not all customers fitted.
     next_entry: usize,
     work_share: f64,
     attempts_in_flight: u32,
-    /// How often the share has been lent.
+    /// Number of times the share has been lent.
     loan: u64,
-    /// Until then attempts of others may be out that rest on this share of slots.
+    /// Time until which attempts started by other forwarders may occupy this share of slots.
     slots_free_at: Time,
     panics: u64,
 }
 
 impl Account {
-    /// An account that knows nothing; `incarnation` tells this life from every other. `planners`: how many there
-    /// are to ask, the first before the others.
+    /// Returns an account without state. `incarnation` distinguishes this run from every other. `planners` is the number
+    /// of planners, in order of preference.
     ///
     /// # Errors
-    /// What is wrong with the terms.
+    /// The parameter or seat that is out of range.
     pub fn new(
-        terms: LeaseConfig,
+        config: LeaseConfig,
         seat: Seat,
         incarnation: u64,
         planners: usize,
         now: Time,
     ) -> Result<Self, String> {
-        terms.validate()?;
-        if seat >= terms.seats {
-            return Err(format!("seat {seat}: 0 to {} is wanted", terms.seats - 1));
+        config.validate()?;
+        if seat >= config.seats {
+            return Err(format!("seat {seat} is out of range: must be 0 to {}", config.seats - 1));
         }
-        // An earlier life may have lent the share a moment ago.
-        let until = now + terms.loan_duration_at_forwarder();
+        // An earlier incarnation may have lent the share just before.
+        let until = now + config.loan_duration_at_forwarder();
         let mode = if planted!("restart-spends-floor") {
             Mode::Own { since: 0 }
         } else {
             Mode::CoolingDown { until }
         };
-        let share = 1.0 / f64::from(terms.seats);
+        let share = 1.0 / f64::from(config.seats);
         Ok(Account {
-            terms,
+            config,
             seat,
             incarnation,
             mode,
@@ -180,90 +180,93 @@
         })
     }
 
-    /// After a panic in the account itself: as after a restart, a new life begins with nothing. `incarnation`
-    /// tells it from the one before.
+    /// Resets the account after a panic in it: as after a restart of the process, a new incarnation starts without
+    /// state. `incarnation` distinguishes it from the previous one.
     pub fn restart(&mut self, now: Time, incarnation: u64) {
-        let terms = self.terms.clone();
-        if let Ok(anew) = Account::new(terms, self.seat, incarnation, self.planners.len(), now) {
+        let config = self.config.clone();
+        if let Ok(restarted) = Account::new(config, self.seat, incarnation, self.planners.len(), now) {
             let panics = self.panics + 1;
-            let lives: Vec<_> = self.planners.iter().map(|k| k.is_alive).collect();
-            *self = Account { panics, ..anew };
-            self.set_planner_liveness(&lives);
+            let liveness: Vec<_> = self.planners.iter().map(|record| record.is_alive).collect();
+            *self = Account { panics, ..restarted };
+            self.set_planner_liveness(&liveness);
         }
     }
 
-    /// What tells this run of the account from every other.
+    /// Returns the identifier of this run of the account.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Panics that a customer's figures led to, or the account's own: what was held then counts as spent.
+    /// Returns the number of panics in a customer's state or in the account. Amounts held at a panic count as spent.
     pub fn panics(&self) -> u64 {
         self.panics
     }
 
-    /// What requests are charged to now.
+    /// Returns the source that requests are charged to.
     pub fn mode(&self) -> Mode {
         self.mode
     }
 
-    /// Placement: this forwarder's part of all work, and so of each server's room.
+    /// Returns this forwarder's fraction of all work, and so of each server's capacity, for placement.
     pub fn work_share(&self) -> f64 {
         match self.mode {
             Mode::Lent { .. } => self.work_share,
-            Mode::CoolingDown { .. } | Mode::Own { .. } => 1.0 / f64::from(self.terms.seats),
+            Mode::CoolingDown { .. } | Mode::Own { .. } => 1.0 / f64::from(self.config.seats),
         }
     }
 
-    /// How many customers are remembered.
+    /// Returns the number of remembered customers.
     pub fn customers(&self) -> usize {
         self.customers.len()
     }
 
-    // ---- The way of a request ----
+    // ---- Requests ----
 
-    /// May a request of so many units go? `again`: it was told to wait, and has been counted.
-    pub fn spend(&mut self, now: Time, customer: &Name, plan: usize, units: f64, again: bool) -> Verdict {
+    /// Decides on a request of `units`, and spends them if it is granted. `is_retry` marks a request that got
+    /// [`Verdict::Wait`] before and is already counted in the demand.
+    pub fn spend(&mut self, now: Time, customer: &Name, plan: usize, units: f64, is_retry: bool) -> Verdict {
         self.update_mode(now);
-        let Account { terms, mode, customers, .. } = self;
-        let Some(allowance) = terms.plans.get(plan) else { return Verdict::Granted };
+        let Account { config, mode, customers, .. } = self;
+        let Some(allowance) = config.plans.get(plan) else { return Verdict::Granted };
         if !(allowance.limits(QUOTA) || allowance.limits(HARD_LIMIT) || allowance.limits(SLOTS)) {
             return Verdict::Granted;
         }
-        let own = match customers.get_mut(customer) {
-            Some(own) => own,
+        let account = match customers.get_mut(customer) {
+            Some(account) => account,
             None => customers.entry(customer.clone()).or_insert_with(|| CustomerAccount::new(plan)),
         };
-        own.requested_units += if again { 0.0 } else { units };
-        own.idle_ticks = 0;
+        account.requested_units += if is_retry { 0.0 } else { units };
+        account.idle_ticks = 0;
         let spend = || match *mode {
             Mode::CoolingDown { until } => Verdict::Refused { advice: until.saturating_sub(now) },
-            Mode::Own { since } => own.spend_own(now, (since, self.slots_free_at), units, self.seat, terms),
-            Mode::Lent { granted_at: taken, .. } => {
-                // A planner that is silent for so long grants nothing more.
-                let silent = now.saturating_sub(taken) > terms.lease_ttl;
-                let own_at = (taken + terms.loan_duration_at_forwarder()).saturating_sub(now);
-                own.spend_lease(now, units, terms, silent.then_some(own_at))
+            Mode::Own { since } => {
+                account.spend_own(now, (since, self.slots_free_at), units, self.seat, config)
+            }
+            Mode::Lent { granted_at, .. } => {
+                // A planner that has been silent for the lifetime of a lease is not expected to grant more.
+                let is_silent = now.saturating_sub(granted_at) > config.lease_ttl;
+                let own_share_in = (granted_at + config.loan_duration_at_forwarder()).saturating_sub(now);
+                account.spend_lease(now, units, config, is_silent.then_some(own_share_in))
             }
         };
         let verdict = catch_unwind(AssertUnwindSafe(spend)).unwrap_or_else(|_| {
             self.panics += 1;
-            own.reset(now);
-            Verdict::Refused { advice: terms.lease_ttl }
+            account.reset(now);
+            Verdict::Refused { advice: config.lease_ttl }
         });
         if verdict == Verdict::Granted {
-            own.in_use += 1;
+            account.in_use += 1;
             self.attempts_in_flight += 1;
         }
         verdict
     }
 
-    /// A request that was granted is over. `unsent`: so many units never went out.
+    /// Records the end of a granted request. `unsent` is the number of its units that were never sent to a server.
     pub fn request_ended(&mut self, customer: &Name, unsent: f64) {
         self.attempts_in_flight = self.attempts_in_flight.saturating_sub(1);
-        let Some(own) = self.customers.get_mut(customer) else { return };
-        own.in_use = own.in_use.saturating_sub(1);
-        own.give_back(unsent);
+        let Some(account) = self.customers.get_mut(customer) else { return };
+        account.in_use = account.in_use.saturating_sub(1);
+        account.refund(unsent);
     }
 
     // ---- Time ----
@@ -271,13 +274,13 @@
     fn update_mode(&mut self, now: Time) {
         match self.mode {
             Mode::CoolingDown { until } if now >= until => self.use_own_share(now),
-            Mode::Lent { granted_at: taken, .. } => {
-                let ends = if planted!("floor-at-once") {
-                    2 * self.terms.tick
+            Mode::Lent { granted_at, .. } => {
+                let loan_ttl = if planted!("floor-at-once") {
+                    2 * self.config.tick
                 } else {
-                    self.terms.loan_duration_at_forwarder()
+                    self.config.loan_duration_at_forwarder()
                 };
-                if now >= taken + ends {
+                if now >= granted_at + loan_ttl {
                     self.use_own_share(now);
                 }
             }
@@ -287,12 +290,13 @@
 
     fn use_own_share(&mut self, now: Time) {
         self.mode = Mode::Own { since: now };
-        self.slots_free_at = now + self.terms.lease_ttl + self.terms.max_attempt_duration();
+        self.slots_free_at = now + self.config.lease_ttl + self.config.max_attempt_duration();
         self.customers.values_mut().for_each(CustomerAccount::drop_lease);
         (self.is_switching_planner, self.target_ticks) = (false, 0);
     }
 
-    /// Once a tick: the report to send, and to which planner. A second one may go to a planner that is looked for.
+    /// Called once per tick. Returns the reports to send, with the index of their planner: one to the current planner,
+    /// and probes to preferred ones.
     pub fn tick(&mut self, now: Time) -> Vec<(usize, Report)> {
         self.update_mode(now);
         self.number += 1;
@@ -300,20 +304,20 @@
         if self.sent_reports.len() > MAX_REMEMBERED_REPORTS {
             self.sent_reports.pop_front();
         }
-        let seconds = self.terms.tick as f64 / 1e9;
-        for own in self.customers.values_mut() {
-            let tick = || own.tick(now, seconds, &self.terms);
+        let seconds = self.config.tick as f64 / 1e9;
+        for account in self.customers.values_mut() {
+            let tick = || account.tick(now, seconds, &self.config);
             if catch_unwind(AssertUnwindSafe(tick)).is_err() {
                 self.panics += 1;
-                own.reset(now);
+                account.reset(now);
             }
         }
         let own_since = if let Mode::Own { since } = self.mode { Some(since) } else { None };
-        let (seat, terms) = (self.seat, &self.terms);
-        self.customers.retain(|_, own| {
-            own.idle_ticks < IDLE_TICKS
-                || own.in_use > 0
-                || !own.can_be_forgotten(now, own_since, seat, terms)
+        let (seat, config) = (self.seat, &self.config);
+        self.customers.retain(|_, account| {
+            account.idle_ticks < MAX_IDLE_TICKS
+                || account.in_use > 0
+                || !account.can_be_forgotten(now, own_since, seat, config)
         });
         let mut reports = Vec::new();
         match self.mode {
@@ -323,31 +327,39 @@
                     reports.push((planner, self.report(planner, nonce, grant, true, entries)));
                 }
                 if self.number % PROBE_INTERVAL_TICKS == u64::from(self.seat) % PROBE_INTERVAL_TICKS {
-                    self.look_ahead(now, planner);
-                    for before in 0..planner {
-                        let probe =
-                            self.report(before, self.planners[before].instance.nonce, 0, false, Vec::new());
-                        reports.push((before, probe));
+                    self.check_preferred_planners(now, planner);
+                    for preferred in 0..planner {
+                        let probe = self.report(
+                            preferred,
+                            self.planners[preferred].instance.nonce,
+                            0,
+                            false,
+                            Vec::new(),
+                        );
+                        reports.push((preferred, probe));
                     }
                 }
             }
             Mode::CoolingDown { .. } | Mode::Own { .. } => {
-                let to = self.choose_planner();
-                reports.push((to, self.report(to, self.planners[to].instance.nonce, 0, false, Vec::new())));
+                let planner = self.choose_planner();
+                reports.push((
+                    planner,
+                    self.report(planner, self.planners[planner].instance.nonce, 0, false, Vec::new()),
+                ));
             }
         }
         reports
     }
 
-    /// What a view of the fleet says of each planner, in their order; none: nothing. A belief, and maybe a wrong one:
-    /// it bears on whom this forwarder asks for a loan, and on nothing that it holds or spends.
-    pub fn set_planner_liveness(&mut self, lives: &[Option<bool>]) {
-        for (n, known) in self.planners.iter_mut().enumerate() {
-            known.is_alive = lives.get(n).copied().flatten();
+    /// Sets the liveness of each planner according to the membership view, in order of the planners. The view may be
+    /// wrong, so it affects only which planner is asked for a loan, never what the forwarder holds or spends.
+    pub fn set_planner_liveness(&mut self, liveness: &[Option<bool>]) {
+        for (n, record) in self.planners.iter_mut().enumerate() {
+            record.is_alive = liveness.get(n).copied().flatten();
         }
     }
 
-    /// Whom to ask for a loan at this tick.
+    /// Returns the planner to ask for a loan at this tick.
     fn choose_planner(&mut self) -> usize {
         self.target_ticks += 1;
         if self.target_ticks > TICKS_BEFORE_NEXT_PLANNER {
@@ -368,42 +380,50 @@
     }
 
     fn is_skipped(&self, n: usize) -> bool {
-        let dead = |k: &PlannerRecord| k.is_alive == Some(false);
-        let doubted = self.rounds % ROUNDS_BETWEEN_DOUBTS == ROUNDS_BETWEEN_DOUBTS - 1;
-        dead(&self.planners[n]) && !doubted && !self.planners.iter().all(dead)
+        let is_reported_dead = |record: &PlannerRecord| record.is_alive == Some(false);
+        let is_retry_round = self.rounds % DEAD_PLANNER_RETRY_ROUNDS == DEAD_PLANNER_RETRY_ROUNDS - 1;
+        is_reported_dead(&self.planners[n]) && !is_retry_round && !self.planners.iter().all(is_reported_dead)
     }
 
-    /// Leaves a planner for one that goes before it and has answered for a while: all pool at one again.
-    fn look_ahead(&mut self, now: Time, present: usize) {
-        let fresh = |k: &PlannerRecord| {
-            now.saturating_sub(k.last_heard_at) < 2 * PROBE_INTERVAL_TICKS * self.terms.tick
+    /// Starts moving to a preferred planner that has answered enough probes, so that all forwarders pool their shares at
+    /// one planner again.
+    fn check_preferred_planners(&mut self, now: Time, current: usize) {
+        let is_recent = |record: &PlannerRecord| {
+            now.saturating_sub(record.last_heard_at) < 2 * PROBE_INTERVAL_TICKS * self.config.tick
         };
-        let ahead = self.planners[..present]
+        let preferred = self.planners[..current]
             .iter()
-            .position(|k| k.answered_probes >= PROBES_BEFORE_RETURN && fresh(k));
-        if let Some(ahead) = ahead {
-            (self.is_switching_planner, self.target) = (true, ahead);
+            .position(|record| record.answered_probes >= PROBES_BEFORE_RETURN && is_recent(record));
+        if let Some(preferred) = preferred {
+            (self.is_switching_planner, self.target) = (true, preferred);
         }
-        for known in &mut self.planners[..present] {
-            known.answered_probes =
-                if now.saturating_sub(known.last_heard_at) < 2 * PROBE_INTERVAL_TICKS * self.terms.tick {
-                    known.answered_probes
+        for record in &mut self.planners[..current] {
+            record.answered_probes =
+                if now.saturating_sub(record.last_heard_at) < 2 * PROBE_INTERVAL_TICKS * self.config.tick {
+                    record.answered_probes
                 } else {
                     0
                 };
         }
     }
 
-    fn report(&self, to: usize, nonce: u64, acked: u64, lent: bool, entries: Vec<Entry>) -> Report {
+    fn report(
+        &self,
+        planner: usize,
+        nonce: u64,
+        acknowledged_grant: u64,
+        is_lent: bool,
+        entries: Vec<Entry>,
+    ) -> Report {
         let now = self.sent_reports.back().map_or(0, |(_, at)| *at);
         Report {
             seat: self.seat,
             incarnation: self.incarnation,
             number: self.number,
-            known_epoch: self.planners[to].instance.epoch,
+            known_epoch: self.planners[planner].instance.epoch,
             nonce,
-            acknowledged_grant: acked,
-            is_lent: lent,
+            acknowledged_grant,
+            is_lent,
             loan: self.loan,
             slots_free_in: if planted!("slots-at-once") { 0 } else { self.slots_free_at.saturating_sub(now) },
             attempts_in_flight: f64::from(self.attempts_in_flight),
@@ -412,15 +432,16 @@
     }
 
     fn entries(&mut self, now: Time) -> Vec<Entry> {
-        let (all, terms) = (self.customers.len(), &self.terms);
-        let skip = if all > MAX_REPORT_ENTRIES { self.next_entry % all } else { 0 };
-        self.next_entry = skip + MAX_REPORT_ENTRIES;
+        let (customer_count, config) = (self.customers.len(), &self.config);
+        let first_index =
+            if customer_count > MAX_REPORT_ENTRIES { self.next_entry % customer_count } else { 0 };
+        self.next_entry = first_index + MAX_REPORT_ENTRIES;
         let mut entries = Vec::new();
-        // From where the last report ended, and round to there.
-        for (n, (name, own)) in self.customers.iter_mut().enumerate() {
-            let place = (n + all - skip) % all;
-            if place < MAX_REPORT_ENTRIES && own.needs_report(now, terms) {
-                entries.push(own.entry(name));
+        // Starts where the last report ended, and wraps around.
+        for (n, (name, account)) in self.customers.iter_mut().enumerate() {
+            let position = (n + customer_count - first_index) % customer_count;
+            if position < MAX_REPORT_ENTRIES && account.needs_report(now, config) {
+                entries.push(account.entry(name));
             }
         }
         entries
@@ -428,69 +449,71 @@
 
     // ---- Planners ----
 
-    /// Takes a grant in. Lost, doubled, late and reordered ones do no harm.
+    /// Applies a grant. Lost, duplicated, delayed and reordered grants are harmless.
     ///
     /// # Errors
-    /// [`InvalidGrant`]; nothing has changed then.
+    /// [`InvalidGrant`] if the grant is rejected; it then has no effect.
     pub fn grant(&mut self, now: Time, planner: usize, grant: &Grant) -> Result<(), InvalidGrant> {
         self.update_mode(now);
-        let known = self.planners.get_mut(planner).ok_or(InvalidGrant::WrongAddressee)?;
+        let record = self.planners.get_mut(planner).ok_or(InvalidGrant::WrongAddressee)?;
         if grant.seat != self.seat || grant.incarnation != self.incarnation {
             return Err(InvalidGrant::WrongAddressee);
         }
-        let (from, seen) = (grant.from, known.instance);
-        let other = from.nonce != seen.nonce && seen.nonce != 0;
-        if (from.epoch < seen.epoch || other && from.epoch == seen.epoch) && !planted!("fencing-off") {
-            return Err(InvalidGrant::Fenced { epoch: from.epoch, known: seen.epoch });
+        let (from, known_instance) = (grant.from, record.instance);
+        let is_other_instance = from.nonce != known_instance.nonce && known_instance.nonce != 0;
+        if (from.epoch < known_instance.epoch || is_other_instance && from.epoch == known_instance.epoch)
+            && !planted!("fencing-off")
+        {
+            return Err(InvalidGrant::Fenced { epoch: from.epoch, known: known_instance.epoch });
         }
         match &mut self.mode {
-            Mode::Lent { planner: with, nonce, grant: last, granted_at: taken } => {
-                if *with != planner {
-                    // An answer to a probe.
-                    (known.instance, known.last_heard_at) = (from, now);
-                    known.answered_probes += 1;
+            Mode::Lent { planner: lender, nonce, grant: last_grant, granted_at } => {
+                if *lender != planner {
+                    // Response to a probe.
+                    (record.instance, record.last_heard_at) = (from, now);
+                    record.answered_probes += 1;
                     return Ok(());
                 }
                 if *nonce != from.nonce && !planted!("fencing-off") {
                     return Err(InvalidGrant::OtherPlanner);
                 }
-                if grant.number <= *last && !planted!("grant-twice") {
+                if grant.number <= *last_grant && !planted!("grant-twice") {
                     return Err(InvalidGrant::Outdated { number: grant.number });
                 }
-                (*nonce, *last, *taken) = (from.nonce, grant.number, now);
+                (*nonce, *last_grant, *granted_at) = (from.nonce, grant.number, now);
             }
             Mode::CoolingDown { .. } if !grant.is_already_lent => {
-                (known.instance, known.last_heard_at) = (from, now);
+                (record.instance, record.last_heard_at) = (from, now);
                 return Ok(());
             }
             Mode::CoolingDown { .. } | Mode::Own { .. } => {
-                // What is out of its slots counts at the planner when a report says so, and the first one holds
-                // no more customers than this.
+                // The planner counts occupied slots only once they are reported, and the first report holds no more
+                // than `MAX_REPORT_ENTRIES` customers.
                 if self.customers.len() > MAX_REPORT_ENTRIES && !planted!("uncounted-lent") {
-                    self.slots_free_at = self.slots_free_at.max(now + self.terms.max_attempt_duration());
+                    self.slots_free_at = self.slots_free_at.max(now + self.config.max_attempt_duration());
                 }
-                // From now on the share is lent: nothing of it is spent here.
+                // From now on the share is lent and not spent here.
                 self.mode = Mode::Lent { planner, nonce: from.nonce, grant: grant.number, granted_at: now };
                 self.customers.values_mut().for_each(CustomerAccount::drop_lease);
                 self.is_switching_planner = false;
                 self.loan += 1;
             }
         }
-        (known.instance, known.last_heard_at) = (from, now);
+        (record.instance, record.last_heard_at) = (from, now);
         self.work_share =
             if (0.0..=1.0).contains(&grant.work_share) { grant.work_share } else { self.work_share };
-        let sent = self.sent_reports.iter().find(|(number, _)| *number == grant.report).map(|(_, at)| *at);
-        let sent = if planted!("late-grant-lives") { Some(now) } else { sent };
-        // Too late to tell when it was asked for: whatever it grants has ended.
-        let Some(sent) = sent else { return Ok(()) };
-        // Leases of an earlier loan have been dropped, and what was spent of them with it.
+        let sent_at = self.sent_reports.iter().find(|(number, _)| *number == grant.report).map(|(_, at)| *at);
+        let sent_at = if planted!("late-grant-lives") { Some(now) } else { sent_at };
+        // The send time of its report is no longer remembered, so all leases of the grant have expired.
+        let Some(sent_at) = sent_at else { return Ok(()) };
+        // Leases of an earlier loan have been dropped together with the record of what was spent.
         if grant.loan != self.loan && !planted!("loans-mixed") {
             return Ok(());
         }
-        let until = sent + self.terms.lease_duration_at_forwarder();
+        let until = sent_at + self.config.lease_duration_at_forwarder();
         for lease in &grant.leases {
-            if let Some(own) = self.customers.get_mut(&lease.customer) {
-                own.apply_lease(lease, until);
+            if let Some(account) = self.customers.get_mut(&lease.customer) {
+                account.apply_lease(lease, until);
             }
         }
         Ok(())
--- a/crates/gateway/maintenance/src/lib.rs
+++ b/crates/gateway/maintenance/src/lib.rs
@@ -1,4 +1,4 @@
-//! Manual bans, applied to discovery's list: a banned server appears as one that drains. No I/O.
+//! Manual bans of backends, applied to the list from discovery: a banned server is treated as draining. No I/O.
 //!
 //! ```
 //! use interface::{Health, Node};
@@ -18,10 +18,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// How many names from lists are remembered; beyond it, those of the present list and the banned ones.
+/// Maximum number of remembered server names. Beyond it, only names in the current list and banned ones are kept.
 pub const MAX_NAMES: usize = 16_384;
 
-/// No list has ever named this server.
+/// Error for a server that no list has ever named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NeverListed;
 
@@ -33,24 +33,24 @@
 
 impl std::error::Error for NeverListed {}
 
-/// A ban that has ended: the server counts as started since.
+/// Ended ban. The server counts as started when the ban ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct EndedBan {
     banned_at: Time,
     unbanned_at: Time,
 }
 
-/// Which servers are banned by hand, and which bans ended lately.
+/// Servers banned by an operator, and recently ended bans.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Bans {
-    /// Since when.
+    /// Banned servers and the start of each ban.
     banned: BTreeMap<Name, Time>,
     recently_unbanned: BTreeMap<Name, EndedBan>,
     known_names: BTreeSet<Name>,
 }
 
 impl Bans {
-    /// A list named these servers.
+    /// Records the names of the servers in a list.
     pub fn record_names<'a>(&mut self, names: impl IntoIterator<Item = &'a Name>) {
         for name in names {
             if !self.known_names.contains(name) {
@@ -59,19 +59,19 @@
         }
     }
 
-    /// Forgets names that are not in the present list once there are too many.
-    pub fn sweep(&mut self, present: impl Fn(&Name) -> bool) {
+    /// Forgets ended bans of servers that are not in the current list, and their names if there are too many.
+    pub fn sweep(&mut self, is_listed: impl Fn(&Name) -> bool) {
         if self.known_names.len() > MAX_NAMES {
-            let out = &self.banned;
-            self.known_names.retain(|n| present(n) || out.contains_key(n));
+            let banned = &self.banned;
+            self.known_names.retain(|n| is_listed(n) || banned.contains_key(n));
         }
-        self.recently_unbanned.retain(|n, _| present(n));
+        self.recently_unbanned.retain(|n, _| is_listed(n));
     }
 
-    /// Bans a server. Returns whether that is new; calls may be repeated.
+    /// Bans a server. Idempotent. Returns whether the server was not banned before.
     ///
     /// # Errors
-    /// If no list has ever named it.
+    /// [`NeverListed`] if no list has named the server.
     pub fn ban(&mut self, now: Time, target: &str) -> Result<bool, NeverListed> {
         let name = self.known_names.get(target).cloned().ok_or(NeverListed)?;
         if self.banned.contains_key(&name) {
@@ -82,55 +82,54 @@
         Ok(true)
     }
 
-    /// Ends a ban, however many calls made it. Returns whether the server was banned.
+    /// Ends a ban, regardless of how many times the server was banned. Returns whether it was banned.
     ///
     /// # Errors
-    /// If no list has ever named it.
+    /// [`NeverListed`] if no list has named the server.
     pub fn unban(&mut self, now: Time, target: &str) -> Result<bool, NeverListed> {
         let name = self.known_names.get(target).cloned().ok_or(NeverListed)?;
-        let entered = self.banned.remove(&name);
-        if let Some(entered) = entered {
-            self.recently_unbanned.insert(name, EndedBan { banned_at: entered, unbanned_at: now });
+        let banned_at = self.banned.remove(&name);
+        if let Some(banned_at) = banned_at {
+            self.recently_unbanned.insert(name, EndedBan { banned_at, unbanned_at: now });
         }
-        Ok(entered.is_some())
+        Ok(banned_at.is_some())
     }
 
-    /// Whether this server is banned.
+    /// Whether the server is banned.
     pub fn is_banned(&self, name: &Name) -> bool {
         self.banned.contains_key(name)
     }
 
-    /// The banned servers, and since when.
+    /// Returns the banned servers and the start of each ban.
     pub fn banned(&self) -> impl Iterator<Item = (&Name, Time)> {
         self.banned.iter().map(|(name, since)| (name, *since))
     }
 
-    /// Adopts the bans of another process of this gateway: just these servers are banned. Returns those that change.
+    /// Replaces the bans by those of another process of this gateway. Returns the servers whose state changed.
     pub fn adopt(&mut self, now: Time, all: &BTreeMap<Name, Time>) -> Vec<Name> {
-        let ended: Vec<Name> = self.banned.keys().filter(|n| !all.contains_key(*n)).cloned().collect();
-        let begun: Vec<Name> = all.keys().filter(|n| !self.banned.contains_key(*n)).cloned().collect();
-        for name in &ended {
-            if let Some(entered) = self.banned.remove(name) {
-                self.recently_unbanned
-                    .insert(name.clone(), EndedBan { banned_at: entered, unbanned_at: now });
+        let removed: Vec<Name> = self.banned.keys().filter(|n| !all.contains_key(*n)).cloned().collect();
+        let added: Vec<Name> = all.keys().filter(|n| !self.banned.contains_key(*n)).cloned().collect();
+        for name in &removed {
+            if let Some(banned_at) = self.banned.remove(name) {
+                self.recently_unbanned.insert(name.clone(), EndedBan { banned_at, unbanned_at: now });
             }
         }
-        for name in &begun {
+        for name in &added {
             self.recently_unbanned.remove(name);
             self.known_names.insert(name.clone());
             self.banned.insert(name.clone(), all[name]);
         }
-        ended.into_iter().chain(begun).collect()
+        removed.into_iter().chain(added).collect()
     }
 
-    /// Applies the bans to an entry of discovery's list.
+    /// Applies the bans to an entry of the list from discovery.
     pub fn apply_to(&self, node: &mut Node) {
         if self.banned.contains_key(&node.name) && node.health == Health::Up {
             node.health = Health::Draining;
-        } else if let Some(back) = self.recently_unbanned.get(&node.name) {
-            // As a rule it was restarted during the ban, and discovery reports that late.
-            if node.since < back.banned_at {
-                node.since = back.unbanned_at;
+        } else if let Some(ended) = self.recently_unbanned.get(&node.name) {
+            // The server was usually restarted during the ban, which discovery reports late.
+            if node.since < ended.banned_at {
+                node.since = ended.unbanned_at;
             }
         }
     }
--- a/crates/gateway/plan/src/planner.rs
+++ b/crates/gateway/plan/src/planner.rs
@@ -1,4 +1,4 @@
-//! The planner itself: seats, loans, and the pools of customers.
+//! The planner: seats, their loans, and the pools of customers.
 
 use crate::message::{Grant, Instance, Lease, Report, Seat, HARD_LIMIT, QUOTA, SLOTS};
 use crate::pool::{LeaseHolder, Pool, Shares};
@@ -8,47 +8,49 @@
 use std::fmt;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Grants of which the time of sending is remembered, for each seat.
+/// Number of grants per seat whose send times are remembered.
 const MAX_REMEMBERED_GRANTS: usize = 64;
-/// How often pools are looked over for those that can be forgotten.
+/// Interval at which full pools are removed.
 const SWEEP_INTERVAL: Time = 1_000_000_000;
 
-/// A report that is not answered.
+/// Why a report is rejected. A rejected report gets no grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
-    /// No seat has this number.
-    NoSeat(Seat),
-    /// It is no later than one that was taken.
+pub enum ReportError {
+    /// The seat number is out of range.
+    UnknownSeat(Seat),
+    /// The report is not newer than the last one applied.
     OutdatedReport { seat: Seat, number: u64 },
-    /// A figure is no figure, or below nothing, or a plan is unknown.
-    InvalidFigures(Seat),
+    /// A value is negative or not finite, or a plan is unknown.
+    InvalidValues(Seat),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for ReportError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::NoSeat(seat) => write!(f, "seat {seat}: there is none"),
-            Refused::OutdatedReport { seat, number } => write!(f, "seat {seat}: report {number} is old"),
-            Refused::InvalidFigures(seat) => write!(f, "seat {seat}: figures that can't be"),
+            ReportError::UnknownSeat(seat) => write!(f, "seat {seat}: unknown seat"),
+            ReportError::OutdatedReport { seat, number } => {
+                write!(f, "seat {seat}: report {number} is outdated")
+            }
+            ReportError::InvalidValues(seat) => write!(f, "seat {seat}: invalid values in the report"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for ReportError {}
 
 #[derive(Clone, Debug, Default)]
 struct SeatState {
     incarnation: u64,
-    /// The latest report taken, and when.
-    report: u64,
+    /// Number of the latest report applied, and when it arrived.
+    last_report: u64,
     last_heard_at: Time,
-    /// The latest grant, and when the last ones were sent.
-    grant: u64,
-    sent: VecDeque<(u64, Time)>,
-    /// Since when and until when its share is surely not spent by itself.
+    /// Number of the latest grant, and the send times of the last ones.
+    last_grant: u64,
+    sent_grants: VecDeque<(u64, Time)>,
+    /// Start and end of the time during which the forwarder certainly does not spend its own share.
     loan: Option<(Time, Time)>,
-    /// From when on its share of slots is free of what was begun on it elsewhere.
-    slots_from: Time,
+    /// Time from which no attempt started elsewhere occupies its share of slots.
+    slots_available_at: Time,
     attempts_in_flight: f64,
 }
 
@@ -57,11 +59,11 @@
 pub struct CustomerState {
     pub customer: Name,
     pub plan: u16,
-    /// Leases out, what they hold and what is left in the pool, by kind.
+    /// Number of leases granted, the amounts they hold and the amounts left in the pool, by kind.
     pub leases: usize,
     pub outstanding: [f64; 3],
     pub level: [f64; 3],
-    /// What all of it can be at the most.
+    /// Capacity of the whole allowance, by kind.
     pub depth: [f64; 3],
 }
 
@@ -72,46 +74,47 @@
     pub seats: u16,
     /// Seats whose shares are pooled here.
     pub lent: Vec<Seat>,
-    /// Seats heard of within a loan's life.
+    /// Seats that have reported within the lifetime of a loan.
     pub alive: Vec<Seat>,
     pub customers: Vec<CustomerState>,
 }
 
-/// The planner: pools of customers, and the seats that lend to it.
+/// Grants leases from the pools of customers, which hold the shares of the seats that lend to it.
 pub struct Planner {
-    terms: LeaseConfig,
+    config: LeaseConfig,
     instance: Instance,
     seats: Vec<SeatState>,
     pools: HashMap<Name, Pool>,
     shares: Shares,
-    /// Whether a seat's loan has changed in what the shares rest on.
+    /// Whether `shares` must be recomputed because a loan that counts has started or ended, or slots became blocked.
     are_shares_stale: bool,
-    /// The most customers that are kept.
+    /// Maximum number of pools.
     max_customers: usize,
     next_lease: u64,
     swept_at: Time,
-    /// When a customer was last turned away for want of room: what it has out is not counted anywhere.
+    /// When a customer was last rejected because there were too many pools. Its attempts in flight are not counted
+    /// anywhere.
     last_rejection_at: Option<Time>,
     panics: u64,
 }
 
 impl Planner {
-    /// A planner that knows nothing. `nonce` tells its life from every other, and is not 0.
+    /// Returns a planner without state. `nonce` distinguishes this run from every other and is not 0.
     ///
     /// # Errors
-    /// What is wrong with the terms.
-    pub fn new(terms: LeaseConfig, nonce: u64, most: usize) -> Result<Self, String> {
-        terms.validate()?;
-        let seats = vec![SeatState::default(); usize::from(terms.seats)];
-        let me = Instance { nonce, epoch: 1 };
+    /// The parameter that is out of range.
+    pub fn new(config: LeaseConfig, nonce: u64, max_customers: usize) -> Result<Self, String> {
+        config.validate()?;
+        let seats = vec![SeatState::default(); usize::from(config.seats)];
+        let instance = Instance { nonce, epoch: 1 };
         Ok(Planner {
-            terms,
-            instance: me,
+            config,
+            instance,
             seats,
             pools: HashMap::new(),
             shares: Shares::default(),
             are_shares_stale: true,
-            max_customers: most,
+            max_customers,
             next_lease: 0,
             swept_at: 0,
             last_rejection_at: None,
@@ -119,155 +122,163 @@
         })
     }
 
-    /// Customers that were forgotten since what was said of them led to a panic here.
+    /// Returns the number of pools that were reset because processing them panicked.
     pub fn panics(&self) -> u64 {
         self.panics
     }
 
-    /// This run of the planner.
+    /// Returns the identity of this run of the planner.
     pub fn instance(&self) -> Instance {
         self.instance
     }
 
-    /// Whether a seat's share is counted by leases granted now.
-    fn counted(&self, s: &SeatState, now: Time) -> bool {
-        s.loan.is_some_and(|(_, until)| until >= now + self.terms.lease_ttl)
+    /// Whether leases granted now may use this seat's share.
+    fn is_counted(&self, seat_state: &SeatState, now: Time) -> bool {
+        seat_state.loan.is_some_and(|(_, until)| until >= now + self.config.lease_ttl)
     }
 
-    /// Makes anew, if it no longer stands, what leases granted now may rest on. Looks at every seat, about once a
-    /// loan's life and whenever a seat comes or goes; a report in between looks at its own seat alone.
-    fn refresh(&mut self, now: Time) {
-        let skipped = planted!("quiet-skipped");
-        if !self.are_shares_stale && now <= self.shares.valid_until && !skipped {
+    /// Recomputes the shares that leases granted now may use, if they are stale. This visits every seat, about once per
+    /// lifetime of a loan and whenever a seat joins or leaves. Other reports touch only their own seat.
+    fn refresh_shares(&mut self, now: Time) {
+        let quiet_skipped = planted!("quiet-skipped");
+        if !self.are_shares_stale && now <= self.shares.valid_until && !quiet_skipped {
             return;
         }
-        let mut shares = Shares { slots: vec![0.0; self.terms.plans.len()], ..Shares::default() };
+        let mut shares = Shares { slots: vec![0.0; self.config.plans.len()], ..Shares::default() };
         shares.valid_until = Time::MAX;
-        for (seat, s) in self.seats.iter().enumerate() {
-            if !skipped && !self.counted(s, now) {
+        for (seat, seat_state) in self.seats.iter().enumerate() {
+            if !quiet_skipped && !self.is_counted(seat_state, now) {
                 continue;
             }
-            let (since, until) = s.loan.filter(|_| !skipped).unwrap_or((0, Time::MAX));
+            let (since, until) = seat_state.loan.filter(|_| !quiet_skipped).unwrap_or((0, Time::MAX));
             shares.lent.push((seat as Seat, since));
-            shares.latest = shares.latest.max(since);
-            shares.busy += s.attempts_in_flight;
-            shares.valid_until = shares.valid_until.min(until - self.terms.lease_ttl);
-            if s.slots_from <= now || skipped {
+            shares.latest_loan_at = shares.latest_loan_at.max(since);
+            shares.attempts_in_flight += seat_state.attempts_in_flight;
+            shares.valid_until = shares.valid_until.min(until - self.config.lease_ttl);
+            if seat_state.slots_available_at <= now || quiet_skipped {
                 for (plan, slots) in shares.slots.iter_mut().enumerate() {
-                    *slots += self.terms.seat_share(plan, SLOTS, seat as Seat).1;
+                    *slots += self.config.seat_share(plan, SLOTS, seat as Seat).1;
                 }
             } else {
-                shares.valid_until = shares.valid_until.min(s.slots_from - 1);
+                shares.valid_until = shares.valid_until.min(seat_state.slots_available_at - 1);
             }
         }
         (self.shares, self.are_shares_stale) = (shares, false);
     }
 
-    /// Answers a report.
+    /// Applies a report and returns the grant that answers it.
     ///
     /// # Errors
-    /// [`Refused`]; nothing has changed then.
-    pub fn handle(&mut self, now: Time, report: &Report) -> Result<Grant, Refused> {
+    /// [`ReportError`] if the report is rejected; the planner's leases and loans are unchanged.
+    pub fn handle(&mut self, now: Time, report: &Report) -> Result<Grant, ReportError> {
         let seat = report.seat;
-        let s = self.seats.get_mut(usize::from(seat)).ok_or(Refused::NoSeat(seat))?;
-        let good = |v: &f64| v.is_finite() && *v >= 0.0;
-        let sound = |e: &crate::message::Entry| {
-            usize::from(e.plan) < self.terms.plans.len()
-                && e.spent.iter().chain(&e.returned).chain([&e.demand, &e.in_use]).all(good)
+        let seat_state = self.seats.get_mut(usize::from(seat)).ok_or(ReportError::UnknownSeat(seat))?;
+        let is_valid_number = |v: &f64| v.is_finite() && *v >= 0.0;
+        let is_valid_entry = |e: &crate::message::Entry| {
+            usize::from(e.plan) < self.config.plans.len()
+                && e.spent.iter().chain(&e.returned).chain([&e.demand, &e.in_use]).all(is_valid_number)
         };
-        if !good(&report.attempts_in_flight) || !report.entries.iter().all(sound) {
-            return Err(Refused::InvalidFigures(seat));
+        if !is_valid_number(&report.attempts_in_flight) || !report.entries.iter().all(is_valid_entry) {
+            return Err(ReportError::InvalidValues(seat));
         }
-        if s.incarnation != report.incarnation {
-            // Another life: it holds no lease. What its earlier one held runs out by itself.
-            (s.incarnation, s.report, s.grant) = (report.incarnation, 0, s.grant);
-            s.sent.clear();
+        if seat_state.incarnation != report.incarnation {
+            // A new incarnation holds no lease. Leases of the earlier one expire on their own.
+            (seat_state.incarnation, seat_state.last_report, seat_state.last_grant) =
+                (report.incarnation, 0, seat_state.last_grant);
+            seat_state.sent_grants.clear();
         }
-        if report.number <= s.report {
-            return Err(Refused::OutdatedReport { seat, number: report.number });
+        if report.number <= seat_state.last_report {
+            return Err(ReportError::OutdatedReport { seat, number: report.number });
         }
-        let (before, busy) = (s.loan, s.attempts_in_flight);
-        (s.report, s.last_heard_at, s.attempts_in_flight) = (
+        let (previous_loan, previous_in_flight) = (seat_state.loan, seat_state.attempts_in_flight);
+        (seat_state.last_report, seat_state.last_heard_at, seat_state.attempts_in_flight) = (
             report.number,
             now,
-            s.attempts_in_flight + (report.attempts_in_flight - s.attempts_in_flight) / 4.0,
+            seat_state.attempts_in_flight + (report.attempts_in_flight - seat_state.attempts_in_flight) / 4.0,
         );
-        // A new life does not know what its earlier one's loan rested on: the later counts.
-        let slots_from =
-            now + (report.slots_free_in as f64 * (1.0 + 2.0 * self.terms.max_clock_drift)) as Time;
-        // Of one that has passed already nothing changes for the shares.
-        self.are_shares_stale |= slots_from > now && slots_from > s.slots_from;
-        s.slots_from = s.slots_from.max(slots_from);
+        // A new incarnation does not know about attempts that rest on its earlier loan, so the later time applies.
+        let slots_available_at =
+            now + (report.slots_free_in as f64 * (1.0 + 2.0 * self.config.max_clock_drift)) as Time;
+        // A time in the past does not change the shares.
+        self.are_shares_stale |=
+            slots_available_at > now && slots_available_at > seat_state.slots_available_at;
+        seat_state.slots_available_at = seat_state.slots_available_at.max(slots_available_at);
         if report.nonce != self.instance.nonce && report.known_epoch >= self.instance.epoch {
             self.instance.epoch = report.known_epoch + 1;
         }
-        let holds = s.loan.is_some_and(|(_, until)| until >= now);
-        let mine = report.nonce == self.instance.nonce && report.is_lent;
-        if mine || planted!("share-counted-unacked") {
-            // From the sending of a grant that it has: it counts its loan from when that came, no sooner.
-            let sent =
-                s.sent.iter().find(|(number, _)| *number == report.acknowledged_grant).map(|(_, at)| *at);
-            let sent = if planted!("share-counted-unacked") { Some(now) } else { sent };
-            if let Some(sent) = sent {
-                let life = if planted!("loan-outlives-lender") {
-                    3 * self.terms.loan_ttl
+        let is_already_lent = seat_state.loan.is_some_and(|(_, until)| until >= now);
+        let is_lent_here = report.nonce == self.instance.nonce && report.is_lent;
+        if is_lent_here || planted!("share-counted-unacked") {
+            // Counted from when the acknowledged grant was sent: the forwarder counts its loan from when that grant
+            // arrived, which is no earlier.
+            let sent_at = seat_state
+                .sent_grants
+                .iter()
+                .find(|(number, _)| *number == report.acknowledged_grant)
+                .map(|(_, at)| *at);
+            let sent_at = if planted!("share-counted-unacked") { Some(now) } else { sent_at };
+            if let Some(sent_at) = sent_at {
+                let loan_ttl = if planted!("loan-outlives-lender") {
+                    3 * self.config.loan_ttl
                 } else {
-                    self.terms.loan_ttl
+                    self.config.loan_ttl
                 };
-                let since = s.loan.filter(|_| holds).map_or(now, |(since, _)| since);
-                let before = s.loan.map_or(0, |(_, until)| until);
-                s.loan = Some((since, before.max(sent + life))).filter(|(_, until)| *until >= now);
+                let since = seat_state.loan.filter(|_| is_already_lent).map_or(now, |(since, _)| since);
+                let previous_end = seat_state.loan.map_or(0, |(_, until)| until);
+                seat_state.loan =
+                    Some((since, previous_end.max(sent_at + loan_ttl))).filter(|(_, until)| *until >= now);
             }
         }
-        let counts = |loan: Option<(Time, Time)>| {
-            loan.filter(|(_, until)| *until >= now + self.terms.lease_ttl).map(|(since, _)| since)
+        let counted_since = |loan: Option<(Time, Time)>| {
+            loan.filter(|(_, until)| *until >= now + self.config.lease_ttl).map(|(since, _)| since)
         };
-        // A loan that goes on changes nothing but how long it does.
-        self.are_shares_stale |= counts(before) != counts(s.loan);
-        if counts(before).is_some() {
-            self.shares.busy += s.attempts_in_flight - busy;
+        // Extending a loan changes only its end.
+        self.are_shares_stale |= counted_since(previous_loan) != counted_since(seat_state.loan);
+        if counted_since(previous_loan).is_some() {
+            self.shares.attempts_in_flight += seat_state.attempts_in_flight - previous_in_flight;
         }
-        let lends = mine && s.loan.is_some_and(|(_, until)| until >= now + self.terms.lease_ttl);
-        s.grant += 1;
-        let number = s.grant;
-        s.sent.push_back((number, now));
-        if s.sent.len() > MAX_REMEMBERED_GRANTS {
-            s.sent.pop_front();
+        let may_grant =
+            is_lent_here && seat_state.loan.is_some_and(|(_, until)| until >= now + self.config.lease_ttl);
+        seat_state.last_grant += 1;
+        let grant_number = seat_state.last_grant;
+        seat_state.sent_grants.push_back((grant_number, now));
+        if seat_state.sent_grants.len() > MAX_REMEMBERED_GRANTS {
+            seat_state.sent_grants.pop_front();
         }
-        self.refresh(now);
+        self.refresh_shares(now);
         let shares = std::mem::take(&mut self.shares);
-        let leases = if lends { self.leases(now, report, &shares) } else { Vec::new() };
+        let leases = if may_grant { self.grant_leases(now, report, &shares) } else { Vec::new() };
         self.sweep(now, &shares);
-        let share = self.share(seat, &shares);
+        let work_share = self.work_share(seat, &shares);
         self.shares = shares;
         Ok(Grant {
             from: self.instance,
             seat,
             incarnation: report.incarnation,
-            number,
+            number: grant_number,
             report: report.number,
-            is_already_lent: holds,
+            is_already_lent,
             loan: report.loan,
-            work_share: share,
+            work_share,
             leases,
         })
     }
 
-    fn leases(&mut self, now: Time, report: &Report, shares: &Shares) -> Vec<Lease> {
+    fn grant_leases(&mut self, now: Time, report: &Report, shares: &Shares) -> Vec<Lease> {
         let Report { seat, incarnation, loan, .. } = *report;
-        let whose = LeaseHolder { seat, incarnation, loan };
+        let holder = LeaseHolder { seat, incarnation, loan };
         let mut leases = Vec::with_capacity(report.entries.len());
         for entry in &report.entries {
-            // Bounded: the rest go without until others have been forgotten.
+            // The number of pools is bounded: further customers get no lease until others have been removed.
             if self.pools.len() >= self.max_customers && !self.pools.contains_key(&entry.customer) {
                 self.last_rejection_at = Some(now);
                 continue;
             }
-            let (terms, turned_away) = (&self.terms, self.last_rejection_at);
+            let (config, rejected_at) = (&self.config, self.last_rejection_at);
             let pool = self.pools.entry(entry.customer.clone()).or_insert_with(|| {
                 let mut pool = Pool::new(entry.plan);
-                if let Some(at) = turned_away.filter(|_| !planted!("turned-away-uncounted")) {
-                    pool.reserve_all_slots(at, terms);
+                if let Some(at) = rejected_at.filter(|_| !planted!("turned-away-uncounted")) {
+                    pool.reserve_all_slots(at, config);
                 }
                 pool
             });
@@ -275,32 +286,33 @@
                 continue;
             }
             self.next_lease += 1;
-            let fresh = self.next_lease;
-            let made = catch_unwind(AssertUnwindSafe(|| {
-                // In this order: what was spent since made room only then, and none for the time before.
-                pool.advance(now, shares, terms);
-                pool.apply_report(whose, entry);
-                pool.grant(now, whose, entry, fresh, shares, terms)
+            let new_lease = self.next_lease;
+            let result = catch_unwind(AssertUnwindSafe(|| {
+                // The pool is filled before the report is applied: amounts spent since the last report free capacity
+                // only from now on, not for the time before.
+                pool.advance(now, shares, config);
+                pool.apply_report(holder, entry);
+                pool.grant(now, holder, entry, new_lease, shares, config)
             }));
-            match made {
+            match result {
                 Ok(lease) => leases.push(lease),
-                // Its figures can't be trusted any more; those of the others can.
+                // Only this pool's values can no longer be trusted.
                 Err(_) => {
                     self.panics += 1;
-                    *pool = Pool::forgotten(entry.plan, now, terms);
+                    *pool = Pool::forgotten(entry.plan, now, config);
                 }
             }
         }
         leases
     }
 
-    /// Placement: a seat's part of the work that all lent seats have out, none quite without.
-    fn share(&self, seat: Seat, shares: &Shares) -> f64 {
-        let n = shares.lent.len().max(1) as f64;
-        let all = shares.busy.max(0.0);
-        let even = all / n * 0.25 + 1e-3;
-        let own = self.seats[usize::from(seat)].attempts_in_flight;
-        ((own + even) / (all + even * n)).min(1.0)
+    /// Returns a seat's fraction of the attempts in flight of all lent seats, for placement. Each seat has a minimum.
+    fn work_share(&self, seat: Seat, shares: &Shares) -> f64 {
+        let seat_count = shares.lent.len().max(1) as f64;
+        let total = shares.attempts_in_flight.max(0.0);
+        let base = total / seat_count * 0.25 + 1e-3;
+        let in_flight = self.seats[usize::from(seat)].attempts_in_flight;
+        ((in_flight + base) / (total + base * seat_count)).min(1.0)
     }
 
     fn sweep(&mut self, now: Time, shares: &Shares) {
@@ -308,25 +320,29 @@
             return;
         }
         self.swept_at = now;
-        // A share that is lent and not counted just now may have been spent; a pool made anew could not know.
-        let lent = self.seats.iter().filter(|s| s.loan.is_some_and(|(_, until)| until >= now)).count();
-        if lent > shares.lent.len() {
+        // A lent share that is not counted at present may have been spent, which a recreated pool could not know.
+        let lent_count = self
+            .seats
+            .iter()
+            .filter(|seat_state| seat_state.loan.is_some_and(|(_, until)| until >= now))
+            .count();
+        if lent_count > shares.lent.len() {
             return;
         }
-        let terms = &self.terms;
+        let config = &self.config;
         self.pools.retain(|_, pool| {
-            pool.advance(now, shares, terms);
-            !pool.is_full(shares, terms)
+            pool.advance(now, shares, config);
+            !pool.is_full(shares, config)
         });
     }
 
-    /// What an operator wants to see. Looks at every customer: for people, not for the way of a request.
+    /// Returns the state for operators. It visits every customer, so it must not be called per request.
     pub fn state(&mut self, now: Time) -> PlannerState {
-        self.refresh(now);
+        self.refresh_shares(now);
         let shares = self.shares.clone();
-        let (mut customers, terms) = (Vec::new(), &self.terms);
+        let (mut customers, config) = (Vec::new(), &self.config);
         for (customer, pool) in &mut self.pools {
-            pool.advance(now, &shares, terms);
+            pool.advance(now, &shares, config);
             let all = |of: &dyn Fn(usize) -> f64| [of(QUOTA), of(HARD_LIMIT), of(SLOTS)];
             customers.push(CustomerState {
                 customer: customer.clone(),
@@ -334,18 +350,19 @@
                 leases: pool.leases.len(),
                 outstanding: all(&|kind| pool.outstanding(kind)),
                 level: all(&|kind| pool.level(kind)),
-                depth: all(&|kind| terms.plans.get(usize::from(pool.plan)).map_or(0.0, |p| p.of(kind).1)),
+                depth: all(&|kind| config.plans.get(usize::from(pool.plan)).map_or(0.0, |p| p.of(kind).1)),
             });
         }
         customers.sort_by(|a, b| a.customer.cmp(&b.customer));
-        let alive =
-            |s: &SeatState| s.report > 0 && now.saturating_sub(s.last_heard_at) <= self.terms.loan_ttl;
+        let alive = |seat_state: &SeatState| {
+            seat_state.last_report > 0 && now.saturating_sub(seat_state.last_heard_at) <= self.config.loan_ttl
+        };
         let seats = self.seats.iter().enumerate();
         PlannerState {
             instance: self.instance,
-            seats: self.terms.seats,
+            seats: self.config.seats,
             lent: shares.lent.iter().map(|(seat, _)| *seat).collect(),
-            alive: seats.filter(|(_, s)| alive(s)).map(|(n, _)| n as Seat).collect(),
+            alive: seats.filter(|(_, seat_state)| alive(seat_state)).map(|(seat, _)| seat as Seat).collect(),
             customers,
         }
     }
--- a/crates/gateway/plan/src/pool.rs
+++ b/crates/gateway/plan/src/pool.rs
@@ -1,43 +1,43 @@
-//! One customer's pool: what is left of the lent shares, and who holds leases of it.
+//! One customer's pool: the unspent part of the lent shares, and the leases granted from it.
 
 use crate::message::{Amounts, Entry, Lease, Seat, HARD_LIMIT, QUOTA, SLOTS};
 use crate::LeaseConfig;
 use interface::Time;
 
-/// The shares that a planner counts: those of seats whose loans outlast a lease granted now.
+/// Shares that a planner may grant from: those of seats whose loans outlast a lease granted now.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Shares {
-    /// Seats and since when each has lent, without a gap.
+    /// Seats, and the start of each one's current uninterrupted loan.
     pub lent: Vec<(Seat, Time)>,
-    /// By plan, the slots of those of them on whose slots nothing rests from elsewhere any more.
+    /// Slots by plan, of those lent seats whose slots are no longer occupied by attempts started elsewhere.
     pub slots: Vec<f64>,
-    /// When the last of them began.
-    pub latest: Time,
-    /// What they have out now, all together.
-    pub busy: f64,
-    /// Until when all of this stands, if no seat begins or ends a loan.
+    /// Start of the most recent loan.
+    pub latest_loan_at: Time,
+    /// Total attempts in flight at the lent seats.
+    pub attempts_in_flight: f64,
+    /// Until when these values hold if no seat starts or ends a loan.
     pub valid_until: Time,
 }
 
 impl Shares {
-    /// How many seats had lent by then.
-    fn by(&self, then: Time) -> usize {
-        if then >= self.latest {
+    /// Returns the number of seats whose loans had started by `then`.
+    fn lent_by(&self, then: Time) -> usize {
+        if then >= self.latest_loan_at {
             return self.lent.len();
         }
         self.lent.iter().filter(|(_, since)| *since <= then).count()
     }
 
-    /// What the pool holds at the most.
-    fn depth(&self, terms: &LeaseConfig, plan: usize, kind: usize) -> f64 {
+    /// Returns the capacity of the pool.
+    fn depth(&self, config: &LeaseConfig, plan: usize, kind: usize) -> f64 {
         if kind == SLOTS {
             return self.slots.get(plan).copied().unwrap_or(0.0);
         }
-        terms.seat_share(plan, kind, 0).1 * self.lent.len() as f64
+        config.seat_share(plan, kind, 0).1 * self.lent.len() as f64
     }
 }
 
-/// Who holds a lease: a seat, in one life, for one loan. What another loan says of it counts for nothing.
+/// Holder of a lease: a seat in one incarnation and for one loan. Reports from any other loan do not apply to the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LeaseHolder {
     pub seat: Seat,
@@ -45,7 +45,7 @@
     pub loan: u64,
 }
 
-/// A lease that a seat holds.
+/// Unexpired lease of a seat.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldLease {
     pub holder: LeaseHolder,
@@ -55,24 +55,24 @@
     returned: Amounts,
     pub until: Time,
     demand: f64,
-    /// Whether a report has named it. Until then the grant that offers it may be on its way, or lost.
+    /// Whether a report has named the lease. Until then its grant may be in transit or lost.
     is_confirmed: bool,
 }
 
 impl HeldLease {
-    /// What may yet be spent of it, or is held of it.
+    /// Returns the amount of the lease that can still be spent, or for slots is held.
     fn outstanding(&self, kind: usize) -> f64 {
         (self.granted[kind] - self.spent[kind] - self.returned[kind]).max(0.0)
     }
 }
 
-/// Slots on which attempts may still be out though no lease covers them: of a lease that has ended, or in use
-/// before one began. They count until the attempts have surely ended, and nothing new begins on them.
+/// Slots that attempts may still occupy without a current lease: slots of an expired lease, or slots in use before a
+/// lease began. They count as occupied until the attempts have certainly ended, and no new attempt may use them.
 #[derive(Clone, Debug)]
 struct EndedLease {
-    /// None: nobody knows any more.
+    /// None if the holder is no longer known.
     holder: Option<LeaseHolder>,
-    /// The lease that has ended, or 0.
+    /// The expired lease, or 0.
     lease: u64,
     granted: f64,
     slots: f64,
@@ -86,17 +86,17 @@
     level: Amounts,
     pub leases: Vec<HeldLease>,
     ended_leases: Vec<EndedLease>,
-    /// Nothing is granted before then, since what was is not known any more.
+    /// Nothing is granted until then, because the leases granted before are no longer known.
     closed_until: Time,
 }
 
-/// For how many ticks of its demand a seat holds a lease.
+/// Number of ticks whose demand a lease covers.
 const DEMAND_TICKS: f64 = 4.0;
 
 impl Pool {
-    /// A pool that has been filling since each share was lent.
+    /// Returns a pool that has been filling since each share was lent.
     pub fn new(plan: u16) -> Self {
-        // As old as time: it has been filling since each share was lent.
+        // `updated_at` of 0 makes the first update fill the pool from the start of each loan.
         Pool {
             plan,
             updated_at: 0,
@@ -107,28 +107,28 @@
         }
     }
 
-    /// A pool of which everything is forgotten but that leases may be out: as if all of it had just been lent.
-    /// It is closed until the last of them has ended, and empty then.
-    pub fn forgotten(plan: u16, now: Time, terms: &LeaseConfig) -> Self {
+    /// Returns a pool whose leases are unknown but may be in use, as if all of it had just been leased. It grants
+    /// nothing until the last of these leases has expired, and is empty at that time.
+    pub fn forgotten(plan: u16, now: Time, config: &LeaseConfig) -> Self {
         let mut pool = Pool::new(plan);
         if planted!("forgotten-begins-full") {
             return pool;
         }
-        (pool.closed_until, pool.updated_at) = (now + terms.lease_ttl, now + terms.lease_ttl);
-        pool.reserve_all_slots(pool.closed_until, terms);
+        (pool.closed_until, pool.updated_at) = (now + config.lease_ttl, now + config.lease_ttl);
+        pool.reserve_all_slots(pool.closed_until, config);
         pool
     }
 
-    /// Holds all slots back: attempts that nobody counted may have begun on them until then.
-    pub fn reserve_all_slots(&mut self, begun: Time, terms: &LeaseConfig) {
-        let slots = terms.plans.get(usize::from(self.plan)).map_or(0.0, |p| p.slots);
+    /// Reserves all slots, since uncounted attempts may have started on them until `started_at`.
+    pub fn reserve_all_slots(&mut self, started_at: Time, config: &LeaseConfig) {
+        let slots = config.plans.get(usize::from(self.plan)).map_or(0.0, |p| p.slots);
         if slots > 0.0 {
-            let until = begun + terms.max_attempt_duration();
+            let until = started_at + config.max_attempt_duration();
             self.ended_leases.push(EndedLease { holder: None, lease: 0, granted: slots, slots, until });
         }
     }
 
-    /// Whether it grants anything yet.
+    /// Whether the pool may grant leases.
     pub fn is_open(&self, now: Time) -> bool {
         now > self.closed_until || self.closed_until == 0
     }
@@ -137,28 +137,28 @@
         self.ended_leases.iter().map(|e| e.slots).sum()
     }
 
-    /// What a seat may have out: the slots of its leases, and of those that have ended.
-    fn covered(&self, whose: LeaseHolder) -> f64 {
-        let held = self.leases.iter().filter(|h| h.holder == whose).map(|h| h.outstanding(SLOTS));
-        held.chain(self.ended_leases.iter().filter(|e| e.holder == Some(whose)).map(|e| e.slots)).sum()
+    /// Returns the slots counted for a holder: those of its leases and of its expired ones.
+    fn covered_slots(&self, holder: LeaseHolder) -> f64 {
+        let held = self.leases.iter().filter(|h| h.holder == holder).map(|h| h.outstanding(SLOTS));
+        held.chain(self.ended_leases.iter().filter(|e| e.holder == Some(holder)).map(|e| e.slots)).sum()
     }
 
-    /// What all leases may yet spend, or hold, of this kind.
+    /// Returns the amount of this kind that all leases can still spend, or for slots hold.
     pub fn outstanding(&self, kind: usize) -> f64 {
         self.leases.iter().map(|h| h.outstanding(kind)).sum()
     }
 
-    /// What the pool has left of this kind.
+    /// Returns the amount of this kind left in the pool.
     pub fn level(&self, kind: usize) -> f64 {
         self.level[kind]
     }
 
-    /// Fills the pool up to then, which is not after now.
-    fn fill(&mut self, then: Time, shares: &Shares, terms: &LeaseConfig) {
+    /// Refills the pool up to `then`, which is not in the future.
+    fn fill(&mut self, then: Time, shares: &Shares, config: &LeaseConfig) {
         let secs = |from: Time| then.saturating_sub(from) as f64 / 1e9;
         let plan = usize::from(self.plan);
-        let stayed = shares.by(self.updated_at);
-        let come: Vec<Time> = if stayed < shares.lent.len() {
+        let continuing = shares.lent_by(self.updated_at);
+        let new_loans: Vec<Time> = if continuing < shares.lent.len() {
             shares
                 .lent
                 .iter()
@@ -169,208 +169,211 @@
             Vec::new()
         };
         for kind in [QUOTA, HARD_LIMIT] {
-            let (rate, depth) = terms.seat_share(plan, kind, 0);
-            // Leases that are out count as unspent: whatever they hold and the level fit the shares together.
-            let out = self.outstanding(kind);
-            let fit = |level: f64, seats: usize| level.min((depth * seats as f64 - out).max(0.0));
-            // A seat that has lent anew since was in its owner's hands meanwhile: what the pool held of its
-            // share is gone, and it begins to fill again from then on.
-            let level = fit(self.level[kind] + rate * secs(self.updated_at) * stayed as f64, stayed);
-            let anew: f64 = come.iter().map(|since| rate * secs(*since)).sum();
-            self.level[kind] = fit(level + anew, stayed + come.len());
+            let (rate, depth) = config.seat_share(plan, kind, 0);
+            // Amounts held by leases count as unspent: together with the level they must fit the shares.
+            let outstanding = self.outstanding(kind);
+            let fit = |level: f64, seats: usize| level.min((depth * seats as f64 - outstanding).max(0.0));
+            // The share of a seat whose loan started since the last update was spent by its owner in between: what the
+            // pool held of it is lost, and it fills again from the start of the loan.
+            let level = fit(self.level[kind] + rate * secs(self.updated_at) * continuing as f64, continuing);
+            let new_loans_fill: f64 = new_loans.iter().map(|since| rate * secs(*since)).sum();
+            self.level[kind] = fit(level + new_loans_fill, continuing + new_loans.len());
         }
         self.updated_at = then;
     }
 
-    /// Brings the pool up to now: leases that have ended are gone with what they held, and the shares fill it.
-    pub fn advance(&mut self, now: Time, shares: &Shares, terms: &LeaseConfig) {
+    /// Brings the pool up to date: removes expired leases with the amounts they held, and refills from the shares.
+    pub fn advance(&mut self, now: Time, shares: &Shares, config: &LeaseConfig) {
         if !self.is_open(now) {
             return;
         }
-        // In order: until a lease ends, what it holds leaves that much less room to fill.
-        while let Some(n) = self.next_expired_lease(now) {
-            self.fill(self.leases[n].until.max(self.updated_at), shares, terms);
-            let over = self.leases.swap_remove(n);
-            // It may have spent everything in silence; attempts that it began may still be out.
-            let slots = over.outstanding(SLOTS);
+        // In order of expiry: until a lease expires, the amount that it holds limits the refill.
+        while let Some(index) = self.next_expired_lease(now) {
+            self.fill(self.leases[index].until.max(self.updated_at), shares, config);
+            let expired = self.leases.swap_remove(index);
+            // Its holder may have spent everything unreported, and its attempts may still be in flight.
+            let slots = expired.outstanding(SLOTS);
             if slots > 0.0 {
-                let HeldLease { holder: whose, lease, granted, .. } = over;
-                let until = over.until + terms.max_attempt_duration();
+                let HeldLease { holder, lease, granted, .. } = expired;
+                let until = expired.until + config.max_attempt_duration();
                 let granted = granted[SLOTS];
-                self.ended_leases.push(EndedLease { holder: Some(whose), lease, granted, slots, until });
+                self.ended_leases.push(EndedLease { holder: Some(holder), lease, granted, slots, until });
             }
             if planted!("expired-comes-back") {
-                self.level[QUOTA] += over.outstanding(QUOTA);
-                self.level[HARD_LIMIT] += over.outstanding(HARD_LIMIT);
+                self.level[QUOTA] += expired.outstanding(QUOTA);
+                self.level[HARD_LIMIT] += expired.outstanding(HARD_LIMIT);
             }
         }
-        self.fill(now, shares, terms);
+        self.fill(now, shares, config);
         self.ended_leases.retain(|e| e.until >= now && e.slots > 0.0);
-        self.level[SLOTS] = self.free_slots(shares, terms).max(0.0).floor();
+        self.level[SLOTS] = self.free_slots(shares, config).max(0.0).floor();
     }
 
-    /// Slots that nothing holds; below nothing when shares have been withdrawn on which something still rests.
-    fn free_slots(&self, shares: &Shares, terms: &LeaseConfig) -> f64 {
-        shares.depth(terms, usize::from(self.plan), SLOTS) - self.outstanding(SLOTS) - self.reserved_slots()
+    /// Returns the slots that nothing occupies. Negative if shares with occupied slots have been withdrawn.
+    fn free_slots(&self, shares: &Shares, config: &LeaseConfig) -> f64 {
+        shares.depth(config, usize::from(self.plan), SLOTS) - self.outstanding(SLOTS) - self.reserved_slots()
     }
 
-    /// The lease that ended first, if one has.
+    /// Returns the index of the lease that expired first, if any has.
     fn next_expired_lease(&self, now: Time) -> Option<usize> {
-        let over = self.leases.iter().enumerate().filter(|(_, h)| h.until < now);
-        over.min_by_key(|(_, h)| h.until).map(|(n, _)| n)
+        let expired = self.leases.iter().enumerate().filter(|(_, h)| h.until < now);
+        expired.min_by_key(|(_, h)| h.until).map(|(index, _)| index)
     }
 
-    /// Whether it holds all that it can: forgotten and made anew, it would be the same.
-    pub fn is_full(&self, shares: &Shares, terms: &LeaseConfig) -> bool {
+    /// Whether the pool is full and without leases, so that removing and recreating it changes nothing.
+    pub fn is_full(&self, shares: &Shares, config: &LeaseConfig) -> bool {
         let plan = usize::from(self.plan);
-        let full = |kind| self.level[kind] >= shares.depth(terms, plan, kind);
+        let full = |kind| self.level[kind] >= shares.depth(config, plan, kind);
         self.leases.is_empty() && self.ended_leases.is_empty() && full(QUOTA) && full(HARD_LIMIT)
     }
 
-    /// Takes in what a seat says of its lease. Counters never run back, nor past what was granted.
-    pub fn apply_report(&mut self, whose: LeaseHolder, entry: &Entry) {
-        // Of a lease that has ended its holder gives back what nothing is out on any more.
+    /// Applies a holder's report on its lease. Counters never decrease and never exceed the granted amounts.
+    pub fn apply_report(&mut self, holder: LeaseHolder, entry: &Entry) {
+        // The holder of an expired lease returns slots whose attempts have ended.
         if let Some(e) =
-            self.ended_leases.iter_mut().find(|e| e.holder == Some(whose) && e.lease == entry.lease)
+            self.ended_leases.iter_mut().find(|e| e.holder == Some(holder) && e.lease == entry.lease)
         {
             e.slots = e.slots.min((e.granted - entry.returned[SLOTS]).max(0.0));
             return;
         }
-        let Some(held) = self.leases.iter_mut().find(|h| h.holder == whose && h.lease == entry.lease) else {
+        let Some(held) = self.leases.iter_mut().find(|h| h.holder == holder && h.lease == entry.lease) else {
             return;
         };
         held.is_confirmed = true;
         for kind in [QUOTA, HARD_LIMIT, SLOTS] {
-            // What was taken in stands, also where sums of fractions round past each other.
-            let most = held.granted[kind] - held.returned[kind];
+            // Amounts applied earlier are kept, even if rounding puts the upper bound below them.
+            let max_spent = held.granted[kind] - held.returned[kind];
             let spent = if planted!("clamp-panics") {
-                entry.spent[kind].clamp(held.spent[kind], most)
+                entry.spent[kind].clamp(held.spent[kind], max_spent)
             } else {
-                entry.spent[kind].min(most).max(held.spent[kind])
+                entry.spent[kind].min(max_spent).max(held.spent[kind])
             };
             if kind != SLOTS {
                 held.spent[kind] = spent;
             }
-            let most = held.granted[kind] - held.spent[kind];
-            let returned = entry.returned[kind].min(most).max(held.returned[kind]);
-            let back = returned - held.returned[kind];
+            let max_returned = held.granted[kind] - held.spent[kind];
+            let returned = entry.returned[kind].min(max_returned).max(held.returned[kind]);
+            let newly_returned = returned - held.returned[kind];
             held.returned[kind] = returned;
-            // Of the hard ceiling nothing comes back: who says that it has not spent what it has gains nothing.
+            // Units of the hard limit are never returned to the pool, so a holder gains nothing by reporting spent units
+            // as returned.
             if kind == QUOTA {
-                self.level[QUOTA] += back;
+                self.level[QUOTA] += newly_returned;
             }
         }
     }
 
-    /// Whether the leases that are out fit the shares: not when one has just been withdrawn. Leases are not
-    /// renewed then, so that none rests on it when its owner spends it again.
-    fn fits_shares(&self, shares: &Shares, terms: &LeaseConfig) -> bool {
+    /// Whether the current leases fit the shares, which is not so when a share has just been withdrawn. Leases are then
+    /// not renewed, so that none depends on that share when its owner spends it again.
+    fn fits_shares(&self, shares: &Shares, config: &LeaseConfig) -> bool {
         let plan = usize::from(self.plan);
-        let held = self.reserved_slots();
-        [(QUOTA, 0.0), (HARD_LIMIT, 0.0), (SLOTS, held)].into_iter().all(|(kind, held)| {
-            let out = self.outstanding(kind) + held;
-            out <= 1e-9 || out <= shares.depth(terms, plan, kind) + 1e-9
+        let reserved = self.reserved_slots();
+        [(QUOTA, 0.0), (HARD_LIMIT, 0.0), (SLOTS, reserved)].into_iter().all(|(kind, reserved)| {
+            let used = self.outstanding(kind) + reserved;
+            used <= 1e-9 || used <= shares.depth(config, plan, kind) + 1e-9
         })
     }
 
-    /// Grants a seat what its demand wants and the pool has, for as long as a lease lives.
+    /// Grants or renews a lease that covers the holder's demand, as far as the pool allows.
     pub fn grant(
         &mut self,
         now: Time,
-        whose: LeaseHolder,
+        holder: LeaseHolder,
         entry: &Entry,
-        fresh: u64,
+        new_lease: u64,
         shares: &Shares,
-        terms: &LeaseConfig,
+        config: &LeaseConfig,
     ) -> Lease {
-        let until = now + terms.lease_ttl;
-        let fits = self.fits_shares(shares, terms) || planted!("renewed-beyond-shares");
-        // One that its holder has not heard of yet is offered again; of one that it has forgotten it can't say
-        // what it spent, and a new one begins.
+        let until = now + config.lease_ttl;
+        let fits_shares = self.fits_shares(shares, config) || planted!("renewed-beyond-shares");
+        // A lease that the holder has not confirmed yet is offered again. If the holder has forgotten a confirmed
+        // lease, it cannot report what it spent, so a new lease begins.
         let offered =
             |h: &HeldLease| h.lease > entry.lease && (!h.is_confirmed || planted!("forgotten-offered-again"));
-        let known =
-            self.leases.iter().position(|h| h.holder == whose && (h.lease == entry.lease || offered(h)));
-        let n = known.unwrap_or_else(|| self.begin_lease(now, whose, entry, fresh, until, terms));
-        let renewed = fits || known.is_none();
-        if renewed {
-            self.leases[n].until = until;
+        let existing =
+            self.leases.iter().position(|h| h.holder == holder && (h.lease == entry.lease || offered(h)));
+        let index =
+            existing.unwrap_or_else(|| self.begin_lease(now, holder, entry, new_lease, until, config));
+        let is_renewed = fits_shares || existing.is_none();
+        if is_renewed {
+            self.leases[index].until = until;
         }
-        self.leases[n].demand = entry.demand;
-        let all: f64 = self.leases.iter().map(|h| h.demand).sum();
-        let part = if all > 0.0 { entry.demand / all } else { 0.0 };
-        let ticks = terms.tick as f64 / 1e9 * DEMAND_TICKS;
+        self.leases[index].demand = entry.demand;
+        let total_demand: f64 = self.leases.iter().map(|h| h.demand).sum();
+        let demand_fraction = if total_demand > 0.0 { entry.demand / total_demand } else { 0.0 };
+        let horizon_secs = config.tick as f64 / 1e9 * DEMAND_TICKS;
         let plan = usize::from(self.plan);
-        let mut dry = false;
+        let mut is_pool_empty = false;
         for kind in [QUOTA, HARD_LIMIT] {
-            let (rate, depth) = terms.seat_share(plan, kind, 0);
+            let (rate, depth) = config.seat_share(plan, kind, 0);
             if rate <= 0.0 || entry.demand <= 0.0 {
                 continue;
             }
-            let wanted =
-                (entry.demand * ticks + terms.margin(plan, kind)).min(depth * f64::from(terms.seats));
-            let short = (wanted - self.leases[n].outstanding(kind)).max(0.0);
-            // In want each gets by what it is asked for, but one whole request if there is as much; who asks
-            // alone gets all.
-            let least = self.level[kind].min(terms.max_request_units);
-            let given = short.min((self.level[kind] * part).max(least));
+            let wanted_amount = (entry.demand * horizon_secs + config.headroom(plan, kind))
+                .min(depth * f64::from(config.seats));
+            let shortfall = (wanted_amount - self.leases[index].outstanding(kind)).max(0.0);
+            // If the pool is short, each holder gets its fraction by demand, but enough for the largest request if the
+            // pool has that much. A single holder with demand can get all.
+            let min_amount = self.level[kind].min(config.max_request_units);
+            let granted_amount = shortfall.min((self.level[kind] * demand_fraction).max(min_amount));
             if !planted!("lease-not-charged") {
-                self.level[kind] -= given;
+                self.level[kind] -= granted_amount;
             }
-            self.leases[n].granted[kind] += given;
-            dry |= self.leases[n].outstanding(kind) < terms.max_request_units.min(entry.demand * ticks);
+            self.leases[index].granted[kind] += granted_amount;
+            is_pool_empty |= self.leases[index].outstanding(kind)
+                < config.max_request_units.min(entry.demand * horizon_secs);
         }
-        if terms.plans.get(plan).is_some_and(|p| p.limits(SLOTS)) && entry.demand > 0.0 {
-            let wanted = (1.5 * entry.in_use + 2.0).ceil();
-            if renewed {
-                self.reclaim_slots(n, wanted, shares, terms);
+        if config.plans.get(plan).is_some_and(|p| p.limits(SLOTS)) && entry.demand > 0.0 {
+            let wanted_amount = (1.5 * entry.in_use + 2.0).ceil();
+            if is_renewed {
+                self.reclaim_slots(index, wanted_amount, shares, config);
             }
-            let short = wanted - self.leases[n].outstanding(SLOTS);
-            let given = short.min(self.level[SLOTS]).max(0.0).floor();
-            self.level[SLOTS] -= given;
-            self.leases[n].granted[SLOTS] += given;
-            dry |= self.leases[n].outstanding(SLOTS) <= entry.in_use;
+            let shortfall = wanted_amount - self.leases[index].outstanding(SLOTS);
+            let granted_amount = shortfall.min(self.level[SLOTS]).max(0.0).floor();
+            self.level[SLOTS] -= granted_amount;
+            self.leases[index].granted[SLOTS] += granted_amount;
+            is_pool_empty |= self.leases[index].outstanding(SLOTS) <= entry.in_use;
         }
-        let HeldLease { lease, granted, .. } = self.leases[n];
-        Lease { customer: entry.customer.clone(), lease, granted, is_renewed: renewed, is_pool_empty: dry }
+        let HeldLease { lease, granted, .. } = self.leases[index];
+        Lease { customer: entry.customer.clone(), lease, granted, is_renewed, is_pool_empty }
     }
 
-    /// A new lease, with nothing to spend but slots for what its holder has out already and is not counted yet:
-    /// as many as the pool has free. The others count until those attempts have ended, but nothing new may begin
-    /// on them: what they rest on may be another's by then.
+    /// Begins a lease without units. It has slots only for the holder's attempts in flight that are not counted yet, as
+    /// many as the pool has free. The remaining attempts are counted until they have ended, but no new attempt may use
+    /// their slots, which may belong to another holder by then.
     fn begin_lease(
         &mut self,
         now: Time,
-        whose: LeaseHolder,
+        holder: LeaseHolder,
         entry: &Entry,
         lease: u64,
         until: Time,
-        terms: &LeaseConfig,
+        config: &LeaseConfig,
     ) -> usize {
-        let in_use = entry.in_use.min(terms.plans[usize::from(self.plan)].slots).floor();
-        let mut slots = (in_use - self.covered(whose)).max(0.0);
+        let in_use = entry.in_use.min(config.plans[usize::from(self.plan)].slots).floor();
+        let mut slots = (in_use - self.covered_slots(holder)).max(0.0);
         if planted!("in-use-uncounted") {
             slots = 0.0;
         }
-        let mut free = slots.min(self.level[SLOTS]);
+        let mut available = slots.min(self.level[SLOTS]);
         if planted!("slots-laundered") {
-            (slots, free) = (in_use, in_use);
+            (slots, available) = (in_use, in_use);
         }
-        self.level[SLOTS] = (self.level[SLOTS] - free).max(0.0);
-        let (granted, rest) = ([0.0, 0.0, free], slots - free);
-        if rest > 0.0 {
-            let until = now + terms.max_attempt_duration();
+        self.level[SLOTS] = (self.level[SLOTS] - available).max(0.0);
+        let (granted, uncovered) = ([0.0, 0.0, available], slots - available);
+        if uncovered > 0.0 {
+            let until = now + config.max_attempt_duration();
             self.ended_leases.push(EndedLease {
-                holder: Some(whose),
+                holder: Some(holder),
                 lease: 0,
-                granted: rest,
-                slots: rest,
+                granted: uncovered,
+                slots: uncovered,
                 until,
             });
         }
         let (spent, returned) = ([0.0; 3], [0.0; 3]);
         self.leases.push(HeldLease {
-            holder: whose,
+            holder,
             lease,
             granted,
             spent,
@@ -382,20 +385,21 @@
         self.leases.len() - 1
     }
 
-    /// Takes up into a lease what its holder's earlier ones left held back, as far as all that is counted fits
-    /// the shares: the attempts are the same, wherever they are counted.
-    fn reclaim_slots(&mut self, n: usize, wanted: f64, shares: &Shares, terms: &LeaseConfig) {
-        let over = (-self.free_slots(shares, terms)).max(0.0).ceil();
-        let over = if planted!("withdrawn-taken-up") { 0.0 } else { over };
-        let held = &mut self.leases[n];
-        let mine = |e: &&mut EndedLease| e.holder == Some(held.holder);
-        let all: f64 =
+    /// Moves slots reserved for the holder's earlier leases into this lease, as far as all counted slots fit the shares.
+    /// The attempts are the same in either place.
+    fn reclaim_slots(&mut self, index: usize, wanted_slots: f64, shares: &Shares, config: &LeaseConfig) {
+        let deficit = (-self.free_slots(shares, config)).max(0.0).ceil();
+        let deficit = if planted!("withdrawn-taken-up") { 0.0 } else { deficit };
+        let held = &mut self.leases[index];
+        let is_same_holder = |e: &&mut EndedLease| e.holder == Some(held.holder);
+        let reserved: f64 =
             self.ended_leases.iter().filter(|e| e.holder == Some(held.holder)).map(|e| e.slots).sum();
-        let mut most = (wanted - held.outstanding(SLOTS)).min(all - over).max(0.0).floor();
-        for e in self.ended_leases.iter_mut().filter(mine) {
-            let part = e.slots.min(most);
-            (e.slots, e.granted, most) = (e.slots - part, e.granted - part, most - part);
-            held.granted[SLOTS] += part;
+        let mut reclaimable =
+            (wanted_slots - held.outstanding(SLOTS)).min(reserved - deficit).max(0.0).floor();
+        for e in self.ended_leases.iter_mut().filter(is_same_holder) {
+            let amount = e.slots.min(reclaimable);
+            (e.slots, e.granted, reclaimable) = (e.slots - amount, e.granted - amount, reclaimable - amount);
+            held.granted[SLOTS] += amount;
         }
     }
 }
--- a/crates/testing/fleet-sim/src/experiment/tests.rs
+++ b/crates/testing/fleet-sim/src/experiment/tests.rs
@@ -35,7 +35,7 @@
         (TEXT.replace("planners\"", "nowhere\""), "no world is named"),
         (TEXT.replace("[3, 5]", "[5, 5]"), "seeds"),
         (TEXT.replace("lease_ms", "leash_ms"), "leash_ms"),
-        (TEXT.replace("[200, 500]", "[1, 500]"), "a lease lives"),
+        (TEXT.replace("[200, 500]", "[1, 500]"), "a lease must last at least 3 ticks"),
         (TEXT.replace("[200, 500]", "[]"), "0 runs"),
         (TEXT.replace("\"b\"", "\"a\""), "two arms"),
         (TEXT.replace("[4200, 4900]", "[4900, 4200]"), "ends before it begins"),
