--- a/crates/gateway/proxy/src/backends/attempt.rs
+++ b/crates/gateway/proxy/src/backends/attempt.rs
@@ -1,10 +1,10 @@
-//! One attempt at one backend: a connection, the permission to write, the exchange, its end.
+//! One attempt at one backend: connect, get permission to write, exchange, finish.
 
 use super::connection::{drive, is_interrupted, Connection};
 use super::relay::Relay;
 use super::{
-    nanos, AttemptStage, Backends, Content, Outcome, Outgoing, Progress, ANSWER_PAUSE_TIMEOUT, MAX_BODY,
-    MAX_BUFFERED_ANSWER,
+    nanos, AttemptStage, Backends, Content, Outcome, Outgoing, Progress, MAX_BODY_BYTES,
+    MAX_BUFFERED_RESPONSE_BYTES, RESPONSE_PAUSE_TIMEOUT,
 };
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -19,60 +19,60 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// The result of an attempt, so far as it is known when its answer has begun.
+/// Result of an attempt, known when it has ended or when a response to stream has begun.
 pub enum ExchangeResult {
     Complete(Outcome),
-    /// A good answer has begun that is to be streamed.
+    /// A streamable response has begun.
     Streaming(Outcome, Box<Relay>),
 }
 
 impl Backends {
-    /// One attempt at one backend, given up at `not_past` if no answer that can be streamed has begun by then.
+    /// Makes one attempt at one backend. It is given up at `deadline` if no streamable response has begun by then.
     pub async fn attempt(
         &self,
         backend: &Name,
         address: SocketAddr,
         request: &Outgoing,
-        not_past: Instant,
+        deadline: Instant,
         progress: &Rc<Progress>,
     ) -> ExchangeResult {
-        let without = |ending| ExchangeResult::Complete(Outcome::without_answer(ending));
-        let exchange = Exchange { backends: self, backend, request, progress, not_past };
-        match timeout_at(not_past, exchange.run(address)).await {
+        let without_response = |ending| ExchangeResult::Complete(Outcome::without_answer(ending));
+        let exchange = Exchange { backends: self, backend, request, progress, deadline };
+        match timeout_at(deadline, exchange.run(address)).await {
             Ok(Ok(result)) => result,
-            Ok(Err(ending)) => without(ending),
-            Err(_) if progress.may_have_run() => without(Ending::TimedOut),
-            Err(_) => without(Ending::Unreachable),
+            Ok(Err(ending)) => without_response(ending),
+            Err(_) if progress.may_have_run() => without_response(Ending::TimedOut),
+            Err(_) => without_response(Ending::Unreachable),
         }
     }
 }
 
-/// One exchange with a backend: a request is written, and its answer is read.
+/// Exchange with a backend: writes a request and reads its response.
 struct Exchange<'a> {
     backends: &'a Backends,
     backend: &'a Name,
     request: &'a Outgoing,
     progress: &'a Rc<Progress>,
-    not_past: Instant,
+    deadline: Instant,
 }
 
-/// When a request was written, and how long its connection had been idle if it was used before.
+/// Start time of an exchange, and for how long its connection had been idle if it was used before.
 struct ExchangeStart {
-    at: Time,
+    started_at: Time,
     idle_time: Option<Time>,
 }
 
-/// The head of a valid answer, and what decides on how its body is read.
-struct AnswerHead {
+/// Head of a valid response, and the parameters for reading its body.
+struct ResponseHead {
     parts: Parts,
-    /// None if no length is stated.
+    /// Stated length, if any.
     length: Option<u64>,
     is_streamable: bool,
-    /// A body that pauses for longer is given up.
+    /// Maximum pause within the body.
     pause: Duration,
 }
 
-/// What has arrived of a body.
+/// Received part of a body.
 #[derive(Default)]
 struct ReceivedBody {
     frames: Vec<Bytes>,
@@ -96,17 +96,17 @@
 impl Exchange<'_> {
     async fn run(&self, address: SocketAddr) -> Result<ExchangeResult, Ending> {
         let mut connection = self.connect(address).await?;
-        // While it connected the backend may have begun to drain, or another may have taken its address; or nobody
-        // waits any more. Nothing is written then.
+        // During the connect the backend may have started to drain, another one may have taken over its address, or the
+        // client may have left. Nothing is written then.
         if !(self.progress.report)(AttemptStage::Connected) {
             self.backends.return_to_pool(self.backend, connection);
             return Err(Ending::Unreachable);
         }
         let start = self.begin(&mut connection);
-        let wait = self.not_past.saturating_duration_since(Instant::now());
-        // What cannot be repeated is not given up for a pause in its answer.
+        let wait = self.deadline.saturating_duration_since(Instant::now());
+        // A request that must not be repeated is not given up because of a pause in its response.
         let pause =
-            if self.request.at_most_once { wait.max(ANSWER_PAUSE_TIMEOUT) } else { ANSWER_PAUSE_TIMEOUT };
+            if self.request.at_most_once { wait.max(RESPONSE_PAUSE_TIMEOUT) } else { RESPONSE_PAUSE_TIMEOUT };
         let response = self.send(&mut connection, &start, wait, pause).await?;
         let (parts, body) = response.into_parts();
         let head = self.check_head(&mut connection, parts, pause)?;
@@ -121,16 +121,16 @@
     }
 
     fn begin(&self, connection: &mut Connection) -> ExchangeStart {
-        let at = self.backends.now();
-        let idle_time = connection.upstream.idle_time(at).filter(|_| connection.upstream.is_used());
+        let started_at = self.backends.now();
+        let idle_time = connection.upstream.idle_time(started_at).filter(|_| connection.upstream.is_used());
         connection.upstream.begin_exchange();
         self.request.earlier_connections.borrow_mut().push(connection.upstream.number());
         connection.state.idle.set(false);
         connection.state.progress.replace(self.progress.clone());
-        ExchangeStart { at, idle_time }
+        ExchangeStart { started_at, idle_time }
     }
 
-    /// Writes the request and waits for the head of its answer.
+    /// Writes the request and waits for the head of its response.
     async fn send(
         &self,
         connection: &mut Connection,
@@ -138,28 +138,29 @@
         wait: Duration,
         pause: Duration,
     ) -> Result<Response<Incoming>, Ending> {
-        let mut request = self.request.to_backend(&*self.backends.wire, self.backend, wait, self.progress);
-        // An interim answer may come long before the answer itself.
-        let has_answer_begun = self.progress.has_answer_begun.clone();
-        hyper::ext::on_informational(&mut request, move |_| has_answer_begun.store(false, Relaxed));
-        match self.progress.in_time(pause, connection.send_request(request)).await {
+        let mut request =
+            self.request.build_request(&*self.backends.protocol, self.backend, wait, self.progress);
+        // An interim response (1xx) may arrive long before the final one.
+        let response_begun = self.progress.response_begun.clone();
+        hyper::ext::on_informational(&mut request, move |_| response_begun.store(false, Relaxed));
+        match self.progress.wait_for_head(pause, connection.send_request(request)).await {
             Some(Some(Ok(response))) => Ok(response),
             Some(Some(Err(error))) if !is_interrupted(&error) => Err(Ending::Unreadable),
             Some(_) => {
                 self.record_reset(start);
-                Err(self.progress.broken())
+                Err(self.progress.disconnect_ending())
             }
             None => Err(Ending::Unreadable),
         }
     }
 
-    /// A reset soon after the request means that the backend had forgotten the idle connection.
+    /// Records a disconnect. Soon after the request, it means that the backend had dropped the idle connection.
     fn record_reset(&self, start: &ExchangeStart) {
-        let elapsed = self.backends.now() - start.at;
-        let was_soon = elapsed < nanos(self.backends.connect_timeout) && !self.progress.has_begun();
-        if let Some(idle_time) = start.idle_time.filter(|_| was_soon) {
+        let elapsed = self.backends.now() - start.started_at;
+        let is_soon = elapsed < nanos(self.backends.connect_timeout) && !self.progress.has_response_begun();
+        if let Some(idle_time) = start.idle_time.filter(|_| is_soon) {
             let mut limit = self.backends.idle_limit.get();
-            limit.on_reset(start.at, idle_time);
+            limit.on_reset(start.started_at, idle_time);
             self.backends.idle_limit.set(limit);
         }
     }
@@ -169,38 +170,38 @@
         connection: &mut Connection,
         parts: Parts,
         pause: Duration,
-    ) -> Result<AnswerHead, Ending> {
-        let wire = &self.backends.wire;
+    ) -> Result<ResponseHead, Ending> {
+        let protocol = &self.backends.protocol;
         let length = length(&self.request.method, &parts).ok_or(Ending::Unreadable)?;
-        let echo = wire.echo(self.request, &parts);
-        if !connection.upstream.is_answer(echo) || !wire.is_valid_head(self.request, &parts) {
+        let echo = protocol.echo(self.request, &parts);
+        if !connection.upstream.is_answer(echo) || !protocol.is_valid_head(self.request, &parts) {
             return Err(Ending::Unreadable);
         }
-        if let Some(idle_time) = wire.idle_time(&parts) {
+        if let Some(idle_time) = protocol.idle_time(&parts) {
             connection.max_idle = nanos(idle_time / 2);
         }
-        let is_streamable = wire.is_streamable(&parts);
-        let max_length = if is_streamable { MAX_BODY } else { MAX_BUFFERED_ANSWER };
+        let is_streamable = protocol.is_streamable(&parts);
+        let max_length = if is_streamable { MAX_BODY_BYTES } else { MAX_BUFFERED_RESPONSE_BYTES };
         if length.is_some_and(|length| length > max_length as u64) {
             return Err(Ending::Unreadable);
         }
-        Ok(AnswerHead { parts, length, is_streamable, pause })
+        Ok(ResponseHead { parts, length, is_streamable, pause })
     }
 
-    /// Reads a short body to its end; a long one, or one of unknown length that takes long, is streamed if it is good.
+    /// Reads a short body to its end. A long one, or a slow one of unknown length, is streamed if its head allows it.
     async fn read_body(
         &self,
         mut connection: Connection,
-        head: AnswerHead,
+        head: ResponseHead,
         mut body: Incoming,
     ) -> Result<ExchangeResult, Ending> {
         let mut received = ReceivedBody::default();
         let started = Instant::now();
-        while received.size <= MAX_BUFFERED_ANSWER
-            && head.length.is_none_or(|length| length <= MAX_BUFFERED_ANSWER as u64)
+        while received.size <= MAX_BUFFERED_RESPONSE_BYTES
+            && head.length.is_none_or(|length| length <= MAX_BUFFERED_RESPONSE_BYTES as u64)
         {
             let is_slow = head.length.is_none() && received.size > 0;
-            if is_slow && head.is_streamable && started.elapsed() >= ANSWER_PAUSE_TIMEOUT {
+            if is_slow && head.is_streamable && started.elapsed() >= RESPONSE_PAUSE_TIMEOUT {
                 break;
             }
             let frame = if body.is_end_stream() {
@@ -220,7 +221,7 @@
                     }
                 }
                 Ok(Some(Some(Err(error)))) if !is_interrupted(&error) => return Err(Ending::Unreadable),
-                Ok(_) => return Err(self.progress.broken()),
+                Ok(_) => return Err(self.progress.disconnect_ending()),
                 Err(_) => return Err(Ending::Unreadable),
             }
         }
@@ -231,44 +232,44 @@
     }
 
     fn complete(&self, parts: Parts, body: Bytes) -> ExchangeResult {
-        let answer = Response::from_parts(parts, Content::Complete(body));
-        ExchangeResult::Complete(self.backends.wire.read(self.request, self.backend, answer))
+        let response = Response::from_parts(parts, Content::Complete(body));
+        ExchangeResult::Complete(self.backends.protocol.read(self.request, self.backend, response))
     }
 
     fn stream(
         &self,
         connection: Connection,
-        head: AnswerHead,
+        head: ResponseHead,
         body: Incoming,
         received: Vec<Bytes>,
     ) -> ExchangeResult {
         let (relay, stream) =
             Relay::new(self.backend, connection, body, received, head.length, self.progress);
-        let answer = Response::from_parts(head.parts, Content::Stream(stream));
-        let outcome = self.backends.wire.read(self.request, self.backend, answer);
+        let response = Response::from_parts(head.parts, Content::Stream(stream));
+        let outcome = self.backends.protocol.read(self.request, self.backend, response);
         ExchangeResult::Streaming(outcome, Box::new(relay))
     }
 }
 
-/// The length that an answer states, if it does. None if its end is in doubt: two lengths, or none and the connection
-/// stays open.
+/// Returns the stated length of a response, if any. None if the end of the response is ambiguous: two lengths, or none on
+/// a connection that stays open.
 fn length(method: &Method, head: &Parts) -> Option<Option<u64>> {
-    // These end with their head, whatever it states (RFC 9112, 6.3).
+    // These responses end with their head, whatever length it states (RFC 9112, section 6.3).
     if method == Method::HEAD || matches!(head.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) {
         return Some(Some(0));
     }
     let mut lengths = head.headers.get_all(CONTENT_LENGTH).iter();
-    let (first, second) = (lengths.next(), lengths.next());
-    let coded = head.headers.contains_key(TRANSFER_ENCODING);
-    let closes = || {
+    let (first_length, second_length) = (lengths.next(), lengths.next());
+    let has_transfer_encoding = head.headers.contains_key(TRANSFER_ENCODING);
+    let is_closed_after = || {
         let connection = head.headers.get_all(CONNECTION).iter();
-        let mut words = connection.filter_map(|v| v.to_str().ok()).flat_map(|v| v.split(','));
-        head.version == Version::HTTP_10 || words.any(|w| w.trim().eq_ignore_ascii_case("close"))
+        let mut options = connection.filter_map(|v| v.to_str().ok()).flat_map(|v| v.split(','));
+        head.version == Version::HTTP_10 || options.any(|w| w.trim().eq_ignore_ascii_case("close"))
     };
-    match (first, second, coded) {
+    match (first_length, second_length, has_transfer_encoding) {
         (Some(one), None, false) => one.to_str().ok()?.trim().parse().ok().map(Some),
         (None, None, true) => Some(None),
-        (None, None, false) if closes() => Some(None),
+        (None, None, false) if is_closed_after() => Some(None),
         _ => None,
     }
 }
--- a/crates/gateway/proxy/src/backends/connection.rs
+++ b/crates/gateway/proxy/src/backends/connection.rs
@@ -1,6 +1,6 @@
-//! A connection to a backend. It is polled by the attempt that uses it and by nothing while it is idle.
+//! Connection to a backend. It is polled by the attempt that uses it, and is not polled while idle.
 
-use super::upload::Sent;
+use super::upload::RequestBody;
 use super::{AttemptStage, Progress};
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -22,7 +22,7 @@
 use std::task::{Context, Poll, Waker};
 use tokio::net::TcpStream;
 
-/// A connection's place in the descriptor budget.
+/// Slot of a connection in the descriptor budget, released when dropped.
 pub(super) struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl ConnectionSlot {
@@ -38,23 +38,23 @@
     }
 }
 
-pub(super) type Sender = SendRequest<Sent>;
+pub(super) type Sender = SendRequest<RequestBody>;
 
 pub(super) struct Connection {
     pub(super) sender: Sender,
-    pub(super) io: http1::Connection<CountingSocket, Sent>,
+    pub(super) io: http1::Connection<CountingSocket, RequestBody>,
     pub(super) is_closed: bool,
     pub(super) state: Rc<ConnectionState>,
     pub(super) address: SocketAddr,
     pub(super) upstream: Upstream,
-    /// It is used for so long after its last answer.
+    /// Idle time after the last response beyond which the connection is not reused.
     pub(super) max_idle: Time,
     pub(super) _slot: ConnectionSlot,
 }
 
 impl Connection {
-    /// Whether it can take another request. Looks for the other side's close, and for bytes that belong to
-    /// no request, first.
+    /// Whether the connection can carry another request. Checks first for a close by the peer and for bytes that belong to
+    /// no request.
     pub(super) fn is_reusable(&mut self) -> bool {
         self.state.idle.set(true);
         let mut cx = Context::from_waker(Waker::noop());
@@ -67,15 +67,15 @@
 
     pub(super) async fn send_request(
         &mut self,
-        request: Request<Sent>,
+        request: Request<RequestBody>,
     ) -> Option<hyper::Result<Response<Incoming>>> {
-        let answer = self.sender.send_request(request);
-        drive(&mut self.io, &mut self.is_closed, answer).await
+        let response = self.sender.send_request(request);
+        drive(&mut self.io, &mut self.is_closed, response).await
     }
 }
 
-/// Whether the other side ended the connection in the middle of an answer; otherwise what it sent can't be
-/// read.
+/// Whether the error means that the peer closed the connection before the end of the response. Any other error is a
+/// malformed response.
 pub(super) fn is_interrupted(error: &(dyn Error + 'static)) -> bool {
     let mut cause = Some(error);
     while let Some(e) = cause {
@@ -90,42 +90,43 @@
     false
 }
 
-/// Polls a connection along with what waits for it. None if the connection ended and left it waiting.
+/// Polls a connection together with a future that waits for it. Returns None if the connection ended before the future
+/// was ready.
 pub(super) async fn drive<F: Future>(
-    io: &mut http1::Connection<CountingSocket, Sent>,
-    closed: &mut bool,
+    io: &mut http1::Connection<CountingSocket, RequestBody>,
+    is_closed: &mut bool,
     waiting: F,
 ) -> Option<F::Output> {
     let mut waiting = pin!(waiting);
     std::future::poll_fn(|cx| {
-        *closed = *closed || Pin::new(&mut *io).poll(cx).is_ready();
+        *is_closed = *is_closed || Pin::new(&mut *io).poll(cx).is_ready();
         match waiting.as_mut().poll(cx) {
             Poll::Ready(output) => Poll::Ready(Some(output)),
-            Poll::Pending if *closed => Poll::Ready(None),
+            Poll::Pending if *is_closed => Poll::Ready(None),
             Poll::Pending => Poll::Pending,
         }
     })
     .await
 }
 
-/// What a connection's owner and its socket share.
+/// State shared by a connection's owner and its socket.
 #[derive(Default)]
 pub(super) struct ConnectionState {
-    /// Of the current attempt.
+    /// Progress of the current attempt.
     pub(super) progress: RefCell<Rc<Progress>>,
     pub(super) idle: Cell<bool>,
 }
 
-/// A socket that counts what passes on the current attempt's account.
+/// Socket that records written bytes and reads in the progress of the current attempt.
 pub(super) struct CountingSocket {
     pub(super) io: TokioIo<TcpStream>,
-    pub(super) link: Rc<ConnectionState>,
+    pub(super) state: Rc<ConnectionState>,
 }
 
 impl CountingSocket {
     fn count(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = &written {
-            let progress = self.link.progress.borrow();
+            let progress = self.state.progress.borrow();
             progress.written.set(progress.written.get() + n);
             if progress.may_have_run() {
                 progress.report_stage(AttemptStage::Written);
@@ -141,21 +142,20 @@
         cx: &mut Context<'_>,
         buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.link.idle.get() {
-            // The runtime may not know yet that something came, so the socket itself is asked: a second copy
-            // of the last answer would be taken for the answer to the next request. Whatever it is, it ends
-            // the connection.
-            let mut one = [MaybeUninit::uninit()];
-            return match SockRef::from(self.io.inner()).peek(&mut one) {
+        if self.state.idle.get() {
+            // The runtime may not know of arrived bytes yet, so the socket itself is peeked: a second copy of the last
+            // response would be taken for the response to the next request. Any bytes end the connection.
+            let mut peeked = [MaybeUninit::uninit()];
+            return match SockRef::from(self.io.inner()).peek(&mut peeked) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => Poll::Pending,
                 _ => Poll::Ready(Ok(())),
             };
         }
         let read = Pin::new(&mut self.io).poll_read(cx, buf);
         if matches!(read, Poll::Ready(Ok(()))) {
-            let progress = self.link.progress.borrow();
+            let progress = self.state.progress.borrow();
             progress.report_stage(AttemptStage::Answering);
-            progress.has_answer_begun.store(true, Relaxed);
+            progress.response_begun.store(true, Relaxed);
             progress.activity.notify_one();
         }
         read
--- a/crates/gateway/proxy/src/backends/mod.rs
+++ b/crates/gateway/proxy/src/backends/mod.rs
@@ -1,24 +1,24 @@
-//! Backends: their addresses, the pool of connections to them, and attempts.
+//! Upstream side of the proxy: addresses of backends, the connection pool, and attempts.
 //!
-//! A connection is polled by the attempt that uses it, and by nothing while it is idle: dropping the attempt closes it,
-//! so that no late answer can reach another request, and an exchange wakes one task.
+//! A connection is polled by the attempt that uses it, and is not polled while idle. Dropping the attempt closes the
+//! connection, so a late response cannot reach another request, and an exchange wakes a single task.
 
-mod answer;
 mod attempt;
 mod connection;
 mod progress;
 mod relay;
 mod request;
+mod response;
 #[cfg(test)]
 mod tests;
 mod upload;
 
-pub use answer::{Content, Outcome, Served, UpstreamProtocol};
 pub use attempt::ExchangeResult;
 pub use progress::{AttemptStage, Progress};
 pub use relay::Stream;
 pub use request::Outgoing;
-pub use upload::{Open, Upload};
+pub use response::{Content, Outcome, Served, UpstreamProtocol};
+pub use upload::{StreamingBody, Upload};
 
 use crate::list::{State, Target};
 use connection::{Connection, ConnectionSlot, ConnectionState, CountingSocket};
@@ -36,73 +36,74 @@
 use tokio::net::TcpStream;
 use tokio::time::{interval, timeout, Instant};
 
-/// The longest answer that is buffered, so that another attempt can replace a broken one.
-pub const MAX_BUFFERED_ANSWER: usize = 64 << 10;
-/// The largest body on either side.
-pub const MAX_BODY: usize = 32 << 20;
+/// Maximum size of a buffered response. An interrupted response that is buffered can be replaced by another attempt's.
+pub const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
+/// Maximum size of a request or response body.
+pub const MAX_BODY_BYTES: usize = 32 << 20;
 const REAP_INTERVAL: Duration = Duration::from_secs(1);
-/// An answer that pauses for this long is given up; one of unknown length that takes this long is streamed.
-const ANSWER_PAUSE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Backends that were seen to forget an idle connection are believed to for so long, and it tells nothing that one was
-/// lost that had rested for less than the second figure.
+/// Pause after which a response is given up, and time after which a response of unknown length is streamed.
+const RESPONSE_PAUSE_TIMEOUT: Duration = Duration::from_millis(250);
+/// Time for which the idle limit stays reduced after a backend has dropped an idle connection. The loss of a connection
+/// idle for less than `MIN_IDLE_LIMIT` is ignored.
 const NARROWED_IDLE_TIME: Duration = Duration::from_secs(10);
 const MIN_IDLE_LIMIT: Duration = Duration::from_millis(50);
-/// The longest head of an answer, which is also the largest buffer of a connection.
+/// Maximum size of a response head, and of a connection's buffer.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
 struct Backend {
     address: Option<SocketAddr>,
     boot_ms: u64,
     ready: bool,
-    /// Idle connections, the one used last at the end.
+    /// Idle connections, the most recently used one last.
     idle: Vec<Connection>,
 }
 
-/// All backends, and the pool of connections to them.
+/// All backends and the pool of connections to them.
 pub struct Backends {
     table: RefCell<HashMap<Name, Backend>>,
-    /// Connections that are open or being opened, idle ones among them.
+    /// Number of connections that are open or being opened, including idle ones.
     open_connections: Rc<Cell<usize>>,
     max_connections: usize,
-    wire: Box<dyn UpstreamProtocol>,
+    protocol: Box<dyn UpstreamProtocol>,
     connect_timeout: Duration,
     unacknowledged_timeout: Option<Duration>,
     relay_overtime: Option<Duration>,
     idle_time: Time,
-    /// How long a connection may have been idle to carry a request that cannot be repeated.
+    /// Maximum idle time of a connection that is to carry a request that must not be repeated.
     idle_limit: Cell<IdleLimit>,
     started_at: Instant,
     pub connects: Cell<u64>,
     connections_opened: Cell<u64>,
 }
 
-/// Limits that hold for all backends.
+/// Limits that apply to all backends.
 pub struct Limits {
-    /// The most connections, open, being opened or idle.
+    /// Maximum number of connections that are open or being opened, including idle ones.
     pub max_connections: usize,
     pub connect_timeout: Duration,
-    /// How long a backend leaves a connection idle.
+    /// Idle time after which a backend closes a connection.
     pub keepalive: Duration,
-    /// A connection on which nothing is acknowledged for this long is closed; none: as the system decides.
+    /// Time without an acknowledgement of sent data after which a connection is closed (`TCP_USER_TIMEOUT`). `None`: the
+    /// system's default.
     pub unacknowledged_timeout: Option<Duration>,
-    /// An answer that is passed on as it comes is given up once its request's time is over and nothing more of it has
-    /// come for so long; none: when nothing has come for ten seconds, whatever the request's time.
+    /// Pause after which a streamed response is given up once its request's deadline has passed. `None`: a pause of ten
+    /// seconds ends it, regardless of the deadline.
     pub relay_overtime: Option<Duration>,
 }
 
 impl Backends {
-    /// A pool without connections that knows no backend.
-    pub fn new(limits: &Limits, wire: Box<dyn UpstreamProtocol>) -> Rc<Self> {
+    /// Returns a pool without backends and connections.
+    pub fn new(limits: &Limits, protocol: Box<dyn UpstreamProtocol>) -> Rc<Self> {
         Rc::new(Backends {
             table: RefCell::default(),
             open_connections: Rc::default(),
             max_connections: limits.max_connections,
-            wire,
+            protocol,
             connect_timeout: limits.connect_timeout,
             unacknowledged_timeout: limits.unacknowledged_timeout,
             relay_overtime: limits.relay_overtime,
-            // The backend counts idle time from when it wrote its answer and closes at the settings' time at
-            // the latest: half of it keeps clear of requests written to a connection on its way out.
+            // The backend counts idle time from when it wrote its response, and closes the connection at the configured
+            // time at the latest. Half of that avoids writing a request to a connection that is being closed.
             idle_time: nanos(limits.keepalive / 2),
             idle_limit: Cell::new(IdleLimit::new(
                 nanos(limits.keepalive / 2),
@@ -115,93 +116,97 @@
         })
     }
 
-    /// Applies discovery's list. Connections to an old address, an old process or a draining backend are closed.
-    /// Returns the backends whose address a later one has taken over: they are gone, though discovery may report so
-    /// only later, and requests for them would reach another backend.
+    /// Applies the list from discovery. Closes connections to an old address, an old process or a draining backend.
+    /// Returns the backends whose address a later one has taken over: they no longer exist, though discovery may report
+    /// that later, and requests for them would reach another backend.
     pub fn update(&self, scope: Scope, targets: &[Target]) -> Vec<Name> {
         let mut replaced = Vec::new();
         let mut table = self.table.borrow_mut();
         if scope != Scope::Changes {
-            table.retain(|name, _| targets.iter().any(|t| *t.uid == **name));
+            table.retain(|name, _| targets.iter().any(|target| *target.uid == **name));
         }
-        for t in targets {
-            if t.state == State::Gone {
-                table.remove(t.uid.as_str());
+        for target in targets {
+            if target.state == State::Gone {
+                table.remove(target.uid.as_str());
                 continue;
             }
-            let address = t.endpoint.parse().ok();
-            let fresh = Backend { address, boot_ms: t.boot_ms, ready: false, idle: Vec::new() };
-            let known = table.entry(t.uid.as_str().into()).or_insert(fresh);
-            known.ready = t.state == State::Ready;
-            if !known.ready || known.address != address || known.boot_ms != t.boot_ms {
-                known.idle.clear();
+            let address = target.endpoint.parse().ok();
+            let new_backend = Backend { address, boot_ms: target.boot_ms, ready: false, idle: Vec::new() };
+            let backend = table.entry(target.uid.as_str().into()).or_insert(new_backend);
+            backend.ready = target.state == State::Ready;
+            if !backend.ready || backend.address != address || backend.boot_ms != target.boot_ms {
+                backend.idle.clear();
             }
-            (known.address, known.boot_ms) = (address, t.boot_ms);
+            (backend.address, backend.boot_ms) = (address, target.boot_ms);
         }
         let mut latest = HashMap::new();
-        for (address, boot) in table.values().filter_map(|b| Some((b.address?, b.boot_ms))) {
-            latest.entry(address).and_modify(|l: &mut u64| *l = boot.max(*l)).or_insert(boot);
+        for (address, boot_ms) in
+            table.values().filter_map(|backend| Some((backend.address?, backend.boot_ms)))
+        {
+            latest.entry(address).and_modify(|l: &mut u64| *l = boot_ms.max(*l)).or_insert(boot_ms);
         }
-        table.retain(|name, b| {
-            let gone = b.address.is_some_and(|a| b.boot_ms < latest[&a]);
-            replaced.extend(gone.then(|| name.clone()));
-            !gone
+        table.retain(|name, backend| {
+            let is_replaced = backend.address.is_some_and(|a| backend.boot_ms < latest[&a]);
+            replaced.extend(is_replaced.then(|| name.clone()));
+            !is_replaced
         });
         replaced
     }
 
-    /// Closes connections that have been idle for too long, or that the backend has closed.
+    /// Closes, periodically, connections that have been idle for too long or that the backend has closed.
     pub async fn close_idle(self: Rc<Self>) {
-        let mut every = interval(REAP_INTERVAL);
+        let mut reap_timer = interval(REAP_INTERVAL);
         loop {
-            every.tick().await;
+            reap_timer.tick().await;
             let now = self.now();
-            for b in self.table.borrow_mut().values_mut() {
-                b.idle.retain_mut(|c| {
+            for backend in self.table.borrow_mut().values_mut() {
+                backend.idle.retain_mut(|c| {
                     c.upstream.is_idle_for_less_than(now, self.idle_time.min(c.max_idle)) && c.is_reusable()
                 });
             }
         }
     }
 
-    /// Closes the connection that has been idle for longest, when descriptors run short. Returns whether there was one.
+    /// Closes the connection that has been idle for longest, to free a descriptor. Returns whether there was one.
     pub fn drop_idle(&self) -> bool {
         let (now, mut table) = (self.now(), self.table.borrow_mut());
-        // The one used last is at the end, so a backend's oldest is its first.
+        // The most recently used one is last, so the first one of a backend has been idle for longest.
         let oldest = table
             .values_mut()
-            .filter(|b| !b.idle.is_empty())
-            .max_by_key(|b| b.idle[0].upstream.idle_time(now));
-        oldest.map(|b| b.idle.remove(0)).is_some()
+            .filter(|backend| !backend.idle.is_empty())
+            .max_by_key(|backend| backend.idle[0].upstream.idle_time(now));
+        oldest.map(|backend| backend.idle.remove(0)).is_some()
     }
 
-    /// The idle connection used last that may carry this request.
-    fn take_idle(&self, name: &Name, place: SocketAddr, request: &Outgoing) -> Option<Connection> {
+    /// Takes the most recently used idle connection that may carry this request.
+    fn take_idle(&self, name: &Name, address: SocketAddr, request: &Outgoing) -> Option<Connection> {
         let mut table = self.table.borrow_mut();
         let backend = table.get_mut(name)?;
         let now = self.now();
-        let rest = if request.at_most_once { self.idle_limit.get().limit(now) } else { self.idle_time };
-        let earlier = request.earlier_connections.borrow();
-        let mut n = backend.idle.len();
-        while n > 0 {
-            n -= 1;
-            let connection = &mut backend.idle[n];
-            let most = self.idle_time.min(connection.max_idle);
-            let here = connection.address == place && connection.upstream.is_idle_for_less_than(now, most);
-            if here && !connection.upstream.is_idle_for_less_than(now, rest) {
-                // Those before it have been idle for longer.
+        let request_max_idle =
+            if request.at_most_once { self.idle_limit.get().limit(now) } else { self.idle_time };
+        let earlier_connections = request.earlier_connections.borrow();
+        let mut index = backend.idle.len();
+        while index > 0 {
+            index -= 1;
+            let connection = &mut backend.idle[index];
+            let connection_max_idle = self.idle_time.min(connection.max_idle);
+            let is_usable = connection.address == address
+                && connection.upstream.is_idle_for_less_than(now, connection_max_idle);
+            if is_usable && !connection.upstream.is_idle_for_less_than(now, request_max_idle) {
+                // Connections before it have been idle for longer.
                 return None;
             }
-            if !here || !connection.is_reusable() {
-                backend.idle.remove(n);
-            } else if connection.upstream.may_carry(request.at_most_once, &earlier) {
-                return Some(backend.idle.remove(n));
+            if !is_usable || !connection.is_reusable() {
+                backend.idle.remove(index);
+            } else if connection.upstream.may_carry(request.at_most_once, &earlier_connections) {
+                return Some(backend.idle.remove(index));
             }
         }
         None
     }
 
-    /// Request and answer were complete: the connection may be used again.
+    /// Returns a connection to the pool after a complete exchange.
     fn keep_after_exchange(&self, name: &Name, mut connection: Connection) {
         connection.upstream.end_exchange(self.now(), true);
         self.return_to_pool(name, connection);
@@ -233,22 +238,13 @@
         if self.unacknowledged_timeout.is_some() {
             SockRef::from(&stream).set_tcp_user_timeout(self.unacknowledged_timeout).ok()?;
         }
-        let link = Rc::new(ConnectionState::default());
-        let io = CountingSocket { io: TokioIo::new(stream), link: link.clone() };
+        let state = Rc::new(ConnectionState::default());
+        let io = CountingSocket { io: TokioIo::new(stream), state: state.clone() };
         let (sender, io) = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(io).await.ok()?;
         self.connections_opened.set(self.connections_opened.get() + 1);
-        let line = Upstream::new(self.connections_opened.get(), self.now());
-        let rest = self.idle_time;
-        Some(Connection {
-            sender,
-            io,
-            is_closed: false,
-            state: link,
-            address,
-            upstream: line,
-            max_idle: rest,
-            _slot: slot,
-        })
+        let upstream = Upstream::new(self.connections_opened.get(), self.now());
+        let max_idle = self.idle_time;
+        Some(Connection { sender, io, is_closed: false, state, address, upstream, max_idle, _slot: slot })
     }
 }
 
--- a/crates/gateway/proxy/src/backends/progress.rs
+++ b/crates/gateway/proxy/src/backends/progress.rs
@@ -1,4 +1,4 @@
-//! How far an attempt has come, counted at its socket.
+//! Progress of an attempt, as seen at its socket.
 
 use interface::Ending;
 use std::cell::Cell;
@@ -10,25 +10,27 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// A stage that an attempt reports.
+/// Stage reported by an attempt.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum AttemptStage {
-    /// Its connection is established. It writes only if the report returns true.
+    /// The connection is established. The request is written only if the report returns true.
     Connected,
-    /// Enough has been written that it may have run.
+    /// Enough has been written that the backend may have executed the request.
     Written,
-    /// A part of the answer has arrived.
+    /// Part of the response has arrived.
     Answering,
 }
 
-/// How far an attempt has come.
+/// Progress of an attempt.
 pub struct Progress {
     pub(super) report: Box<dyn Fn(AttemptStage) -> bool>,
     pub(super) reported: Cell<Option<AttemptStage>>,
+    /// Bytes written so far.
     pub(super) written: Cell<usize>,
+    /// Number of written bytes from which on the backend may have started to execute the request; 0 if not known yet.
     pub(super) execution_start: Cell<usize>,
-    /// Whether a part of the answer has arrived that is no interim answer (1xx).
-    pub(super) has_answer_begun: Arc<AtomicBool>,
+    /// Whether part of the final response has arrived, that is not only an interim response (1xx).
+    pub(super) response_begun: Arc<AtomicBool>,
     pub(super) activity: Notify,
 }
 
@@ -39,19 +41,19 @@
 }
 
 impl Progress {
-    /// An attempt that has not begun; `report` is told of each stage.
+    /// Returns the progress of a new attempt. `report` is called for each stage.
     pub fn new(report: impl Fn(AttemptStage) -> bool + 'static) -> Self {
         Progress {
             report: Box::new(report),
             reported: Cell::new(None),
             written: Cell::default(),
             execution_start: Cell::default(),
-            has_answer_begun: Arc::default(),
+            response_begun: Arc::default(),
             activity: Notify::new(),
         }
     }
 
-    /// Reports each stage once, and none after the beginning of the answer.
+    /// Reports each stage once, and none after the response has begun.
     pub(super) fn report_stage(&self, stage: AttemptStage) {
         let reported = self.reported.get();
         if reported != Some(stage) && reported != Some(AttemptStage::Answering) {
@@ -60,14 +62,15 @@
         }
     }
 
-    /// Whether enough may have been written for a backend to begin. `execution_start` counts what hyper is asked to
-    /// write; hyper only adds to it, so a request never counts as unwritten when it is not.
+    /// Whether enough may have been written for a backend to start execution. `execution_start` counts the bytes that
+    /// hyper is asked to write. hyper only adds to them, so a written request never counts as unwritten.
     pub(super) fn may_have_run(&self) -> bool {
         let execution_start = self.execution_start.get();
         execution_start > 0 && self.written.get() >= execution_start
     }
 
-    pub(super) fn broken(&self) -> Ending {
+    /// Returns the ending of an attempt whose connection was closed.
+    pub(super) fn disconnect_ending(&self) -> Ending {
         if self.may_have_run() {
             Ending::Interrupted
         } else {
@@ -75,13 +78,13 @@
         }
     }
 
-    /// Whether a part of the answer itself has arrived.
-    pub(super) fn has_begun(&self) -> bool {
-        self.has_answer_begun.load(Relaxed)
+    /// Whether part of the final response has arrived.
+    pub(super) fn has_response_begun(&self) -> bool {
+        self.response_begun.load(Relaxed)
     }
 
-    /// Waits for the answer, and no longer than a pause for the rest of its head once it has begun.
-    pub(super) async fn in_time<F: Future>(&self, pause: Duration, waiting: F) -> Option<F::Output> {
+    /// Waits for the head of the response. Once it has begun, the rest must arrive without a pause longer than `pause`.
+    pub(super) async fn wait_for_head<F: Future>(&self, pause: Duration, waiting: F) -> Option<F::Output> {
         let mut waiting = pin!(waiting);
         loop {
             tokio::select! {
@@ -91,7 +94,7 @@
             }
             match timeout(pause, &mut waiting).await {
                 Ok(output) => return Some(output),
-                Err(_) if self.has_begun() => return None,
+                Err(_) if self.has_response_begun() => return None,
                 Err(_) => {}
             }
         }
--- a/crates/gateway/proxy/src/backends/relay.rs
+++ b/crates/gateway/proxy/src/backends/relay.rs
@@ -1,4 +1,4 @@
-//! An answer that is passed on as it comes, since it is too long to wait for.
+//! Streaming of responses that are too long, or take too long, to be buffered.
 
 use super::connection::{drive, is_interrupted, Connection};
 use super::{Backends, Progress};
@@ -14,25 +14,25 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout, Instant};
 
-/// How long a server may give nothing of an answer that has begun, and a client may read nothing of it.
+/// Maximum pause of a backend within a response, and maximum time for which a client may not read from it.
 const BACKEND_PAUSE_TIMEOUT: Duration = Duration::from_secs(10);
 const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The client's end: an answer's body that is still to come. Dropping it lets the server's end stop.
+/// Client side of a streamed response: the body that is still arriving. Dropping it stops the [`Relay`].
 pub struct Stream {
     frames: mpsc::Receiver<Bytes>,
-    /// What is left of the stated length, if one is stated.
+    /// Remaining bytes of the stated length, if any.
     remaining: Option<u64>,
     is_complete: bool,
 }
 
-/// The server's end.
+/// Backend side of a streamed response.
 pub struct Relay {
     pub(super) name: Name,
     pub(super) connection: Connection,
     pub(super) body: Incoming,
-    /// What has come of it already.
-    pub(super) first: Vec<Bytes>,
+    /// Frames received before streaming started.
+    pub(super) received: Vec<Bytes>,
     pub(super) progress: Rc<Progress>,
     frames: mpsc::Sender<Bytes>,
     remaining: Option<u64>,
@@ -43,53 +43,55 @@
         name: &Name,
         connection: Connection,
         body: Incoming,
-        first: Vec<Bytes>,
+        received: Vec<Bytes>,
         length: Option<u64>,
         progress: &Rc<Progress>,
     ) -> (Relay, Stream) {
-        let (send, frames) = mpsc::channel(1);
+        let (sender, frames) = mpsc::channel(1);
         let (name, progress) = (name.clone(), progress.clone());
         let stream = Stream { frames, remaining: length, is_complete: false };
-        (Relay { name, connection, body, first, progress, frames: send, remaining: length }, stream)
+        (Relay { name, connection, body, received, progress, frames: sender, remaining: length }, stream)
     }
 
-    /// Passes on what comes until it ends, one way or the other.
-    pub async fn run(mut self: Box<Self>, backends: &Backends, not_past: Instant) -> Ending {
-        for frame in std::mem::take(&mut self.first) {
-            if let Err(end) = self.pass(frame).await {
-                return end;
+    /// Forwards the body until it ends or fails.
+    pub async fn run(mut self: Box<Self>, backends: &Backends, deadline: Instant) -> Ending {
+        for frame in std::mem::take(&mut self.received) {
+            if let Err(ending) = self.send_to_client(frame).await {
+                return ending;
             }
         }
         loop {
-            let Connection { io, is_closed: closed, .. } = &mut self.connection;
-            let left = not_past.saturating_duration_since(Instant::now());
-            let gives = backends.relay_overtime.map_or(BACKEND_PAUSE_TIMEOUT, |overtime| left.max(overtime));
-            let frame = match timeout(gives, drive(io, closed, self.body.frame())).await {
+            let Connection { io, is_closed, .. } = &mut self.connection;
+            let remaining_time = deadline.saturating_duration_since(Instant::now());
+            let max_pause = backends
+                .relay_overtime
+                .map_or(BACKEND_PAUSE_TIMEOUT, |overtime| remaining_time.max(overtime));
+            let frame = match timeout(max_pause, drive(io, is_closed, self.body.frame())).await {
                 Err(_) => return Ending::TimedOut,
                 Ok(Some(Some(Ok(frame)))) => frame,
-                // A clean end. Without a stated length the connection's end may be it.
+                // Complete. Without a stated length, the end of the connection may be the end of the body.
                 Ok(Some(None)) if self.remaining.unwrap_or(0) == 0 => break,
                 Ok(Some(Some(Err(error)))) if !is_interrupted(&error) => return Ending::Unreadable,
-                Ok(_) => return self.progress.broken(),
+                Ok(_) => return self.progress.disconnect_ending(),
             };
             let Ok(data) = frame.into_data() else { continue };
-            if let Err(end) = self.pass(data).await {
-                return end;
+            if let Err(ending) = self.send_to_client(data).await {
+                return ending;
             }
         }
-        // Where no length says so, an empty frame is the word that it is whole.
+        // Without a stated length, an empty frame marks the body as complete.
         if self.remaining.is_none() {
-            if let Err(end) = self.pass(Bytes::new()).await {
-                return end;
+            if let Err(ending) = self.send_to_client(Bytes::new()).await {
+                return ending;
             }
         }
         backends.keep_after_exchange(&self.name, self.connection);
         Ending::Success
     }
 
-    async fn pass(&mut self, data: Bytes) -> Result<(), Ending> {
-        self.remaining = self.remaining.map(|left| left.saturating_sub(data.len() as u64));
-        // The client has gone, or does not read.
+    async fn send_to_client(&mut self, data: Bytes) -> Result<(), Ending> {
+        self.remaining = self.remaining.map(|remaining| remaining.saturating_sub(data.len() as u64));
+        // An error means that the client has left or does not read.
         timeout(CLIENT_READ_TIMEOUT, self.frames.send(data))
             .await
             .ok()
@@ -112,11 +114,11 @@
                 Poll::Ready(None)
             }
             Some(data) => {
-                self.remaining = self.remaining.map(|left| left.saturating_sub(data.len() as u64));
+                self.remaining = self.remaining.map(|remaining| remaining.saturating_sub(data.len() as u64));
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
             None if self.is_end_stream() => Poll::Ready(None),
-            // The client's connection ends here, so that it sees that it has not got the whole.
+            // The error closes the client's connection, which shows the client that the response is incomplete.
             None => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
         }
     }
--- a/crates/gateway/proxy/src/backends/answer.rs
+++ b/crates/gateway/proxy/src/backends/response.rs
@@ -1,4 +1,4 @@
-//! What comes back of an attempt, and how it is worded towards backends.
+//! Outcome of an attempt, and the HTTP mapping between the gateway and its backends.
 
 use super::relay::Stream;
 use super::Outgoing;
@@ -10,37 +10,37 @@
 use lifecycle::upstream::{Echo, ExecutionStart};
 use std::time::Duration;
 
-/// How an attempt ended and what came back.
+/// Result of an attempt.
 pub struct Outcome {
     pub ending: Ending,
-    /// The answer of a backend that is to be passed on.
+    /// Response of a backend that is to be passed on.
     pub served: Option<Served>,
-    /// A backend's own failure: it is passed on if the request ends as failed, but not before.
+    /// Error response of a backend. It is passed on only if the request finally fails.
     pub failure: Option<Served>,
-    /// The status by which a backend found fault with the request itself: no other would take it.
+    /// Status with which a backend rejected the request itself, so that no other backend would accept it.
     pub rejected: Option<StatusCode>,
     pub settled: f64,
     pub metered: Option<f64>,
     pub load: Option<Load>,
 }
 
-/// The bytes of an answer.
+/// Body of a response.
 pub enum Content {
     Complete(Bytes),
-    /// Still to come.
+    /// A body that is still arriving.
     Stream(Stream),
 }
 
-/// An answer as it goes on to the client.
+/// Response to pass on to the client.
 pub struct Served {
     pub status: StatusCode,
-    /// Those that are passed on, and no others.
+    /// Only the headers that are passed on.
     pub headers: HeaderMap,
     pub content: Content,
 }
 
 impl Outcome {
-    /// The outcome of an attempt that brought no answer.
+    /// Returns the outcome of an attempt without a response.
     pub fn without_answer(ending: Ending) -> Self {
         Outcome {
             ending,
@@ -54,36 +54,37 @@
     }
 }
 
-/// How requests and answers are worded between a gateway and its backends.
+/// HTTP conventions between a gateway and its backends.
 pub trait UpstreamProtocol {
-    /// Sets the headers that are known only when a request goes out: how long is left, and to whom it goes.
+    /// Sets the headers that are known only when an attempt is sent: the remaining time and the server.
     fn set_attempt_headers(&self, headers: &mut HeaderMap, wait: Duration, server: &Name);
 
-    /// From how much of a request on a backend may have begun to work on it.
+    /// Returns the part of a request after which a backend may have started to execute it.
     fn execution_start(&self) -> ExecutionStart {
         ExecutionStart::FullRequest
     }
 
-    /// Whether the answer with this head bears this request's id.
+    /// Returns whether a response with this head echoes the request's id.
     fn echo(&self, _request: &Outgoing, _head: &Parts) -> Echo {
         Echo::Same
     }
 
-    /// Whether this can be the head of a backend's answer at all.
+    /// Whether this is a valid head of a backend's response.
     fn is_valid_head(&self, _request: &Outgoing, _head: &Parts) -> bool {
         true
     }
 
-    /// How long the backend says that it leaves the connection idle behind this answer; none: what holds for all.
+    /// Returns the keep-alive time that the backend announces for the connection after this response. `None`: the general
+    /// limit applies.
     fn idle_time(&self, _head: &Parts) -> Option<Duration> {
         None
     }
 
-    /// Whether an answer with this head may be passed on as it comes, if it is long.
+    /// Whether a response with this head may be streamed if it is long.
     fn is_streamable(&self, head: &Parts) -> bool {
         head.status == StatusCode::OK
     }
 
-    /// Reads an answer of this backend.
-    fn read(&self, request: &Outgoing, server: &Name, answer: Response<Content>) -> Outcome;
+    /// Interprets a response of this backend.
+    fn read(&self, request: &Outgoing, server: &Name, response: Response<Content>) -> Outcome;
 }
--- a/crates/gateway/proxy/src/backends/tests.rs
+++ b/crates/gateway/proxy/src/backends/tests.rs
@@ -7,7 +7,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket};
 
-/// A wire on which 200 is all that is good.
+/// Protocol on which only status 200 is a success.
 struct Plain;
 
 impl UpstreamProtocol for Plain {
@@ -36,7 +36,7 @@
 
 impl Backends {
     fn address(&self, name: &Name) -> Option<SocketAddr> {
-        self.table.borrow().get(name).filter(|b| b.ready).and_then(|b| b.address)
+        self.table.borrow().get(name).filter(|backend| backend.ready).and_then(|backend| backend.address)
     }
 }
 
@@ -56,41 +56,41 @@
     backends
 }
 
-/// A new backend at the address of an old one, which discovery has not yet called gone.
+/// A new backend starts at the address of an old one, which discovery has not yet reported as gone.
 #[test]
 fn a_backend_whose_address_has_a_new_owner_is_gone() {
     let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let b = backends(address);
+    let backends = backends(address);
     let target = |uid: &str, boot_ms: u64| {
         let text = format!(r#"{{"uid":"{uid}","endpoint":"{address}","state":"Ready","boot_ms":{boot_ms}}}"#);
         serde_json::from_str::<Target>(&text).unwrap()
     };
-    assert!(b.update(Scope::Changes, &[target("s-1", 0)]).is_empty());
-    assert_eq!(b.update(Scope::Changes, &[target("s-2", 5)]), ["s-1".into()]);
-    assert_eq!((b.address(&"s-1".into()), b.address(&"s-2".into())), (None, Some(address)));
-    // The old one's entry once more, as in a whole list: the later start counts, whatever the order.
-    assert_eq!(b.update(Scope::Full, &[target("s-1", 0), target("s-2", 5)]), ["s-1".into()]);
-    assert_eq!(b.update(Scope::Full, &[target("s-2", 5), target("s-1", 0)]), ["s-1".into()]);
-    assert_eq!(b.update(Scope::Full, &[target("s-2", 5), target("s-3", 5)]), Vec::<Name>::new());
+    assert!(backends.update(Scope::Changes, &[target("s-1", 0)]).is_empty());
+    assert_eq!(backends.update(Scope::Changes, &[target("s-2", 5)]), ["s-1".into()]);
+    assert_eq!((backends.address(&"s-1".into()), backends.address(&"s-2".into())), (None, Some(address)));
+    // The old backend's entry again, as in a full list: the later start wins, whatever the order.
+    assert_eq!(backends.update(Scope::Full, &[target("s-1", 0), target("s-2", 5)]), ["s-1".into()]);
+    assert_eq!(backends.update(Scope::Full, &[target("s-2", 5), target("s-1", 0)]), ["s-1".into()]);
+    assert_eq!(backends.update(Scope::Full, &[target("s-2", 5), target("s-3", 5)]), Vec::<Name>::new());
 }
 
-async fn attempt(b: &Backends, request: &Outgoing) -> (Ending, Rc<Progress>) {
+async fn attempt(backends: &Backends, request: &Outgoing) -> (Ending, Rc<Progress>) {
     let progress = Rc::default();
-    let limit = Instant::now() + Duration::from_secs(20);
-    let place = b.address(&"s-1".into()).unwrap();
-    match b.attempt(&"s-1".into(), place, request, limit, &progress).await {
+    let deadline = Instant::now() + Duration::from_secs(20);
+    let address = backends.address(&"s-1".into()).unwrap();
+    match backends.attempt(&"s-1".into(), address, request, deadline, &progress).await {
         ExchangeResult::Complete(outcome) => (outcome.ending, progress),
-        ExchangeResult::Streaming(..) => panic!("no answer here is long"),
+        ExchangeResult::Streaming(..) => panic!("no response in these tests is long"),
     }
 }
 
-/// What `size` says is what reaches the backend, to the byte: too much would call a request unwritten
-/// that has run.
+/// The computed size of a request is the number of bytes that reach the backend. If it were too large, an executed request
+/// would count as unwritten.
 #[tokio::test]
 async fn the_size_of_a_request_is_what_is_written() {
-    for body in [0, 5, MAX_BUFFERED_ANSWER, 3 << 20] {
+    for body in [0, 5, MAX_BUFFERED_RESPONSE_BYTES, 3 << 20] {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let (b, request) = (backends(listener.local_addr().unwrap()), outgoing(body));
+        let (backends, request) = (backends(listener.local_addr().unwrap()), outgoing(body));
         let backend = async {
             let (mut stream, _) = listener.accept().await.unwrap();
             let (mut got, mut buffer) = (Vec::new(), [0; 4096]);
@@ -105,7 +105,7 @@
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await.unwrap();
             got.len()
         };
-        let ((ending, progress), got) = tokio::join!(attempt(&b, &request), backend);
+        let ((ending, progress), got) = tokio::join!(attempt(&backends, &request), backend);
         assert_eq!(
             (ending, progress.execution_start.get(), progress.written.get()),
             (Ending::Success, got, got)
@@ -113,21 +113,21 @@
     }
 }
 
-/// A connection that breaks with part of the request written: it never ran.
+/// A connection breaks while only part of the request is written, so the backend has not executed it.
 #[tokio::test]
 async fn a_request_broken_before_its_last_byte_never_ran() {
     let socket = TcpSocket::new_v4().unwrap();
-    // Small buffers, so that the rest of the body can't be written.
+    // Small buffers, so that the rest of the body cannot be written.
     socket.set_recv_buffer_size(2048).unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(8).unwrap();
-    let b = backends(listener.local_addr().unwrap());
+    let backends = backends(listener.local_addr().unwrap());
     let request = outgoing(64 << 20);
     let backend = async {
         let (mut stream, _) = listener.accept().await.unwrap();
         stream.read_exact(&mut [0; 100]).await.unwrap();
     };
-    let ((ending, progress), ()) = tokio::join!(attempt(&b, &request), backend);
+    let ((ending, progress), ()) = tokio::join!(attempt(&backends, &request), backend);
     assert_eq!(ending, Ending::Unreachable);
     assert!(progress.written.get() > 0 && !progress.may_have_run());
 }
--- a/crates/gateway/proxy/src/backends/upload.rs
+++ b/crates/gateway/proxy/src/backends/upload.rs
@@ -1,4 +1,4 @@
-//! A request's body on its way to a backend: buffered, or streamed from the client.
+//! Request body for a backend: buffered, or streamed from the client.
 
 use super::Progress;
 use crate::fronts::Reservation;
@@ -11,105 +11,119 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc;
 
-/// What there is of a client's body.
+/// State of a client's request body.
 #[derive(Default)]
 pub enum Upload {
     #[default]
     None,
-    /// All of it, with its reservation of the budget: it can be sent again.
+    /// The complete body with its budget reservation. It can be sent again.
     Buffered(Bytes, Reservation),
-    /// The rest is still to arrive. It can be sent once.
-    Open(Open),
-    /// It was taken by an attempt.
+    /// A body that is still arriving. It can be sent once.
+    Streaming(StreamingBody),
+    /// The body was taken by an attempt.
     Taken,
 }
 
-/// A body that is still arriving.
-pub struct Open {
+/// Body that is still arriving.
+pub struct StreamingBody {
     pub first: Bytes,
-    /// The reservation for `first`.
-    pub part: Option<Reservation>,
-    /// The frames after it; an end without an empty frame means that the client stopped.
-    pub rest: mpsc::Receiver<Bytes>,
-    /// The stated length of the whole body, if any.
+    /// Budget reservation for `first`.
+    pub reservation: Option<Reservation>,
+    /// Frames after `first`. An empty frame marks the end; a closed channel without one means that the client stopped.
+    pub frames: mpsc::Receiver<Bytes>,
+    /// Stated length of the whole body, if any.
     pub length: Option<u64>,
 }
 
-/// The body as hyper writes it.
-pub(super) enum Sent {
+/// Body in the form that hyper writes.
+pub(super) enum RequestBody {
     Buffered(Option<Bytes>),
-    Open { open: Open, progress: Rc<Progress>, head: usize, begins: ExecutionStart, sent: usize, done: bool },
+    Streaming {
+        body: StreamingBody,
+        progress: Rc<Progress>,
+        head_bytes: usize,
+        execution_start: ExecutionStart,
+        sent_bytes: usize,
+        is_done: bool,
+    },
 }
 
 impl Upload {
-    /// The body for an attempt that may write.
-    pub(super) fn take(&mut self, progress: &Rc<Progress>) -> Sent {
+    /// Returns the body for an attempt that may write.
+    pub(super) fn take(&mut self, progress: &Rc<Progress>) -> RequestBody {
         match std::mem::replace(self, Upload::Taken) {
-            Upload::Buffered(bytes, part) => {
-                *self = Upload::Buffered(bytes.clone(), part);
-                Sent::Buffered(Some(bytes))
+            Upload::Buffered(bytes, reservation) => {
+                *self = Upload::Buffered(bytes.clone(), reservation);
+                RequestBody::Buffered(Some(bytes))
             }
-            Upload::Open(open) => {
-                let (progress, begins) = (progress.clone(), ExecutionStart::FullRequest);
-                Sent::Open { open, progress, head: 0, begins, sent: 0, done: false }
+            Upload::Streaming(body) => {
+                let (progress, execution_start) = (progress.clone(), ExecutionStart::FullRequest);
+                RequestBody::Streaming {
+                    body,
+                    progress,
+                    head_bytes: 0,
+                    execution_start,
+                    sent_bytes: 0,
+                    is_done: false,
+                }
             }
-            none => {
-                *self = none;
-                Sent::Buffered(None)
+            other => {
+                *self = other;
+                RequestBody::Buffered(None)
             }
         }
     }
 }
 
-impl Sent {
+impl RequestBody {
     pub(super) fn length(&self) -> Option<u64> {
         match self {
-            Sent::Buffered(bytes) => Some(bytes.as_ref().map_or(0, |b| b.len() as u64)),
-            Sent::Open { open, .. } => open.length,
+            RequestBody::Buffered(bytes) => Some(bytes.as_ref().map_or(0, |b| b.len() as u64)),
+            RequestBody::Streaming { body, .. } => body.length,
         }
     }
 
-    /// Sets the length of the head before it, and how much of the request a backend needs to begin.
-    pub(super) fn behind(&mut self, size: usize, from: ExecutionStart) {
-        if let Sent::Open { head, begins, .. } = self {
-            (*head, *begins) = (size, from);
+    /// Sets the size of the request's head, and the part of the request after which a backend may start execution.
+    pub(super) fn set_head_info(&mut self, size: usize, start: ExecutionStart) {
+        if let RequestBody::Streaming { head_bytes, execution_start, .. } = self {
+            (*head_bytes, *execution_start) = (size, start);
         }
     }
 }
 
-impl Body for Sent {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = io::Error;
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
-        let (open, progress, head, begins, sent, done) = match &mut *self {
-            Sent::Buffered(bytes) => {
+        let (body, progress, head_bytes, execution_start, sent_bytes, is_done) = match &mut *self {
+            RequestBody::Buffered(bytes) => {
                 let bytes = bytes.take().filter(|b| !b.is_empty());
                 return Poll::Ready(bytes.map(|b| Ok(Frame::data(b))));
             }
-            Sent::Open { open, progress, head, begins, sent, done } => {
-                (open, progress, head, begins, sent, done)
+            RequestBody::Streaming { body, progress, head_bytes, execution_start, sent_bytes, is_done } => {
+                (body, progress, head_bytes, execution_start, sent_bytes, is_done)
             }
         };
-        if *done {
+        if *is_done {
             return Poll::Ready(None);
         }
-        let data = if open.first.is_empty() {
-            std::task::ready!(open.rest.poll_recv(cx))
+        let data = if body.first.is_empty() {
+            std::task::ready!(body.frames.poll_recv(cx))
         } else {
-            open.part = None;
-            Some(std::mem::take(&mut open.first))
+            body.reservation = None;
+            Some(std::mem::take(&mut body.first))
         };
         match data {
             None => Poll::Ready(Some(Err(io::ErrorKind::UnexpectedEof.into()))),
             Some(data) if data.is_empty() => {
-                *done = true;
-                // From here on the last byte may have been written.
-                progress.execution_start.set(begins.byte_count(*head, Some(*sent)));
+                *is_done = true;
+                // From now on the last byte may have been written.
+                progress.execution_start.set(execution_start.byte_count(*head_bytes, Some(*sent_bytes)));
                 Poll::Ready(None)
             }
             Some(data) => {
-                *sent += data.len();
+                *sent_bytes += data.len();
                 Poll::Ready(Some(Ok(Frame::data(data))))
             }
         }
@@ -117,17 +131,17 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Sent::Buffered(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            Sent::Open { done, .. } => *done,
+            RequestBody::Buffered(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            RequestBody::Streaming { is_done, .. } => *is_done,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Sent::Open { sent, .. } => self
+            RequestBody::Streaming { sent_bytes, .. } => self
                 .length()
-                .map_or_else(SizeHint::default, |l| SizeHint::with_exact(l - (*sent as u64).min(l))),
-            whole => SizeHint::with_exact(whole.length().unwrap_or(0)),
+                .map_or_else(SizeHint::default, |l| SizeHint::with_exact(l - (*sent_bytes as u64).min(l))),
+            buffered => SizeHint::with_exact(buffered.length().unwrap_or(0)),
         }
     }
 }
--- a/crates/gateway/proxy/src/driver.rs
+++ b/crates/gateway/proxy/src/driver.rs
@@ -1,5 +1,5 @@
-//! Connects the engine to the sockets: what happens on them becomes an input, and the engine's outputs are carried out.
-//! No decision is made here.
+//! Connects the engine to the sockets: socket events become inputs of the engine, and its outputs are carried out. No
+//! decisions are made here.
 
 mod allowances;
 mod attempt;
@@ -34,10 +34,10 @@
 
 const STATUS_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The final answer to a request.
+/// Final answer to a request.
 pub enum Answer {
     Served(Served),
-    /// Nothing has run; the client may try again after this time.
+    /// No backend has executed the request; the client may retry after this time.
     Refused {
         tried: bool,
         retry_after: Duration,
@@ -49,27 +49,27 @@
     },
 }
 
-/// A client's well-formed request.
+/// Well-formed request of a client.
 pub struct Incoming {
     pub request: engine::Incoming,
     pub arrived: Instant,
     pub outgoing: Outgoing,
 }
 
-/// What a request has on sockets until it is over.
+/// Handles to the client and the current attempt of a request until it has ended.
 struct RequestHandles {
-    /// None once it is answered, or its client has left.
+    /// None once the request is answered or its client has left.
     client: Option<oneshot::Sender<Answer>>,
     outgoing: Rc<Outgoing>,
     attempt: Option<AbortHandle>,
-    /// A backend's own error answer, of 64 KiB at most: the client gets it in place of ours if the request fails.
+    /// Error response of a backend, at most 64 KiB. If the request fails, the client gets it instead of the gateway's own.
     failure: Option<Served>,
 }
 
 struct DriverState {
     engine: Engine<Box<dyn Module>>,
     handles: HashMap<RequestId, RequestHandles>,
-    /// Empty except while they are carried out: kept to reuse its allocation.
+    /// Empty except while outputs are carried out. Kept to reuse its allocation.
     outputs: Vec<Output>,
 }
 
@@ -78,22 +78,22 @@
     state: RefCell<DriverState>,
     wake: Notify,
     backends: Rc<Backends>,
-    /// The list for a next process, if it is exported; and a notification of its changes.
+    /// Server list for the next process, if it is exported, and the notification of its changes.
     exported_list: RefCell<Option<ListSnapshot>>,
     list_changed: Notify,
     clock: Clock,
-    /// Final answers up to the last status line.
+    /// Counts of final answers at the last status line.
     reported_answers: Cell<AnswerCounts>,
-    /// The largest delay of a timer since the last status line.
+    /// Largest delay of a timer since the last status line.
     max_timer_delay: Cell<Duration>,
     zones: Vec<String>,
-    /// The pools of a backend, a bit each.
+    /// Returns the pools of a backend, one bit each.
     pools: Box<dyn Fn(&Target) -> u32>,
-    /// The longest that any request may wait for its answer, by the settings.
+    /// Longest deadline of any request class in the settings.
     max_deadline: Cell<Time>,
 }
 
-/// Builds a [`Driver`].
+/// Configuration of a [`Driver`].
 pub struct Config {
     pub settings: Settings,
     pub seed: u64,
@@ -102,21 +102,21 @@
     pub backends: Rc<Backends>,
     /// Zone names; a zone's number is its index.
     pub zones: Vec<String>,
-    /// The pools of a backend, a bit each.
+    /// Returns the pools of a backend, one bit each.
     pub pools: Box<dyn Fn(&Target) -> u32>,
 }
 
 impl Driver {
-    /// A driver without requests that knows no backend.
+    /// Returns a driver without requests and backends.
     ///
     /// # Errors
-    /// What the module says of the settings.
-    pub fn new(setup: Config) -> Result<Rc<Self>, String> {
-        let Config { settings, seed, timing: figures, module, backends, zones, pools } = setup;
+    /// The module's reason for rejecting the settings.
+    pub fn new(config: Config) -> Result<Rc<Self>, String> {
+        let Config { settings, seed, timing, module, backends, zones, pools } = config;
         let clock = Clock::new();
         let now = clock.time(Instant::now());
-        let longest = Cell::new(max_deadline(&settings));
-        let engine = Engine::new(settings, seed, figures, now, module);
+        let max_deadline = Cell::new(max_deadline(&settings));
+        let engine = Engine::new(settings, seed, timing, now, module);
         let engine = engine.map_err(|e| format!("settings: {e}"))?;
         Ok(Rc::new(Driver {
             wake: Notify::new(),
@@ -127,48 +127,48 @@
             reported_answers: Cell::default(),
             zones,
             pools,
-            max_deadline: longest,
+            max_deadline,
             state: RefCell::new(DriverState { engine, handles: HashMap::new(), outputs: Vec::new() }),
             clock,
         }))
     }
 
-    /// Applies new settings, which name at least the old classes, plans and pools, at their indices.
+    /// Applies new settings. They must contain the old classes, plans and pools at the same indices.
     pub fn reconfigure(&self, settings: Settings) {
         self.max_deadline.set(max_deadline(&settings));
         self.state.borrow_mut().engine.reconfigure(settings);
     }
 
-    /// The time on the engine's clock.
+    /// Converts an instant to a time on the engine's clock.
     pub fn time(&self, at: Instant) -> Time {
         self.clock.time(at)
     }
 
-    /// The instant of a time on the engine's clock.
+    /// Converts a time on the engine's clock to an instant.
     pub fn instant(&self, time: Time) -> Instant {
         self.clock.instant(time)
     }
 
-    /// The longest that any request may wait for its answer, by the settings.
+    /// Returns the longest deadline of any request class in the settings.
     pub fn max_deadline(&self) -> Time {
         self.max_deadline.get()
     }
 
-    /// Whether some server takes new work.
+    /// Whether any server accepts new work.
     pub fn can_serve(&self) -> bool {
         self.state.borrow().engine.can_serve()
     }
 
     // ---- Manual bans and totals ----
 
-    /// Calls the engine, and wakes the loop if the module must be told.
-    fn with_engine<T>(&self, act: impl FnOnce(&mut Engine<Box<dyn Module>>, Time) -> T) -> T {
+    /// Runs an operation on the engine, and wakes the loop if the module must be called.
+    fn with_engine<T>(&self, operation: impl FnOnce(&mut Engine<Box<dyn Module>>, Time) -> T) -> T {
         let mut state = self.state.borrow_mut();
-        let done = act(&mut state.engine, self.clock.time(Instant::now()));
+        let result = operation(&mut state.engine, self.clock.time(Instant::now()));
         if state.engine.wants_wake() {
             self.wake.notify_one();
         }
-        done
+        result
     }
 
     pub fn ban(&self, target: &str) -> Result<bool, NeverListed> {
@@ -179,19 +179,19 @@
         self.with_engine(|engine, now| engine.unban(now, target))
     }
 
-    /// The servers that are banned by hand, and since when.
+    /// Returns the manually banned servers and the start of each ban.
     pub fn bans(&self) -> BTreeMap<Name, Time> {
         self.state.borrow().engine.bans()
     }
 
-    /// Adopts the bans of another process of this gateway.
+    /// Replaces the bans by those of another process of this gateway.
     pub fn adopt_bans(&self, bans: &BTreeMap<Name, Time>) {
         if self.with_engine(|engine, now| engine.adopt_bans(now, bans)) > 0 {
-            info!(out = bans.len(), "handover: {} backends are out by hand", bans.len());
+            info!(out = bans.len(), "handover: {} backends are banned manually", bans.len());
         }
     }
 
-    /// The decision module's state for the next process of this gateway.
+    /// Returns the decision module's state for the next process of this gateway.
     pub fn export_state(&self) -> String {
         self.state.borrow().engine.export_state()
     }
@@ -200,14 +200,14 @@
         self.with_engine(|engine, now| engine.import_state(now, left))
     }
 
-    /// Counts since the start, and the present state of the server list.
+    /// Returns counts since the start and the current state of the server list.
     pub fn totals(&self) -> Totals {
         self.state.borrow().engine.totals()
     }
 
     // ---- Requests ----
 
-    /// Accepts a request. None if a request with its id is not over.
+    /// Submits a request. Returns None if a request with the same id has not ended.
     pub fn submit(self: &Rc<Self>, r: Incoming) -> Option<Ticket> {
         let mut state = self.state.borrow_mut();
         let id = r.request.id;
@@ -222,22 +222,22 @@
                 failure: None,
             },
         );
-        Some(Ticket { id, answer, driver: self.clone(), answered: false })
+        Some(Ticket { id, answer, driver: self.clone(), is_answered: false })
     }
 
-    /// The last byte of an open request has arrived: its timeout counts from now.
+    /// Records that the last byte of a streamed request body has arrived. The request's timeout counts from now.
     pub fn body_completed(self: &Rc<Self>, id: RequestId, timeout: Time) {
         let now = Instant::now();
         let mut state = self.state.borrow_mut();
-        if let Some(ends) = state.handles.get(&id) {
-            ends.outgoing.completed_at.set(Some(now));
+        if let Some(handles) = state.handles.get(&id) {
+            handles.outgoing.completed_at.set(Some(now));
         }
         self.handle_or_warn(&mut state, now, Input::BodyCompleted { id, timeout }, InputContext::default());
-        // What is due has changed.
+        // The next due time has changed.
         self.wake.notify_one();
     }
 
-    /// Nobody waits for the answer any more.
+    /// Records that the client no longer waits for the answer.
     fn client_left(self: &Rc<Self>, id: RequestId) {
         self.handle_or_warn(
             &mut self.state.borrow_mut(),
@@ -249,46 +249,50 @@
 
     // ---- Outputs ----
 
-    /// Passes an input to the engine and carries out its outputs. Returns whether the attempt may write.
+    /// Passes an input to the engine and carries out its outputs. Returns whether the attempt may write its request.
     fn handle(
         self: &Rc<Self>,
         state: &mut DriverState,
         now: Instant,
         input: Input,
-        brought: &mut InputContext,
+        context: &mut InputContext,
     ) -> Result<bool, Error> {
         let mut outputs = std::mem::take(&mut state.outputs);
-        let done = state.engine.handle(self.clock.time(now), input, &mut outputs);
+        let result = state.engine.handle(self.clock.time(now), input, &mut outputs);
         let mut may_write = false;
         for output in outputs.drain(..) {
             match output {
-                Output::Start { id, attempt, server, address: place, attempt_deadline } => {
+                Output::Start { id, attempt, server, address, attempt_deadline } => {
                     let attempt_deadline = self.clock.instant(attempt_deadline);
-                    if let Some(ends) = state.handles.get_mut(&id) {
+                    if let Some(handles) = state.handles.get_mut(&id) {
                         let driver = self.clone();
-                        let request = ends.outgoing.clone();
-                        let run = Attempt { driver, id, number: attempt, sent: now, request, done: false };
-                        ends.attempt = Some(run.start(server, place, attempt_deadline));
+                        let request = handles.outgoing.clone();
+                        let run = Attempt { driver, id, number: attempt, sent: now, request, is_done: false };
+                        handles.attempt = Some(run.start(server, address, attempt_deadline));
                     }
                 }
                 Output::Write { .. } => may_write = true,
                 Output::Withhold { .. } => {}
                 Output::Abort { id, .. } => {
-                    state.handles.get(&id).and_then(|e| e.attempt.as_ref()).inspect(|out| out.abort());
+                    state
+                        .handles
+                        .get(&id)
+                        .and_then(|handles| handles.attempt.as_ref())
+                        .inspect(|attempt| attempt.abort());
                 }
                 Output::Answer { id, answer } => {
-                    let ends = state.handles.get_mut(&id);
+                    let handles = state.handles.get_mut(&id);
                     let (client, failure) =
-                        ends.map(|e| (e.client.take(), e.failure.take())).unwrap_or_default();
-                    if let (Some(client), Some(answer)) = (client, brought.answer(answer, failure)) {
-                        // An error means that the client has just left.
+                        handles.map(|h| (h.client.take(), h.failure.take())).unwrap_or_default();
+                    if let (Some(client), Some(answer)) = (client, context.answer(answer, failure)) {
+                        // An error means that the client has left in the meantime.
                         let _ = client.send(answer);
                     }
                 }
                 Output::RequestEnded { id } => drop(state.handles.remove(&id)),
-                Output::Report { planner, report } => brought.reports.push((planner, report)),
+                Output::Report { planner, report } => context.reports.push((planner, report)),
                 Output::Notice(Notice::DiscoveryLost) => {
-                    let why = brought.discovery_failure.as_deref().unwrap_or("lost");
+                    let why = context.discovery_failure.as_deref().unwrap_or("lost");
                     warn!(cause = why, "discovery: {why}; the old list stands");
                 }
                 Output::Notice(notice) => warn!("{notice}"),
@@ -298,29 +302,29 @@
         if state.engine.wants_wake() {
             self.wake.notify_one();
         }
-        done.map(|()| may_write)
+        result.map(|()| may_write)
     }
 
-    /// The same for inputs that only a fault of this program can make invalid.
+    /// Like [`Self::handle`], for inputs that only a bug in this program can make invalid.
     fn handle_or_warn(
         self: &Rc<Self>,
         state: &mut DriverState,
         now: Instant,
         input: Input,
-        mut brought: InputContext,
+        mut context: InputContext,
     ) -> bool {
-        self.handle(state, now, input, &mut brought).unwrap_or_else(|wrong| {
-            warn!(cause = %wrong, "lifecycle: {wrong}");
+        self.handle(state, now, input, &mut context).unwrap_or_else(|error| {
+            warn!(cause = %error, "lifecycle: {error}");
             false
         })
     }
 
     // ---- Attempts ----
 
-    /// An attempt has reached a stage. Returns whether it may go on.
-    fn attempt_reached(self: &Rc<Self>, id: RequestId, attempt: u32, note: AttemptStage) -> bool {
+    /// Handles a stage reached by an attempt. Returns whether the attempt may continue.
+    fn attempt_reached(self: &Rc<Self>, id: RequestId, attempt: u32, stage: AttemptStage) -> bool {
         let mut state = self.state.borrow_mut();
-        let step = match note {
+        let step = match stage {
             AttemptStage::Connected => {
                 let input = Input::Connected { id, attempt };
                 return self.handle_or_warn(&mut state, Instant::now(), input, InputContext::default());
@@ -328,15 +332,15 @@
             AttemptStage::Written => Step::Written,
             AttemptStage::Answering => Step::Answering,
         };
-        // Nothing follows from this input, and it needs no time.
+        // This input has no outputs and needs no time.
         let DriverState { engine, outputs, .. } = &mut *state;
-        if let Err(wrong) = engine.handle(0, Input::Progress { id, attempt, step }, outputs) {
-            warn!(request = format!("{id:016x}"), attempt, cause = %wrong, "lifecycle: {wrong}");
+        if let Err(error) = engine.handle(0, Input::Progress { id, attempt, step }, outputs) {
+            warn!(request = format!("{id:016x}"), attempt, cause = %error, "lifecycle: {error}");
         }
         true
     }
 
-    /// A good answer has begun that is streamed. Returns whether anybody waits for it.
+    /// Handles the start of a streamed response. Returns whether the client waits for it.
     fn answer_started(self: &Rc<Self>, run: &Attempt, outcome: Outcome) -> bool {
         let mut state = self.state.borrow_mut();
         let now = Instant::now();
@@ -344,13 +348,13 @@
         let elapsed = run.elapsed(now);
         let facts = AttemptFacts { elapsed, settled, metered, load };
         let input = Input::AnswerStarted { id: run.id, attempt: run.number, facts };
-        let mut brought = InputContext { served, ..InputContext::default() };
-        let done = self.handle(&mut state, now, input, &mut brought);
-        // The answer has gone to the client, or nobody waits for it.
-        done.is_ok() && brought.served.is_none()
+        let mut context = InputContext { served, ..InputContext::default() };
+        let result = self.handle(&mut state, now, input, &mut context);
+        // `served` is still there if no client waits for it.
+        result.is_ok() && context.served.is_none()
     }
 
-    /// An attempt has ended, for whatever reason.
+    /// Handles the end of an attempt, whatever the reason.
     fn attempt_ended(self: &Rc<Self>, run: &Attempt, outcome: Outcome) {
         let (id, attempt) = (run.id, run.number);
         let mut state = self.state.borrow_mut();
@@ -360,26 +364,26 @@
             (None, Some(_)) => Reply::Rejected,
             (None, None) => Reply::None,
         };
-        let Outcome { ending, served, failure, rejected: turned, settled, metered, load } = outcome;
-        if let Some(ends) = state.handles.get_mut(&id).filter(|_| failure.is_some()) {
-            ends.failure = failure;
+        let Outcome { ending, served, failure, rejected, settled, metered, load } = outcome;
+        if let Some(handles) = state.handles.get_mut(&id).filter(|_| failure.is_some()) {
+            handles.failure = failure;
         }
         let elapsed = run.elapsed(now);
         let facts = AttemptFacts { elapsed, settled, metered, load };
         let input = Input::AttemptEnded { id, attempt, ending, reply, facts };
-        let mut brought = InputContext { served, rejected: turned, ..InputContext::default() };
-        if let Err(wrong) = self.handle(&mut state, now, input, &mut brought) {
-            warn!(request = format!("{id:016x}"), attempt, cause = %wrong, "lifecycle: {wrong}");
-            // It must not stay in flight for ever.
+        let mut context = InputContext { served, rejected, ..InputContext::default() };
+        if let Err(error) = self.handle(&mut state, now, input, &mut context) {
+            warn!(request = format!("{id:016x}"), attempt, cause = %error, "lifecycle: {error}");
+            // Ended as cancelled, so that the attempt does not stay in flight forever.
             let (ending, reply, facts) = (Ending::Cancelled, Reply::None, AttemptFacts::default());
-            let undone = Input::AttemptEnded { id, attempt, ending, reply, facts };
-            let _ = self.handle(&mut state, now, undone, &mut InputContext::default());
+            let cancelled = Input::AttemptEnded { id, attempt, ending, reply, facts };
+            let _ = self.handle(&mut state, now, cancelled, &mut InputContext::default());
         }
     }
 
     // ---- The loop ----
 
-    /// Calls the module with what has happened: at once, or at the configured interval.
+    /// Calls the module with new events, at once or at the configured minimum interval.
     pub async fn run(self: &Rc<Self>) -> Infallible {
         let mut status = Instant::now() + STATUS_INTERVAL;
         loop {
@@ -392,7 +396,7 @@
                     self.max_timer_delay.set(self.max_timer_delay.get().max(late));
                 }
             }
-            // After a quiet spell there is nothing to wait for.
+            // Without recent batches there is nothing to wait for.
             let earliest = self.clock.instant(self.state.borrow().engine.next_batch_at());
             if earliest > Instant::now() {
                 sleep_until(earliest).await;
--- a/crates/gateway/proxy/src/driver/allowances.rs
+++ b/crates/gateway/proxy/src/driver/allowances.rs
@@ -1,4 +1,4 @@
-//! Allowances: the account, its reports and grants.
+//! Allowances: the quota account, its reports and grants.
 
 use super::{Driver, InputContext};
 use engine::Input;
@@ -9,11 +9,11 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// The allowance of a request that awaited it is known. Returns whether the request is not over.
+    /// Sets the allowance of a request that waits for it. Returns whether the request is still pending.
     pub fn set_allowance(self: &Rc<Self>, id: RequestId, allowance: Allowance) -> bool {
         let mut state = self.state.borrow_mut();
-        let held = state.engine.has_request(id);
-        if held {
+        let is_pending = state.engine.has_request(id);
+        if is_pending {
             self.handle_or_warn(
                 &mut state,
                 Instant::now(),
@@ -21,30 +21,30 @@
                 InputContext::default(),
             );
         }
-        held
+        is_pending
     }
 
-    /// From now on this account decides on allowances.
+    /// Sets the account that decides on allowances from now on.
     pub fn set_account(&self, account: Account) {
         self.state.borrow_mut().engine.set_account(account);
     }
 
-    /// The reports to send, once a tick. Requests that waited too long for a grant are refused.
+    /// Called once per tick. Returns the reports to send, and refuses requests that have waited too long for a grant.
     pub fn reports(self: &Rc<Self>) -> Vec<(usize, Report)> {
-        let mut brought = InputContext::default();
+        let mut context = InputContext::default();
         // This input is always valid.
-        let _ = self.handle(&mut self.state.borrow_mut(), Instant::now(), Input::PlanningTick, &mut brought);
-        brought.reports
+        let _ = self.handle(&mut self.state.borrow_mut(), Instant::now(), Input::PlanningTick, &mut context);
+        context.reports
     }
 
-    /// A planner's grant.
+    /// Applies a planner's grant.
     pub fn apply_grant(self: &Rc<Self>, planner: usize, grant: Grant) {
         let input = Input::Grant { planner, grant };
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
-    /// Whether the share is with this planner.
-    pub fn is_lent_to(&self, n: usize) -> bool {
-        matches!(self.state.borrow().engine.mode(), Some(Mode::Lent { planner, .. }) if planner == n)
+    /// Whether the gateway's share is lent to this planner.
+    pub fn is_lent_to(&self, index: usize) -> bool {
+        matches!(self.state.borrow().engine.mode(), Some(Mode::Lent { planner, .. }) if planner == index)
     }
 }
--- a/crates/gateway/proxy/src/driver/clock/tests.rs
+++ b/crates/gateway/proxy/src/driver/clock/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// A backend's start is told in Unix milliseconds, and the module compares it with its own clock.
+/// Discovery reports a backend's start in Unix milliseconds, and the module compares it with its own clock.
 #[test]
 fn the_clock_is_unix_time() {
     let clock = Clock::new();
--- a/crates/gateway/proxy/src/driver/discovery.rs
+++ b/crates/gateway/proxy/src/driver/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's list and the membership view, as inputs of the engine.
+//! Inputs of the engine from discovery and the membership view.
 
 use super::{Driver, InputContext};
 use crate::list::{List, ListSnapshot, State, Target};
@@ -8,36 +8,36 @@
 use tokio::time::Instant;
 
 impl Driver {
-    /// Applies the list of the configuration; it may be old.
-    pub fn apply_cached_list(self: &Rc<Self>, known: List) {
-        self.apply_list(Scope::Cached, known);
+    /// Applies a list from the configuration or a snapshot, which may be outdated.
+    pub fn apply_cached_list(self: &Rc<Self>, list: List) {
+        self.apply_list(Scope::Cached, list);
     }
 
-    /// This gateway's position among the gateways believed alive, and their number; none: as the settings say.
-    pub fn set_gateway_position(self: &Rc<Self>, seen: Option<(u32, u32)>) {
-        let (me, gateways) = seen.unwrap_or_default();
-        let input = Input::GatewayPosition { position: me, gateways };
+    /// Sets this gateway's position among the gateways believed alive, and their number. `None`: as in the settings.
+    pub fn set_gateway_position(self: &Rc<Self>, gateway_position: Option<(u32, u32)>) {
+        let (position, gateways) = gateway_position.unwrap_or_default();
+        let input = Input::GatewayPosition { position, gateways };
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
-    /// Which planners the membership view believes alive.
-    pub fn set_planner_liveness(self: &Rc<Self>, lives: Vec<Option<bool>>) {
-        let input = Input::PlannerLiveness(lives);
+    /// Sets which planners the membership view believes alive.
+    pub fn set_planner_liveness(self: &Rc<Self>, liveness: Vec<Option<bool>>) {
+        let input = Input::PlannerLiveness(liveness);
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
     }
 
-    /// Discovery failed; the old list stays in force.
-    pub fn discovery_failed(self: &Rc<Self>, what: String) {
-        let brought = InputContext { discovery_failure: Some(what), ..InputContext::default() };
-        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), Input::DiscoveryFailed, brought);
+    /// Records that discovery failed. The old list remains in force.
+    pub fn discovery_failed(self: &Rc<Self>, reason: String) {
+        let context = InputContext { discovery_failure: Some(reason), ..InputContext::default() };
+        self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), Input::DiscoveryFailed, context);
     }
 
-    /// From now on the list is kept for a next process.
+    /// Starts keeping the list for the next process.
     pub fn export_list(&self) {
         *self.exported_list.borrow_mut() = Some(ListSnapshot::default());
     }
 
-    /// The exported list as JSON, if there is one.
+    /// Returns the exported list as JSON, if there is one.
     pub fn exported_list(&self) -> Option<String> {
         self.exported_list.borrow().as_ref()?.to_json()
     }
@@ -47,19 +47,19 @@
         self.list_changed.notified().await;
     }
 
-    /// Applies discovery's list, or the changes to it.
+    /// Applies a list from discovery, or changes to it.
     pub fn apply_list(self: &Rc<Self>, scope: Scope, list: List) {
-        if let Some(held) = &mut *self.exported_list.borrow_mut() {
-            held.apply(scope, &list);
+        if let Some(exported) = &mut *self.exported_list.borrow_mut() {
+            exported.apply(scope, &list);
             self.list_changed.notify_one();
         }
         let replaced = self.backends.update(scope, &list.targets);
-        let placed = |t: Target| {
-            let place = t.endpoint.parse().ok().filter(|_| t.state == State::Ready);
-            let pools = (self.pools)(&t);
-            (t.node(&self.zones, pools), place)
+        let to_entry = |target: Target| {
+            let address = target.endpoint.parse().ok().filter(|_| target.state == State::Ready);
+            let pools = (self.pools)(&target);
+            (target.node(&self.zones, pools), address)
         };
-        let mut entries: Vec<ListEntry> = list.targets.into_iter().map(placed).collect();
+        let mut entries: Vec<ListEntry> = list.targets.into_iter().map(to_entry).collect();
         entries.extend(replaced.iter().map(|name| (Node::new(name, Health::Removed), None)));
         let input = Input::ServerList { scope, rev: list.rev, entries };
         self.handle_or_warn(&mut self.state.borrow_mut(), Instant::now(), input, InputContext::default());
--- a/crates/gateway/proxy/src/driver/input_context.rs
+++ b/crates/gateway/proxy/src/driver/input_context.rs
@@ -1,4 +1,4 @@
-//! What accompanies an input through the engine.
+//! Data that accompanies an input of the engine.
 
 use super::Answer;
 use crate::backends::Served;
@@ -7,17 +7,18 @@
 use plan::message::Report;
 use std::time::Duration;
 
-/// What an input carries that the engine does not need, and what its outputs leave behind.
+/// Data of an input that the engine does not need, and results of its outputs.
 #[derive(Default)]
 pub(super) struct InputContext {
     pub(super) served: Option<Served>,
     pub(super) rejected: Option<StatusCode>,
-    /// Why discovery failed.
+    /// Reason for a failure of discovery.
     pub(super) discovery_failure: Option<String>,
     pub(super) reports: Vec<(usize, Report)>,
 }
 
 impl InputContext {
+    /// Returns the answer for the client. None if the response to pass on is not there.
     pub(super) fn answer(&mut self, answer: FinalAnswer, failure: Option<Served>) -> Option<Answer> {
         match answer {
             FinalAnswer::Served => self.served.take().map(Answer::Served),
--- a/crates/gateway/proxy/src/driver/status.rs
+++ b/crates/gateway/proxy/src/driver/status.rs
@@ -8,32 +8,36 @@
     /// Logs a line of counts for the operators, if there was any traffic.
     pub(super) fn log_status(&self) {
         let mut state = self.state.borrow_mut();
-        let c = state.engine.take_counts();
-        let mut sum = AnswerCounts::default();
-        for of in state.engine.totals().answers {
-            sum.served += of.served;
-            sum.refused += of.refused;
-            sum.failed += of.failed;
+        let counts = state.engine.take_counts();
+        let mut totals = AnswerCounts::default();
+        for class_counts in state.engine.totals().answers {
+            totals.served += class_counts.served;
+            totals.refused += class_counts.refused;
+            totals.failed += class_counts.failed;
         }
-        let said = self.reported_answers.replace(sum);
-        let (served, refused, failed) =
-            (sum.served - said.served, sum.refused - said.refused, sum.failed - said.failed);
-        let (connects, latest) = (self.backends.connects.take(), self.max_timer_delay.take().as_millis());
+        let previous = self.reported_answers.replace(totals);
+        let (served, refused, failed) = (
+            totals.served - previous.served,
+            totals.refused - previous.refused,
+            totals.failed - previous.failed,
+        );
+        let (connects, max_delay_ms) =
+            (self.backends.connects.take(), self.max_timer_delay.take().as_millis());
         if served + refused + failed > 0 {
             info!(
                 served,
                 refused,
                 failed,
-                overdue = c.overdue,
+                overdue = counts.overdue,
                 held = state.engine.request_count(),
                 connects,
-                batches = c.batches,
-                late_ms = latest as u64,
+                batches = counts.batches,
+                late_ms = max_delay_ms as u64,
                 "served {served}, refused {refused}, failed {failed} ({} overdue), held {}; \
-                 new connections {connects}, batches {}, loop late by {latest} ms at most",
-                c.overdue,
+                 new connections {connects}, batches {}, loop late by {max_delay_ms} ms at most",
+                counts.overdue,
                 state.engine.request_count(),
-                c.batches
+                counts.batches
             );
         }
     }
--- a/crates/gateway/proxy/src/fronts/budget.rs
+++ b/crates/gateway/proxy/src/fronts/budget.rs
@@ -1,50 +1,50 @@
-//! Memory for request bodies, over all clients.
+//! Memory budget for request bodies of all clients.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The most that one body may reserve.
-const MAX_RESERVATION: usize = 2 << 20;
+/// Maximum reservation of one body.
+const MAX_RESERVATION_BYTES: usize = 2 << 20;
 
-/// A budget of bytes for request bodies.
+/// Budget of bytes for request bodies.
 pub struct Budget {
     max: usize,
     used: Cell<usize>,
 }
 
 impl Budget {
-    /// A budget of this many bytes.
-    pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Budget { max: most, used: Cell::new(0) })
+    /// Returns a budget of `max` bytes.
+    pub fn new(max: usize) -> Rc<Self> {
+        Rc::new(Budget { max, used: Cell::new(0) })
     }
 
-    /// An empty reservation, for one client.
+    /// Returns an empty reservation for one client.
     pub fn reserve(self: &Rc<Self>) -> Reservation {
         Reservation { budget: self.clone(), size: 0 }
     }
 }
 
-/// What one body has reserved; released when dropped.
+/// Bytes reserved for one body, released when dropped.
 pub struct Reservation {
     budget: Rc<Budget>,
     size: usize,
 }
 
 impl Reservation {
-    /// Reserves `by` bytes more, if they are available.
-    pub fn grow(&mut self, by: usize) -> bool {
-        let used = self.budget.used.get() + by;
-        let there = used <= self.budget.max;
-        if there {
+    /// Reserves `additional` bytes more if they are available. Returns whether they were.
+    pub fn grow(&mut self, additional: usize) -> bool {
+        let used = self.budget.used.get() + additional;
+        let is_available = used <= self.budget.max;
+        if is_available {
             self.budget.used.set(used);
-            self.size += by;
+            self.size += additional;
         }
-        there
+        is_available
     }
 
-    /// The most that one body may reserve: others need some too.
+    /// Returns the maximum reservation of one body, which leaves a part of the budget for others.
     pub fn max(&self) -> usize {
-        MAX_RESERVATION.min(self.budget.max / 8)
+        MAX_RESERVATION_BYTES.min(self.budget.max / 8)
     }
 }
 
--- a/crates/gateway/proxy/src/fronts/http1/client.rs
+++ b/crates/gateway/proxy/src/fronts/http1/client.rs
@@ -1,6 +1,6 @@
-//! A client's connection: its state, its socket, and how it is closed.
+//! Client connection: its state, its socket, and how it is closed.
 
-use super::{LINGER, MAX_DISCARD};
+use super::{LINGER_TIMEOUT, MAX_DISCARDED_BYTES};
 use crate::backends::Stream;
 use crate::driver::Driver;
 use bytes::Bytes;
@@ -22,35 +22,35 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant, Sleep};
 
-/// Whether bytes have arrived that the runtime does not know of yet.
+/// Whether bytes have arrived that the runtime has not reported yet.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 pub(super) enum PendingBytes {
     #[default]
     None,
-    /// To be checked with the next read.
+    /// To be checked at the next read.
     Unknown,
     Some,
 }
 
-/// A client's connection, and how it is closed.
+/// State of a client's connection.
 pub(super) struct Client {
     pub(super) connection: Cell<Connection>,
     pub(super) driver: Rc<Driver>,
-    /// Why it is to be closed, and the notification of that.
+    /// Reason for a requested close, and its notification.
     pub(super) close_reason: Cell<Option<Close>>,
     pub(super) close: Notify,
-    /// The head that is arriving, byte by byte, if all of it arrived on an idle connection.
+    /// Raw bytes of the head that is arriving, if all of it arrived on an idle connection.
     pub(super) head: RefCell<Vec<u8>>,
     pub(super) pending_bytes: Cell<PendingBytes>,
-    /// Whether the answer's last byte was handed to hyper, so that a flush means that all of it is written.
+    /// Whether the response's last byte was handed to hyper, so that a flush means that all of it has been written.
     pub(super) is_answer_handed_over: Cell<bool>,
 }
 
 impl Client {
-    pub(super) fn new(driver: Rc<Driver>, patience: Timeouts) -> Rc<Self> {
-        let life = Cell::new(Connection::new(driver.time(Instant::now()), patience));
+    pub(super) fn new(driver: Rc<Driver>, timeouts: Timeouts) -> Rc<Self> {
+        let connection = Cell::new(Connection::new(driver.time(Instant::now()), timeouts));
         Rc::new(Client {
-            connection: life,
+            connection,
             driver,
             close_reason: Cell::new(None),
             close: Notify::new(),
@@ -61,25 +61,25 @@
     }
 
     pub(super) fn handle(&self, input: Input) -> Command {
-        let mut life = self.connection.get();
-        let timed = matches!(input, Input::Bytes | Input::Reply | Input::Close(_));
-        let now = if timed { self.driver.time(Instant::now()) } else { 0 };
-        let order = life.handle(now, input);
-        self.connection.set(life);
-        order.unwrap_or_else(|wrong| {
-            tracing::warn!(cause = %wrong, "lifecycle: {wrong}");
+        let mut connection = self.connection.get();
+        let needs_time = matches!(input, Input::Bytes | Input::Reply | Input::Close(_));
+        let now = if needs_time { self.driver.time(Instant::now()) } else { 0 };
+        let command = connection.handle(now, input);
+        self.connection.set(connection);
+        command.unwrap_or_else(|error| {
+            tracing::warn!(cause = %error, "lifecycle: {error}");
             Command::None
         })
     }
 
-    /// Closes it for this reason. How is decided when its task runs: it may have sent a request by then.
-    pub(super) fn close(&self, why: Close) {
-        self.close_reason.set(Some(why));
+    /// Requests a close of the connection. Its task decides how, since the client may have sent a request by then.
+    pub(super) fn close(&self, reason: Close) {
+        self.close_reason.set(Some(reason));
         self.close.notify_one();
     }
 }
 
-/// An answer's body.
+/// Response body.
 pub enum Payload {
     Full(Full<Bytes>),
     Stream(Stream),
@@ -94,7 +94,7 @@
     }
 }
 
-/// An answer's body that records when all of it was handed to hyper.
+/// Response body that records when all of it was handed to hyper.
 pub(super) struct TrackedBody {
     pub(super) body: Payload,
     pub(super) client: Rc<Client>,
@@ -106,7 +106,7 @@
 
     fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<io::Result<Frame<Bytes>>>> {
         let frame = match &mut self.body {
-            Payload::Full(body) => Pin::new(body).poll_frame(cx).map_err(|never| match never {}),
+            Payload::Full(body) => Pin::new(body).poll_frame(cx).map_err(|infallible| match infallible {}),
             Payload::Stream(body) => Pin::new(body).poll_frame(cx),
         };
         self.client.is_answer_handed_over.set(self.body.is_end());
@@ -125,11 +125,11 @@
     }
 }
 
-/// A client's socket that reports when bytes have arrived and when all has been written.
+/// Client socket that reports when bytes have arrived and when all bytes have been written.
 pub(super) struct WatchedSocket {
     pub(super) io: TokioIo<TcpStream>,
     pub(super) client: Rc<Client>,
-    /// Until when bytes after the last answer are discarded, and how many have been.
+    /// Time until which bytes after the last response are discarded, and the number discarded so far.
     pub(super) linger: Option<(Pin<Box<Sleep>>, usize)>,
 }
 
@@ -140,28 +140,28 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         if self.client.pending_bytes.get() == PendingBytes::Unknown {
-            let mut one = [MaybeUninit::uninit()];
-            let there = SockRef::from(self.io.inner()).peek(&mut one).is_ok_and(|n| n > 0);
-            self.client.pending_bytes.set(if there { PendingBytes::Some } else { PendingBytes::None });
+            let mut peeked = [MaybeUninit::uninit()];
+            let has_bytes = SockRef::from(self.io.inner()).peek(&mut peeked).is_ok_and(|n| n > 0);
+            self.client.pending_bytes.set(if has_bytes { PendingBytes::Some } else { PendingBytes::None });
         }
         let state = self.client.connection.get().state();
         if !matches!(state, State::Idle | State::Head) {
             return Pin::new(&mut self.io).poll_read(cx, buf);
         }
-        // Recorded beside hyper, which hides a length that stands beside a coding.
+        // Recorded separately, because hyper removes a Content-Length that accompanies a Transfer-Encoding.
         let mut bytes = [MaybeUninit::uninit(); 4096];
-        let most = buf.remaining().min(bytes.len());
-        let mut own = ReadBuf::uninit(&mut bytes[..most]);
-        std::task::ready!(Pin::new(&mut self.io).poll_read(cx, own.unfilled()))?;
+        let max_len = buf.remaining().min(bytes.len());
+        let mut local_buf = ReadBuf::uninit(&mut bytes[..max_len]);
+        std::task::ready!(Pin::new(&mut self.io).poll_read(cx, local_buf.unfilled()))?;
         let mut head = self.client.head.borrow_mut();
         if state == State::Idle {
             head.clear();
         }
-        if !own.filled().is_empty() {
+        if !local_buf.filled().is_empty() {
             self.client.handle(Input::Bytes);
         }
-        head.extend_from_slice(own.filled());
-        buf.put_slice(own.filled());
+        head.extend_from_slice(local_buf.filled());
+        buf.put_slice(local_buf.filled());
         Poll::Ready(Ok(()))
     }
 }
@@ -183,7 +183,7 @@
         self.io.is_write_vectored()
     }
 
-    /// hyper flushes the socket when its own buffer is empty.
+    /// hyper flushes the socket when hyper's own buffer is empty.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.io).poll_flush(cx);
         let client = &self.client;
@@ -196,23 +196,25 @@
         flushed
     }
 
-    /// RFC 9112, section 9.6: a close with bytes unread resets the connection, and with it what the client has not read
-    /// of its last answer. So this side is closed first, and the other read until the client has closed too.
+    /// RFC 9112, section 9.6: closing a socket with unread bytes resets the connection, and the client may lose the unread
+    /// part of its last response. So the write side is closed first, and the read side is read until the client closes too.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.linger.is_none() {
             std::task::ready!(Pin::new(&mut self.io).poll_shutdown(cx))?;
-            self.linger = Some((Box::pin(sleep(LINGER)), 0));
+            self.linger = Some((Box::pin(sleep(LINGER_TIMEOUT)), 0));
         }
-        let WatchedSocket { io, linger: Some((end, thrown)), .. } = &mut *self else {
+        let WatchedSocket { io, linger: Some((linger_end, discarded_bytes)), .. } = &mut *self else {
             return Poll::Ready(Ok(()));
         };
         loop {
             let mut bytes = [MaybeUninit::uninit(); 4096];
             let mut buffer = ReadBuf::uninit(&mut bytes);
             match Pin::new(&mut *io).poll_read(cx, buffer.unfilled()) {
-                Poll::Pending => return end.as_mut().poll(cx).map(Ok),
-                Poll::Ready(Ok(())) if !buffer.filled().is_empty() && *thrown <= MAX_DISCARD => {
-                    *thrown += buffer.filled().len();
+                Poll::Pending => return linger_end.as_mut().poll(cx).map(Ok),
+                Poll::Ready(Ok(()))
+                    if !buffer.filled().is_empty() && *discarded_bytes <= MAX_DISCARDED_BYTES =>
+                {
+                    *discarded_bytes += buffer.filled().len();
                 }
                 Poll::Ready(_) => return Poll::Ready(Ok(())),
             }
--- a/crates/gateway/proxy/src/fronts/http1/request.rs
+++ b/crates/gateway/proxy/src/fronts/http1/request.rs
@@ -1,7 +1,7 @@
-//! A client's request: its recorded head, and its body.
+//! Client request: its recorded head and its body.
 
-use super::{MAX_DISCARD, MIN_BODY_RATE, UPLOAD_READ_TIMEOUT};
-use crate::backends::{MAX_BODY, MAX_BUFFERED_ANSWER};
+use super::{MAX_DISCARDED_BYTES, MIN_BODY_BYTES_PER_SECOND, UPLOAD_READ_TIMEOUT};
+use crate::backends::{MAX_BODY_BYTES, MAX_BUFFERED_RESPONSE_BYTES};
 use crate::fronts::Reservation;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -11,17 +11,17 @@
 use tokio::sync::mpsc;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// Whether a recorded head states a length.
-pub(super) fn states_length(raw: &[u8]) -> bool {
-    let end = raw.windows(2).position(|w| w == b"\n\n");
-    let end = raw.windows(3).position(|w| w == b"\n\r\n").into_iter().chain(end).min().unwrap_or(raw.len());
+/// Whether a recorded head contains a Content-Length field.
+pub(super) fn states_length(head: &[u8]) -> bool {
+    let end = head.windows(2).position(|w| w == b"\n\n");
+    let end = head.windows(3).position(|w| w == b"\n\r\n").into_iter().chain(end).min().unwrap_or(head.len());
     let name = b"content-length:";
-    raw[..end]
+    head[..end]
         .split(|b| *b == b'\n')
-        .any(|l| l.len() >= name.len() && l[..name.len()].eq_ignore_ascii_case(name))
+        .any(|line| line.len() >= name.len() && line[..name.len()].eq_ignore_ascii_case(name))
 }
 
-/// How fast a body must arrive.
+/// Minimum rate at which a body must arrive, after a grace period.
 #[derive(Clone, Copy)]
 pub(super) struct Pace {
     pub(super) start: Instant,
@@ -29,33 +29,33 @@
 }
 
 impl Pace {
-    /// When more of it must have arrived, now that `came` bytes have.
-    fn until(self, came: usize) -> Instant {
-        let earned = Duration::from_millis((came / (MIN_BODY_RATE / 1000)) as u64);
+    /// Returns the deadline for the next bytes, given the number of bytes received.
+    fn deadline(self, received_bytes: usize) -> Instant {
+        let earned = Duration::from_millis((received_bytes / (MIN_BODY_BYTES_PER_SECOND / 1000)) as u64);
         (Instant::now() + self.grace).min(self.start + self.grace + earned)
     }
 }
 
-/// A body that is arriving.
-pub(super) struct Coming {
+/// Reader of a body that is arriving.
+pub(super) struct BodyReader {
     body: IncomingBody,
     pace: Pace,
-    came: usize,
+    received_bytes: usize,
 }
 
-impl Coming {
+impl BodyReader {
     pub(super) fn new(body: IncomingBody, pace: Pace) -> Self {
-        Coming { body, pace, came: 0 }
+        BodyReader { body, pace, received_bytes: 0 }
     }
 
-    /// Its next bytes; none at its end.
-    async fn next(&mut self) -> Result<Option<Bytes>, StatusCode> {
+    /// Reads the next bytes, or None at the end of the body.
+    async fn next_data(&mut self) -> Result<Option<Bytes>, StatusCode> {
         loop {
-            let frame = timeout_at(self.pace.until(self.came), self.body.frame()).await;
+            let frame = timeout_at(self.pace.deadline(self.received_bytes), self.body.frame()).await;
             let Some(frame) = frame.map_err(|_| StatusCode::REQUEST_TIMEOUT)? else { return Ok(None) };
             let Ok(data) = frame.map_err(|_| StatusCode::BAD_REQUEST)?.into_data() else { continue };
-            self.came += data.len();
-            if self.came > MAX_BODY {
+            self.received_bytes += data.len();
+            if self.received_bytes > MAX_BODY_BYTES {
                 return Err(StatusCode::PAYLOAD_TOO_LARGE);
             }
             if !data.is_empty() {
@@ -64,56 +64,56 @@
         }
     }
 
-    /// The whole body within the reservation; or as much as the budget allows, if it stays open.
+    /// Reads the whole body if the budget allows, otherwise a first part. Returns whether more is to come.
     pub(super) async fn read(
         &mut self,
-        mut part: Reservation,
+        mut reservation: Reservation,
     ) -> Result<(Bytes, Reservation, bool), StatusCode> {
-        let told = self.body.size_hint().lower() as usize;
-        let mut came = BytesMut::with_capacity(told.min(MAX_BUFFERED_ANSWER));
-        while let Some(data) = self.next().await? {
-            came.extend_from_slice(&data);
-            // Up to the usual size there is always memory: it is bounded by the descriptors.
-            let room = part.grow(data.len()) && came.len() <= part.max();
-            if !room && came.len() > MAX_BUFFERED_ANSWER {
-                return Ok((came.freeze(), part, true));
+        let stated_length = self.body.size_hint().lower() as usize;
+        let mut buffer = BytesMut::with_capacity(stated_length.min(MAX_BUFFERED_RESPONSE_BYTES));
+        while let Some(data) = self.next_data().await? {
+            buffer.extend_from_slice(&data);
+            // Bodies up to this size need no budget: their memory is bounded by the number of descriptors.
+            let has_budget = reservation.grow(data.len()) && buffer.len() <= reservation.max();
+            if !has_budget && buffer.len() > MAX_BUFFERED_RESPONSE_BYTES {
+                return Ok((buffer.freeze(), reservation, true));
             }
         }
-        Ok((came.freeze(), part, false))
+        Ok((buffer.freeze(), reservation, false))
     }
 
     pub(super) fn length(&self) -> Option<u64> {
-        // What remains of it, and what has arrived.
-        self.body.size_hint().exact().map(|left| left + self.came as u64)
+        // The remaining length and the bytes received so far.
+        self.body.size_hint().exact().map(|left| left + self.received_bytes as u64)
     }
 
-    /// Streams the rest; an empty frame marks its end. A backend that does not read has a time limit too.
-    pub(super) async fn pass(&mut self, to: &mpsc::Sender<Bytes>) -> Result<(), StatusCode> {
+    /// Streams the rest of the body, followed by an empty frame. A backend must also read within a time limit.
+    pub(super) async fn forward(&mut self, to: &mpsc::Sender<Bytes>) -> Result<(), StatusCode> {
         loop {
-            let data = self.next().await?;
-            let whole = data.is_none();
-            let waits = Instant::now();
+            let data = self.next_data().await?;
+            let is_end = data.is_none();
+            let wait_start = Instant::now();
             match timeout(UPLOAD_READ_TIMEOUT, to.send(data.unwrap_or_default())).await {
                 Err(_) => return Err(StatusCode::GATEWAY_TIMEOUT),
                 Ok(Ok(())) => {}
-                // The attempt is over, and the answer is on its way.
+                // The attempt has ended, and the answer will arrive.
                 Ok(Err(_)) => std::future::pending().await,
             }
-            if whole {
+            if is_end {
                 return Ok(());
             }
-            // That was the backend's time, not the client's.
-            self.pace.start += waits.elapsed();
+            // The time that the backend took is not charged to the client.
+            self.pace.start += wait_start.elapsed();
         }
     }
 }
 
-/// Discards what still arrives, so that the client gets to read its answer.
+/// Discards the rest of a body, so that the client can read its response.
 pub(super) async fn discard(mut body: IncomingBody) {
-    let mut thrown = 0;
+    let mut discarded_bytes = 0;
     while let Some(Ok(frame)) = body.frame().await {
-        thrown += frame.data_ref().map_or(0, Bytes::len);
-        if thrown > MAX_DISCARD {
+        discarded_bytes += frame.data_ref().map_or(0, Bytes::len);
+        if discarded_bytes > MAX_DISCARDED_BYTES {
             return;
         }
     }
--- a/crates/gateway/proxy/src/fronts/mod.rs
+++ b/crates/gateway/proxy/src/fronts/mod.rs
@@ -1,4 +1,4 @@
-//! Front ends: they parse and frame, no more.
+//! Front ends, which only parse and frame requests.
 
 mod budget;
 pub mod http1;
--- a/crates/gateway/proxy/src/handover.rs
+++ b/crates/gateway/proxy/src/handover.rs
@@ -1,5 +1,6 @@
-//! The link between two processes of one gateway during an upgrade: a lock that shows which one is alive, and a file of
-//! bans, in a directory that both are given. The `handover` crate decides what they mean.
+//! Link between two processes of one gateway during an upgrade, through files in a shared directory: a lock that shows
+//! whether the previous process still runs, the bans, and the state that a process leaves when it shuts down. The
+//! `handover` crate interprets them.
 
 use crate::driver::Driver;
 use handover::{Input, Role};
@@ -14,136 +15,140 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 
-/// How often the other process and its bans are looked for; and its state, while it is expected.
+/// Poll interval for the other process and its bans; and for its state while that is expected.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
 const STATE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const BANS_FILE: &str = "granitethread.bans";
 const STATE_FILE: &str = "granitethread.left";
 
-/// The link to another process of this gateway.
+/// Link to another process of this gateway.
 pub struct Link {
-    /// None: no directory is given, or the socket is not inherited, and no process takes over.
-    folder: Option<PathBuf>,
+    /// None if no directory is configured or the socket is not inherited, so that no process takes over.
+    directory: Option<PathBuf>,
     role: Cell<Role>,
-    /// Locked while this process is alive, once the previous one has ended.
-    alive: Option<File>,
+    /// Locked for the lifetime of this process, once the previous one has ended.
+    liveness_lock: Option<File>,
 }
 
 impl Link {
-    /// `folder`: the directory that both processes use.
-    pub fn new(folder: Option<PathBuf>) -> Rc<Self> {
+    /// Opens the link. `directory` is the directory that both processes use.
+    pub fn new(directory: Option<PathBuf>) -> Rc<Self> {
         let open =
             |f: &PathBuf| OpenOptions::new().create(true).append(true).open(f.join("granitethread.alive"));
-        let alive = folder
+        let liveness_lock = directory
             .as_ref()
             .and_then(|f| open(f).inspect_err(|e| warn!(cause = %e, "handover: {}: {e}", f.display())).ok());
-        let other = alive.as_ref().is_some_and(|f| matches!(f.try_lock(), Err(TryLockError::WouldBlock)));
-        // Any state file is not from the process that is still alive.
-        if let Some(folder) = &folder {
-            let _ = fs::remove_file(folder.join(STATE_FILE));
+        let is_other_alive =
+            liveness_lock.as_ref().is_some_and(|f| matches!(f.try_lock(), Err(TryLockError::WouldBlock)));
+        // An existing state file is not from the process that still runs, which writes its state only at shutdown.
+        if let Some(directory) = &directory {
+            let _ = fs::remove_file(directory.join(STATE_FILE));
         }
-        Rc::new(Link { folder, role: Cell::new(Role::initial(other)), alive })
+        Rc::new(Link { directory, role: Cell::new(Role::initial(is_other_alive)), liveness_lock })
     }
 
-    /// This process's role.
+    /// Returns the role of this process.
     pub fn role(&self) -> Role {
         self.role.get()
     }
 
-    /// This process shuts down: its state is left for the next.
+    /// Handles the shutdown of this process: writes its state for the next one.
     pub fn on_shutdown(&self, driver: &Driver) {
         self.role.set(self.role.get().after(Input::ShutdownRequested));
-        if let Some(folder) = &self.folder {
-            if let Err(e) = replace(folder, STATE_FILE, &driver.export_state()) {
-                warn!(cause = %e, "handover: nothing left for the next process: {e}");
+        if let Some(directory) = &self.directory {
+            if let Err(e) = replace(directory, STATE_FILE, &driver.export_state()) {
+                warn!(cause = %e, "handover: no state written for the next process: {e}");
             }
         }
     }
 
-    /// Whether another process takes over this one's clients.
+    /// Whether the socket is shared, so that another process can take over this one's clients.
     pub fn is_shared(&self) -> bool {
-        self.folder.is_some()
+        self.directory.is_some()
     }
 
-    /// Follows the other process for as long as this one is alive.
+    /// Polls the other process's bans, state and end for the lifetime of this process.
     pub async fn follow(self: Rc<Self>, driver: Rc<Driver>) {
-        let Some(folder) = &self.folder else { return };
-        let (mut last, mut wrong) = (None, None);
-        let mut awaits = self.role() == Role::Joining;
+        let Some(directory) = &self.directory else { return };
+        let (mut last_bans, mut last_error) = (None, None);
+        let mut awaits_state = self.role() == Role::Joining;
         loop {
-            if awaits {
-                awaits = !self.take_over(folder, &driver) && self.role() == Role::Joining;
+            if awaits_state {
+                awaits_state = !self.take_over(directory, &driver) && self.role() == Role::Joining;
             }
-            match read(folder) {
+            match read(directory) {
                 Ok(None) => {}
-                Ok(Some(bans)) if last.as_ref() != Some(&bans) => {
+                Ok(Some(bans)) if last_bans.as_ref() != Some(&bans) => {
                     driver.adopt_bans(&bans);
-                    last = Some(bans);
+                    last_bans = Some(bans);
                 }
                 Ok(Some(_)) => {}
-                // Logged once, not five times a second.
-                Err(what) if wrong.as_ref() != Some(&what) => {
-                    warn!(cause = what, "handover: bans: {what}; what is known stands");
-                    wrong = Some(what);
+                // Logged once, not at every poll (five times per second).
+                Err(reason) if last_error.as_ref() != Some(&reason) => {
+                    warn!(cause = reason, "handover: bans: {reason}; what is known stands");
+                    last_error = Some(reason);
                 }
                 Err(_) => {}
             }
-            let alive = self.alive.as_ref();
-            if self.role() == Role::Joining && alive.is_some_and(|f| f.try_lock().is_ok()) {
+            let liveness_lock = self.liveness_lock.as_ref();
+            if self.role() == Role::Joining && liveness_lock.is_some_and(|f| f.try_lock().is_ok()) {
                 self.role.set(self.role().after(Input::OtherEnded));
-                info!("handover: the process before this one has ended");
+                info!("handover: the previous process has ended");
             }
-            sleep(if awaits { STATE_POLL_INTERVAL } else { POLL_INTERVAL }).await;
+            sleep(if awaits_state { STATE_POLL_INTERVAL } else { POLL_INTERVAL }).await;
         }
     }
 
-    /// Returns whether the previous process has left its state.
-    fn take_over(&self, folder: &Path, driver: &Driver) -> bool {
-        let Ok(Some(text)) = read_file(folder, STATE_FILE) else { return false };
-        let _ = fs::remove_file(folder.join(STATE_FILE));
+    /// Imports the state of the previous process. Returns whether it was there.
+    fn take_over(&self, directory: &Path, driver: &Driver) -> bool {
+        let Ok(Some(text)) = read_file(directory, STATE_FILE) else { return false };
+        let _ = fs::remove_file(directory.join(STATE_FILE));
         let text = String::from_utf8_lossy(&text);
         match driver.import_state(&text) {
             Ok(()) => {
-                info!(bytes = text.len(), "handover: took over {} bytes of what was learnt", text.len())
+                info!(bytes = text.len(), "handover: took over {} bytes of learned state", text.len())
+            }
+            Err(reason) => {
+                warn!(cause = reason, "handover: state of the previous process rejected: {reason}")
             }
-            Err(what) => warn!(cause = what, "handover: what was left is of no use: {what}"),
         }
         true
     }
 
-    /// Adopts the bans of the other process, makes a change, and writes the result for both; one process at a time.
+    /// Adopts the bans of the other process, applies a change, and writes the result for both. A file lock serializes the
+    /// processes.
     pub fn change<T>(&self, driver: &Rc<Driver>, change: impl FnOnce() -> T) -> (T, io::Result<()>) {
-        let Some(folder) = &self.folder else { return (change(), Ok(())) };
-        let turn = File::create(folder.join("granitethread.bans.turn"));
-        // Locked for a moment by the process that writes; released by the system if that dies.
-        let turn = turn.and_then(|f| f.lock().map(|()| f));
-        if let Ok(Some(bans)) = read(folder) {
+        let Some(directory) = &self.directory else { return (change(), Ok(())) };
+        let lock_file = File::create(directory.join("granitethread.bans.turn"));
+        // Held briefly by the writing process. The system releases it if that process crashes.
+        let lock_file = lock_file.and_then(|f| f.lock().map(|()| f));
+        if let Ok(Some(bans)) = read(directory) {
             driver.adopt_bans(&bans);
         }
-        let done = change();
-        (done, turn.and_then(|_turn| store(folder, &driver.bans())))
+        let result = change();
+        (result, lock_file.and_then(|_lock_file| store(directory, &driver.bans())))
     }
 }
 
-fn store(folder: &Path, bans: &BTreeMap<Name, Time>) -> io::Result<()> {
-    replace(folder, BANS_FILE, &handover::write(bans))
+fn store(directory: &Path, bans: &BTreeMap<Name, Time>) -> io::Result<()> {
+    replace(directory, BANS_FILE, &handover::write(bans))
 }
 
-/// Written completely, then renamed: no reader sees half of it.
-fn replace(folder: &Path, name: &str, text: &str) -> io::Result<()> {
-    let new = folder.join(format!("{name}.new"));
-    fs::write(&new, text)?;
-    fs::rename(new, folder.join(name))
+/// Replaces a file atomically: writes a new file completely and renames it, so that no reader sees a partial one.
+fn replace(directory: &Path, name: &str, text: &str) -> io::Result<()> {
+    let new_path = directory.join(format!("{name}.new"));
+    fs::write(&new_path, text)?;
+    fs::rename(new_path, directory.join(name))
 }
 
-fn read(folder: &Path) -> Result<Option<BTreeMap<Name, Time>>, String> {
-    let text = read_file(folder, BANS_FILE).map_err(|e| e.to_string())?;
+fn read(directory: &Path) -> Result<Option<BTreeMap<Name, Time>>, String> {
+    let text = read_file(directory, BANS_FILE).map_err(|e| e.to_string())?;
     text.map(|t| handover::read(&t).map_err(|e| e.to_string())).transpose()
 }
 
-/// Reads a file up to just beyond the longest valid one, which is then refused.
-fn read_file(folder: &Path, name: &str) -> io::Result<Option<Vec<u8>>> {
-    let file = match File::open(folder.join(name)) {
+/// Reads a file up to one byte beyond the maximum valid size, so that a larger file is rejected by its parser.
+fn read_file(directory: &Path, name: &str) -> io::Result<Option<Vec<u8>>> {
+    let file = match File::open(directory.join(name)) {
         Err(e) if e.kind() == io::ErrorKind::NotFound => return Ok(None),
         file => file?,
     };
--- a/crates/gateway/proxy/src/lib.rs
+++ b/crates/gateway/proxy/src/lib.rs
@@ -1,6 +1,7 @@
-//! A gateway's sockets: clients in front, backends behind, the engine between them. What a request means, and how
-//! backends are addressed, a program defines by a [`fronts::http1::RequestHandler`] and a [`backends::UpstreamProtocol`]; nothing is decided
-//! here. There are two such programs: `granitethread`, and the data plane of the whole system.
+//! I/O of a gateway: sockets of clients (front) and of backends (upstream), and the driver of the engine between them.
+//! A program defines what requests mean with a [`fronts::http1::RequestHandler`], and how backends are addressed with a
+//! [`backends::UpstreamProtocol`]; no decisions are made here. Two programs use this crate: `granitethread` and the data
+//! plane of the whole system.
 #![forbid(unsafe_code)]
 
 pub mod backends;
--- a/crates/gateway/proxy/src/list.rs
+++ b/crates/gateway/proxy/src/list.rs
@@ -1,10 +1,10 @@
-//! Discovery's list of backends, with the names of its JSON. The configuration holds one, and the watch brings more.
+//! List of backends in discovery's JSON format. The configuration contains one, and the discovery watch delivers others.
 
 use interface::{Health, Node, Scope};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The list of backends, or what changed in it.
+/// List of backends, or changes to it.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct List {
     pub rev: u64,
@@ -12,11 +12,11 @@
     pub targets: Vec<Target>,
 }
 
-/// One backend of the list.
+/// Backend in the list.
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Target {
     pub uid: String,
-    /// Not parsed yet: an entry that is `Gone` counts, whatever its address.
+    /// Not parsed, so that a `Gone` entry applies even if its address is invalid.
     #[serde(default)]
     pub endpoint: String,
     #[serde(default)]
@@ -32,7 +32,7 @@
     pub boot_ms: u64,
 }
 
-/// Whether a backend takes new work.
+/// State of a backend in the list. Only `Ready` backends accept new work.
 #[derive(Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 pub enum State {
     Ready,
@@ -45,30 +45,30 @@
 }
 
 impl Target {
-    /// The entry for the module. A zone's number is its index in the settings.
+    /// Converts the entry for the decision module. A zone's number is its index in the settings.
     pub fn node(self, zones: &[String], pools: u32) -> Node {
-        let t = self;
-        let zone = zones.iter().position(|z| *z == t.az).unwrap_or(zones.len());
+        let target = self;
+        let zone = zones.iter().position(|z| *z == target.az).unwrap_or(zones.len());
         Node {
             pools,
-            name: t.uid.into(),
+            name: target.uid.into(),
             zone: zone as u32,
-            cell: t.pod_group,
-            health: match t.state {
+            cell: target.pod_group,
+            health: match target.state {
                 State::Ready => Health::Up,
                 State::Terminating => Health::Draining,
                 State::Gone => Health::Removed,
             },
-            rating: t.capacity_hint,
-            since: t.boot_ms.saturating_mul(1_000_000),
+            rating: target.capacity_hint,
+            since: target.boot_ms.saturating_mul(1_000_000),
         }
     }
 }
 
-/// The list after all changes, for a next process.
+/// List after all changes, for the next process.
 #[derive(Default)]
 pub struct ListSnapshot {
-    /// None before any list.
+    /// None before the first list.
     rev: Option<u64>,
     targets: BTreeMap<String, Target>,
 }
@@ -89,9 +89,9 @@
         self.rev = Some(list.rev);
     }
 
-    /// The list as JSON. None before any list.
+    /// Returns the list as JSON, or None before the first list.
     pub fn to_json(&self) -> Option<String> {
-        let whole = List { rev: self.rev?, all: true, targets: self.targets.values().cloned().collect() };
-        serde_json::to_string(&whole).ok()
+        let list = List { rev: self.rev?, all: true, targets: self.targets.values().cloned().collect() };
+        serde_json::to_string(&list).ok()
     }
 }
--- a/crates/gateway/proxy/tests/answers.rs
+++ b/crates/gateway/proxy/tests/answers.rs
@@ -1,6 +1,6 @@
-//! Whose an answer is and what is sent twice, over real sockets: a gateway's driver and connections before backends
-//! that keep to a script. The module that speaks here sends everything again, whatever it does; what holds is not its
-//! doing.
+//! Matching of responses to requests, and retries, over real sockets: a gateway's driver and connections against scripted
+//! backends. The decision module of these tests retries every request, safe or not, so what prevents a wrong retry is the
+//! driver and the engine.
 
 use engine::Timing;
 use hyper::header::HeaderMap;
@@ -28,14 +28,14 @@
 const MS: Time = 1_000_000;
 const UNSAFE: usize = 0;
 const SAFE: usize = 1;
-/// More than the sockets between two ends take.
+/// Larger than the socket buffers between two ends.
 const LARGE: usize = 8 << 20;
 
-/// Sends each request up to three times, and lets go of it then.
+/// Module that sends each request up to three times and then rejects it.
 #[derive(Default)]
-struct Eager(HashMap<RequestId, u32>);
+struct AlwaysRetry(HashMap<RequestId, u32>);
 
-impl Module for Eager {
+impl Module for AlwaysRetry {
     fn handle(&mut self, _: Time, events: Vec<Event>, out: &mut Vec<Action>) {
         for event in events {
             let id = match event {
@@ -43,9 +43,9 @@
                 Event::AttemptEnd(e) if !e.last => e.id,
                 _ => continue,
             };
-            let sends = self.0.entry(id).or_default();
-            *sends += 1;
-            out.push(match *sends {
+            let send_count = self.0.entry(id).or_default();
+            *send_count += 1;
+            out.push(match *send_count {
                 1..=3 => Action::Send { id, server: "s-1".into(), attempt_deadline: 0 },
                 _ => Action::Reject { id, advice: 0 },
             });
@@ -53,10 +53,10 @@
     }
 }
 
-/// Answers echo `attempt-id`; `not-executed` says that a request did not run.
-struct Echoed;
+/// Protocol on which responses echo `attempt-id`, and `not-executed` means that a request was not executed.
+struct EchoProtocol;
 
-impl UpstreamProtocol for Echoed {
+impl UpstreamProtocol for EchoProtocol {
     fn set_attempt_headers(&self, _: &mut HeaderMap, _: Duration, _: &Name) {}
 
     fn execution_start(&self) -> ExecutionStart {
@@ -114,8 +114,8 @@
             settings,
             seed: 1,
             timing: Timing { way_back: 0, module_grace: MS, key_margin: 0, min_batch_interval: 0 },
-            module: Box::new(|_, _| Ok(Box::new(Eager::default()) as Box<dyn Module>)),
-            backends: Backends::new(&limits, Box::new(Echoed)),
+            module: Box::new(|_, _| Ok(Box::new(AlwaysRetry::default()) as Box<dyn Module>)),
+            backends: Backends::new(&limits, Box::new(EchoProtocol)),
             zones: Vec::new(),
             pools: Box::new(|_| 1),
         })
@@ -136,8 +136,14 @@
         Gateway { driver, next: Cell::new(1) }
     }
 
-    /// What a client hears that sends `name` as its attempt's id and waits for so long.
-    async fn ask_for(&self, wait: Time, class: usize, name: &'static str, body: usize) -> String {
+    /// Returns the answer to a client that sends `name` as its attempt id and waits for `wait`.
+    async fn request_with_timeout(
+        &self,
+        wait: Time,
+        class: usize,
+        name: &'static str,
+        body: usize,
+    ) -> String {
         let id = self.next.replace(self.next.get() + 1);
         let request = engine::Incoming {
             id,
@@ -178,37 +184,37 @@
         }
     }
 
-    async fn ask(&self, class: usize, name: &'static str, body: usize) -> String {
-        self.ask_for(9000 * MS, class, name, body).await
+    async fn request(&self, class: usize, name: &'static str, body: usize) -> String {
+        self.request_with_timeout(9000 * MS, class, name, body).await
     }
 }
 
-/// A backend's end of a connection.
-struct Peer(TcpStream);
+/// Backend side of a connection.
+struct BackendConnection(TcpStream);
 
-impl Peer {
+impl BackendConnection {
     async fn accept(listener: &TcpListener) -> Self {
-        Peer(listener.accept().await.expect("a connection").0)
+        BackendConnection(listener.accept().await.expect("a connection").0)
     }
 
-    async fn byte(&mut self) -> u8 {
+    async fn read_byte(&mut self) -> u8 {
         self.0.read_u8().await.expect("a byte")
     }
 
-    /// The head of the next request; its id.
-    async fn head(&mut self) -> String {
+    /// Reads the head of the next request and returns its id.
+    async fn read_head(&mut self) -> String {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            head.push(self.byte().await);
+            head.push(self.read_byte().await);
         }
         let head = String::from_utf8(head).expect("text");
         let id = head.lines().find_map(|l| l.strip_prefix("attempt-id: "));
         id.expect("an id").to_string()
     }
 
-    /// A whole request with a body of so many bytes; its id.
-    async fn request(&mut self, body: usize) -> String {
-        let id = self.head().await;
+    /// Reads a request with a body of `body` bytes and returns its id.
+    async fn read_request(&mut self, body: usize) -> String {
+        let id = self.read_head().await;
         self.0.read_exact(&mut vec![0; body]).await.expect("a body");
         id
     }
@@ -230,16 +236,16 @@
     TcpListener::bind("127.0.0.1:0").await.expect("a free port")
 }
 
-/// One that takes in little of what it does not read.
-fn narrow() -> TcpListener {
+/// Returns a listener with a small receive buffer.
+fn listen_with_small_buffer() -> TcpListener {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(2048).expect("it can be set");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a free port");
     socket.listen(8).expect("it listens")
 }
 
-/// Both sides of a script, to the end.
-fn play<T>(script: impl Future<Output = T>) -> T {
+/// Runs a script of client and backend to its end.
+fn run_script<T>(script: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let script = async { timeout(Duration::from_secs(20), script).await.expect("it ends") };
     LocalSet::new().block_on(&runtime, script)
@@ -247,164 +253,167 @@
 
 #[test]
 fn bytes_behind_an_answer_reach_nobody_and_cost_no_request_whether_they_come_at_once_or_later() {
-    play(async {
+    run_script(async {
         let listener = listen().await;
         let gateway = Gateway::before(&listener);
-        let (heard, mut peer) = tokio::join!(gateway.ask(UNSAFE, "a", 3), async {
-            let mut peer = Peer::accept(&listener).await;
-            assert_eq!(peer.request(3).await, "a");
-            peer.send(&(answer("a", "one") + &answer("a", "one"))).await;
-            peer
+        let (received, mut backend) = tokio::join!(gateway.request(UNSAFE, "a", 3), async {
+            let mut backend = BackendConnection::accept(&listener).await;
+            assert_eq!(backend.read_request(3).await, "a");
+            backend.send(&(answer("a", "one") + &answer("a", "one"))).await;
+            backend
         });
-        assert_eq!(heard, "200 one");
-        let (heard, mut second) = tokio::join!(gateway.ask(UNSAFE, "b", 3), async {
-            let mut peer = Peer::accept(&listener).await;
-            assert_eq!(peer.request(3).await, "b");
-            peer.send(&answer("b", "two")).await;
-            peer
+        assert_eq!(received, "200 one");
+        let (received, mut second) = tokio::join!(gateway.request(UNSAFE, "b", 3), async {
+            let mut backend = BackendConnection::accept(&listener).await;
+            assert_eq!(backend.read_request(3).await, "b");
+            backend.send(&answer("b", "two")).await;
+            backend
         });
-        assert_eq!(heard, "200 two");
-        assert_eq!(peer.0.read(&mut [0]).await.unwrap_or(0), 0, "the first is closed");
-        // Late, but before anybody is put there.
+        assert_eq!(received, "200 two");
+        assert_eq!(backend.0.read(&mut [0]).await.unwrap_or(0), 0, "the first is closed");
+        // Late, but before the connection is reused.
         second.send(&answer("b", "two")).await;
-        let (heard, _third) = tokio::join!(gateway.ask(UNSAFE, "c", 3), async {
-            let mut peer = Peer::accept(&listener).await;
-            assert_eq!(peer.request(3).await, "c");
-            peer.send(&answer("c", "three")).await;
-            peer
+        let (received, _third) = tokio::join!(gateway.request(UNSAFE, "c", 3), async {
+            let mut backend = BackendConnection::accept(&listener).await;
+            assert_eq!(backend.read_request(3).await, "c");
+            backend.send(&answer("c", "three")).await;
+            backend
         });
-        assert_eq!(heard, "200 three");
+        assert_eq!(received, "200 three");
     });
 }
 
 #[test]
 fn a_connection_without_surplus_is_kept() {
-    play(async {
+    run_script(async {
         let listener = listen().await;
         let gateway = Gateway::before(&listener);
-        let (heard, ()) = tokio::join!(
-            async { [gateway.ask(UNSAFE, "a", 3).await, gateway.ask(SAFE, "b", 0).await] },
+        let (received, ()) = tokio::join!(
+            async { [gateway.request(UNSAFE, "a", 3).await, gateway.request(SAFE, "b", 0).await] },
             async {
-                let mut peer = Peer::accept(&listener).await;
+                let mut backend = BackendConnection::accept(&listener).await;
                 for (id, body) in [("a", 3), ("b", 0)] {
-                    assert_eq!(peer.request(body).await, id);
-                    peer.send("HTTP/1.1 102 Processing\r\n\r\n").await;
-                    peer.send(&answer(id, id)).await;
+                    assert_eq!(backend.read_request(body).await, id);
+                    backend.send("HTTP/1.1 102 Processing\r\n\r\n").await;
+                    backend.send(&answer(id, id)).await;
                 }
             }
         );
-        assert_eq!(heard, ["200 a", "200 b"]);
+        assert_eq!(received, ["200 a", "200 b"]);
     });
 }
 
 #[test]
 fn an_answer_of_another_id_is_not_passed_on_and_only_what_may_run_twice_is_sent_again() {
     for (class, second) in [(UNSAFE, false), (SAFE, true)] {
-        play(async {
+        run_script(async {
             let listener = listen().await;
             let gateway = Gateway::before(&listener);
-            let (heard, ()) = tokio::join!(gateway.ask(class, "b", 3), async {
-                let mut peer = Peer::accept(&listener).await;
-                assert_eq!(peer.request(3).await, "b");
-                peer.send(&answer("a", "one")).await;
+            let (received, ()) = tokio::join!(gateway.request(class, "b", 3), async {
+                let mut backend = BackendConnection::accept(&listener).await;
+                assert_eq!(backend.read_request(3).await, "b");
+                backend.send(&answer("a", "one")).await;
                 if second {
-                    let mut peer = Peer::accept(&listener).await;
-                    assert_eq!(peer.request(3).await, "b");
-                    peer.send(&answer("b", "two")).await;
+                    let mut backend = BackendConnection::accept(&listener).await;
+                    assert_eq!(backend.read_request(3).await, "b");
+                    backend.send(&answer("b", "two")).await;
                 }
             });
-            assert_eq!(heard, if second { "200 two" } else { "failed" });
+            assert_eq!(received, if second { "200 two" } else { "failed" });
         });
     }
 }
 
 #[test]
 fn a_further_attempt_never_goes_where_an_earlier_one_of_its_request_did() {
-    play(async {
+    run_script(async {
         let listener = listen().await;
         let gateway = Gateway::before(&listener);
-        let (heard, ()) = tokio::join!(gateway.ask(UNSAFE, "a", 3), async {
-            let mut first = Peer::accept(&listener).await;
-            assert_eq!(first.request(3).await, "a");
+        let (received, ()) = tokio::join!(gateway.request(UNSAFE, "a", 3), async {
+            let mut first = BackendConnection::accept(&listener).await;
+            assert_eq!(first.read_request(3).await, "a");
             let full = "HTTP/1.1 503 Full\r\nAttempt-Id: a\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n";
             first.send(full).await;
-            let mut second = Peer::accept(&listener).await;
-            assert_eq!(second.request(3).await, "a");
-            // A second copy of the refusal comes where it can't be taken for this attempt's.
+            let mut second = BackendConnection::accept(&listener).await;
+            assert_eq!(second.read_request(3).await, "a");
+            // A second copy of the refusal arrives on the first connection, where it cannot be taken for this attempt's.
             first.send(full).await;
             second.send(&answer("a", "one")).await;
         });
-        assert_eq!(heard, "200 one");
+        assert_eq!(received, "200 one");
     });
 }
 
 #[test]
 fn what_must_not_run_twice_does_not_go_out_behind_a_refusal_without_an_id() {
-    play(async {
+    run_script(async {
         let listener = listen().await;
         let gateway = Gateway::before(&listener);
-        let (heard, _refused) = tokio::join!(gateway.ask(UNSAFE, "a", 3), async {
-            let mut first = Peer::accept(&listener).await;
-            assert_eq!(first.request(3).await, "a");
+        let (received, _refused) = tokio::join!(gateway.request(UNSAFE, "a", 3), async {
+            let mut first = BackendConnection::accept(&listener).await;
+            assert_eq!(first.read_request(3).await, "a");
             first.send("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n").await;
-            let mut second = Peer::accept(&listener).await;
-            assert_eq!(second.request(3).await, "a");
+            let mut second = BackendConnection::accept(&listener).await;
+            assert_eq!(second.read_request(3).await, "a");
             second.send("HTTP/1.1 503 Full\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n").await;
-            let mut third = Peer::accept(&listener).await;
-            assert_eq!(third.request(3).await, "a");
+            let mut third = BackendConnection::accept(&listener).await;
+            assert_eq!(third.read_request(3).await, "a");
             third.send(&answer("a", "one")).await;
             drop(third);
             (first, second)
         });
-        assert_eq!(heard, "200 one");
-        // Another that must not run twice finds two idle ones, and neither will do.
-        let (heard, ()) = tokio::join!(gateway.ask(UNSAFE, "b", 3), async {
-            let mut fourth = Peer::accept(&listener).await;
-            assert_eq!(fourth.request(3).await, "b");
+        assert_eq!(received, "200 one");
+        // Another request that must not be executed twice finds two idle connections, neither of which it may use.
+        let (received, ()) = tokio::join!(gateway.request(UNSAFE, "b", 3), async {
+            let mut fourth = BackendConnection::accept(&listener).await;
+            assert_eq!(fourth.read_request(3).await, "b");
             fourth.send(&answer("b", "two")).await;
         });
-        assert_eq!(heard, "200 two");
+        assert_eq!(received, "200 two");
     });
 }
 
-/// Where the backend resets the connection.
+/// Point at which the backend resets the connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Point {
-    BehindHead,
-    BehindHalf,
-    BehindWhole,
-    InAnswer,
+enum ResetPoint {
+    AfterHead,
+    AfterHalfBody,
+    AfterRequest,
+    InResponse,
 }
 
 #[test]
 fn after_a_reset_from_the_head_on_what_must_not_run_twice_is_neither_sent_again_nor_refused() {
-    for point in [Point::BehindHead, Point::BehindHalf, Point::BehindWhole, Point::InAnswer] {
-        let body = if matches!(point, Point::BehindHead | Point::BehindHalf) { LARGE } else { 3 };
+    for point in
+        [ResetPoint::AfterHead, ResetPoint::AfterHalfBody, ResetPoint::AfterRequest, ResetPoint::InResponse]
+    {
+        let body = if matches!(point, ResetPoint::AfterHead | ResetPoint::AfterHalfBody) { LARGE } else { 3 };
         for class in [UNSAFE, SAFE] {
-            play(async {
-                let listener = narrow();
+            run_script(async {
+                let listener = listen_with_small_buffer();
                 let gateway = Gateway::before(&listener);
-                let (heard, ()) = tokio::join!(gateway.ask(class, "a", body), async {
-                    let mut peer = Peer::accept(&listener).await;
-                    assert_eq!(peer.head().await, "a");
+                let (received, ()) = tokio::join!(gateway.request(class, "a", body), async {
+                    let mut backend = BackendConnection::accept(&listener).await;
+                    assert_eq!(backend.read_head().await, "a");
                     match point {
-                        Point::BehindHead => {}
-                        Point::BehindHalf => drop(peer.0.read_exact(&mut vec![0; body / 2]).await),
-                        Point::BehindWhole => drop(peer.0.read_exact(&mut vec![0; body]).await),
-                        Point::InAnswer => {
-                            peer.0.read_exact(&mut vec![0; body]).await.expect("a body");
-                            peer.send("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nContent-Length: 9\r\n\r\nhalf")
+                        ResetPoint::AfterHead => {}
+                        ResetPoint::AfterHalfBody => drop(backend.0.read_exact(&mut vec![0; body / 2]).await),
+                        ResetPoint::AfterRequest => drop(backend.0.read_exact(&mut vec![0; body]).await),
+                        ResetPoint::InResponse => {
+                            backend.0.read_exact(&mut vec![0; body]).await.expect("a body");
+                            backend
+                                .send("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nContent-Length: 9\r\n\r\nhalf")
                                 .await;
                         }
                     }
-                    peer.reset();
+                    backend.reset();
                     if class == SAFE {
-                        let mut peer = Peer::accept(&listener).await;
-                        assert_eq!(peer.request(body).await, "a");
-                        peer.send(&answer("a", "two")).await;
+                        let mut backend = BackendConnection::accept(&listener).await;
+                        assert_eq!(backend.read_request(body).await, "a");
+                        backend.send(&answer("a", "two")).await;
                     }
                 });
-                assert_eq!(heard, if class == SAFE { "200 two" } else { "failed" }, "{point:?}");
+                assert_eq!(received, if class == SAFE { "200 two" } else { "failed" }, "{point:?}");
             });
         }
     }
@@ -412,74 +421,75 @@
 
 #[test]
 fn a_connection_that_never_took_the_head_costs_nothing() {
-    play(async {
+    run_script(async {
         let listener = listen().await;
         let gateway = Gateway::before(&listener);
-        let (heard, ()) = tokio::join!(
-            async { [gateway.ask(UNSAFE, "a", 3).await, gateway.ask(UNSAFE, "b", 3).await] },
+        let (received, ()) = tokio::join!(
+            async { [gateway.request(UNSAFE, "a", 3).await, gateway.request(UNSAFE, "b", 3).await] },
             async {
-                let mut peer = Peer::accept(&listener).await;
-                assert_eq!(peer.request(3).await, "a");
-                peer.send(&answer("a", "one")).await;
-                // Closed while it is idle, and seen to be.
-                drop(peer);
-                let mut peer = Peer::accept(&listener).await;
-                assert_eq!(peer.request(3).await, "b");
-                peer.send(&answer("b", "two")).await;
+                let mut backend = BackendConnection::accept(&listener).await;
+                assert_eq!(backend.read_request(3).await, "a");
+                backend.send(&answer("a", "one")).await;
+                // Closed while idle, which the gateway notices.
+                drop(backend);
+                let mut backend = BackendConnection::accept(&listener).await;
+                assert_eq!(backend.read_request(3).await, "b");
+                backend.send(&answer("b", "two")).await;
             }
         );
-        assert_eq!(heard, ["200 one", "200 two"]);
+        assert_eq!(received, ["200 one", "200 two"]);
     });
 }
 
 #[test]
 fn a_silence_ends_at_the_requests_time_and_is_no_refusal() {
     for class in [UNSAFE, SAFE] {
-        play(async {
+        run_script(async {
             let listener = listen().await;
             let gateway = Gateway::before(&listener);
-            let (heard, peer) = tokio::join!(gateway.ask_for(30 * MS, class, "a", 3), async {
-                let mut peer = Peer::accept(&listener).await;
-                assert_eq!(peer.request(3).await, "a");
-                peer
-            });
-            assert_eq!(heard, "late");
-            drop(peer);
+            let (received, backend) =
+                tokio::join!(gateway.request_with_timeout(30 * MS, class, "a", 3), async {
+                    let mut backend = BackendConnection::accept(&listener).await;
+                    assert_eq!(backend.read_request(3).await, "a");
+                    backend
+                });
+            assert_eq!(received, "late");
+            drop(backend);
         });
     }
 }
 
 #[test]
 fn an_answer_before_the_body_was_read_counts_and_its_connection_is_not_kept() {
-    play(async {
-        let listener = narrow();
+    run_script(async {
+        let listener = listen_with_small_buffer();
         let gateway = Gateway::before(&listener);
-        let (heard, ()) = tokio::join!(gateway.ask(UNSAFE, "a", LARGE), async {
-            let mut first = Peer::accept(&listener).await;
-            assert_eq!(first.head().await, "a");
+        let (received, ()) = tokio::join!(gateway.request(UNSAFE, "a", LARGE), async {
+            let mut first = BackendConnection::accept(&listener).await;
+            assert_eq!(first.read_head().await, "a");
             first
                 .send("HTTP/1.1 503 Full\r\nAttempt-Id: a\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
                 .await;
-            let mut second = Peer::accept(&listener).await;
-            assert_eq!(second.request(LARGE).await, "a");
+            let mut second = BackendConnection::accept(&listener).await;
+            assert_eq!(second.read_request(LARGE).await, "a");
             second.send(&answer("a", "one")).await;
         });
-        assert_eq!(heard, "200 one");
+        assert_eq!(received, "200 one");
     });
 }
 
 #[test]
 fn an_answer_that_ends_early_does_not_look_whole() {
-    for cut in ["Content-Length: 9\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"] {
-        play(async {
+    for truncated in ["Content-Length: 9\r\n\r\nhalf", "Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"] {
+        run_script(async {
             let listener = listen().await;
             let gateway = Gateway::before(&listener);
-            let (heard, ()) = tokio::join!(gateway.ask(UNSAFE, "a", 3), async {
-                let mut peer = Peer::accept(&listener).await;
-                assert_eq!(peer.request(3).await, "a");
-                peer.send(&format!("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\n{cut}")).await;
+            let (received, ()) = tokio::join!(gateway.request(UNSAFE, "a", 3), async {
+                let mut backend = BackendConnection::accept(&listener).await;
+                assert_eq!(backend.read_request(3).await, "a");
+                backend.send(&format!("HTTP/1.1 200 OK\r\nAttempt-Id: a\r\n{truncated}")).await;
             });
-            assert_eq!(heard, "failed", "{cut:?}");
+            assert_eq!(received, "failed", "{truncated:?}");
         });
     }
 }
@@ -487,18 +497,18 @@
 #[test]
 fn a_backends_own_failure_reaches_the_client_as_it_is_once_nothing_else_is_tried() {
     let failure = "HTTP/1.1 500 Oops\r\nAttempt-Id: a\r\nContent-Length: 5\r\n\r\nsorry";
-    for (class, tries) in [(UNSAFE, 1), (SAFE, 3)] {
-        play(async {
+    for (class, attempts) in [(UNSAFE, 1), (SAFE, 3)] {
+        run_script(async {
             let listener = listen().await;
             let gateway = Gateway::before(&listener);
-            let (heard, ()) = tokio::join!(gateway.ask(class, "a", 3), async {
-                for _ in 0..tries {
-                    let mut peer = Peer::accept(&listener).await;
-                    assert_eq!(peer.request(3).await, "a");
-                    peer.send(failure).await;
+            let (received, ()) = tokio::join!(gateway.request(class, "a", 3), async {
+                for _ in 0..attempts {
+                    let mut backend = BackendConnection::accept(&listener).await;
+                    assert_eq!(backend.read_request(3).await, "a");
+                    backend.send(failure).await;
                 }
             });
-            assert_eq!(heard, "500 sorry");
+            assert_eq!(received, "500 sorry");
         });
     }
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -275,9 +275,9 @@
         old.signal("-TERM");
         assert!(old.child.wait().expect("it ends").success());
         old = new;
-        old.logged("of what was learnt");
+        old.logged("of learned state");
         // Alone again.
-        old.logged("the process before this one has ended");
+        old.logged("the previous process has ended");
     }
     stop.store(true, Ordering::Relaxed);
     let (mut good, mut lost) = (0, 0);
@@ -354,7 +354,7 @@
     let next = held.start(&discovery);
     old.signal("-TERM");
     assert!(old.child.wait().expect("it ends").success());
-    next.logged("the process before this one has ended");
+    next.logged("the previous process has ended");
     serve(&next, 5);
 }
 
@@ -368,7 +368,7 @@
     let new = held.start(&discovery);
     old.child.kill().expect("it lives");
     old.child.wait().expect("it ends");
-    new.logged("the process before this one has ended");
+    new.logged("the previous process has ended");
     assert_eq!(figures(&new)["hosts_down"], 1);
     serve(&new, 20);
     assert!(untouched(&a));
