--- a/crates/gateway/proxy/src/driver.rs
+++ b/crates/gateway/proxy/src/driver.rs
@@ -171,10 +171,18 @@
         result
     }
 
+    /// Bans a server manually. Returns whether it was not banned before.
+    ///
+    /// # Errors
+    /// [`NeverListed`] if no list has named the server.
     pub fn ban(&self, target: &str) -> Result<bool, NeverListed> {
         self.with_engine(|engine, now| engine.ban(now, target))
     }
 
+    /// Ends a manual ban. Returns whether the server was banned.
+    ///
+    /// # Errors
+    /// [`NeverListed`] if no list has named the server.
     pub fn unban(&self, target: &str) -> Result<bool, NeverListed> {
         self.with_engine(|engine, now| engine.unban(now, target))
     }
@@ -196,8 +204,12 @@
         self.state.borrow().engine.export_state()
     }
 
-    pub fn import_state(&self, left: &str) -> Result<(), String> {
-        self.with_engine(|engine, now| engine.import_state(now, left))
+    /// Imports the state that the previous process of this gateway exported.
+    ///
+    /// # Errors
+    /// The module's reason for rejecting the state.
+    pub fn import_state(&self, exported: &str) -> Result<(), String> {
+        self.with_engine(|engine, now| engine.import_state(now, exported))
     }
 
     /// Returns counts since the start and the current state of the server list.
--- a/crates/gateway/proxy/tests/answers.rs
+++ b/crates/gateway/proxy/tests/answers.rs
@@ -420,7 +420,7 @@
 }
 
 #[test]
-fn a_connection_that_never_took_the_head_costs_nothing() {
+fn a_connection_closed_before_the_head_was_written_fails_no_request() {
     run_script(async {
         let listener = listen().await;
         let gateway = Gateway::before(&listener);
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn a_silence_ends_at_the_requests_time_and_is_no_refusal() {
+fn a_request_without_an_answer_times_out_and_is_not_refused() {
     for class in [UNSAFE, SAFE] {
         run_script(async {
             let listener = listen().await;
