--- a/crates/gateway/membership-socket/src/lib.rs
+++ b/crates/gateway/membership-socket/src/lib.rs
@@ -1,4 +1,4 @@
-//! A membership view on a UDP socket: datagrams and the time go in, datagrams go out. Nothing is decided here.
+//! Runs a membership view on a UDP socket and a clock. The protocol itself is in the `membership` crate.
 #![forbid(unsafe_code)]
 
 use membership::{Input, Output, StableView, Time, View, MAX_DATAGRAM_BYTES};
@@ -10,36 +10,36 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// A view's clock starts here, so that nothing lies before it.
+/// Initial value of a view's clock, so that no time computed from it is negative.
 pub const CLOCK_START: Time = 1_000_000_000;
-/// A socket that fails at once, for want of a route say, is not read again sooner.
+/// Pause after a socket error, such as a missing route, before the socket is read again.
 const ERROR_PAUSE: Duration = Duration::from_millis(100);
 const MAX_SLEEP: Duration = Duration::from_secs(3600);
 
-/// What the owner of a view wants to know.
+/// Notifications for the owner of a view.
 pub trait Observer {
-    /// There is a new stable version of the view.
+    /// Called when there is a new stable version of the view.
     fn stable_view_changed(&self, stable_view: &StableView);
 
-    /// Another process started later under this member's name: this one is silent from now on.
+    /// Called when another process has started later under this member's name; this one sends nothing from now on.
     fn superseded(&self, generation: u64);
 
-    /// The view has handled a tick.
+    /// Called after the view has handled a tick.
     fn ticked(&self) {}
 }
 
-/// What was sent so far.
+/// Counters of the datagrams sent so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SendCounts {
-    /// Datagrams that were sent, and their bytes.
+    /// Number of datagrams sent.
     pub datagrams: u64,
-    /// Bytes of those datagrams.
+    /// Total size of those datagrams.
     pub bytes: u64,
-    /// Datagrams that the system did not accept.
+    /// Number of datagrams that the operating system did not accept.
     pub rejected: u64,
 }
 
-/// A view with its socket and its clock.
+/// A view with its socket and clock.
 pub struct MembershipSocket {
     view: RefCell<View>,
     socket: UdpSocket,
@@ -49,10 +49,10 @@
     left: Notify,
 }
 
-/// A socket for a view.
+/// Binds a non-blocking UDP socket.
 ///
 /// # Errors
-/// The system's.
+/// If the operating system refuses.
 pub fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     let socket = std::net::UdpSocket::bind(address)?;
     socket.set_nonblocking(true)?;
@@ -60,7 +60,8 @@
 }
 
 impl MembershipSocket {
-    /// A view whose clock stands at [`CLOCK_START`]. After `max_datagrams_per_wakeup` datagrams other tasks have their turn.
+    /// Takes a view that was created at [`CLOCK_START`]. At most `max_datagrams_per_wakeup` datagrams are read before other
+    /// tasks may run.
     pub fn new(view: View, socket: UdpSocket, max_datagrams_per_wakeup: usize) -> Self {
         MembershipSocket {
             view: RefCell::new(view),
@@ -72,30 +73,30 @@
         }
     }
 
-    /// The view; it must not be held across an await.
+    /// Borrows the view. The borrow must not be held across an await.
     pub fn view(&self) -> Ref<'_, View> {
         self.view.borrow()
     }
 
-    /// The time on the view's clock.
+    /// Returns the time of the view's clock.
     pub fn now(&self) -> Time {
         CLOCK_START + self.started.elapsed().as_nanos() as Time
     }
 
-    /// What was sent so far.
+    /// Returns the counters of the datagrams sent so far.
     pub fn sent(&self) -> SendCounts {
         self.sent.get()
     }
 
-    /// The address of the socket.
+    /// Returns the local address of the socket.
     ///
     /// # Errors
-    /// The system's.
+    /// If the operating system does not report it.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Runs for as long as the process lives.
+    /// Runs the view. Never returns.
     pub async fn run(&self, observer: &impl Observer) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
@@ -103,7 +104,7 @@
             let due = due.map_or(Instant::now() + MAX_SLEEP, |at| {
                 self.started + Duration::from_nanos(at.saturating_sub(CLOCK_START))
             });
-            // What has arrived is read before the time counts: an answer may lie in the socket behind it.
+            // Datagrams are read before timers expire, since the awaited answer may be in the socket's buffer.
             tokio::select! {
                 biased;
                 ready = self.socket.readable() => {
@@ -123,7 +124,7 @@
         }
     }
 
-    /// This process shuts down: the others need not find out.
+    /// Announces to the other members that this process is shutting down, so that they need not detect it.
     pub fn leave(&self, observer: &impl Observer) {
         self.handle(Input::Leave, observer);
         self.left.notify_one();
@@ -133,7 +134,7 @@
         for _ in 0..self.max_datagrams_per_wakeup {
             match self.socket.try_recv_from(buffer) {
                 Ok((length, _)) => self.handle(Input::Datagram(&buffer[..length]), observer),
-                // A peer's port was closed: the system reports so of an earlier datagram.
+                // Reported for an earlier datagram: the port of a peer was closed.
                 Err(error) if error.kind() == ErrorKind::ConnectionRefused => {}
                 Err(_) => break,
             }
@@ -152,7 +153,7 @@
         }
     }
 
-    /// What the system does not accept is as good as lost on the way.
+    /// Sends a datagram. One that the operating system does not accept counts as lost in transit.
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
         let mut sent = self.sent.get();
         match self.socket.try_send_to(bytes, to) {
--- a/crates/gateway/membership/src/broadcasts.rs
+++ b/crates/gateway/membership/src/broadcasts.rs
@@ -1,10 +1,10 @@
-//! Updates still to be disseminated: the least transmitted first, each as often as the fleet's size requires.
+//! Dissemination queue: least transmitted updates first, each a number of times that grows with the fleet's size.
 
 use crate::record::{Name, Record};
 use crate::wire::encoded_size;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Each is transmitted this many times the logarithm (base 2) of the fleet's size.
+/// Each update is transmitted this many times the logarithm (base 2) of the fleet's size.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
 
 struct Broadcast {
@@ -13,11 +13,11 @@
     transmissions: u32,
 }
 
-/// At most one update for each member: a newer one replaces it.
+/// Queue of at most one update per member: a newer update replaces the queued one.
 #[derive(Default)]
 pub(crate) struct BroadcastQueue {
     broadcasts: BTreeMap<Name, Broadcast>,
-    /// By number of transmissions: the first is the next to send. Of thousands a datagram holds a few.
+    /// Ordered by number of transmissions, so that the next few are found without a pass over thousands.
     order: BTreeSet<(u32, Name)>,
 }
 
@@ -31,25 +31,28 @@
         self.order.insert((0, name));
     }
 
-    /// The updates that fit into `room` bytes, in a fleet of this size.
-    pub(crate) fn take(&mut self, mut room: usize, members: usize) -> Vec<Record> {
-        let most = RETRANSMIT_MULTIPLIER * (usize::BITS - members.leading_zeros()).max(1);
-        let mut taken = Vec::new();
-        for (told, name) in &self.order {
-            let Some(rumour) = self.broadcasts.get(name).filter(|r| r.bytes <= room) else { break };
-            room -= rumour.bytes;
-            taken.push((*told, name.clone()));
+    /// Returns the next updates that fit into `remaining_bytes`, and counts them as transmitted once more. `members` is
+    /// the size of the fleet.
+    pub(crate) fn take(&mut self, mut remaining_bytes: usize, members: usize) -> Vec<Record> {
+        let max_transmissions = RETRANSMIT_MULTIPLIER * (usize::BITS - members.leading_zeros()).max(1);
+        let mut selected = Vec::new();
+        for (transmissions, name) in &self.order {
+            let Some(broadcast) = self.broadcasts.get(name).filter(|b| b.bytes <= remaining_bytes) else {
+                break;
+            };
+            remaining_bytes -= broadcast.bytes;
+            selected.push((*transmissions, name.clone()));
         }
-        let tell = |(told, name): (u32, Name)| {
-            self.order.remove(&(told, name.clone()));
-            if told + 1 >= most {
+        let transmit = |(transmissions, name): (u32, Name)| {
+            self.order.remove(&(transmissions, name.clone()));
+            if transmissions + 1 >= max_transmissions {
                 return Some(self.broadcasts.remove(&name)?.record);
             }
-            let rumour = self.broadcasts.get_mut(&name)?;
-            rumour.transmissions = told + 1;
-            self.order.insert((told + 1, name));
-            Some(rumour.record.clone())
+            let broadcast = self.broadcasts.get_mut(&name)?;
+            broadcast.transmissions = transmissions + 1;
+            self.order.insert((transmissions + 1, name));
+            Some(broadcast.record.clone())
         };
-        taken.into_iter().filter_map(tell).collect()
+        selected.into_iter().filter_map(transmit).collect()
     }
 }
--- a/crates/gateway/membership/src/defects.rs
+++ b/crates/gateway/membership/src/defects.rs
@@ -1,4 +1,4 @@
-//! Single wrong lines for tests to find. Compiled in with the feature `defects` only; active in one thread at a time.
+//! Planted defects that tests must detect. Compiled in only with the feature `defects`; active per thread.
 
 use std::cell::Cell;
 
@@ -17,37 +17,40 @@
     HelpersLeftOut,
     LeaveNotTold,
     SettledAtOnce,
-    /// No defect, but what SWIM is without what this crate adds: to be measured beside it.
+    /// Not a defect, but plain SWIM without the additions of this crate, as a baseline for measurements.
     PlainSwim,
 }
 
-/// All planted defects, described.
+/// All planted defects with descriptions.
 pub const ALL: &[(Defect, &str)] = &[
-    (Defect::RefutationLeftOut, "who is suspected does not refute"),
-    (Defect::DeadNeverTried, "the dead are never spoken to again"),
-    (Defect::OldLifeBelieved, "of two lives the one told last stands"),
-    (Defect::DigestAlwaysEqual, "digests are compared with themselves"),
-    (Defect::ReplayTaken, "a datagram counts as often as it comes"),
-    (Defect::StrangerKept, "a stranger is taken in before it has shown that it hears us"),
-    (Defect::DeadBelievedAtOnce, "a foreign death is believed of who lives here"),
-    (Defect::AloneBuriesAll, "who hears nobody declares all dead"),
-    (Defect::SleepNotSeen, "who was stopped holds everybody's silence against them"),
-    (Defect::HelpersLeftOut, "nobody is asked to ping for another"),
-    (Defect::LeaveNotTold, "who leaves goes without a word"),
-    (Defect::SettledAtOnce, "every change is a version of its own"),
+    (Defect::RefutationLeftOut, "a suspected member does not refute the suspicion"),
+    (Defect::DeadNeverTried, "dead members are never pinged again"),
+    (Defect::OldLifeBelieved, "of two generations the one reported last prevails"),
+    (Defect::DigestAlwaysEqual, "digests always compare as equal"),
+    (Defect::ReplayTaken, "replayed datagrams are accepted"),
+    (Defect::StrangerKept, "an unknown sender is admitted before it has proven its address"),
+    (
+        Defect::DeadBelievedAtOnce,
+        "a reported death of a member that is alive here is believed without a suspicion",
+    ),
+    (Defect::AloneBuriesAll, "an isolated member declares all others dead"),
+    (Defect::SleepNotSeen, "a member that was suspended counts the silence meanwhile against the others"),
+    (Defect::HelpersLeftOut, "no indirect pings are requested"),
+    (Defect::LeaveNotTold, "a member leaves without announcing it"),
+    (Defect::SettledAtOnce, "every change makes a stable version of its own"),
 ];
 
 thread_local! {
     static ACTIVE: Cell<Option<Defect>> = const { Cell::new(None) };
 }
 
-/// Plants a defect in this thread, or takes it out.
+/// Plants a defect in this thread, or removes it.
 pub fn plant(defect: Option<Defect>) {
     ACTIVE.set(defect);
 }
 
-/// What plain SWIM does without.
-const ADDED: &[Defect] = &[
+/// Defects that remove the additions to plain SWIM.
+const PLAIN_SWIM_DEFECTS: &[Defect] = &[
     Defect::DeadNeverTried,
     Defect::DigestAlwaysEqual,
     Defect::DeadBelievedAtOnce,
@@ -58,14 +61,14 @@
 /// Whether this defect is planted in this thread.
 pub fn active(defect: Defect) -> bool {
     match ACTIVE.get() {
-        Some(Defect::PlainSwim) => defect == Defect::PlainSwim || ADDED.contains(&defect),
+        Some(Defect::PlainSwim) => defect == Defect::PlainSwim || PLAIN_SWIM_DEFECTS.contains(&defect),
         active => active == Some(defect),
     }
 }
 
-/// By its name in lower case with dashes.
+/// Returns the defect of this name, written in lower case with dashes.
 pub fn named(name: &str) -> Option<Defect> {
-    let plain = |text: &str| text.replace('-', "").to_lowercase();
+    let normalize = |text: &str| text.replace('-', "").to_lowercase();
     let all = ALL.iter().map(|(defect, _)| *defect).chain([Defect::PlainSwim]);
-    all.into_iter().find(|d| plain(&format!("{d:?}")) == plain(name) && name == name.to_lowercase())
+    all.into_iter().find(|d| normalize(&format!("{d:?}")) == normalize(name) && name == name.to_lowercase())
 }
--- a/crates/gateway/membership/src/join_cookies.rs
+++ b/crates/gateway/membership/src/join_cookies.rs
@@ -1,40 +1,51 @@
-//! Unknown senders get a cookie, for which no state is kept; whoever returns it may join.
+//! Stateless cookies for unknown senders: a sender that returns its cookie has proven its address and may join.
 
 use crate::wire::Keys;
 use crate::Time;
 use std::net::SocketAddr;
 
-/// A cookie is valid in this period and the next.
+/// Length of a period; a cookie is valid in the period in which it was issued and in the next.
 const COOKIE_LIFETIME: Time = 30_000_000_000;
 
-pub(crate) struct Cookies {
-    /// Known to this process alone.
+pub(crate) struct JoinCookies {
+    /// Random, known only to this process.
     secret: [u8; 16],
 }
 
-impl Cookies {
+impl JoinCookies {
     pub(crate) fn new(secret: [u8; 16]) -> Self {
-        Cookies { secret }
+        JoinCookies { secret }
     }
 
-    fn cookie(&self, keys: &Keys, turn: u64, name: &str, life: u64, address: SocketAddr) -> [u8; 16] {
+    fn cookie(&self, keys: &Keys, period: u64, name: &str, generation: u64, address: SocketAddr) -> [u8; 16] {
         let address = address.to_string();
-        let (turn, life) = (turn.to_be_bytes(), life.to_be_bytes());
-        keys.sign(&[b"cookie", &self.secret, &turn, &life, name.as_bytes(), b"@", address.as_bytes()])
+        let (period, generation) = (period.to_be_bytes(), generation.to_be_bytes());
+        keys.sign(&[b"cookie", &self.secret, &period, &generation, name.as_bytes(), b"@", address.as_bytes()])
     }
 
-    pub(crate) fn make(&self, keys: &Keys, now: Time, name: &str, life: u64, to: SocketAddr) -> [u8; 16] {
-        self.cookie(keys, now / COOKIE_LIFETIME, name, life, to)
+    /// Returns the cookie for a sender and its address.
+    pub(crate) fn issue(
+        &self,
+        keys: &Keys,
+        now: Time,
+        name: &str,
+        generation: u64,
+        address: SocketAddr,
+    ) -> [u8; 16] {
+        self.cookie(keys, now / COOKIE_LIFETIME, name, generation, address)
     }
 
-    pub(crate) fn is_ours(
+    /// Whether this process issued the cookie to this sender, in this period or the previous one.
+    pub(crate) fn is_valid(
         &self,
         keys: &Keys,
         now: Time,
         cookie: [u8; 16],
-        (name, life, at): (&str, u64, SocketAddr),
+        (name, generation, address): (&str, u64, SocketAddr),
     ) -> bool {
-        let turn = now / COOKIE_LIFETIME;
-        [turn, turn.saturating_sub(1)].into_iter().any(|t| self.cookie(keys, t, name, life, at) == cookie)
+        let period = now / COOKIE_LIFETIME;
+        [period, period.saturating_sub(1)]
+            .into_iter()
+            .any(|p| self.cookie(keys, p, name, generation, address) == cookie)
     }
 }
--- a/crates/gateway/membership/src/lib.rs
+++ b/crates/gateway/membership/src/lib.rs
@@ -1,13 +1,15 @@
-//! Membership: which members of a fleet are alive, as each of them sees it.
+//! Membership: each member's view of which members of the fleet are alive.
 //!
-//! SWIM (Das, Gupta, Motivala 2002) with Lifeguard's corrections (Dadgar, Phillips, Currey 2018), and digests that
-//! repair what dissemination missed. No I/O and no clock: [`View::handle`] takes a datagram or the time and returns
-//! what to send; [`View::next_due`] is when it wants to be woken. Every random choice comes from the seed.
+//! SWIM (Das, Gupta, Motivala 2002) with Lifeguard's extensions (Dadgar, Phillips, Currey 2018), plus anti-entropy
+//! by digests for updates that dissemination missed. No I/O and no clock: [`View::handle`] takes a datagram or a timer
+//! tick and returns the datagrams to send; [`View::next_due`] returns the time of the next tick. Every random choice
+//! comes from the seed.
 //!
-//! The view is a belief. It may make work faster or cheaper; no rule may depend on it (`docs/design/fleet.md`).
+//! The view is a belief. It may make work faster or cheaper; no correctness rule may depend on it
+//! (`docs/design/fleet.md`).
 #![forbid(unsafe_code)]
 
-/// Whether the named defect is planted; always false, and compiled out, in release builds.
+/// Whether the named defect is planted; always false without the feature `defects`.
 macro_rules! planted {
     ($name:ident) => {{
         #[cfg(feature = "defects")]
@@ -24,15 +26,15 @@
 mod isolation;
 mod join_cookies;
 mod record;
-mod settled;
+mod stable_view;
 mod view;
 mod window;
 pub mod wire;
 
 pub use record::{Name, Record, Role, State, MAX_NAME_BYTES, MAX_ZONE_BYTES};
-pub use settled::StableView;
+pub use stable_view::StableView;
 pub use view::{Config, Health, Input, Member, Output, View};
 pub use wire::{DatagramError, Keys, MAX_DATAGRAM_BYTES};
 
-/// Nanoseconds, on any clock that only runs forwards.
+/// Nanoseconds on a monotonic clock.
 pub type Time = u64;
--- a/crates/gateway/membership/src/view/mod.rs
+++ b/crates/gateway/membership/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! The view as a state machine: probes, suspicions, dissemination and digests.
+//! State machine of the view: probes, suspicions, dissemination and digests.
 
 mod merge;
 mod receive;
@@ -7,9 +7,9 @@
 
 use crate::broadcasts::BroadcastQueue;
 use crate::isolation::IsolationDetector;
-use crate::join_cookies::Cookies;
+use crate::join_cookies::JoinCookies;
 use crate::record::{hash, Name, Record, Role, State};
-use crate::settled::{digest_of, ChangeCollector, StableView};
+use crate::stable_view::{member_digest, ChangeCollector, StableView};
 use crate::window::{ReplayWindow, TokenBucket};
 use crate::wire::{
     encoded_size, Datagram, DatagramError, Keys, Message, Piggyback, BUCKETS, MAX_DATAGRAM_BYTES,
@@ -20,58 +20,61 @@
 use std::net::SocketAddr;
 
 const MS: Time = 1_000_000;
-/// Helpers asked for one probe, and the accusers that shorten a suspicion to its least.
+/// Number of helpers that ping indirectly for one probe.
 const INDIRECT_PROBES: usize = 3;
+/// Number of accusers at which a suspicion is at its shortest.
 const MAX_ACCUSERS: usize = 3;
-/// How many pings of its own, half an interval apart, must go unanswered before a member accuses or declares dead.
+/// Number of its own pings, half a probe interval apart, that must go unanswered before a verifying member accuses a
+/// suspect or declares it dead.
 const MIN_UNANSWERED_PINGS: u32 = 3;
-/// How many members ping for themselves when they hear of a suspicion, on average.
-const MEAN_WATCHERS: f64 = 12.0;
-/// The longest suspicion as a multiple of the shortest.
+/// Mean number of members that verify a suspicion reported to them with pings of their own.
+const MEAN_VERIFIERS: f64 = 12.0;
+/// Ratio of the longest to the shortest suspicion timeout.
 const MAX_SUSPICION_FACTOR: Time = 6;
-/// The worst local health score: intervals are multiplied by one more than the score.
+/// Worst local health score. Intervals are multiplied by the score plus one.
 const MAX_LOCAL_HEALTH: u8 = 8;
-/// A tick this late means that this process was suspended.
-const SLEEP_THRESHOLD: Time = 1000 * MS;
-/// A tick this late says nothing about the probed member.
-const LATE_TICK: Time = 50 * MS;
+/// Lateness of a tick above which this process is taken to have been suspended.
+const SUSPENSION_THRESHOLD: Time = 1000 * MS;
+/// Lateness of a tick above which a missing answer says nothing about the probed member.
+const LATE_TICK_THRESHOLD: Time = 50 * MS;
 const DEAD_PROBE_INTERVAL: Time = 400 * MS;
 const SEED_INTERVAL: Time = 2000 * MS;
 const JOIN_INTERVAL: Time = 500 * MS;
-/// How long after a join request its answer may come from an unknown member.
+/// Time after a join request during which its answer is accepted from an unknown member.
 const JOIN_ECHO_LIFETIME: Time = 1000 * MS;
-/// The most bytes of updates on a ping; the rest of a datagram is for names and numbers.
+/// Maximum size of the updates on a ping; the rest of a datagram is for names and numbers.
 const MAX_PIGGYBACK_BYTES: usize = 900;
-/// The most bytes of records in one datagram, and the most such datagrams in one answer.
+/// Maximum size of the records in one datagram.
 const MAX_RECORDS_BYTES: usize = 1000;
+/// Maximum number of datagrams with records in one answer.
 const MAX_RECORD_DATAGRAMS: usize = 4;
 const MAX_RELAYS: usize = 256;
-/// How many members are told of a leave directly.
+/// Number of members that are notified of a leave directly.
 const LEAVE_RECIPIENTS: usize = 8;
 const HELLO_PADDING: usize = 160;
 
-/// Builds a [`View`].
+/// Configuration of a [`View`].
 #[derive(Clone, Debug)]
 pub struct Config {
     pub name: Name,
-    /// Unix milliseconds at the start.
+    /// Unix milliseconds at the start of the process.
     pub generation: u64,
-    /// The address of this member for others.
+    /// Address that this member advertises.
     pub address: SocketAddr,
     pub zone: String,
     pub role: Role,
-    /// Addresses of members that may be alive; this member's own may be among them.
+    /// Addresses of members to join through; may include this member's own.
     pub seeds: Vec<SocketAddr>,
-    /// The time between two probes.
+    /// Time between two probes.
     pub probe_interval: Time,
-    /// How long dead members are remembered, and pinged.
+    /// Time for which dead members are retained, and pinged.
     pub dead_retention: Time,
-    /// The most members that are remembered, living and dead.
+    /// Maximum number of members that are retained, alive and dead.
     pub max_members: usize,
 }
 
 impl Config {
-    /// A configuration with defaults for all but these.
+    /// Returns a configuration with defaults for all other fields.
     pub fn new(name: &str, generation: u64, address: SocketAddr) -> Self {
         Config {
             name: name.into(),
@@ -87,58 +90,59 @@
     }
 }
 
-/// What happened.
+/// An event for [`View::handle`].
 pub enum Input<'a> {
     Datagram(&'a [u8]),
-    /// Time has passed: [`View::next_due`], or any other time.
+    /// Timer tick, at [`View::next_due`] or any other time.
     Tick,
-    /// This process shuts down.
+    /// This process is shutting down.
     Leave,
 }
 
-/// What must be done.
+/// An action for the owner of the [`View`].
 #[derive(Debug, PartialEq)]
 pub enum Output {
     Send {
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// A new stable version of the view.
+    /// There is a new stable version of the view.
     StableView(StableView),
-    /// Another process started later under this name: this one is silent from now on.
+    /// Another process started later under this name; this one sends nothing from now on.
     Superseded {
         generation: u64,
     },
 }
 
-/// A member as this one sees it.
+/// A member as seen by this one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     pub record: Record,
-    /// Since when it is in this state here; 0 for this member.
+    /// Time at which the member entered its state in this view; 0 for this member.
     pub since: Time,
-    /// Its local health score, as last reported.
+    /// Local health score, as last reported by the member.
     pub health: u8,
 }
 
-/// This member's own condition.
+/// Health of this member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Health {
-    /// 0 is best, 8 worst.
+    /// Local health score: 0 is best, 8 is worst.
     pub health: u8,
     pub isolated_since: Option<Time>,
     pub is_superseded: bool,
-    /// Whether it has joined, or found any member.
+    /// Whether this member has joined, or has found any other member.
     pub has_joined: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// No member has answered yet. `renamed`: its generation was raised above a known one.
+    /// No member has answered yet.
     Joining {
-        renamed: bool,
+        /// Whether this member has raised its generation above one that another member knew.
+        is_generation_raised: bool,
     },
-    In,
+    Joined,
     Superseded,
     Left,
 }
@@ -146,38 +150,38 @@
 struct Suspicion {
     since: Time,
     accusers: Vec<u32>,
-    /// If this member pings the suspect itself: the next ping, and how many have been sent.
-    watch: Option<(Time, u32)>,
+    /// If this member verifies the suspicion itself: time of its next ping, and number of pings sent.
+    verification: Option<(Time, u32)>,
 }
 
 impl Suspicion {
     fn new(since: Time, accusers: Vec<u32>) -> Self {
-        Suspicion { since, accusers, watch: None }
+        Suspicion { since, accusers, verification: None }
     }
 }
 
-/// Sums over the living members, this one among them, updated with each change: in a large fleet a change must not cost
-/// a pass over all members.
+/// Totals over the members that are alive, including this one. Updated incrementally, since in a large fleet a change must
+/// not cost a pass over all members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct LivingSums {
+struct AliveTotals {
     members: usize,
     digest: u64,
     buckets: [u32; BUCKETS],
 }
 
-impl LivingSums {
-    fn add(&mut self, name: &Name, life: u64) {
-        let one = digest_of(name, life);
+impl AliveTotals {
+    fn add(&mut self, name: &Name, generation: u64) {
+        let digest = member_digest(name, generation);
         let bucket = &mut self.buckets[bucket(name)];
-        *bucket = bucket.wrapping_add(one as u32);
-        (self.members, self.digest) = (self.members + 1, self.digest.wrapping_add(one));
+        *bucket = bucket.wrapping_add(digest as u32);
+        (self.members, self.digest) = (self.members + 1, self.digest.wrapping_add(digest));
     }
 
-    fn remove(&mut self, name: &Name, life: u64) {
-        let one = digest_of(name, life);
+    fn remove(&mut self, name: &Name, generation: u64) {
+        let digest = member_digest(name, generation);
         let bucket = &mut self.buckets[bucket(name)];
-        *bucket = bucket.wrapping_sub(one as u32);
-        (self.members, self.digest) = (self.members - 1, self.digest.wrapping_sub(one));
+        *bucket = bucket.wrapping_sub(digest as u32);
+        (self.members, self.digest) = (self.members - 1, self.digest.wrapping_sub(digest));
     }
 }
 
@@ -188,7 +192,7 @@
     bucket: TokenBucket,
     health: u8,
     suspicion: Option<Suspicion>,
-    /// The address of the previous generation, if different: it may still run there.
+    /// Address of the previous generation, if different: that process may still be running.
     previous_address: Option<SocketAddr>,
 }
 
@@ -211,67 +215,68 @@
 struct Probe {
     number: u32,
     target: Name,
-    /// When other members are asked to ping, and when it ends.
+    /// Time of the indirect pings.
     indirect_at: Time,
+    /// End of the probe.
     ends_at: Time,
     helpers: Vec<Name>,
     is_answered: bool,
-    /// Whether any member was heard meanwhile.
+    /// Whether any member was heard during the probe.
     has_heard_anyone: bool,
 }
 
-/// A ping on behalf of another member.
+/// An indirect ping on behalf of another member.
 struct Relay {
     number: u32,
     requester: Name,
     requested_probe: u32,
-    until: Time,
+    expires_at: Time,
 }
 
 /// The membership view of one member.
 pub struct View {
     config: Config,
     keys: Keys,
-    cookies: Cookies,
+    cookies: JoinCookies,
     rng: Rng,
     record: Record,
     accuser_id: u32,
     phase: Phase,
-    /// Number of the last datagram sent.
+    /// Sequence number of the last datagram sent.
     last_datagram: u64,
     health: u8,
     peers: BTreeMap<Name, Peer>,
-    /// Members with a suspicion.
+    /// Members under suspicion.
     suspects: BTreeSet<Name>,
-    sums: LivingSums,
+    alive_totals: AliveTotals,
     broadcasts: BroadcastQueue,
     isolation: IsolationDetector,
     changes: ChangeCollector,
-    /// Members still to be probed in this round, the next one last.
+    /// Members still to be probed in this round, in reverse order.
     probe_round: Vec<Name>,
     probe: Option<Probe>,
     last_probe: u32,
     relays: Vec<Relay>,
-    next_dead: Time,
-    next_seed: Time,
+    next_dead_ping: Time,
+    next_seed_contact: Time,
     join_attempts: u32,
-    next_differs: Time,
-    /// The echo expected in the answer to a `Join`, and until when; 0 is none.
+    next_digest_mismatch: Time,
+    /// Echo expected in the answer to a `Join`, and its expiry; 0 is none.
     join_echo: (u64, Time),
-    /// When the set of living members last changed here.
-    changed_at: Time,
-    /// When it was last due, to detect late ticks.
-    due: Time,
+    /// Time of the last change to the set of members that are alive.
+    alive_changed_at: Time,
+    /// Time for which the next tick was due after the last input, to detect late ticks.
+    expected_tick: Time,
     unknown_sender_limit: TokenBucket,
-    /// Limits pings other than probes.
+    /// Rate limit of pings other than probes.
     extra_ping_limit: TokenBucket,
-    /// Limits answers to digest mismatches.
+    /// Rate limit of answers to digest mismatches.
     digest_answer_limit: TokenBucket,
     dropped_datagrams: BTreeMap<DatagramError, u64>,
 }
 
 impl View {
-    /// `seed` determines every random choice; `secret` must be unknown to others.
+    /// Creates a view. `seed` determines every random choice; `secret` must be unknown to others.
     pub fn new(config: Config, keys: Keys, seed: u64, secret: [u8; 16], now: Time) -> Self {
         let record = Record {
             name: config.name.clone(),
@@ -286,21 +291,21 @@
         };
         let mut broadcasts = BroadcastQueue::default();
         broadcasts.add(record.clone());
-        let mut sums = LivingSums::default();
-        sums.add(&record.name, record.generation);
+        let mut alive_totals = AliveTotals::default();
+        alive_totals.add(&record.name, record.generation);
         let mut rng = Rng::with_seed(seed);
-        // The first message is spread over a fifth of a second: hundreds of members may start at once.
-        let first = now + rng.u64(0..200 * MS);
+        // First messages are spread over 200 ms, since hundreds of members may start at once.
+        let first_due = now + rng.u64(0..200 * MS);
         View {
             keys,
-            cookies: Cookies::new(secret),
-            accuser_id: accuser(&record.name),
-            phase: Phase::Joining { renamed: false },
+            cookies: JoinCookies::new(secret),
+            accuser_id: accuser_id(&record.name),
+            phase: Phase::Joining { is_generation_raised: false },
             last_datagram: 0,
             health: 0,
             peers: BTreeMap::new(),
             suspects: BTreeSet::new(),
-            sums,
+            alive_totals,
             broadcasts,
             isolation: IsolationDetector::new(now),
             changes: ChangeCollector::new(record.name.clone(), record.generation, record.role, now),
@@ -308,13 +313,13 @@
             probe: None,
             last_probe: 0,
             relays: Vec::new(),
-            next_dead: first + DEAD_PROBE_INTERVAL,
-            next_seed: first,
+            next_dead_ping: first_due + DEAD_PROBE_INTERVAL,
+            next_seed_contact: first_due,
             join_attempts: 0,
-            next_differs: first,
+            next_digest_mismatch: first_due,
             join_echo: (0, 0),
-            changed_at: now,
-            due: first,
+            alive_changed_at: now,
+            expected_tick: first_due,
             unknown_sender_limit: TokenBucket::new(200.0, 200.0, now),
             extra_ping_limit: TokenBucket::new(40.0, 100.0, now),
             digest_answer_limit: TokenBucket::new(10.0, 20.0, now),
@@ -325,36 +330,36 @@
         }
     }
 
-    /// The latest stable version of the view.
+    /// Returns the latest stable version of the view.
     pub fn stable_view(&self) -> &StableView {
         self.changes.current()
     }
 
-    /// All known members, this one first.
+    /// Returns all known members, this one first.
     pub fn members(&self) -> impl Iterator<Item = Member> + '_ {
-        let me = Member { record: self.record.clone(), since: 0, health: self.health };
+        let own = Member { record: self.record.clone(), since: 0, health: self.health };
         let others = self.peers.values().map(|p| Member {
             record: p.record.clone(),
             since: p.since,
             health: p.health,
         });
-        std::iter::once(me).chain(others)
+        std::iter::once(own).chain(others)
     }
 
-    /// Digest of the living members at this moment.
+    /// Returns the digest of the members that are alive at present.
     pub fn digest(&self) -> u64 {
-        self.sums.digest
+        self.alive_totals.digest
     }
 
-    /// The sums counted anew.
+    /// Recomputes the totals from all records.
     #[cfg(debug_assertions)]
-    fn recount(&self) -> LivingSums {
-        let mut sums = LivingSums::default();
-        self.living_records().for_each(|r| sums.add(&r.name, r.generation));
-        sums
+    fn recount(&self) -> AliveTotals {
+        let mut alive_totals = AliveTotals::default();
+        self.alive_records().for_each(|r| alive_totals.add(&r.name, r.generation));
+        alive_totals
     }
 
-    /// This member's own condition.
+    /// Returns the health of this member.
     pub fn health(&self) -> Health {
         Health {
             health: self.health,
@@ -364,11 +369,11 @@
         }
     }
 
-    /// This member's position among the living gateways, and their number. None if it is no gateway, or if the view is
-    /// not usable: isolated, superseded, or never joined.
+    /// Returns this member's position among the gateways that are alive, and their number. `None` if it is not a gateway,
+    /// or if the view is not usable: isolated, superseded, never joined, or without a stable version yet.
     pub fn position(&self) -> Option<(usize, usize)> {
-        let (all, me) = self.stable_view().gateways();
-        me.filter(|_| self.is_usable()).map(|me| (me, all))
+        let (gateways, position) = self.stable_view().gateways();
+        position.filter(|_| self.is_usable()).map(|position| (position, gateways))
     }
 
     fn is_usable(&self) -> bool {
@@ -379,7 +384,8 @@
             && self.stable_view().version != 0
     }
 
-    /// Whether the member of this name is alive, by the stable view. None if it is unknown, or the view is not usable.
+    /// Whether the member of this name is alive, according to the stable view. `None` if it is unknown or the view is not
+    /// usable.
     pub fn is_alive(&self, name: &str) -> Option<bool> {
         self.is_usable().then_some(())?;
         if self.stable_view().members.iter().any(|(n, ..)| **n == *name) {
@@ -388,12 +394,12 @@
         self.peers.get(name).filter(|p| !p.record.state.is_alive()).map(|_| false)
     }
 
-    /// Datagrams dropped, by cause.
+    /// Returns the number of dropped datagrams by reason.
     pub fn dropped_datagrams(&self) -> impl Iterator<Item = (DatagramError, u64)> + '_ {
-        self.dropped_datagrams.iter().map(|(f, n)| (*f, *n))
+        self.dropped_datagrams.iter().map(|(error, count)| (*error, *count))
     }
 
-    /// When [`Input::Tick`] is next wanted.
+    /// Returns the time at which the next [`Input::Tick`] is due. `None` if this member is superseded or has left.
     pub fn next_due(&self) -> Option<Time> {
         if matches!(self.phase, Phase::Superseded | Phase::Left) {
             return None;
@@ -405,39 +411,39 @@
                 p.ends_at
             }
         });
-        let suspects = self.suspects.iter().filter_map(|n| self.suspicion_ends(self.peers.get(n)?));
-        let watches = self.suspects.iter().filter_map(|n| self.next_watch_ping(n));
-        let suspects = suspects.chain(watches);
-        let relays = self.relays.iter().map(|r| r.until);
-        let others = [self.next_dead, self.next_seed];
+        let suspects = self.suspects.iter().filter_map(|n| self.suspicion_deadline(self.peers.get(n)?));
+        let pings = self.suspects.iter().filter_map(|n| self.next_suspect_ping(n));
+        let suspects = suspects.chain(pings);
+        let relays = self.relays.iter().map(|r| r.expires_at);
+        let others = [self.next_dead_ping, self.next_seed_contact];
         let due = probe.into_iter().chain(suspects).chain(relays).chain(others).chain(self.changes.due());
         due.min()
     }
 
-    /// Handles an input and appends what to do about it, in order.
+    /// Handles an input and appends the resulting actions to `out`, in order.
     pub fn handle(&mut self, now: Time, input: Input<'_>, out: &mut Vec<Output>) {
         if matches!(self.phase, Phase::Superseded | Phase::Left) {
             return;
         }
-        let late = now.saturating_sub(self.due);
-        if late > SLEEP_THRESHOLD && !planted!(SleepNotSeen) {
-            self.on_sleep(now, late);
+        let lateness = now.saturating_sub(self.expected_tick);
+        if lateness > SUSPENSION_THRESHOLD && !planted!(SleepNotSeen) {
+            self.on_suspended(now, lateness);
         }
         match input {
             Input::Datagram(bytes) => {
-                if let Err(fault) = self.datagram(now, bytes, out) {
-                    *self.dropped_datagrams.entry(fault).or_default() += 1;
+                if let Err(error) = self.on_datagram(now, bytes, out) {
+                    *self.dropped_datagrams.entry(error).or_default() += 1;
                 }
             }
-            Input::Tick => self.tick(now, late, out),
+            Input::Tick => self.tick(now, lateness, out),
             Input::Leave => self.leave(out),
         }
-        self.due = self.next_due().unwrap_or(now).max(now);
+        self.expected_tick = self.next_due().unwrap_or(now).max(now);
     }
 }
 
-fn accuser(name: &Name) -> u32 {
-    // 0 is nobody's.
+fn accuser_id(name: &Name) -> u32 {
+    // 0 stands for no accuser.
     (hash(&[name.as_bytes()]) as u32).max(1)
 }
 
--- a/crates/gateway/membership/src/window.rs
+++ b/crates/gateway/membership/src/window.rs
@@ -1,17 +1,18 @@
-//! Replay protection by datagram numbers, and rate limits.
+//! Replay protection by sequence numbers, and rate limits.
 
 use crate::Time;
 
-/// Accepts each number once: the highest so far, and the 64 below it.
+/// Accepts each sequence number once. Numbers 64 or more below the highest are rejected.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplayWindow {
-    /// 0 before the first.
+    /// 0 before the first datagram.
     highest: u64,
+    /// Bit n: number `highest - n` was seen.
     seen: u64,
 }
 
 impl ReplayWindow {
-    /// Whether this number is new; it then counts as seen. Numbers start at 1.
+    /// Returns whether the number is new, and marks it as seen. Numbers start at 1.
     pub(crate) fn take(&mut self, number: u64) -> bool {
         if planted!(ReplayTaken) {
             return true;
@@ -36,26 +37,26 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
-    depth: f64,
-    /// Tokens a nanosecond.
-    rate: f64,
-    at: Time,
+    capacity: f64,
+    tokens_per_ns: f64,
+    updated_at: Time,
 }
 
 impl TokenBucket {
-    pub(crate) fn new(depth: f64, a_second: f64, now: Time) -> Self {
-        TokenBucket { tokens: depth, depth, rate: a_second / 1e9, at: now }
+    pub(crate) fn new(capacity: f64, tokens_per_second: f64, now: Time) -> Self {
+        TokenBucket { tokens: capacity, capacity, tokens_per_ns: tokens_per_second / 1e9, updated_at: now }
     }
 
+    /// Takes a token. Returns false if there is none.
     pub(crate) fn take(&mut self, now: Time) -> bool {
-        let since = now.saturating_sub(self.at) as f64;
-        self.at = self.at.max(now);
-        self.tokens = (self.tokens + since * self.rate).min(self.depth);
-        let may = self.tokens >= 1.0;
-        if may {
+        let elapsed_ns = now.saturating_sub(self.updated_at) as f64;
+        self.updated_at = self.updated_at.max(now);
+        self.tokens = (self.tokens + elapsed_ns * self.tokens_per_ns).min(self.capacity);
+        let is_allowed = self.tokens >= 1.0;
+        if is_allowed {
             self.tokens -= 1.0;
         }
-        may
+        is_allowed
     }
 }
 
--- a/crates/gateway/membership/src/wire.rs
+++ b/crates/gateway/membership/src/wire.rs
@@ -1,7 +1,8 @@
-//! Datagrams: versioned, bounded, authenticated, numbered.
+//! Wire format of datagrams: versioned, of bounded size, authenticated and numbered.
 //!
-//! `GTFV`, version (1 byte), then by `postcard`: the sender's name, life, the datagram's number in that life, the
-//! message; then 16 bytes of HMAC-SHA-256 under the shared key over all before.
+//! `GTFV`, the version (1 byte), then encoded by `postcard`: the sender's name, its generation, the datagram's sequence
+//! number within that generation, and the message; then a tag: HMAC-SHA-256 under the shared key over all preceding
+//! bytes, truncated to 16 bytes.
 
 use crate::record::{Name, Record, MAX_NAME_BYTES};
 use hmac::{Hmac, Mac};
@@ -10,23 +11,23 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The wire version. Fields are only added at the end.
+/// Version of the wire format. Fields are only added at the end.
 pub const VERSION: u8 = 1;
-/// The longest datagram.
+/// Maximum size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-/// The shortest permitted key.
+/// Minimum length of a key.
 pub const MIN_KEY_BYTES: usize = 16;
-/// How many buckets members are hashed into for digests.
+/// Number of buckets into which members are hashed for digests.
 pub const BUCKETS: usize = 16;
 const MAGIC: &[u8; 4] = b"GTFV";
 const TAG_BYTES: usize = 16;
 
-/// What is piggybacked on pings and their answers.
+/// Payload piggybacked on pings and their answers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Piggyback {
-    /// Digest of the members that the sender believes alive.
+    /// Digest of the members that the sender believes to be alive.
     pub digest: u64,
-    /// The sender's own health: 0 is best.
+    /// Local health score of the sender: 0 is best.
     pub health: u8,
     pub updates: Vec<Record>,
 }
@@ -34,11 +35,11 @@
 /// A message between members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Answered by `Ack` with the same number, if it is meant for this generation.
+    /// Answered by an `Ack` with the same probe number, if the receiver is of this generation.
     Ping {
         probe: u32,
         generation: u64,
-        /// The sender's address.
+        /// Address of the sender.
         address: SocketAddr,
         piggyback: Piggyback,
     },
@@ -46,46 +47,47 @@
         probe: u32,
         piggyback: Piggyback,
     },
-    /// Asks to ping this member and to report the result.
+    /// Indirect ping: requests a ping of the target and a report of the result.
     PingRequest {
         probe: u32,
         target: Name,
         piggyback: Piggyback,
     },
-    /// The helper is alive and got no answer.
+    /// The helper is alive, but its ping of the target went unanswered.
     Nack {
         probe: u32,
         piggyback: Piggyback,
     },
-    /// Digests by bucket; asks for the records of the buckets that differ.
+    /// Digests by bucket; requests the records of the buckets that differ.
     DigestMismatch {
         buckets: [u32; BUCKETS],
     },
     Records {
-        /// That of the `Join` that this answers; else 0.
+        /// Echo of the `Join` that this answers; 0 if it answers none.
         echo: u64,
         records: Vec<Record>,
     },
-    /// An unknown sender asks to join. Padded, so that the answer is no longer than the request.
+    /// Join request of an unknown sender, padded so that the answer is no longer than the request.
     Hello {
         record: Record,
         padding: Vec<u8>,
     },
-    /// To an unknown sender: no state is kept until it returns the cookie.
+    /// Answer to an unknown sender, of which no state is kept until it returns the cookie.
     Cookie {
         cookie: [u8; 16],
-        /// The sender's address.
+        /// Address of the sender.
         address: SocketAddr,
     },
+    /// Join request with the cookie.
     Join {
         record: Record,
         cookie: [u8; 16],
-        /// Random, so that an old answer is not taken for the answer to this one.
+        /// Random, to tell the answer to this request from older answers.
         echo: u64,
     },
 }
 
-/// An authenticated datagram.
+/// An authenticated datagram. `number` is its sequence number within the sender's generation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Datagram {
     pub from: Name,
@@ -94,27 +96,27 @@
     pub message: Message,
 }
 
-/// Why a datagram is dropped.
+/// Reason why a datagram is dropped. The texts of `Display` are keys in `GET /status/fleet`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum DatagramError {
-    /// Too long, too short, or without our magic bytes.
+    /// Too long, too short, or without the magic bytes.
     NotOurs,
     Version,
-    /// The tag does not verify: another key, or changed bytes.
+    /// The tag does not verify: the sender has another key, or the bytes were changed in transit.
     Authentication,
-    /// Authenticated, but unreadable or inconsistent.
+    /// Authenticated, but undecodable or inconsistent.
     Malformed,
-    /// Its number was seen already, or is too old to know.
+    /// The sequence number was seen before, or is too old for the replay window.
     Replayed,
-    /// Of an earlier generation.
+    /// From an earlier generation of its sender.
     OldGeneration,
-    /// Above its sender's rate limit.
+    /// The sender exceeds its rate limit.
     RateLimited,
-    /// A cookie of another process, or an expired one.
+    /// The cookie was issued by another process, or has expired.
     Cookie,
-    /// Sent by this member itself.
+    /// Sent by this member.
     FromSelf,
-    /// Its sender has not joined.
+    /// The sender has not joined.
     UnknownSender,
 }
 
@@ -137,45 +139,45 @@
 
 impl std::error::Error for DatagramError {}
 
-/// The shared keys: the first seals, each opens. There are two while a key is replaced.
+/// The shared keys: datagrams are sealed with the first and opened with any. There are two during a key rotation.
 #[derive(Clone)]
 pub struct Keys(Vec<Vec<u8>>);
 
 impl Keys {
+    /// Takes one or two keys.
+    ///
     /// # Errors
-    /// If there is none, or one is shorter than [`MIN_KEY_BYTES`].
+    /// If there are none or more than two, or one is shorter than [`MIN_KEY_BYTES`].
     pub fn new(keys: Vec<Vec<u8>>) -> Result<Self, String> {
         if !(1..=2).contains(&keys.len()) {
-            return Err(format!("{} keys: 1 or 2 are wanted", keys.len()));
+            return Err(format!("expected 1 or 2 keys, got {}", keys.len()));
         }
         match keys.iter().find(|k| k.len() < MIN_KEY_BYTES) {
-            Some(short) => {
-                Err(format!("a key of {} bytes: {MIN_KEY_BYTES} at least are wanted", short.len()))
-            }
+            Some(short) => Err(format!("key has {} bytes; the minimum is {MIN_KEY_BYTES}", short.len())),
             None => Ok(Keys(keys)),
         }
     }
 
     fn mac(key: &[u8], parts: &[&[u8]]) -> Hmac<Sha256> {
-        // Any length of key will do for HMAC.
+        // HMAC accepts keys of any length.
         let mut mac = <Hmac<Sha256> as Mac>::new_from_slice(key).unwrap_or_else(|_| unreachable!());
         parts.iter().for_each(|p| mac.update(p));
         mac
     }
 
-    /// 16 bytes that only a holder of the first key can make.
+    /// Returns a 16-byte tag under the first key.
     pub(crate) fn sign(&self, parts: &[&[u8]]) -> [u8; TAG_BYTES] {
         let tag = Keys::mac(&self.0[0], parts).finalize().into_bytes();
-        let mut short = [0; TAG_BYTES];
-        short.copy_from_slice(&tag[..TAG_BYTES]);
-        short
+        let mut truncated = [0; TAG_BYTES];
+        truncated.copy_from_slice(&tag[..TAG_BYTES]);
+        truncated
     }
 
     fn verifies(&self, bytes: &[u8], tag: &[u8]) -> bool {
         self.0.iter().any(|key| Keys::mac(key, &[bytes]).verify_truncated_left(tag).is_ok())
     }
 
-    /// The bytes of a datagram. None if it would be too long.
+    /// Encodes and signs a datagram. Returns `None` if it would exceed [`MAX_DATAGRAM_BYTES`].
     pub fn seal(&self, datagram: &Datagram) -> Option<Vec<u8>> {
         let mut bytes = Vec::with_capacity(256);
         bytes.extend_from_slice(MAGIC);
@@ -187,6 +189,8 @@
         (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
     }
 
+    /// Verifies and decodes a datagram.
+    ///
     /// # Errors
     /// [`DatagramError`]: the datagram is dropped without an answer.
     pub fn open(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
@@ -197,38 +201,38 @@
             return Err(DatagramError::NotOurs);
         }
         let (sealed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
-        // Before anything else is parsed: a sender without the key gets no further.
+        // Verified before anything is parsed, so that senders without the key reach no further code.
         if !self.verifies(sealed, tag) {
             return Err(DatagramError::Authentication);
         }
         if sealed[4] != VERSION {
             return Err(DatagramError::Version);
         }
-        let (from, life, number, message): (Name, u64, u64, Message) =
+        let (from, generation, number, message): (Name, u64, u64, Message) =
             postcard::from_bytes(&sealed[5..]).map_err(|_| DatagramError::Malformed)?;
-        let sound = |r: &Record| r.is_sound();
-        let fine = match &message {
-            Message::Ping { piggyback: rider, .. }
-            | Message::Ack { piggyback: rider, .. }
-            | Message::PingRequest { piggyback: rider, .. }
-            | Message::Nack { piggyback: rider, .. } => rider.updates.iter().all(sound),
-            Message::Records { records, .. } => records.iter().all(sound),
+        let record_is_valid = |r: &Record| r.is_valid();
+        let is_valid = match &message {
+            Message::Ping { piggyback, .. }
+            | Message::Ack { piggyback, .. }
+            | Message::PingRequest { piggyback, .. }
+            | Message::Nack { piggyback, .. } => piggyback.updates.iter().all(record_is_valid),
+            Message::Records { records, .. } => records.iter().all(record_is_valid),
             Message::Hello { record, .. } | Message::Join { record, .. } => {
-                record.is_sound()
+                record.is_valid()
                     && record.name == from
-                    && record.generation == life
+                    && record.generation == generation
                     && record.state.is_alive()
             }
             Message::DigestMismatch { .. } | Message::Cookie { .. } => true,
         };
-        if !fine || !(1..=MAX_NAME_BYTES).contains(&from.len()) {
+        if !is_valid || !(1..=MAX_NAME_BYTES).contains(&from.len()) {
             return Err(DatagramError::Malformed);
         }
-        Ok(Datagram { from, generation: life, number, message })
+        Ok(Datagram { from, generation, number, message })
     }
 }
 
-/// How many bytes a record takes.
+/// Returns the encoded size of a record in bytes.
 pub(crate) fn encoded_size(record: &Record) -> usize {
     postcard::to_stdvec(record).map_or(MAX_DATAGRAM_BYTES, |b| b.len())
 }
