--- a/crates/gateway/membership-socket/src/lib.rs
+++ b/crates/gateway/membership-socket/src/lib.rs
@@ -60,8 +60,8 @@
 }
 
 impl MembershipSocket {
-    /// Takes a view that was created at [`CLOCK_START`]. At most `max_datagrams_per_wakeup` datagrams are read before other
-    /// tasks may run.
+    /// Takes a view that was created at [`CLOCK_START`]. At most `max_datagrams_per_wakeup` datagrams are read before
+    /// other tasks may run.
     pub fn new(view: View, socket: UdpSocket, max_datagrams_per_wakeup: usize) -> Self {
         MembershipSocket {
             view: RefCell::new(view),
--- a/crates/gateway/membership/benches/datagram.rs
+++ b/crates/gateway/membership/benches/datagram.rs
@@ -56,6 +56,7 @@
         let (mut first, mut second, started_at) = fleet(size);
         let now = Cell::new(started_at);
         assert_eq!(first.members().count(), size as usize);
+        // The pings carry the updates that are queued at the second member.
         let mut ping = |now: u64| {
             let sent = handle(&mut second, now, Input::Tick);
             sent.into_iter().find(|(to, _)| *to == address_of(0)).map(|(_, bytes)| bytes)
--- a/crates/gateway/membership/src/isolation/tests.rs
+++ b/crates/gateway/membership/src/isolation/tests.rs
@@ -4,7 +4,7 @@
 const SECOND: Time = 1_000_000_000;
 
 #[test]
-fn who_hears_nobody_is_cut_off_until_it_hears_again() {
+fn a_member_that_hears_nobody_is_isolated_until_it_hears_again() {
     let mut detector = IsolationDetector::new(0);
     let other: Name = "b".into();
     detector.on_heard(&other, SECOND);
@@ -20,7 +20,7 @@
 
 /// The window scales with the probe interval: a fixed 2 s would count every member with an interval of 5 s as isolated.
 #[test]
-fn a_long_period_cuts_nobody_off() {
+fn a_long_probe_interval_isolates_nobody() {
     let mut detector = IsolationDetector::new(0);
     for n in 0..60 {
         let now = n * 5 * SECOND;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn two_of_twenty_four_are_cut_off_and_seven_are_not() {
+fn two_of_twenty_four_are_isolated_and_seven_are_not() {
     for (heard_members, is_isolated) in [(0, true), (1, true), (6, false), (12, false)] {
         let mut detector = IsolationDetector::new(0);
         (0..heard_members).for_each(|n| detector.on_heard(&format!("m{n}").into(), 3 * SECOND));
--- a/crates/gateway/membership/src/view/mod.rs
+++ b/crates/gateway/membership/src/view/mod.rs
@@ -160,8 +160,8 @@
     }
 }
 
-/// Totals over the members that are alive, including this one. Updated incrementally, since in a large fleet a change must
-/// not cost a pass over all members.
+/// Totals over the members that are alive, including this one. Updated incrementally: in a large fleet a change must not
+/// cost a pass over all members.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct AliveTotals {
     members: usize,
--- a/crates/gateway/membership/src/view/receive.rs
+++ b/crates/gateway/membership/src/view/receive.rs
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Handles a datagram from an earlier generation than that of `record`: its clock was set back, or it does not know of
-    /// its successor.
+    /// Handles a datagram from an earlier generation than that of `record`: the sender's clock was set back, or it does
+    /// not know of its successor.
     fn on_earlier_generation(
         &mut self,
         now: Time,
--- a/crates/gateway/membership/src/window/tests.rs
+++ b/crates/gateway/membership/src/window/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn each_number_is_count_taken_once_in_whatever_order_it_comes() {
+fn each_number_is_taken_once_in_whatever_order_it_comes() {
     let mut window = ReplayWindow::default();
     for number in [1, 3, 2, 70, 7, 69] {
         assert!(window.take(number), "{number}");
--- a/crates/gateway/route/benches/route.rs
+++ b/crates/gateway/route/benches/route.rs
@@ -1,4 +1,4 @@
-//! Nanoseconds a match at 10 to 10,000 routes, and a subset at 1,000 servers.
+//! Lookup times with 10 to 10,000 routes, and the cost of a subset of 1,000 servers.
 
 use criterion::{criterion_group, criterion_main, Criterion};
 use interface::Name;
@@ -13,7 +13,7 @@
         split: Split::all(0),
         ..Route::default()
     };
-    Table::new((0..n).map(route).collect(), 1).expect("a sound table")
+    Table::new((0..n).map(route).collect(), 1).expect("the table is valid")
 }
 
 fn matches(c: &mut Criterion) {
@@ -21,9 +21,9 @@
         let table = table(n);
         let path = format!("/api/v{}/kind-{}/list", (n - 1) % 7, n - 1);
         let host = format!("h{}.example", (n - 1) % 50);
-        let ask = RouteQuery { host: &host, path: &path, method: "GET", class: 0 };
+        let query = RouteQuery { host: &host, path: &path, method: "GET", class: 0 };
         c.bench_function(&format!("match among {n} routes"), |b| {
-            b.iter(|| table.find(black_box(&ask), |_| None))
+            b.iter(|| table.find(black_box(&query), |_| None))
         });
     }
     let split = Split { weights: vec![(0, 90), (1, 9), (2, 1)] };
--- a/crates/gateway/route/src/lib.rs
+++ b/crates/gateway/route/src/lib.rs
@@ -1,16 +1,16 @@
-//! Where a request goes before the decision module picks a server: a route, a pool, and of a pool's servers those
-//! that this gateway keeps connections to.
+//! Routing before the decision module picks a server: the route of a request, its pool, and the subset of the pool's
+//! servers to which this gateway keeps connections.
 //!
-//! No I/O, no clock, no chance of its own: requests, lists, customers and figures are handed in.
+//! No I/O, no clock and no random numbers: requests, server lists, customers and time are passed in.
 //!
 //! | module | decides |
 //! | --- | --- |
-//! | [`table`] | host, path, method, class and headers -> a pool; compiled once, swapped whole |
-//! | [`split`] | which pool of several, sticky by customer; which requests are shadowed |
-//! | [`pool`] | which servers are a pool's, by label |
-//! | [`subset`] | which of them this gateway keeps, and how that widens |
-//! | [`zone`] | how much leaves its own zone |
-//! | [`eject`] | which outliers are left alone, and when all are used all the same |
+//! | [`table`] | the route for a host, path, method, class and headers; compiled once, replaced as a whole |
+//! | [`split`] | the pool among several, sticky by customer; which requests are shadowed |
+//! | [`pool`] | which servers belong to a pool, by label |
+//! | [`subset`] | which of them this gateway connects to, and how the subset widens |
+//! | [`zone`] | the share of requests that leaves the gateway's own zone |
+//! | [`eject`] | which outliers are ejected, and when all servers are used regardless (panic) |
 #![forbid(unsafe_code)]
 
 pub mod eject;
--- a/crates/gateway/route/src/pool.rs
+++ b/crates/gateway/route/src/pool.rs
@@ -1,12 +1,13 @@
-//! Pools: which servers of the list are whose.
+//! Pools: label selectors over the server list.
 
 use interface::Name;
 use std::collections::BTreeMap;
 
-/// What is known of a server beside its name: zone, model, group and whatever else a list may say.
+/// Labels of a server: zone, model, group and any others in the list.
 pub type Labels = BTreeMap<String, String>;
 
-/// Takes servers whose labels have one of the stated values, for every stated label. An empty one takes all.
+/// Selects servers that have, for every label in `match_labels`, one of its values. An empty selector matches all
+/// servers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Selector {
     pub match_labels: BTreeMap<String, Vec<String>>,
@@ -18,8 +19,8 @@
         self.match_labels.iter().all(|(name, values)| labels.get(name).is_some_and(|v| values.contains(v)))
     }
 
-    /// Those of a list that are this pool's, in the list's order.
-    pub fn of<'a>(&self, list: impl Iterator<Item = (&'a Name, &'a Labels)>) -> Vec<Name> {
+    /// Returns the servers of a list that match, in the list's order.
+    pub fn select<'a>(&self, list: impl Iterator<Item = (&'a Name, &'a Labels)>) -> Vec<Name> {
         list.filter(|(_, labels)| self.matches(labels)).map(|(name, _)| name.clone()).collect()
     }
 }
--- a/crates/gateway/route/src/subset.rs
+++ b/crates/gateway/route/src/subset.rs
@@ -1,37 +1,38 @@
-//! Deterministic subsets: each gateway keeps connections to few servers, every server is kept by as many gateways
-//! as any other within one, and little moves when a gateway or a server comes or goes.
+//! Deterministic subsetting: each gateway keeps connections to few servers, the numbers of gateways per server differ
+//! by at most one, and few connections move when a gateway or a server is added or removed.
 //!
-//! Servers stand on a ring in the order of their hashes; of `n` servers and `g` gateways, gateway `i` takes `k` from
-//! place `floor(i n / g)` on (the deterministic aperture of Finagle, on whole servers). So the starts lie as evenly
-//! as whole numbers can: any `k` places in a row hold `floor` or `ceil` of `k g / n` of them, which is how many
-//! gateways keep a server.
+//! Servers are ordered on a ring by their hashes. Of `n` servers and `g` gateways, gateway `i` keeps `k` servers starting
+//! at position `floor(i n / g)` (the deterministic aperture of Finagle, on whole servers). The starts are therefore
+//! spaced as evenly as integers allow: any `k` consecutive positions hold `floor` or `ceil` of `k g / n` starts, which
+//! is the number of gateways that keep a server.
 //!
-//! | what changes | servers that one gateway replaces, at most |
+//! | change | maximum number of servers that one gateway replaces |
 //! | --- | --- |
-//! | a server comes or goes | 2 |
-//! | a gateway comes or goes, `g` to `g + 1` | `ceil(n / (g + 1)) + 1` |
-//! | `k` grows by one | 1 comes, none goes |
+//! | a server is added or removed | 2 |
+//! | a gateway is added or removed, `g` to `g + 1` | `ceil(n / (g + 1)) + 1` |
+//! | `k` grows by one | 1 added, none removed |
 //!
-//! Weighed: Google SRE's subsets (chapter 20) leave up to `k - 1` servers out of a round and move most subsets when a
-//! server goes; rendezvous subsets move least and spread servers by chance: with 64 gateways, 1000 servers and 32
-//! each, some server is kept by none and another by eight.
+//! Alternatives considered: the subsets of Google SRE (chapter 20) leave up to `k - 1` servers out of a round and move
+//! most subsets when a server is removed. Rendezvous subsets move the least but spread servers at random: with 64
+//! gateways, 1000 servers and 32 servers each, some server is kept by no gateway and another by eight.
 
 use interface::Name;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One gateway's servers, in the order in which the subset widens.
+/// Servers of one gateway, in the order in which the subset widens.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Subset {
-    /// All servers of the pool, from this gateway's start on.
+    /// All servers of the pool, beginning at the start position of this gateway.
     ring: Vec<Name>,
     size: usize,
 }
 
 impl Subset {
-    /// The subset of gateway `me` of `gateways`, of `size` servers at least 1 and at most all.
+    /// Returns the subset of the gateway at index `gateway` of `gateways`. `size` is clamped to the range from 1 to the
+    /// number of servers.
     ///
-    /// A gateway that is told a wrong count or number keeps servers all the same; only the evenness goes.
-    pub fn new(servers: &[Name], me: u32, gateways: u32, size: usize) -> Self {
+    /// With a wrong index or number of gateways the gateway still keeps servers; only the even spread is lost.
+    pub fn new(servers: &[Name], gateway: u32, gateways: u32, size: usize) -> Self {
         let mut ring: Vec<(u64, &Name)> = servers.iter().map(|n| (xxh3_64(n.as_bytes()), n)).collect();
         ring.sort_unstable();
         ring.dedup();
@@ -39,45 +40,46 @@
         if n == 0 {
             return Subset::default();
         }
-        let (me, gateways) = (u64::from(me), u64::from(gateways.max(1)));
-        let start = ((me % gateways) * n as u64 / gateways) as usize;
+        let (gateway, gateways) = (u64::from(gateway), u64::from(gateways.max(1)));
+        let start = ((gateway % gateways) * n as u64 / gateways) as usize;
         ring.rotate_left(start);
         let ring = ring.into_iter().map(|(_, name)| name.clone()).collect();
         Subset { ring, size: size.clamp(1, n) }
     }
 
-    /// The servers that are kept.
+    /// Returns the servers of the subset.
     pub fn kept(&self) -> &[Name] {
         &self.ring[..self.size]
     }
 
-    /// How many there are in all.
+    /// Returns the number of servers of the pool.
     pub fn ring_size(&self) -> usize {
         self.ring.len()
     }
 
-    /// Whether it holds all servers of the pool.
+    /// Whether the subset holds all servers of the pool.
     pub fn holds_all(&self) -> bool {
         self.size == self.ring.len()
     }
 
-    /// Widens by half, since room is short. False if it holds all already.
+    /// Widens the subset by half, for more capacity. Returns false if it already holds all servers.
     pub fn widen(&mut self) -> bool {
-        let before = self.size;
+        let old_size = self.size;
         self.size = (self.size + self.size.div_ceil(2)).min(self.ring.len());
-        self.size > before
+        self.size > old_size
     }
 
-    /// Narrows by one server, down to `least`; the last to come is the first to go.
-    pub fn narrow(&mut self, least: usize) -> bool {
-        let narrow = self.size > least.max(1);
-        self.size -= usize::from(narrow);
-        narrow
+    /// Narrows the subset by one server, the last one added, but not below `min_size`. Returns whether it did.
+    pub fn narrow(&mut self, min_size: usize) -> bool {
+        let can_narrow = self.size > min_size.max(1);
+        self.size -= usize::from(can_narrow);
+        can_narrow
     }
 }
 
-/// A size that keeps every server with `cover` gateways at least, and no gateway with fewer than `least`.
-pub fn size(servers: usize, gateways: u32, cover: u32, least: usize) -> usize {
-    let even = (servers as u64 * u64::from(cover)).div_ceil(u64::from(gateways.max(1))) as usize;
-    even.max(least).min(servers)
+/// Returns the subset size at which every server is kept by at least `min_coverage` gateways and every gateway keeps at
+/// least `min_size` servers.
+pub fn size(servers: usize, gateways: u32, min_coverage: u32, min_size: usize) -> usize {
+    let even_size = (servers as u64 * u64::from(min_coverage)).div_ceil(u64::from(gateways.max(1))) as usize;
+    even_size.max(min_size).min(servers)
 }
--- a/crates/gateway/route/src/zone.rs
+++ b/crates/gateway/route/src/zone.rs
@@ -1,11 +1,12 @@
-//! Zones: a request stays in its gateway's zone until that zone's use passes a stated part of its room; then so much
-//! leaves as brings both to the same use, and never more than keeps the other zone under its aim.
+//! Zone-aware routing: requests stay in their gateway's zone until its utilisation exceeds a threshold. Then the excess
+//! spills over to other zones, up to a maximum utilisation of each.
 
 /// One zone of a pool as a gateway sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Zone {
-    /// What is in flight there, and what its ready servers have room for; same unit.
+    /// Work in flight in the zone.
     pub used: f64,
+    /// Capacity of the zone's ready servers, in the same unit.
     pub capacity: f64,
 }
 
@@ -19,12 +20,12 @@
     }
 }
 
-/// When work leaves its zone.
+/// Limits for work that leaves its zone.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spill {
-    /// Above this use of the own zone, 0 to 1.
+    /// Utilisation of the own zone above which work spills over, 0 to 1.
     pub threshold: f64,
-    /// The other zone is not brought above this, 0 to 1.
+    /// Utilisation above which other zones receive no spilled work, 0 to 1.
     pub max_target_utilisation: f64,
 }
 
@@ -34,24 +35,26 @@
     }
 }
 
-/// What part of new work goes to each zone; the parts sum to 1, or to 0 if there is no room anywhere. `own`: the
-/// gateway's zone by its place.
+/// Returns the share of new work for each zone; the shares add up to 1, or to 0 if there is no capacity anywhere. `own`
+/// is the index of the gateway's zone.
 ///
-/// The own zone keeps what its room up to `above` covers. The rest goes where the use is least under `aim`, in
-/// proportion to the room left there; what finds none stays at home, and is refused there if need be.
+/// The own zone keeps the work up to `threshold` of its capacity. The rest is spread over the other zones in proportion
+/// to their headroom below `max_target_utilisation`. Work without headroom elsewhere stays in the own zone and
+/// may be refused there.
 pub fn zone_shares(zones: &[Zone], own: usize, spill: Spill) -> Vec<f64> {
-    let mut parts = vec![0.0; zones.len()];
-    let Some(home) = zones.get(own).copied() else { return shares_by_capacity(zones) };
-    if home.capacity <= 0.0 {
+    let mut shares = vec![0.0; zones.len()];
+    let Some(own_zone) = zones.get(own).copied() else { return shares_by_capacity(zones) };
+    if own_zone.capacity <= 0.0 {
         return shares_by_capacity(zones);
     }
-    if home.utilisation() <= spill.threshold {
-        parts[own] = 1.0;
-        return parts;
+    if own_zone.utilisation() <= spill.threshold {
+        shares[own] = 1.0;
+        return shares;
     }
-    // By how much the home zone is over what it is to hold, as a part of what it has.
-    let over = ((home.used - spill.threshold * home.capacity) / home.used.max(1e-9)).clamp(0.0, 1.0);
-    let left: Vec<f64> = zones
+    // Excess of the own zone over its threshold, as a share of its work.
+    let excess =
+        ((own_zone.used - spill.threshold * own_zone.capacity) / own_zone.used.max(1e-9)).clamp(0.0, 1.0);
+    let headroom: Vec<f64> = zones
         .iter()
         .enumerate()
         .map(
@@ -64,17 +67,17 @@
             },
         )
         .collect();
-    let sum: f64 = left.iter().sum();
-    let out = (over * home.used).min(sum) / home.used.max(1e-9);
-    parts[own] = 1.0 - out;
-    if sum > 0.0 {
-        left.iter().zip(&mut parts).for_each(|(l, p)| *p += out * l / sum);
+    let total: f64 = headroom.iter().sum();
+    let spilled = (excess * own_zone.used).min(total) / own_zone.used.max(1e-9);
+    shares[own] = 1.0 - spilled;
+    if total > 0.0 {
+        headroom.iter().zip(&mut shares).for_each(|(h, s)| *s += spilled * h / total);
     }
-    parts
+    shares
 }
 
-/// No home: by room.
+/// Returns shares in proportion to capacity, for a gateway whose own zone is unknown or has no capacity.
 fn shares_by_capacity(zones: &[Zone]) -> Vec<f64> {
-    let sum: f64 = zones.iter().map(|z| z.capacity.max(0.0)).sum();
-    zones.iter().map(|z| if sum > 0.0 { z.capacity.max(0.0) / sum } else { 0.0 }).collect()
+    let total: f64 = zones.iter().map(|z| z.capacity.max(0.0)).sum();
+    zones.iter().map(|z| if total > 0.0 { z.capacity.max(0.0) / total } else { 0.0 }).collect()
 }
--- a/crates/gateway/route/tests/table.rs
+++ b/crates/gateway/route/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table against a naive matcher, its precedence line by line, and what is refused at load.
+//! The table compared with a naive matcher, its precedence rules, and the tables that are rejected at load.
 
 use proptest::prelude::*;
 use route::{Error, Route, RouteQuery, Split, Table};
@@ -13,7 +13,7 @@
     }
 }
 
-fn found(
+fn matched_line(
     table: &Table,
     host: &str,
     path: &str,
@@ -21,9 +21,9 @@
     class: usize,
     headers: &[(&str, &str)],
 ) -> Option<usize> {
-    let ask = RouteQuery { host, path, method, class };
+    let query = RouteQuery { host, path, method, class };
     let header = |name: &str| headers.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
-    table.find(&ask, header).map(|m| m.route.line)
+    table.find(&query, header).map(|m| m.route.line)
 }
 
 #[test]
@@ -35,19 +35,19 @@
         route(4, Some("a.b.example"), "/"),
     ];
     let table = Table::new(routes, 1).unwrap();
-    let at = |host| found(&table, host, "/long/prefix/here", "GET", 0, &[]);
-    assert_eq!(at("A.B.example"), Some(4), "case does not matter");
-    assert_eq!(at("x.b.example"), Some(3));
-    assert_eq!(at("x.example"), Some(2));
-    assert_eq!(at("example"), Some(1), "a wildcard is for what is below it");
-    assert_eq!(at("elsewhere"), Some(1));
+    let line_for = |host| matched_line(&table, host, "/long/prefix/here", "GET", 0, &[]);
+    assert_eq!(line_for("A.B.example"), Some(4), "hosts are case-insensitive");
+    assert_eq!(line_for("x.b.example"), Some(3));
+    assert_eq!(line_for("x.example"), Some(2));
+    assert_eq!(line_for("example"), Some(1), "a wildcard matches subdomains only");
+    assert_eq!(line_for("elsewhere"), Some(1));
 }
 
 #[test]
 fn a_host_that_has_no_route_for_the_path_leaves_it_to_the_next() {
     let table = Table::new(vec![route(1, Some("a.example"), "/only"), route(2, None, "/")], 1).unwrap();
-    assert_eq!(found(&table, "a.example", "/other", "GET", 0, &[]), Some(2));
-    assert_eq!(found(&table, "a.example", "/only/x", "GET", 0, &[]), Some(1));
+    assert_eq!(matched_line(&table, "a.example", "/other", "GET", 0, &[]), Some(2));
+    assert_eq!(matched_line(&table, "a.example", "/only/x", "GET", 0, &[]), Some(1));
 }
 
 #[test]
@@ -55,14 +55,14 @@
     let table =
         Table::new(vec![route(1, None, "/api"), route(2, None, "/api/price"), route(3, None, "/api//x")], 1)
             .unwrap();
-    let at = |path| found(&table, "h", path, "GET", 0, &[]);
-    assert_eq!(at("/api"), Some(1));
-    assert_eq!(at("/api/"), Some(1));
-    assert_eq!(at("/apis"), None);
-    assert_eq!(at("/api/price/list"), Some(2));
-    assert_eq!(at("/api/prices"), Some(1));
-    assert_eq!(at("/api/%2e%2e/price"), Some(1), "what is encoded is no segment of its own");
-    assert_eq!(at("/api//x/y"), Some(3));
+    let line_for = |path| matched_line(&table, "h", path, "GET", 0, &[]);
+    assert_eq!(line_for("/api"), Some(1));
+    assert_eq!(line_for("/api/"), Some(1));
+    assert_eq!(line_for("/apis"), None);
+    assert_eq!(line_for("/api/price/list"), Some(2));
+    assert_eq!(line_for("/api/prices"), Some(1));
+    assert_eq!(line_for("/api/%2e%2e/price"), Some(1), "percent-encoded segments are not decoded");
+    assert_eq!(line_for("/api//x/y"), Some(3));
 }
 
 #[test]
@@ -82,28 +82,28 @@
     ];
     let table = Table::new(routes, 1).unwrap();
     let both = [("a", "1"), ("b", "2")];
-    assert_eq!(found(&table, "h", "/", "GET", 0, &both), Some(5));
-    assert_eq!(found(&table, "h", "/", "GET", 1, &both), Some(4));
-    assert_eq!(found(&table, "h", "/", "POST", 0, &both), Some(3));
-    assert_eq!(found(&table, "h", "/", "POST", 1, &both), Some(2));
-    assert_eq!(found(&table, "h", "/", "POST", 1, &[("a", "1")]), Some(1));
+    assert_eq!(matched_line(&table, "h", "/", "GET", 0, &both), Some(5));
+    assert_eq!(matched_line(&table, "h", "/", "GET", 1, &both), Some(4));
+    assert_eq!(matched_line(&table, "h", "/", "POST", 0, &both), Some(3));
+    assert_eq!(matched_line(&table, "h", "/", "POST", 1, &both), Some(2));
+    assert_eq!(matched_line(&table, "h", "/", "POST", 1, &[("a", "1")]), Some(1));
 }
 
 #[test]
-fn what_stands_level_and_meets_is_refused_with_both_lines() {
+fn conflicting_routes_are_refused_with_both_lines() {
     let get = |line| Route { methods: vec!["GET".into(), "HEAD".into()], ..route(line, None, "/x") };
     let head = |line| Route { methods: vec!["HEAD".into()], ..route(line, None, "/x/") };
-    assert_eq!(Table::new(vec![get(3), head(9)], 1).unwrap_err(), Error::Conflict { line: 9, other: 3 });
+    assert_eq!(Table::new(vec![get(3), head(9)], 1).unwrap_err(), Error::Conflict { line: 9, other_line: 3 });
     let post = Route { methods: vec!["POST".into()], ..route(4, None, "/x") };
-    assert!(Table::new(vec![get(3), post], 1).is_ok(), "no request is both");
+    assert!(Table::new(vec![get(3), post], 1).is_ok(), "no request has both methods");
     let one =
         |line, value: &str| Route { headers: vec![("k".into(), value.into())], ..route(line, None, "/") };
-    assert!(Table::new(vec![one(1, "a"), one(2, "b")], 1).is_ok(), "one header has one value");
+    assert!(Table::new(vec![one(1, "a"), one(2, "b")], 1).is_ok(), "a header has a single value");
     assert!(Table::new(vec![one(1, "a"), one(2, "a")], 1).is_err());
 }
 
 #[test]
-fn what_wont_do_names_its_line() {
+fn an_invalid_route_is_refused_with_its_line() {
     let cases = [
         Route { prefix: "api".into(), ..route(7, None, "/") },
         Route { prefix: "/a?b".into(), ..route(7, None, "/") },
@@ -121,21 +121,21 @@
         Route { rewrite: Some("here".into()), ..route(7, None, "/") },
     ];
     for case in cases {
-        let error = Table::new(vec![case.clone()], 1).expect_err("it won't do").to_string();
+        let error = Table::new(vec![case.clone()], 1).expect_err("the table is invalid").to_string();
         assert!(error.starts_with("line 7: ") && !error.contains('\n'), "{case:?}: {error}");
     }
-    let level = |n| Route { headers: vec![("k".into(), format!("{n}"))], ..route(n, None, "/") };
-    let many = Table::new((0..100).map(level).collect(), 1);
-    assert!(matches!(many, Err(Error::Many { line: 64, .. })));
+    let same_rank = |n| Route { headers: vec![("k".into(), format!("{n}"))], ..route(n, None, "/") };
+    let many = Table::new((0..100).map(same_rank).collect(), 1);
+    assert!(matches!(many, Err(Error::TooMany { line: 64, .. })));
 }
 
 #[test]
 fn a_prefix_is_rewritten_and_the_rest_kept() {
-    let path = |prefix: &str, to: &str, path: &str| {
-        let r = Route { rewrite: Some(to.into()), ..route(1, None, prefix) };
+    let path = |prefix: &str, replacement: &str, path: &str| {
+        let r = Route { rewrite: Some(replacement.into()), ..route(1, None, prefix) };
         let table = Table::new(vec![r], 1).unwrap();
-        let ask = RouteQuery { host: "h", path, method: "GET", class: 0 };
-        table.find(&ask, |_| None).expect("it matches").path(path).into_owned()
+        let query = RouteQuery { host: "h", path, method: "GET", class: 0 };
+        table.find(&query, |_| None).expect("the route matches").path(path).into_owned()
     };
     assert_eq!(path("/v2/api", "/api", "/v2/api/x//y/"), "/api/x//y/");
     assert_eq!(path("/v2", "/", "/v2"), "/");
@@ -143,7 +143,7 @@
     assert_eq!(path("/", "/api", "/x"), "/api/x");
 }
 
-/// What the page says, as slowly as it can be said.
+/// The documented precedence, implemented as simply as possible.
 fn naive(
     routes: &[Route],
     host: &str,
@@ -164,11 +164,11 @@
     let host_rank = |r: &Route| match r.host.as_deref() {
         None => Some((0, 0)),
         Some(h) => match h.strip_prefix("*.") {
-            Some(below) => host.ends_with(&format!(".{below}")).then_some((1, below.len())),
+            Some(suffix) => host.ends_with(&format!(".{suffix}")).then_some((1, suffix.len())),
             None => (h == host).then_some((2, 0)),
         },
     };
-    let fits = |r: &&Route| {
+    let matches = |r: &&Route| {
         let prefix = segments(&r.prefix);
         segments(path).starts_with(&prefix)
             && (r.methods.is_empty() || r.methods.iter().any(|m| m == method))
@@ -176,7 +176,7 @@
             && r.headers.iter().all(|h| headers.contains(h))
             && host_rank(r).is_some()
     };
-    let key = |r: &&Route| {
+    let precedence = |r: &&Route| {
         (
             host_rank(r),
             segments(&r.prefix).len(),
@@ -185,7 +185,7 @@
             r.headers.len(),
         )
     };
-    routes.iter().filter(fits).max_by_key(key).map(|r| r.line)
+    routes.iter().filter(matches).max_by_key(precedence).map(|r| r.line)
 }
 
 fn some_route() -> impl Strategy<Value = Route> {
@@ -209,8 +209,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(600))]
 
-    /// Whatever table and request: the compiled table and the naive one agree; where routes are refused as level,
-    /// they are left out one by one.
+    /// For any table and request the compiled table and the naive matcher agree. Routes that are rejected as conflicts are
+    /// left out one by one.
     #[test]
     fn the_compiled_table_does_what_the_naive_one_does(
         drawn in prop::collection::vec(some_route(), 0..40),
@@ -232,15 +232,15 @@
         let borrowed: Vec<(&str, &str)> = headers.iter().map(|(n, v)| (*n, *v)).collect();
         for (host, path) in hosts.iter().zip(&paths) {
             let path = format!("/{}", path.join("/"));
-            let fast = found(&table, host, &path, method, class, &borrowed);
-            prop_assert_eq!(fast, naive(&routes, host, &path, method, class, &owned), "{} {}", host, path);
+            let compiled = matched_line(&table, host, &path, method, class, &borrowed);
+            prop_assert_eq!(compiled, naive(&routes, host, &path, method, class, &owned), "{} {}", host, path);
         }
     }
 
-    /// Bytes of any kind are matched or not, and nothing panics.
+    /// No input makes the lookup panic.
     #[test]
     fn any_bytes_are_a_request(host in ".{0,40}", path in ".{0,80}", method in ".{0,8}") {
         let table = Table::new(vec![route(1, Some("*.x"), "/a"), route(2, None, "/")], 1).unwrap();
-        let _ = found(&table, &host, &path, &method, usize::MAX, &[]);
+        let _ = matched_line(&table, &host, &path, &method, usize::MAX, &[]);
     }
 }
