--- a/crates/gateway/membership/src/wire.rs
+++ b/crates/gateway/membership/src/wire.rs
@@ -67,7 +67,7 @@
         echo: u64,
         records: Vec<Record>,
     },
-    /// Join request of an unknown sender, padded so that the answer is no longer than the request.
+    /// First request of an unknown sender, padded so that the answer is no longer than the request.
     Hello {
         record: Record,
         padding: Vec<u8>,
@@ -78,7 +78,7 @@
         /// Address of the sender.
         address: SocketAddr,
     },
-    /// Join request with the cookie.
+    /// Join request that returns the cookie.
     Join {
         record: Record,
         cookie: [u8; 16],
@@ -201,7 +201,7 @@
             return Err(DatagramError::NotOurs);
         }
         let (sealed, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
-        // Verified before anything is parsed, so that senders without the key reach no further code.
+        // Verified before the body is parsed, so that senders without the key reach no further code.
         if !self.verifies(sealed, tag) {
             return Err(DatagramError::Authentication);
         }
