--- a/crates/service/background/src/lib.rs
+++ b/crates/service/background/src/lib.rs
@@ -1,6 +1,6 @@
-//! When a gateway does its work beside requests. What is safe for one gateway may be damaging when a hundred do it
-//! at the same moment: after a common start, a common failure or a common piece of news. Values without I/O and
-//! without a clock: chance is seeded, and what comes out is how long to wait.
+//! Scheduling of a gateway's background work. Work that is harmless from one gateway can do damage when a hundred
+//! gateways do it at the same moment: after a common start, a common failure or a common update. The types do no I/O
+//! and read no clock: the randomness is seeded, and the results are durations to wait.
 #![forbid(unsafe_code)]
 
 mod pace;
--- a/crates/service/operator/src/lib.rs
+++ b/crates/service/operator/src/lib.rs
@@ -1,14 +1,14 @@
-//! The operators' file: every subsystem is a table in it, and what is absent is off. No I/O: the text is handed
-//! in.
+//! Parser of the operators' file. Each subsystem has a table in it; a subsystem whose table is absent is off. The
+//! parser does no I/O: the caller passes the text.
 //!
-//! Whatever is wrong with a file is one [`Trouble`], which names the line, the key and what was wanted; nothing
-//! of the file takes effect then.
+//! A file is accepted or rejected as a whole. The first problem found is returned as a [`ConfigError`] with the line, the
+//! key and the expected value.
 //!
 //! ```
-//! let defaults = operator::read("").expect("an empty file switches nothing on");
+//! let defaults = operator::read("").expect("an empty file is valid");
 //! assert_eq!(defaults.lifecycle.module_grace.as_millis(), 5);
-//! let trouble = operator::read("[lifecycle]\nkey_margin_ms = 7000\n").unwrap_err();
-//! assert_eq!(trouble.to_string(), "2: lifecycle.key_margin_ms: 7000 is out of range: 0 to 1000 is wanted");
+//! let error = operator::read("[lifecycle]\nkey_margin_ms = 7000\n").unwrap_err();
+//! assert_eq!(error.to_string(), "2: lifecycle.key_margin_ms: 7000 is out of range: 0 to 1000 is wanted");
 //! ```
 #![forbid(unsafe_code)]
 
@@ -21,61 +21,62 @@
 use std::time::Duration;
 use toml::Spanned;
 
-/// The most pools.
-pub const MOST_POOLS: usize = 32;
+/// Maximum number of pools.
+pub const MAX_POOLS: usize = 32;
 
-/// What the operators want, with the defaults where they say nothing.
+/// Settings of the operators' file, with defaults for absent keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Operator {
+pub struct OperatorConfig {
     pub lifecycle: Lifecycle,
     pub allowances: Allowances,
-    /// Absent: this process is no planner, or no forwarder.
+    /// Absent: this process is not a planner.
     pub planner: Option<Planner>,
+    /// Absent: this process is not a forwarder.
     pub forwarder: Option<Forwarder>,
-    /// Absent: this process keeps no view of the fleet.
+    /// Absent: this process has no membership view.
     pub fleet: Option<Fleet>,
-    /// Absent: nothing is kept over the death of this process.
+    /// Absent: no state survives this process.
     pub snapshot: Option<Snapshot>,
-    /// `log.format`, "plain" or "json", default plain: words, or one JSON object a line with fields.
+    /// `log.format`, "plain" or "json", default plain: plain text, or one JSON object per line with fields.
     pub log: LogFormat,
-    /// `[[pool]]`: absent, all servers are one pool.
+    /// `[[pool]]`: if absent, all servers form one pool.
     pub pools: Vec<Pool>,
-    /// `[[route]]`: absent, `/api` goes to the first pool.
+    /// `[[route]]`: if absent, `/api` is routed to the first pool.
     pub routes: Vec<Route>,
 }
 
-/// `[[pool]]`: servers that belong together, up to 32 pools. A server may be in several, or in none.
+/// `[[pool]]`: a group of servers; at most 32 pools. A server may be in several pools or in none.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Pool {
-    /// `name`: what routes call it.
+    /// `name`: the name that routes refer to.
     pub name: String,
-    /// `zone`, `model`, `group`: servers with one of these; absent, any.
+    /// `zone`, `model`, `group`: selects servers with one of these values; if absent, any.
     pub zones: Vec<String>,
     pub models: Vec<String>,
     pub groups: Vec<u32>,
 }
 
-/// `[[route]]`: requests of one kind, and whose they are (docs/design/route.md has the precedence).
+/// `[[route]]`: a match on requests and the pools that receive them (docs/design/route.md defines the precedence).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Route {
-    /// Where it stands in the file.
+    /// Line of the file, counted from 1.
     pub line: usize,
-    /// `host`: a name, or `*.` and a name; absent, any.
+    /// `host`: a name, or `*.` and a name; if absent, any.
     pub host: Option<String>,
-    /// `prefix`, default `/`: of the path, by whole segments.
+    /// `prefix`, default `/`: prefix of the path, matched by whole segments.
     pub prefix: String,
-    /// `method`, `class`: one of these; absent, any.
+    /// `method`, `class`: matches one of these values; if absent, any.
     pub methods: Vec<String>,
     pub classes: Vec<String>,
-    /// `header`: all of these, with these values.
+    /// `header`: headers that must all be present with these values.
     pub headers: Vec<(String, String)>,
-    /// `pool`, or `split`: pools by name with their weights, 0 to 1000000.
+    /// `pool`, or `split`: pool names with their weights, 0 to 1000000.
     pub split: Vec<(String, u32)>,
-    /// `rewrite`: what the prefix becomes on the way to a server.
+    /// `rewrite`: replacement for the prefix in the request to a server.
     pub rewrite: Option<String>,
 }
 
-/// How the log is written.
+/// Output format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
@@ -84,20 +85,21 @@
     Json,
 }
 
-/// `[allowances]`: the terms that all planners and forwarders of an installation share (docs/design/planners.md).
+/// `[allowances]`: lease parameters, the same for all planners and forwarders of an installation
+/// (docs/design/planners.md).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Allowances {
-    /// `seats`, 1 to 4096, default 6: how many forwarders may exist.
+    /// `seats`, 1 to 4096, default 6: maximum number of forwarders.
     pub seats: u16,
-    /// `tick_ms`, 20 to 1000, default 50: between two reports of a forwarder.
+    /// `tick_ms`, 20 to 1000, default 50: interval between two reports of a forwarder.
     pub tick: Duration,
-    /// `lease_ms`, 3 ticks to 10000, default 500: a lease's life.
+    /// `lease_ms`, 3 ticks to 10000, default 500: TTL of a lease.
     pub lease: Duration,
-    /// `loan_ms`, 2 leases to 60000, default 1500: how long a planner counts on a forwarder that is silent.
+    /// `loan_ms`, 2 leases to 60000, default 1500: how long a planner still counts a forwarder that sends no reports.
     pub loan: Duration,
-    /// `drift_permille`, 0 to 200, default 10: by how much the rates of two monotonic clocks may differ.
+    /// `drift_permille`, 0 to 200, default 10: maximum difference between the rates of two monotonic clocks.
     pub drift_permille: u32,
-    /// `version`, 1 to 2, default 2: the latest version of the wire to speak; the earlier one for a roll-out.
+    /// `version`, 1 to 2, default 2: latest wire protocol version to use; the earlier one is for a rollout.
     pub version: u8,
 }
 
@@ -111,108 +113,115 @@
 /// `[planner]`: this process grants leases and serves no clients.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Planner {
-    /// `listen`: where forwarders connect.
+    /// `listen`: address for connections of forwarders.
     pub listen: SocketAddr,
-    /// `state`: where `GET /planner/state` is answered.
+    /// `state`: address that serves `GET /planner/state`.
     pub state: SocketAddr,
-    /// `key_file`: the shared key; readable by its owner alone.
+    /// `key_file`: file with the shared key, readable only by its owner.
     pub key_file: PathBuf,
-    /// `most_customers`, 1 to 10000000, default 200000: customers kept at a time, some 300 bytes each.
-    pub most_customers: usize,
+    /// `most_customers`, 1 to 10000000, default 200000: maximum number of tracked customers, about 300 bytes each.
+    pub max_customers: usize,
 }
 
-/// `[forwarder]`: this gateway spends what planners grant it.
+/// `[forwarder]`: this gateway spends the quota that planners grant it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Forwarder {
-    /// `seat`, 0 to seats - 1: one for each forwarder, never for two at a time.
+    /// `seat`, 0 to seats - 1: unique to this forwarder at any time.
     pub seat: u16,
-    /// `planners`: addresses, the first before the others; 1 to 16.
+    /// `planners`: 1 to 16 addresses in order of preference.
     pub planners: Vec<SocketAddr>,
-    /// `names`, default none: under which names the planners stand in the fleet's view, one for each and in their order;
-    /// then those who are believed to live are asked first.
+    /// `names`, default none: member names of the planners in the membership view, one for each and in the same order.
+    /// With names, planners believed to be alive are asked first.
     pub names: Vec<String>,
     pub key_file: PathBuf,
 }
 
-/// `[snapshot]`: what this gateway knows is kept for its next life (docs/design/recovery.md).
+/// `[snapshot]`: this gateway's state is saved for the process that follows (docs/design/recovery.md).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// `folder`: on a lasting disk, of this gateway's own.
+    /// `folder`: a directory on persistent storage that no other gateway uses.
     pub folder: PathBuf,
-    /// `name`, 1 to 64 bytes: this gateway's, the same after a restart. Another's snapshot is refused.
+    /// `name`, 1 to 64 bytes: name of this gateway, unchanged across restarts. A snapshot of another name is refused.
     pub name: String,
-    /// `every_ms`, 200 to 60000, default 1000: so much is lost at the most.
-    pub every: Duration,
+    /// `every_ms`, 200 to 60000, default 1000: interval between snapshots, which bounds what a crash loses.
+    pub interval: Duration,
 }
 
-/// `[fleet]`: this process keeps a view of the fleet with the others (docs/design/fleet.md).
+/// `[fleet]`: this process takes part in the fleet's membership protocol (docs/design/fleet.md).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fleet {
-    /// `name`, 1 to 64 bytes: this member's, unlike any other's and the same after a restart.
+    /// `name`, 1 to 64 bytes: name of this member, unique in the fleet and unchanged across restarts.
     pub name: String,
-    /// `zone`, up to 32 bytes, default none: said to the others.
+    /// `zone`, up to 32 bytes, default none: zone that is announced to the other members.
     pub zone: String,
     /// `listen`: a UDP address and port.
     pub listen: SocketAddr,
-    /// `advertise`, default `listen`: where the others reach it, through relays and address translation.
+    /// `advertise`, default `listen`: address at which the other members reach it, through relays and address
+    /// translation.
     pub advertise: SocketAddr,
-    /// `seeds`: addresses of some members, up to 64; its own among them does no harm.
+    /// `seeds`: addresses of up to 64 members; the member's own address may be among them.
     pub seeds: Vec<SocketAddr>,
-    /// `key_file`: the shared key; readable by its owner alone. `old_key_file`: one that is still taken while keys change.
+    /// `key_file`: file with the shared key, readable only by its owner.
     pub key_file: PathBuf,
+    /// `old_key_file`: previous key, still accepted during a key rotation.
     pub old_key_file: Option<PathBuf>,
-    /// `period_ms`, 50 to 5000, default 200: between two probes; the same at all.
-    pub period: Duration,
-    /// `keep_dead_s`, 10 to 86400, default 600: so long the dead are kept and tried.
-    pub keep_dead: Duration,
-    /// `subsets`, default false: which servers are kept connections to follows who lives.
+    /// `period_ms`, 50 to 5000, default 200: interval between two probes, the same at all members.
+    pub probe_interval: Duration,
+    /// `keep_dead_s`, 10 to 86400, default 600: how long dead members are kept and retried.
+    pub dead_retention: Duration,
+    /// `subsets`, default false: chooses the servers to keep connections to by the live members.
     pub subsets: bool,
-    /// `discovery`, default false: how far apart calls to a shared discovery lie follows how many live.
+    /// `discovery`, default false: spaces calls to a shared discovery service by the number of live members.
     pub discovery: bool,
-    /// `most_members`, 2 to 20000, default 4096: kept at a time, some 300 bytes each.
-    pub most_members: usize,
+    /// `most_members`, 2 to 20000, default 4096: maximum number of members kept, about 300 bytes each.
+    pub max_members: usize,
 }
 
-/// `[lifecycle]`: the figures of a request's life.
+/// `[lifecycle]`: timing of the request lifecycle.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lifecycle {
-    /// `way_back_ms`, 1 to 500, default 20: so long before the client's time is up the final answer is due here.
+    /// `way_back_ms`, 1 to 500, default 20: how long before the client's deadline the final answer is due here.
     pub way_back: Duration,
-    /// `module_grace_ms`, 0 to 50, default 5: how long past that the decision module may still have the last
-    /// word.
+    /// `module_grace_ms`, 0 to 50, default 5: how long after that the decision module may still determine the outcome.
     pub module_grace: Duration,
-    /// `key_margin_ms`, 0 to 1000, default 20: so long before servers forget a key its last repeat is written.
+    /// `key_margin_ms`, 0 to 1000, default 20: how long before servers forget an idempotency key its last retry is
+    /// written.
     pub key_margin: Duration,
-    /// `gap_us`, 0 to 10000, default 0: between two calls of the decision module, at the least; 0 is at once.
-    pub gap: Duration,
+    /// `gap_us`, 0 to 10000, default 0: minimum interval between two calls of the decision module; 0 disables the delay.
+    pub min_batch_interval: Duration,
 }
 
 impl Default for Lifecycle {
     fn default() -> Self {
         let ms = Duration::from_millis;
-        Lifecycle { way_back: ms(20), module_grace: ms(5), key_margin: ms(20), gap: Duration::ZERO }
+        Lifecycle {
+            way_back: ms(20),
+            module_grace: ms(5),
+            key_margin: ms(20),
+            min_batch_interval: Duration::ZERO,
+        }
     }
 }
 
-/// What is wrong with a file.
+/// The first problem found in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trouble {
-    /// From 1.
+pub struct ConfigError {
+    /// Counted from 1.
     pub line: usize,
-    /// Its table and name, as far as they can be told.
+    /// Table and name of the key, as far as they can be determined.
     pub key: String,
-    /// What was found and what was wanted.
-    pub what: String,
+    /// The value found and the expected one.
+    pub message: String,
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let colon = if self.key.is_empty() { "" } else { ": " };
-        write!(f, "{}: {}{colon}{}", self.line, self.key, self.what)
+        write!(f, "{}: {}{colon}{}", self.line, self.key, self.message)
     }
 }
 
-impl std::error::Error for Trouble {}
+impl std::error::Error for ConfigError {}
 
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields, default)]
@@ -328,27 +337,29 @@
     gap_us: Option<Spanned<i64>>,
 }
 
-/// Reads the text of a file.
+/// Parses the text of a file.
 ///
 /// # Errors
-/// The first [`Trouble`] found: what is no TOML, an unknown table or key, a wrong type, a figure out of range.
-pub fn read(text: &str) -> Result<Operator, Trouble> {
+/// Returns the first [`ConfigError`] found: invalid TOML, an unknown table or key, a wrong type, or a number out of range.
+pub fn read(text: &str) -> Result<OperatorConfig, ConfigError> {
     let file: File = toml::from_str(text).map_err(|e| {
-        // The error's text may run over lines; the first says it all.
-        let what = e.message().lines().next().unwrap_or_default().to_string();
-        trouble(text, e.span().map_or(0, |s| s.start), what)
+        // The error's text may span several lines; the first is sufficient.
+        let message = e.message().lines().next().unwrap_or_default().to_string();
+        error_at(text, e.span().map_or(0, |s| s.start), message)
     })?;
     let allowances = allowances(text, file.allowances)?;
     let pools = pools(text, file.pool)?;
     let table = file.lifecycle;
     let default = Lifecycle::default();
     let ms = |value: Option<Spanned<i64>>, range, default| milliseconds(text, value, range, default);
-    Ok(Operator {
+    Ok(OperatorConfig {
         lifecycle: Lifecycle {
             way_back: ms(table.way_back_ms, 1..=500, default.way_back)?,
             module_grace: ms(table.module_grace_ms, 0..=50, default.module_grace)?,
             key_margin: ms(table.key_margin_ms, 0..=1000, default.key_margin)?,
-            gap: Duration::from_micros(number(text, table.gap_us, 0..=10_000, 0)?.unsigned_abs()),
+            min_batch_interval: Duration::from_micros(
+                number(text, table.gap_us, 0..=10_000, 0)?.unsigned_abs(),
+            ),
         },
         planner: file.planner.map(|t| planner(text, t)).transpose()?,
         forwarder: file
@@ -364,47 +375,47 @@
     })
 }
 
-fn pools(text: &str, tables: Vec<Spanned<PoolTable>>) -> Result<Vec<Pool>, Trouble> {
+fn pools(text: &str, tables: Vec<Spanned<PoolTable>>) -> Result<Vec<Pool>, ConfigError> {
     let mut pools: Vec<Pool> = Vec::new();
     for table in tables {
-        let at = table.span().start;
-        let t = table.into_inner();
-        if pools.len() == MOST_POOLS {
-            return Err(trouble(text, at, format!("more than {MOST_POOLS} pools")));
+        let offset = table.span().start;
+        let table = table.into_inner();
+        if pools.len() == MAX_POOLS {
+            return Err(error_at(text, offset, format!("more than {MAX_POOLS} pools")));
         }
-        if pools.iter().any(|p| p.name == t.name) {
-            return Err(trouble(text, at, format!("two pools are named {:?}", t.name)));
+        if pools.iter().any(|p| p.name == table.name) {
+            return Err(error_at(text, offset, format!("two pools are named {:?}", table.name)));
         }
-        pools.push(Pool { name: t.name, zones: t.zone, models: t.model, groups: t.group });
+        pools.push(Pool { name: table.name, zones: table.zone, models: table.model, groups: table.group });
     }
     Ok(pools)
 }
 
-fn route(text: &str, table: Spanned<RouteTable>, pools: &[Pool]) -> Result<Route, Trouble> {
-    let at = table.span().start;
-    let t = table.into_inner();
-    let wrong = |what: String| Err(trouble(text, at, what));
-    let split = match (t.pool, t.split) {
+fn route(text: &str, table: Spanned<RouteTable>, pools: &[Pool]) -> Result<Route, ConfigError> {
+    let offset = table.span().start;
+    let table = table.into_inner();
+    let fail = |message: String| Err(error_at(text, offset, message));
+    let split = match (table.pool, table.split) {
         (Some(pool), None) => vec![(pool, 1)],
         (None, Some(split)) => split.into_iter().collect(),
-        _ => return wrong("either pool or split is wanted".into()),
+        _ => return fail("either pool or split is wanted".into()),
     };
     if let Some((name, _)) = split.iter().find(|(name, _)| pools.iter().all(|p| p.name != *name)) {
-        return wrong(format!("no pool is named {name:?}"));
+        return fail(format!("no pool is named {name:?}"));
     }
     Ok(Route {
-        line: text.get(..at).unwrap_or(text).matches('\n').count() + 1,
-        host: t.host,
-        prefix: t.prefix.unwrap_or_else(|| "/".into()),
-        methods: t.method,
-        classes: t.class,
-        headers: t.header.into_iter().collect(),
+        line: text.get(..offset).unwrap_or(text).matches('\n').count() + 1,
+        host: table.host,
+        prefix: table.prefix.unwrap_or_else(|| "/".into()),
+        methods: table.method,
+        classes: table.class,
+        headers: table.header.into_iter().collect(),
         split,
-        rewrite: t.rewrite,
+        rewrite: table.rewrite,
     })
 }
 
-fn allowances(text: &str, table: AllowancesTable) -> Result<Allowances, Trouble> {
+fn allowances(text: &str, table: AllowancesTable) -> Result<Allowances, ConfigError> {
     let default = Allowances::default();
     let ms = |d: Duration| d.as_millis() as i64;
     let tick = milliseconds(text, table.tick_ms, 20..=1000, default.tick)?;
@@ -416,38 +427,38 @@
     Ok(Allowances { seats, tick, lease, loan, drift_permille, version })
 }
 
-fn planner(text: &str, table: PlannerTable) -> Result<Planner, Trouble> {
+fn planner(text: &str, table: PlannerTable) -> Result<Planner, ConfigError> {
     Ok(Planner {
         listen: address(text, &table.listen)?,
         state: address(text, &table.state)?,
         key_file: table.key_file,
-        most_customers: number(text, table.most_customers, 1..=10_000_000, 200_000)? as usize,
+        max_customers: number(text, table.most_customers, 1..=10_000_000, 200_000)? as usize,
     })
 }
 
 fn forwarder(
     text: &str,
     table: ForwarderTable,
-    terms: &Allowances,
-    fleet: bool,
-) -> Result<Forwarder, Trouble> {
-    let seat = number(text, Some(table.seat), 0..=i64::from(terms.seats) - 1, 0)? as u16;
+    allowances: &Allowances,
+    has_fleet: bool,
+) -> Result<Forwarder, ConfigError> {
+    let seat = number(text, Some(table.seat), 0..=i64::from(allowances.seats) - 1, 0)? as u16;
     let planners = table.planners.get_ref();
     if !(1..=16).contains(&planners.len()) {
-        let what = format!("{} addresses: 1 to 16 are wanted", planners.len());
-        return Err(trouble(text, table.planners.span().start, what));
+        let message = format!("{} addresses: 1 to 16 are wanted", planners.len());
+        return Err(error_at(text, table.planners.span().start, message));
     }
     let planners: Vec<SocketAddr> = planners.iter().map(|p| address(text, p)).collect::<Result<_, _>>()?;
     if let Some(names) = &table.names {
-        let (at, count, wanted) = (names.span().start, names.get_ref().len(), planners.len());
-        if !fleet {
-            return Err(trouble(text, at, "names: a table [fleet] is wanted".into()));
+        let (offset, count, expected) = (names.span().start, names.get_ref().len(), planners.len());
+        if !has_fleet {
+            return Err(error_at(text, offset, "names: a table [fleet] is wanted".into()));
         }
-        if count != wanted {
-            return Err(trouble(
+        if count != expected {
+            return Err(error_at(
                 text,
-                at,
-                format!("{count} names: one for each of {wanted} planners is wanted"),
+                offset,
+                format!("{count} names: one for each of {expected} planners is wanted"),
             ));
         }
     }
@@ -455,53 +466,64 @@
     Ok(Forwarder { seat, planners, names, key_file: table.key_file })
 }
 
-fn words(text: &str, value: &Spanned<String>, least: usize, most: usize) -> Result<String, Trouble> {
-    let n = value.get_ref().len();
-    if (least..=most).contains(&n) && !value.get_ref().contains(char::is_control) {
+fn printable(
+    text: &str,
+    value: &Spanned<String>,
+    min_len: usize,
+    max_len: usize,
+) -> Result<String, ConfigError> {
+    let len = value.get_ref().len();
+    if (min_len..=max_len).contains(&len) && !value.get_ref().contains(char::is_control) {
         return Ok(value.get_ref().clone());
     }
-    Err(trouble(text, value.span().start, format!("{n} bytes: {least} to {most} printable ones are wanted")))
+    Err(error_at(
+        text,
+        value.span().start,
+        format!("{len} bytes: {min_len} to {max_len} printable ones are wanted"),
+    ))
 }
 
-fn snapshot(text: &str, table: SnapshotTable) -> Result<Snapshot, Trouble> {
-    let every = milliseconds(text, table.every_ms, 200..=60_000, Duration::from_secs(1))?;
-    Ok(Snapshot { folder: table.folder, name: words(text, &table.name, 1, 64)?, every })
+fn snapshot(text: &str, table: SnapshotTable) -> Result<Snapshot, ConfigError> {
+    let interval = milliseconds(text, table.every_ms, 200..=60_000, Duration::from_secs(1))?;
+    Ok(Snapshot { folder: table.folder, name: printable(text, &table.name, 1, 64)?, interval })
 }
 
-fn fleet(text: &str, table: FleetTable) -> Result<Fleet, Trouble> {
-    let words = |value, least, most| words(text, value, least, most);
+fn fleet(text: &str, table: FleetTable) -> Result<Fleet, ConfigError> {
+    let printable = |value, min_len, max_len| printable(text, value, min_len, max_len);
     let listen = address(text, &table.listen)?;
     let advertise = table.advertise.as_ref().unwrap_or(&table.listen);
-    let reached = address(text, advertise)?;
-    if reached.ip().is_unspecified() || reached.port() == 0 {
-        let what = format!("{reached}: nobody is reached there; advertise is wanted");
-        return Err(trouble(text, advertise.span().start, what));
+    let advertised = address(text, advertise)?;
+    if advertised.ip().is_unspecified() || advertised.port() == 0 {
+        let message = format!("{advertised}: nobody is reached there; advertise is wanted");
+        return Err(error_at(text, advertise.span().start, message));
     }
-    if let Some(more) = table.seeds.get(64) {
-        return Err(trouble(text, more.span().start, "more than 64 seeds".into()));
+    if let Some(excess) = table.seeds.get(64) {
+        return Err(error_at(text, excess.span().start, "more than 64 seeds".into()));
     }
     Ok(Fleet {
-        name: words(&table.name, 1, 64)?,
-        zone: table.zone.as_ref().map_or(Ok(String::new()), |z| words(z, 0, 32))?,
+        name: printable(&table.name, 1, 64)?,
+        zone: table.zone.as_ref().map_or(Ok(String::new()), |z| printable(z, 0, 32))?,
         listen,
-        advertise: reached,
+        advertise: advertised,
         seeds: table.seeds.iter().map(|s| address(text, s)).collect::<Result<_, _>>()?,
         key_file: table.key_file,
         old_key_file: table.old_key_file,
-        period: milliseconds(text, table.period_ms, 50..=5000, Duration::from_millis(200))?,
-        keep_dead: Duration::from_secs(number(text, table.keep_dead_s, 10..=86_400, 600)?.unsigned_abs()),
+        probe_interval: milliseconds(text, table.period_ms, 50..=5000, Duration::from_millis(200))?,
+        dead_retention: Duration::from_secs(
+            number(text, table.keep_dead_s, 10..=86_400, 600)?.unsigned_abs(),
+        ),
         subsets: table.subsets,
         discovery: table.discovery,
-        most_members: number(text, table.most_members, 2..=20_000, 4096)? as usize,
+        max_members: number(text, table.most_members, 2..=20_000, 4096)? as usize,
     })
 }
 
-fn address(text: &str, value: &Spanned<String>) -> Result<SocketAddr, Trouble> {
-    let wrong = |_| {
-        let what = format!("{:?}: an address and port are wanted", value.get_ref());
-        trouble(text, value.span().start, what)
+fn address(text: &str, value: &Spanned<String>) -> Result<SocketAddr, ConfigError> {
+    let invalid = |_| {
+        let message = format!("{:?}: an address and port are wanted", value.get_ref());
+        error_at(text, value.span().start, message)
     };
-    value.get_ref().parse().map_err(wrong)
+    value.get_ref().parse().map_err(invalid)
 }
 
 fn number(
@@ -509,14 +531,14 @@
     value: Option<Spanned<i64>>,
     range: RangeInclusive<i64>,
     default: i64,
-) -> Result<i64, Trouble> {
+) -> Result<i64, ConfigError> {
     let Some(value) = value else { return Ok(default) };
     let n = *value.get_ref();
     if range.contains(&n) {
         return Ok(n);
     }
-    let what = format!("{n} is out of range: {} to {} is wanted", range.start(), range.end());
-    Err(trouble(text, value.span().start, what))
+    let message = format!("{n} is out of range: {} to {} is wanted", range.start(), range.end());
+    Err(error_at(text, value.span().start, message))
 }
 
 fn milliseconds(
@@ -524,14 +546,14 @@
     value: Option<Spanned<i64>>,
     range: RangeInclusive<i64>,
     default: Duration,
-) -> Result<Duration, Trouble> {
+) -> Result<Duration, ConfigError> {
     let ms = number(text, value, range, default.as_millis() as i64)?;
     Ok(Duration::from_millis(ms.unsigned_abs()))
 }
 
-/// Where that is: the line, and the key with its table, read off the text.
-fn trouble(text: &str, at: usize, what: String) -> Trouble {
-    let before = text.get(..at).unwrap_or(text);
+/// Builds the error for a byte offset: determines the line, the key and its table from the text.
+fn error_at(text: &str, offset: usize, message: String) -> ConfigError {
+    let before = text.get(..offset).unwrap_or(text);
     let line = before.matches('\n').count();
     let mut lines = text.lines();
     let table =
@@ -541,7 +563,7 @@
         (Some(table), Some(key)) => format!("{table}.{key}"),
         (table, key) => table.or(key).unwrap_or_default().to_string(),
     };
-    Trouble { line: line + 1, key, what }
+    ConfigError { line: line + 1, key, message }
 }
 
 #[cfg(test)]
--- a/crates/service/snapshot/src/defects.rs
+++ b/crates/service/snapshot/src/defects.rs
@@ -1,4 +1,4 @@
-//! Single wrong lines for tests to find. They are the process's; the shipped program is built without them.
+//! Planted defects that the tests must detect. The active one applies to the whole process; release builds contain none.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -20,7 +20,7 @@
     OldListTaken,
 }
 
-/// All planted defects, described.
+/// All planted defects.
 pub const ALL: &[Defect] = &[
     Defect::ChecksumLeftOut,
     Defect::RenamedBeforeSync,
@@ -37,16 +37,16 @@
     Defect::OldListTaken,
 ];
 
-/// 0, or one more than the place of the one that is active.
+/// 0, or one more than the index of the active defect.
 static ACTIVE: AtomicUsize = AtomicUsize::new(0);
 
-/// Plants a defect, or takes it out.
+/// Activates a defect, or deactivates all of them.
 pub fn plant(defect: Option<Defect>) {
-    let place = defect.and_then(|d| ALL.iter().position(|known| *known == d));
-    ACTIVE.store(place.map_or(0, |n| n + 1), Ordering::Relaxed);
+    let index = defect.and_then(|d| ALL.iter().position(|known| *known == d));
+    ACTIVE.store(index.map_or(0, |n| n + 1), Ordering::Relaxed);
 }
 
-/// Whether this defect is planted in this thread.
+/// Whether this defect is active in this process.
 pub fn active(defect: Defect) -> bool {
     ALL.get(ACTIVE.load(Ordering::Relaxed).wrapping_sub(1)) == Some(&defect)
 }
--- a/crates/service/snapshot/src/format.rs
+++ b/crates/service/snapshot/src/format.rs
@@ -1,49 +1,50 @@
-//! The bytes of a snapshot: magic, the table, the sections, the table once more and where it begins.
+//! File format of a snapshot: magic, table, sections, a copy of the table, and the copy's offset. One damaged table leaves
+//! the other one readable.
 //!
 //! | part | bytes |
 //! | --- | --- |
-//! | magic | `GTSN`, the format's version |
+//! | magic | `GTSN` and the format's version |
 //! | table | length (4, little-endian), CRC-32 (4), `postcard` |
-//! | sections | as long as the table says, one behind the other |
-//! | the table again | the same bytes |
-//! | its place | 8, little-endian, and CRC-32 of those (4) |
+//! | sections | contiguous, with the lengths from the table |
+//! | copy of the table | the same bytes |
+//! | offset of the copy | 8, little-endian, and their CRC-32 (4) |
 
 use crate::Time;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Nothing longer is written or read.
-pub const MOST_BYTES: usize = 64 << 20;
+/// Maximum size of a snapshot that is written or read.
+pub const MAX_BYTES: usize = 64 << 20;
 const MAGIC: [u8; 5] = *b"GTSN\x01";
-const MOST_SECTIONS: usize = 16;
-/// The longest table: a name of 64 bytes and sixteen sections take less than a tenth of it.
-const MOST_TABLE: usize = 4096;
-/// A clock may be put back by so much before what it wrote counts as of the future.
-const AHEAD: Time = 5_000_000_000;
-/// The version of each section that is written, and the only one that is taken.
+const MAX_SECTIONS: usize = 16;
+/// Maximum size of a table. A name of 64 bytes and sixteen sections take less than a tenth of it.
+const MAX_TABLE_BYTES: usize = 4096;
+/// How far a snapshot's timestamp may lie ahead of the clock, which may have been set back, in nanoseconds.
+const MAX_CLOCK_SKEW: Time = 5_000_000_000;
+/// Version of the sections that are written, and the only one that is accepted.
 const VERSION: u8 = 1;
 
-/// Whose it is, and of when.
+/// The gateway that wrote a snapshot, and the snapshot's time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Author {
-    /// The gateway's, the same after a restart.
+    /// Name of the gateway, unchanged across restarts.
     pub name: String,
-    /// Unix milliseconds at the process's start.
+    /// Start of the process in Unix milliseconds.
     pub generation: u64,
-    /// When it was true.
+    /// Time at which the state was captured.
     pub taken_at: Time,
 }
 
-/// What a section holds.
+/// Content of a section.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Kind {
     Bans,
-    /// Customers' stores and averages.
+    /// Token buckets and averages of the customers.
     Stores,
-    /// What was learnt of servers.
+    /// Observations of the servers.
     Servers,
-    /// The last list of servers, with its revision.
+    /// The latest list of servers, with its revision.
     List,
 }
 
@@ -67,11 +68,11 @@
 
 #[derive(Serialize, Deserialize)]
 struct Entry {
-    /// A number, so that one that is not known costs itself alone.
+    /// Stored as a number, so that an unknown kind makes only its own section unreadable.
     kind: u8,
     version: u8,
     length: u64,
-    sum: u32,
+    checksum: u32,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -80,63 +81,63 @@
     entries: Vec<Entry>,
 }
 
-/// Why a whole file is of no use.
+/// Why a whole snapshot is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Refused {
-    NotOne,
+pub enum SnapshotError {
+    NotASnapshot,
     Format(u8),
     TooLong(usize),
-    NoTable,
-    Author { name: String },
+    TablesDamaged,
+    OtherAuthor { name: String },
     Future { ahead_ms: u64 },
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::NotOne => write!(f, "not a snapshot"),
-            Refused::Format(v) => write!(f, "of format {v}: {} is wanted", MAGIC[4]),
-            Refused::TooLong(n) => write!(f, "{n} bytes: {MOST_BYTES} are read at most"),
-            Refused::NoTable => write!(f, "both its tables are damaged"),
-            Refused::Author { name } => write!(f, "it is {name:?}'s"),
-            Refused::Future { ahead_ms } => write!(f, "it is of {ahead_ms} ms from now"),
+            SnapshotError::NotASnapshot => write!(f, "not a snapshot"),
+            SnapshotError::Format(v) => write!(f, "format {v} is not supported, expected {}", MAGIC[4]),
+            SnapshotError::TooLong(n) => write!(f, "{n} bytes exceed the maximum of {MAX_BYTES}"),
+            SnapshotError::TablesDamaged => write!(f, "both copies of its table are damaged"),
+            SnapshotError::OtherAuthor { name } => write!(f, "it belongs to {name:?}"),
+            SnapshotError::Future { ahead_ms } => write!(f, "its timestamp is {ahead_ms} ms from now"),
         }
     }
 }
 
-impl std::error::Error for Refused {}
+impl std::error::Error for SnapshotError {}
 
-/// Why one section is of no use.
+/// Why one section cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Spoilt {
-    Sum,
-    /// The file ends before it does.
-    Torn,
+pub enum SectionError {
+    Checksum,
+    /// The file ends before the end of the section.
+    Truncated,
     Version(u8),
 }
 
-impl fmt::Display for Spoilt {
+impl fmt::Display for SectionError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Spoilt::Sum => write!(f, "its checksum does not hold"),
-            Spoilt::Torn => write!(f, "the file ends before it does"),
-            Spoilt::Version(v) => write!(f, "of version {v}: {VERSION} is wanted"),
+            SectionError::Checksum => write!(f, "its checksum does not hold"),
+            SectionError::Truncated => write!(f, "the file ends before it does"),
+            SectionError::Version(v) => write!(f, "version {v} is not supported, expected {VERSION}"),
         }
     }
 }
 
-/// What was found in a file.
+/// A decoded snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
     pub author: Author,
-    pub sections: BTreeMap<Kind, Result<Vec<u8>, Spoilt>>,
-    /// Sections that this program knows nothing of.
+    pub sections: BTreeMap<Kind, Result<Vec<u8>, SectionError>>,
+    /// Number of sections of an unknown kind.
     pub unknown: usize,
-    /// One of the two tables is damaged.
+    /// Whether one of the two copies of the table is damaged.
     pub table_damaged: bool,
 }
 
-fn number(kind: Kind) -> u8 {
+fn kind_number(kind: Kind) -> u8 {
     match kind {
         Kind::Bans => 1,
         Kind::Stores => 2,
@@ -145,122 +146,126 @@
     }
 }
 
-fn kind(number: u8) -> Option<Kind> {
-    [Kind::Bans, Kind::Stores, Kind::Servers, Kind::List].into_iter().find(|k| self::number(*k) == number)
+fn kind_from_number(number: u8) -> Option<Kind> {
+    [Kind::Bans, Kind::Stores, Kind::Servers, Kind::List]
+        .into_iter()
+        .find(|k| self::kind_number(*k) == number)
 }
 
-/// The bytes of a snapshot. Sections that would make it longer than [`MOST_BYTES`] are left out, the last first.
+/// Encodes a snapshot. A section that would exceed [`MAX_BYTES`] together with those before it is left out.
 #[must_use]
 pub fn encode(author: &Author, sections: &[Section]) -> Vec<u8> {
-    let mut room = MOST_BYTES - 2 * MOST_TABLE - 64;
-    let fit = |s: &&Section| {
+    let mut room = MAX_BYTES - 2 * MAX_TABLE_BYTES - 64;
+    let fits_room = |s: &&Section| {
         let fits = s.bytes.len() <= room;
         room -= if fits { s.bytes.len() } else { 0 };
         fits
     };
-    let sections: Vec<&Section> = sections.iter().take(MOST_SECTIONS).filter(fit).collect();
+    let sections: Vec<&Section> = sections.iter().take(MAX_SECTIONS).filter(fits_room).collect();
     let entry = |s: &&Section| Entry {
-        kind: number(s.kind),
+        kind: kind_number(s.kind),
         version: VERSION,
         length: s.bytes.len() as u64,
-        sum: crc32fast::hash(&s.bytes),
+        checksum: crc32fast::hash(&s.bytes),
     };
     let table = Table { author: author.clone(), entries: sections.iter().map(entry).collect() };
     let table = postcard::to_stdvec(&table).unwrap_or_default();
-    let framed = |bytes: &mut Vec<u8>| {
+    let append_table = |bytes: &mut Vec<u8>| {
         bytes.extend((table.len() as u32).to_le_bytes());
         bytes.extend(crc32fast::hash(&table).to_le_bytes());
         bytes.extend(&table);
     };
     let mut bytes = MAGIC.to_vec();
-    framed(&mut bytes);
+    append_table(&mut bytes);
     sections.iter().for_each(|s| bytes.extend(&s.bytes));
-    let place = (bytes.len() as u64).to_le_bytes();
-    framed(&mut bytes);
-    bytes.extend(place);
-    bytes.extend(crc32fast::hash(&place).to_le_bytes());
+    let offset = (bytes.len() as u64).to_le_bytes();
+    append_table(&mut bytes);
+    bytes.extend(offset);
+    bytes.extend(crc32fast::hash(&offset).to_le_bytes());
     bytes
 }
 
-/// A table at this place, and where it ends.
-fn table(bytes: &[u8], at: usize) -> Option<(Table, usize)> {
-    let figure = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at.checked_add(4)?)?.try_into().ok()?));
-    let (length, sum) = (figure(at)? as usize, figure(at.checked_add(4)?)?);
-    let end = at.checked_add(8)?.checked_add(length).filter(|_| length <= MOST_TABLE)?;
-    let raw = bytes.get(at + 8..end)?;
-    let table: Table = postcard::from_bytes(raw).ok().filter(|_| crc32fast::hash(raw) == sum)?;
-    let sound = table.entries.len() <= MOST_SECTIONS && table.author.name.len() <= 64;
-    sound.then_some((table, end))
+/// Reads a table at an offset. Returns it with the offset of its end.
+fn read_table(bytes: &[u8], offset: usize) -> Option<(Table, usize)> {
+    let read_u32 = |at: usize| Some(u32::from_le_bytes(bytes.get(at..at.checked_add(4)?)?.try_into().ok()?));
+    let (length, checksum) = (read_u32(offset)? as usize, read_u32(offset.checked_add(4)?)?);
+    let end = offset.checked_add(8)?.checked_add(length).filter(|_| length <= MAX_TABLE_BYTES)?;
+    let raw = bytes.get(offset + 8..end)?;
+    let table: Table = postcard::from_bytes(raw).ok().filter(|_| crc32fast::hash(raw) == checksum)?;
+    let is_valid = table.entries.len() <= MAX_SECTIONS && table.author.name.len() <= 64;
+    is_valid.then_some((table, end))
 }
 
-/// Where the second table begins.
-fn second(bytes: &[u8]) -> Option<usize> {
+/// Returns the offset of the second table.
+fn second_table_offset(bytes: &[u8]) -> Option<usize> {
     let tail = bytes.len().checked_sub(12)?;
-    let (place, sum) = bytes[tail..].split_at(8);
-    let sum = u32::from_le_bytes(sum.try_into().ok()?);
-    let place = u64::from_le_bytes(place.try_into().ok().filter(|_| crc32fast::hash(place) == sum)?);
-    usize::try_from(place).ok().filter(|place| *place < tail)
+    let (offset, checksum) = bytes[tail..].split_at(8);
+    let checksum = u32::from_le_bytes(checksum.try_into().ok()?);
+    let offset = u64::from_le_bytes(offset.try_into().ok().filter(|_| crc32fast::hash(offset) == checksum)?);
+    usize::try_from(offset).ok().filter(|offset| *offset < tail)
 }
 
-/// Reads any bytes as a snapshot that `name` may go on with at `now`.
+/// Decodes arbitrary bytes as a snapshot that gateway `name` may restore at `now`.
 ///
 /// # Errors
-/// [`Refused`], if nothing of it may be used.
-pub fn decode(bytes: &[u8], name: &str, now: Time) -> Result<Snapshot, Refused> {
-    let read = inspect(bytes)?;
-    if read.author.name != name && !planted!(AuthorNotAsked) {
-        return Err(Refused::Author { name: read.author.name });
+/// Returns [`SnapshotError`] if no part of it may be used.
+pub fn decode(bytes: &[u8], name: &str, now: Time) -> Result<Snapshot, SnapshotError> {
+    let snapshot = inspect(bytes)?;
+    if snapshot.author.name != name && !planted!(AuthorNotAsked) {
+        return Err(SnapshotError::OtherAuthor { name: snapshot.author.name });
     }
-    let ahead = read.author.taken_at.saturating_sub(now);
-    if ahead > AHEAD && !planted!(FutureTaken) {
-        return Err(Refused::Future { ahead_ms: ahead / 1_000_000 });
+    let ahead = snapshot.author.taken_at.saturating_sub(now);
+    if ahead > MAX_CLOCK_SKEW && !planted!(FutureTaken) {
+        return Err(SnapshotError::Future { ahead_ms: ahead / 1_000_000 });
     }
-    Ok(read)
+    Ok(snapshot)
 }
 
-/// The same whoever's it is, and of whenever.
+/// Decodes arbitrary bytes as a snapshot of any author and time.
 ///
 /// # Errors
-/// [`Refused`], if it can't be read.
-pub fn inspect(bytes: &[u8]) -> Result<Snapshot, Refused> {
-    if bytes.len() > MOST_BYTES {
-        return Err(Refused::TooLong(bytes.len()));
+/// Returns [`SnapshotError`] if it cannot be read.
+pub fn inspect(bytes: &[u8]) -> Result<Snapshot, SnapshotError> {
+    if bytes.len() > MAX_BYTES {
+        return Err(SnapshotError::TooLong(bytes.len()));
     }
-    // A flipped bit in the magic costs it all: it is five bytes of millions.
+    // A flipped bit in the magic invalidates the whole snapshot, which is acceptable: it is five bytes of millions.
     if bytes.get(..4) != Some(&MAGIC[..4]) {
-        return Err(Refused::NotOne);
+        return Err(SnapshotError::NotASnapshot);
     }
     if bytes.get(4) != Some(&MAGIC[4]) {
-        return Err(Refused::Format(bytes.get(4).copied().unwrap_or_default()));
+        return Err(SnapshotError::Format(bytes.get(4).copied().unwrap_or_default()));
     }
-    let first = table(bytes, MAGIC.len());
-    let last = second(bytes).filter(|_| !planted!(SecondTableNotRead));
-    let last = last.and_then(|at| Some((table(bytes, at)?.0, at)));
+    let first = read_table(bytes, MAGIC.len());
+    let last = second_table_offset(bytes).filter(|_| !planted!(SecondTableNotRead));
+    let last = last.and_then(|at| Some((read_table(bytes, at)?.0, at)));
     let table_damaged = first.is_none() || last.is_none();
-    let (table, mut at) = match (first, last) {
+    let (table, mut offset) = match (first, last) {
         (Some((table, end)), _) => (table, end),
         (None, Some((table, at))) => {
             // The sections end where the second table begins.
-            let all = table.entries.iter().try_fold(0usize, |n, e| n.checked_add(e.length as usize));
-            let begins = all.and_then(|all| at.checked_sub(all)).ok_or(Refused::NoTable)?;
-            (table, begins)
+            let total = table.entries.iter().try_fold(0usize, |n, e| n.checked_add(e.length as usize));
+            let start = total.and_then(|total| at.checked_sub(total)).ok_or(SnapshotError::TablesDamaged)?;
+            (table, start)
         }
-        (None, None) => return Err(Refused::NoTable),
+        (None, None) => return Err(SnapshotError::TablesDamaged),
     };
     let (mut sections, mut unknown) = (BTreeMap::new(), 0);
     for entry in &table.entries {
-        let end = at.saturating_add(usize::try_from(entry.length).unwrap_or(usize::MAX));
-        let found = match bytes.get(at..end) {
-            _ if entry.version != VERSION => Err(Spoilt::Version(entry.version)),
-            None => Err(Spoilt::Torn),
-            Some(raw) if crc32fast::hash(raw) == entry.sum || planted!(ChecksumLeftOut) => Ok(raw.to_vec()),
-            Some(_) => Err(Spoilt::Sum),
+        let end = offset.saturating_add(usize::try_from(entry.length).unwrap_or(usize::MAX));
+        let found = match bytes.get(offset..end) {
+            _ if entry.version != VERSION => Err(SectionError::Version(entry.version)),
+            None => Err(SectionError::Truncated),
+            Some(raw) if crc32fast::hash(raw) == entry.checksum || planted!(ChecksumLeftOut) => {
+                Ok(raw.to_vec())
+            }
+            Some(_) => Err(SectionError::Checksum),
         };
-        match kind(entry.kind) {
+        match kind_from_number(entry.kind) {
             Some(kind) => drop(sections.insert(kind, found)),
             None => unknown += 1,
         }
-        at = end;
+        offset = end;
     }
     Ok(Snapshot { author: table.author, sections, unknown, table_damaged })
 }
--- a/crates/service/snapshot/src/lib.rs
+++ b/crates/service/snapshot/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a gateway keeps over its own death: sections in one file, how they get onto a disk whole, and what may still be
-//! made of them when they are old (`docs/design/recovery.md`).
+//! Snapshots of a gateway's state, which the next process of the gateway restores: the file format with its sections,
+//! atomic writes to a disk, and the rules for ageing old state (`docs/design/recovery.md`).
 //!
-//! The format and the rules do no I/O; [`files`] works over a [`files::Disk`], of which the real one is a few lines.
+//! The format and the rules do no I/O. [`files`] works on a [`files::Disk`]; the implementation for a real disk is small.
 #![forbid(unsafe_code)]
 
-/// Whether a named defect is planted. Constantly false, and gone, in what is shipped.
+/// Whether a named defect is planted. Constantly false in release builds, where the compiler removes it.
 macro_rules! planted {
     ($name:ident) => {{
         #[cfg(any(test, feature = "defects"))]
@@ -21,9 +21,11 @@
 pub mod files;
 mod format;
 
-pub use format::{decode, encode, inspect, Author, Kind, Refused, Section, Snapshot, Spoilt, MOST_BYTES};
+pub use format::{
+    decode, encode, inspect, Author, Kind, Section, SectionError, Snapshot, SnapshotError, MAX_BYTES,
+};
 
-/// Unix nanoseconds.
+/// Time in Unix nanoseconds.
 pub type Time = u64;
 
 #[cfg(test)]
--- a/crates/service/snapshot/src/tests.rs
+++ b/crates/service/snapshot/src/tests.rs
@@ -1,4 +1,4 @@
-//! The tests of this crate, each able to fail: every planted defect is seen by one of them.
+//! Checks of this crate. Every planted defect must make at least one of them fail.
 
 mod disk;
 mod file;
@@ -9,28 +9,28 @@
 type Check = fn() -> Result<(), String>;
 
 const CHECKS: &[(&str, Check)] = &[
-    ("a flipped bit costs the section that it hits", file::flipped_bits),
-    ("a torn file keeps the sections before the tear", file::torn_at_any_byte),
-    ("whose and of when is asked", file::whose_and_when),
-    ("any bytes are read without harm", file::any_bytes),
-    ("a stop after any step leaves the old or the new", disk::crash_points),
-    ("a disk that refuses leaves the old", disk::a_disk_that_refuses),
-    ("a snapshot that is died of is tried once", disk::tried_once),
-    ("nothing read is looser than nothing", old::nothing_is_looser),
-    ("what was spent since counts", old::spent_since),
-    ("judgements lose weight", old::judgements),
-    ("a list counts for ten minutes", old::lists),
+    ("a flipped bit invalidates only the section that it hits", file::flipped_bits),
+    ("a truncated file keeps the complete sections", file::truncated_at_any_byte),
+    ("the author and the time are checked", file::author_and_time),
+    ("arbitrary bytes are decoded without harm", file::arbitrary_bytes),
+    ("a crash after any step leaves the old or the new snapshot", disk::crash_points),
+    ("a failing disk leaves a complete snapshot", disk::failing_disk),
+    ("a snapshot that crashes the process is tried once", disk::tried_once),
+    ("restored state is never more permissive than no state", old::never_more_permissive),
+    ("units spent after the save are charged", old::spent_since),
+    ("observations of servers lose weight", old::observations),
+    ("a server list is usable for ten minutes", old::lists),
 ];
 
-fn ensure(holds: bool, what: impl FnOnce() -> String) -> Result<(), String> {
+fn ensure(holds: bool, message: impl FnOnce() -> String) -> Result<(), String> {
     if holds {
         Ok(())
     } else {
-        Err(what())
+        Err(message())
     }
 }
 
-/// One test, since a defect is the whole process's.
+/// A single test, because the active defect applies to the whole process.
 #[test]
 fn every_check_holds_and_every_planted_defect_fails_one() {
     for (name, check) in CHECKS {
@@ -38,9 +38,9 @@
     }
     for defect in ALL {
         plant(Some(*defect));
-        let found = CHECKS.iter().find(|(_, check)| check().is_err());
+        let failed = CHECKS.iter().find(|(_, check)| check().is_err());
         plant(None::<Defect>);
-        assert!(found.is_some(), "{defect:?}: no check shows it");
+        assert!(failed.is_some(), "{defect:?}: no check detects it");
     }
     assert_eq!(ALL.len(), 13);
 }
--- a/crates/service/snapshot/src/tests/file.rs
+++ b/crates/service/snapshot/src/tests/file.rs
@@ -1,7 +1,7 @@
-//! The file's bytes.
+//! Checks of the file format.
 
 use super::ensure;
-use crate::{decode, encode, Author, Kind, Refused, Section, Spoilt, Time, MOST_BYTES};
+use crate::{decode, encode, Author, Kind, Section, SectionError, SnapshotError, Time, MAX_BYTES};
 
 const NOW: Time = 1_800_000_000_000_000_000;
 
@@ -14,12 +14,12 @@
     vec![section(Kind::Bans, 40, b'b'), section(Kind::Stores, 90, b's'), section(Kind::Servers, 70, b'v')]
 }
 
-/// How many sections can be used.
+/// Returns the number of usable sections.
 fn usable(read: &crate::Snapshot) -> usize {
-    let sound = |(kind, bytes): (&Kind, &Result<Vec<u8>, Spoilt>)| {
+    let is_usable = |(kind, bytes): (&Kind, &Result<Vec<u8>, SectionError>)| {
         sections().iter().any(|s| s.kind == *kind && bytes.as_ref() == Ok(&s.bytes))
     };
-    read.sections.iter().filter(|s| sound(*s)).count()
+    read.sections.iter().filter(|s| is_usable(*s)).count()
 }
 
 pub(super) fn flipped_bits() -> Result<(), String> {
@@ -41,42 +41,42 @@
     Ok(())
 }
 
-pub(super) fn torn_at_any_byte() -> Result<(), String> {
+pub(super) fn truncated_at_any_byte() -> Result<(), String> {
     let bytes = encode(&author(), &sections());
     let mut before = 0;
     for end in 0..bytes.len() {
         let read = decode(&bytes[..end], "g1", NOW);
         let now = read.as_ref().map_or(0, usable);
         ensure(now >= before && read.as_ref().map_or(true, |r| r.table_damaged), || {
-            format!("torn at {end}: {read:?}")
+            format!("truncated at {end}: {read:?}")
         })?;
         before = now;
     }
-    // All sections are whole before the second table begins.
+    // All sections are complete before the second table begins.
     ensure(before == 3, || format!("{before} sections"))?;
-    // And zeros where the end should be, as some file systems leave them.
+    // Some file systems leave zeros in place of the end after a crash.
     let mut zeros = bytes.clone();
     let tail = zeros.len() - 30;
     zeros[tail..].fill(0);
     ensure(decode(&zeros, "g1", NOW).is_ok_and(|r| usable(&r) == 3), || "zeros at the end".into())
 }
 
-pub(super) fn whose_and_when() -> Result<(), String> {
+pub(super) fn author_and_time() -> Result<(), String> {
     let bytes = encode(&author(), &sections());
     let other = decode(&bytes, "g2", NOW);
-    ensure(other == Err(Refused::Author { name: "g1".into() }), || format!("{other:?}"))?;
+    ensure(other == Err(SnapshotError::OtherAuthor { name: "g1".into() }), || format!("{other:?}"))?;
     let early = decode(&bytes, "g1", NOW - 7_000_000_000);
-    ensure(early == Err(Refused::Future { ahead_ms: 6000 }), || format!("{early:?}"))?;
-    // A clock that was put back a little.
+    ensure(early == Err(SnapshotError::Future { ahead_ms: 6000 }), || format!("{early:?}"))?;
+    // The clock was set back a little.
     let early = decode(&bytes, "g1", NOW - 3_000_000_000);
     ensure(early.is_ok(), || format!("{early:?}"))?;
     let mut newer = bytes.clone();
     newer[4] = 2;
     let newer = decode(&newer, "g1", NOW);
-    ensure(newer == Err(Refused::Format(2)), || format!("{newer:?}"))
+    ensure(newer == Err(SnapshotError::Format(2)), || format!("{newer:?}"))
 }
 
-pub(super) fn any_bytes() -> Result<(), String> {
+pub(super) fn arbitrary_bytes() -> Result<(), String> {
     let (bytes, mut rng) = (encode(&author(), &sections()), fastrand::Rng::with_seed(1));
     for _ in 0..20_000 {
         let mut any = if rng.bool() { bytes.clone() } else { bytes[..9].to_vec() };
@@ -93,12 +93,12 @@
                 }
             }
         }
-        // A section is never longer than the file, whatever a table says.
+        // The sections are bounded by the file's length, whatever a table claims.
         if let Ok(read) = decode(&any, "g1", NOW) {
             let held: usize = read.sections.values().flatten().map(Vec::len).sum();
             ensure(held <= any.len() * 16, || format!("{held} bytes of {}", any.len()))?;
         }
     }
-    let long = vec![0; MOST_BYTES + 1];
-    ensure(decode(&long, "g1", NOW) == Err(Refused::TooLong(MOST_BYTES + 1)), || "too long".into())
+    let long = vec![0; MAX_BYTES + 1];
+    ensure(decode(&long, "g1", NOW) == Err(SnapshotError::TooLong(MAX_BYTES + 1)), || "too long".into())
 }
--- a/src/bin/granitethread/admin/mod.rs
+++ b/src/bin/granitethread/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The second address: status, figures, maintenance by hand. It asks the engine and decides nothing.
+//! Admin interface for operators: status, metrics and manual maintenance. It makes no decisions of its own.
 
 use crate::api::Api;
 use crate::fleet::Fleet;
@@ -25,19 +25,19 @@
 use tokio::time::{sleep, timeout};
 use tracing::info;
 
-/// The most callers at once; their descriptors are kept back from clients and backends. For one more the oldest goes.
-pub const CALLERS: usize = 16;
-/// How long a call may take to come, and then to be read.
-const CALL_TIME: Duration = Duration::from_secs(5);
-const LONGEST: usize = 4 << 10;
-const HEAD_BYTES: usize = 8 << 10;
+/// Maximum number of concurrent callers; their descriptors are reserved. A further caller replaces the oldest one.
+pub const MAX_CALLERS: usize = 16;
+/// Timeout of a call's headers, and of its body.
+const CALL_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_BODY_BYTES: usize = 4 << 10;
+const MAX_HEADER_BYTES: usize = 8 << 10;
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
 
-/// The operators' HTTP interface.
+/// HTTP interface for operators.
 pub struct Admin {
     pub driver: Rc<Driver>,
     pub server: Rc<Server<Api>>,
-    /// The classes' names, in the settings' order.
+    /// Class names in the order of the settings.
     pub classes: Vec<String>,
     pub link: Rc<Link>,
     pub fleet: Option<Rc<Fleet>>,
@@ -51,9 +51,9 @@
 type Reply = (StatusCode, String);
 
 impl Admin {
-    /// Serves operators' calls for as long as the process runs.
+    /// Serves operators' calls until the process ends.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
-        // The oldest first. A caller whose call is whole is answered at once, so that who is old has not said any.
+        // Oldest first. A complete call is answered immediately, so an old caller has not sent a complete one.
         let callers: RefCell<VecDeque<AbortHandle>> = RefCell::default();
         loop {
             let stream = match listener.accept().await {
@@ -65,14 +65,14 @@
             };
             let mut callers = callers.borrow_mut();
             callers.retain(|c| !c.is_finished());
-            while callers.len() >= CALLERS {
+            while callers.len() >= MAX_CALLERS {
                 callers.pop_front().inspect(AbortHandle::abort);
             }
-            callers.push_back(spawn_local(self.clone().caller(stream)).abort_handle());
+            callers.push_back(spawn_local(self.clone().serve_connection(stream)).abort_handle());
         }
     }
 
-    async fn caller(self: Rc<Self>, stream: TcpStream) {
+    async fn serve_connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let service = service_fn(|request| {
             let admin = self.clone();
@@ -89,39 +89,41 @@
         let connection = http1::Builder::new()
             .keep_alive(false)
             .timer(TokioTimer::new())
-            .header_read_timeout(CALL_TIME)
-            .max_buf_size(HEAD_BYTES)
+            .header_read_timeout(CALL_TIMEOUT)
+            .max_buf_size(MAX_HEADER_BYTES)
             .serve_connection(TokioIo::new(stream), service);
-        // Whatever it is, it is the caller's.
-        let _ = timeout(2 * CALL_TIME, connection).await;
+        // Errors of the connection concern only the caller.
+        let _ = timeout(2 * CALL_TIMEOUT, connection).await;
     }
 
     async fn answer(&self, request: Request<Incoming>) -> Reply {
-        let wanted = match request.uri().path() {
+        let expected = match request.uri().path() {
             "/status" | "/status/metrics" | "/status/fleet" => Method::GET,
             "/maintenance/enter" | "/maintenance/exit" => Method::POST,
-            _ => return no(StatusCode::NOT_FOUND, "no such call"),
+            _ => return error_reply(StatusCode::NOT_FOUND, "no such call"),
         };
-        if *request.method() != wanted {
-            return no(StatusCode::METHOD_NOT_ALLOWED, &format!("{wanted} is wanted"));
+        if *request.method() != expected {
+            return error_reply(StatusCode::METHOD_NOT_ALLOWED, &format!("{expected} is wanted"));
         }
         match request.uri().path() {
             "/status" if self.server.takes_clients() => {
                 (StatusCode::OK, json!({"serving": true}).to_string())
             }
-            "/status" => no(StatusCode::SERVICE_UNAVAILABLE, "takes no clients"),
+            "/status" => error_reply(StatusCode::SERVICE_UNAVAILABLE, "takes no clients"),
             "/status/fleet" => match &self.fleet {
                 Some(fleet) => (StatusCode::OK, fleet.status().to_string()),
-                None => no(StatusCode::NOT_FOUND, "no view of the fleet is kept: [fleet] is absent"),
+                None => error_reply(StatusCode::NOT_FOUND, "no view of the fleet is kept: [fleet] is absent"),
             },
-            "/status/metrics" => (StatusCode::OK, self.figures()),
+            "/status/metrics" => (StatusCode::OK, self.metrics()),
             path => {
                 let enter = path == "/maintenance/enter";
-                let body = Limited::new(request.into_body(), LONGEST).collect();
-                match timeout(CALL_TIME, body).await {
+                let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
+                match timeout(CALL_TIMEOUT, body).await {
                     Ok(Ok(body)) => self.maintenance(enter, &body.to_bytes()),
-                    Ok(Err(_)) => no(StatusCode::PAYLOAD_TOO_LARGE, &format!("{LONGEST} bytes at most")),
-                    Err(_) => no(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
+                    Ok(Err(_)) => {
+                        error_reply(StatusCode::PAYLOAD_TOO_LARGE, &format!("{MAX_BODY_BYTES} bytes at most"))
+                    }
+                    Err(_) => error_reply(StatusCode::REQUEST_TIMEOUT, "timed out reading the body"),
                 }
             }
         }
@@ -129,7 +131,7 @@
 
     fn maintenance(&self, enter: bool, body: &[u8]) -> Reply {
         let Ok(Call { target }) = serde_json::from_slice(body) else {
-            return no(StatusCode::BAD_REQUEST, r#"{"target":"ID"} is wanted"#);
+            return error_reply(StatusCode::BAD_REQUEST, r#"{"target":"ID"} is wanted"#);
         };
         let change = || {
             if enter {
@@ -138,21 +140,24 @@
                 self.driver.unban(&target)
             }
         };
-        let (done, kept) = self.link.change(&self.driver, change);
-        match done {
-            Err(never) => no(StatusCode::NOT_FOUND, &format!("{target}: {never}")),
+        let (result, saved) = self.link.change(&self.driver, change);
+        match result {
+            Err(error) => error_reply(StatusCode::NOT_FOUND, &format!("{target}: {error}")),
             Ok(changed) => {
-                let what = if enter { "taken out by hand" } else { "put back by hand" };
-                info!(target, changed, "maintenance: {target} {what}");
-                match kept {
+                let action = if enter { "taken out by hand" } else { "put back by hand" };
+                info!(target, changed, "maintenance: {target} {action}");
+                match saved {
                     Ok(()) => (StatusCode::OK, json!({"target": target, "changed": changed}).to_string()),
-                    Err(e) => no(StatusCode::INTERNAL_SERVER_ERROR, &format!("{what} here, not kept: {e}")),
+                    Err(e) => error_reply(
+                        StatusCode::INTERNAL_SERVER_ERROR,
+                        &format!("{action} here, but not saved: {e}"),
+                    ),
                 }
             }
         }
     }
 
-    fn figures(&self) -> String {
+    fn metrics(&self) -> String {
         let totals = self.driver.totals();
         let calls = self.classes.iter().zip(&totals.answers).map(|(name, c)| {
             (name.clone(), json!({"success": c.served, "busy": c.refused, "failure": c.failed}))
@@ -169,6 +174,6 @@
     }
 }
 
-fn no(status: StatusCode, why: &str) -> Reply {
-    (status, json!({"error": why}).to_string())
+fn error_reply(status: StatusCode, error: &str) -> Reply {
+    (status, json!({"error": error}).to_string())
 }
--- a/src/bin/granitethread/allowance/forwarder.rs
+++ b/src/bin/granitethread/allowance/forwarder.rs
@@ -1,7 +1,7 @@
-//! The forwarder's sockets: a connection to each planner that is talked to, a report a tick. The account
-//! decides; a planner that is slow to read is skipped, not waited for.
+//! Client of the planners: one connection to each planner in use, and one report per tick. The account makes the decisions; a
+//! planner that is slow to read is skipped, not waited for.
 
-use super::{key, nonce, random, receive, terms};
+use super::{lease_config, nonce, random_bytes, read_key, receive};
 use forward::Account;
 use granitehub::{Settings, Time};
 use operator::{Allowances, Forwarder};
@@ -18,14 +18,16 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-/// Between two tries to connect, and the longest that one may take.
-const PAUSE: Duration = Duration::from_millis(100);
-const CONNECT: Duration = Duration::from_millis(500);
-/// A planner that takes a report no sooner is dropped.
-const WRITE: Duration = Duration::from_secs(1);
-/// Reports that may wait for a planner: the next makes the last one moot.
-const WAITING: usize = 1;
+/// Delay between two attempts to connect.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Timeout of an attempt to connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// A planner that does not accept a report within this time is disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of reports queued for a planner: each report supersedes the previous one.
+const MAX_QUEUED_REPORTS: usize = 1;
 
+/// Parameters of [`run`].
 pub struct Setup {
     account: Account,
     key: Vec<u8>,
@@ -34,103 +36,109 @@
     version: u8,
 }
 
-/// Reads the key and makes the account.
-pub fn prepare(own: &Forwarder, all: &Allowances, s: &Settings, now: Time) -> Result<Setup, String> {
-    let terms = terms(all, s)?;
-    let tick = Duration::from_nanos(terms.tick);
-    let account = Account::new(terms, own.seat, nonce()?, own.planners.len(), now)?;
+/// Reads the key and creates the account.
+pub fn prepare(
+    table: &Forwarder,
+    allowances: &Allowances,
+    settings: &Settings,
+    now: Time,
+) -> Result<Setup, String> {
+    let config = lease_config(allowances, settings)?;
+    let tick = Duration::from_nanos(config.tick);
+    let account = Account::new(config, table.seat, nonce()?, table.planners.len(), now)?;
     Ok(Setup {
         account,
-        key: key(&own.key_file)?,
-        planners: own.planners.clone(),
+        key: read_key(&table.key_file)?,
+        planners: table.planners.clone(),
         tick,
-        version: all.version,
+        version: allowances.version,
     })
 }
 
-/// Talks to the planners for as long as the process lives.
+/// Exchanges reports and grants with the planners until the process ends.
 pub async fn run(setup: Setup, driver: Rc<Driver>) {
     let Setup { account, key, planners, tick, version } = setup;
     driver.set_account(account);
     let key = Rc::new(key);
-    let mut to: Vec<Sender<Report>> = Vec::new();
-    for (n, address) in planners.into_iter().enumerate() {
-        let (sender, reports) = channel(WAITING);
-        to.push(sender);
-        spawn_local(connection(n, address, key.clone(), version, reports, driver.clone()));
+    let mut senders: Vec<Sender<Report>> = Vec::new();
+    for (index, address) in planners.into_iter().enumerate() {
+        let (sender, reports) = channel(MAX_QUEUED_REPORTS);
+        senders.push(sender);
+        spawn_local(run_connection(index, address, key.clone(), version, reports, driver.clone()));
     }
-    let mut every = interval(tick);
-    every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticks = interval(tick);
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        every.tick().await;
+        ticks.tick().await;
         for (planner, report) in driver.reports() {
-            if let Some(sender) = to.get(planner) {
-                // Full: the planner is slow, and the next report will say all that this one does.
+            if let Some(sender) = senders.get(planner) {
+                // If the queue is full, the planner is slow; the next report will contain everything that this one does.
                 let _ = sender.try_send(report);
             }
         }
     }
 }
 
-async fn connection(
-    n: usize,
+/// Keeps a connection to one planner while there are reports for it, and logs the first failure of a series.
+async fn run_connection(
+    planner: usize,
     address: SocketAddr,
     key: Rc<Vec<u8>>,
     version: u8,
     mut reports: Receiver<Report>,
     driver: Rc<Driver>,
 ) {
-    let mut quiet = false;
+    let mut failure_logged = false;
     loop {
-        // A planner that nobody wants to talk to is not connected to.
-        let Some(mut next) = reports.recv().await else { return };
-        if let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(address)).await {
+        // Connect only when there is a report for this planner.
+        let Some(mut report) = reports.recv().await else { return };
+        if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             let _ = stream.set_nodelay(true);
-            let Ok(random) = random() else { continue };
+            let Ok(random) = random_bytes() else { continue };
             let link = RefCell::new(Link::new(Side::Forwarder, &key, random, version));
             let (mut read, mut write) = stream.into_split();
             let hello = link.borrow().hello();
             if write.write_all(&hello).await.is_ok() {
                 let reading = async {
-                    while let Some(got) = receive(&mut read, &link).await {
-                        for message in got.map_err(|fault| fault.to_string())? {
+                    while let Some(received) = receive(&mut read, &link).await {
+                        for message in received.map_err(|error| error.to_string())? {
                             if let Message::Grant(grant) = message {
-                                driver.apply_grant(n, grant);
+                                driver.apply_grant(planner, grant);
                             }
                         }
                     }
-                    Err::<(), _>("it ended the connection".to_string())
+                    Err::<(), _>("the planner closed the connection".to_string())
                 };
                 let writing = async {
                     loop {
-                        let frame = link.borrow_mut().seal(&Message::Report(next));
-                        // Before the planner's hello nothing can be said; the next report will do.
+                        let frame = link.borrow_mut().seal(&Message::Report(report));
+                        // No frame can be sealed before the planner's hello; the next report replaces this one.
                         if !frame.is_empty() {
-                            let written = timeout(WRITE, write.write_all(&frame)).await;
-                            if !matches!(written, Ok(Ok(()))) {
-                                return "it takes no reports".to_string();
+                            let write_result = timeout(WRITE_TIMEOUT, write.write_all(&frame)).await;
+                            if !matches!(write_result, Ok(Ok(()))) {
+                                return "failed to write a report".to_string();
                             }
                         }
                         match reports.recv().await {
-                            Some(report) => next = report,
-                            None => return "over".to_string(),
+                            Some(next_report) => report = next_report,
+                            None => return "no more reports".to_string(),
                         }
                     }
                 };
-                let why = tokio::select! {
-                    why = reading => why.err().unwrap_or_default(),
-                    why = writing => why,
+                let reason = tokio::select! {
+                    reason = reading => reason.err().unwrap_or_default(),
+                    reason = writing => reason,
                 };
-                if !std::mem::replace(&mut quiet, true) {
-                    tracing::warn!(%address, cause = why, "planner {address}: {why}");
+                if !std::mem::replace(&mut failure_logged, true) {
+                    tracing::warn!(%address, cause = reason, "planner {address}: {reason}");
                 }
             }
-        } else if !std::mem::replace(&mut quiet, true) {
-            tracing::warn!(%address, "planner {address}: it can't be reached");
+        } else if !std::mem::replace(&mut failure_logged, true) {
+            tracing::warn!(%address, "planner {address}: cannot connect");
         }
-        sleep(PAUSE).await;
-        if driver.is_lent_to(n) {
-            quiet = false;
+        sleep(RECONNECT_DELAY).await;
+        if driver.is_lent_to(planner) {
+            failure_logged = false;
         }
     }
 }
--- a/src/bin/granitethread/allowance/planner.rs
+++ b/src/bin/granitethread/allowance/planner.rs
@@ -1,6 +1,6 @@
-//! The planner's sockets: forwarders on one address, `GET /planner/state` on the other.
+//! Server of the planner: connections of forwarders on one address, `GET /planner/state` on another.
 
-use super::{key, nonce, random, receive, terms};
+use super::{lease_config, nonce, random_bytes, read_key, receive};
 use bytes::Bytes;
 use granitehub::{Settings, Time};
 use http_body_util::Full;
@@ -9,7 +9,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use operator::{Allowances, Planner as Own};
+use operator::{Allowances, Planner as PlannerTable};
 use plan::wire::{Link, Message, Side};
 use plan::{Planner, PlannerState};
 use std::cell::{Cell, RefCell};
@@ -24,13 +24,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A forwarder that says nothing for so long, or takes no grant, is dropped; it may connect again.
-const SILENCE: Duration = Duration::from_secs(10);
-const WRITE: Duration = Duration::from_secs(1);
+/// A forwarder that sends nothing for this long is disconnected; it may connect again.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// A forwarder that does not accept a grant within this time is disconnected.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// Connections beyond one for each seat, for those that are on their way out or are no forwarders.
-const SPARE: usize = 16;
-const HTTP_TIME: Duration = Duration::from_secs(2);
+/// Connections allowed beyond one for each seat: closing ones, and peers that are not forwarders.
+const SPARE_CONNECTIONS: usize = 16;
+const HTTP_HEADER_TIMEOUT: Duration = Duration::from_secs(2);
 
 struct Shared {
     planner: RefCell<Planner>,
@@ -38,11 +39,11 @@
     version: u8,
     started: Instant,
     connections: Cell<usize>,
-    most: usize,
+    max_connections: usize,
     reports: Cell<u64>,
-    /// Peers that were dropped for what they said.
+    /// Number of peers disconnected because of an invalid message.
     dropped: Cell<u64>,
-    /// Reports that led to a panic outside of one customer's figures.
+    /// Number of reports that caused a panic outside of a single customer's state.
     panics: Cell<u64>,
 }
 
@@ -52,35 +53,35 @@
     }
 }
 
-/// Listens on both addresses, and serves until `stop`.
+/// Listens on both addresses and serves until `stop` completes.
 pub async fn run(
-    own: &Own,
-    all: &Allowances,
-    s: &Settings,
+    table: &PlannerTable,
+    allowances: &Allowances,
+    settings: &Settings,
     stop: impl Future<Output = ()>,
 ) -> Result<(), String> {
-    let terms = terms(all, s)?;
-    let most = usize::from(terms.seats) + SPARE;
-    let planner = Planner::new(terms, nonce()?, own.most_customers)?;
+    let config = lease_config(allowances, settings)?;
+    let max_connections = usize::from(config.seats) + SPARE_CONNECTIONS;
+    let planner = Planner::new(config, nonce()?, table.max_customers)?;
     let shared = Rc::new(Shared {
         planner: RefCell::new(planner),
-        key: key(&own.key_file)?,
-        version: all.version,
+        key: read_key(&table.key_file)?,
+        version: allowances.version,
         started: Instant::now(),
         connections: Cell::new(0),
-        most,
+        max_connections,
         reports: Cell::new(0),
         dropped: Cell::new(0),
         panics: Cell::new(0),
     });
-    let forwarders = bind(own.listen).await?;
-    let people = bind(own.state).await?;
-    tracing::info!("planning on {}, state on {}", local(&forwarders), local(&people));
-    let for_people = shared.clone();
+    let forwarders = bind(table.listen).await?;
+    let operators = bind(table.state).await?;
+    tracing::info!("planning on {}, state on {}", local_address(&forwarders), local_address(&operators));
+    let for_operators = shared.clone();
     tokio::select! {
         () = stop => {}
-        () = accept(forwarders, shared.clone(), |stream, s| async move { forwarder(stream, &s).await }) => {}
-        () = accept(people, for_people, |stream, s| async move { person(stream, s).await }) => {}
+        () = accept(forwarders, shared.clone(), |stream, shared| async move { serve_forwarder(stream, &shared).await }) => {}
+        () = accept(operators, for_operators, |stream, shared| async move { serve_state(stream, shared).await }) => {}
     }
     Ok(())
 }
@@ -89,14 +90,14 @@
     TcpListener::bind(address).await.map_err(|e| format!("cannot listen on {address}: {e}"))
 }
 
-fn local(listener: &TcpListener) -> String {
+fn local_address(listener: &TcpListener) -> String {
     listener.local_addr().map_or_else(|e| e.to_string(), |a| a.to_string())
 }
 
-/// A connection's place.
-struct Place(Rc<Shared>);
+/// Counts an open connection until it is dropped.
+struct ConnectionSlot(Rc<Shared>);
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.connections.set(self.0.connections.get() - 1);
     }
@@ -112,36 +113,36 @@
             sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        // Beyond the bound a connection is closed at once.
-        if shared.connections.get() >= shared.most {
+        // A connection beyond the limit is closed immediately.
+        if shared.connections.get() >= shared.max_connections {
             continue;
         }
         shared.connections.set(shared.connections.get() + 1);
-        let place = Place(shared.clone());
-        let serving = serve(stream, shared.clone());
+        let slot = ConnectionSlot(shared.clone());
+        let connection = serve(stream, shared.clone());
         spawn_local(async move {
-            serving.await;
-            drop(place);
+            connection.await;
+            drop(slot);
         });
     }
 }
 
-async fn forwarder(stream: TcpStream, shared: &Rc<Shared>) {
+async fn serve_forwarder(stream: TcpStream, shared: &Rc<Shared>) {
     let _ = stream.set_nodelay(true);
     let peer = stream.peer_addr().map_or_else(|e| e.to_string(), |a| a.to_string());
-    let Ok(random) = random() else { return };
+    let Ok(random) = random_bytes() else { return };
     let link = RefCell::new(Link::new(Side::Planner, &shared.key, random, shared.version));
     let (mut read, mut write) = stream.into_split();
     let hello = link.borrow().hello();
     if write.write_all(&hello).await.is_err() {
         return;
     }
-    while let Ok(Some(got)) = timeout(SILENCE, receive(&mut read, &link)).await {
-        let messages = match got {
+    while let Ok(Some(received)) = timeout(IDLE_TIMEOUT, receive(&mut read, &link)).await {
+        let messages = match received {
             Ok(messages) => messages,
-            Err(fault) => {
+            Err(error) => {
                 shared.dropped.set(shared.dropped.get() + 1);
-                tracing::warn!(%peer, cause = %fault, "{peer} is dropped: {fault}");
+                tracing::warn!(%peer, cause = %error, "{peer} is disconnected: {error}");
                 return;
             }
         };
@@ -150,21 +151,21 @@
             shared.reports.set(shared.reports.get() + 1);
             let handle = || shared.planner.borrow_mut().handle(shared.now(), &report);
             let Ok(answer) = catch_unwind(AssertUnwindSafe(handle)) else {
-                // One customer's figures are dealt with inside; this peer alone goes.
+                // The planner contains a panic on a single customer's state; here only this peer is disconnected.
                 shared.panics.set(shared.panics.get() + 1);
-                tracing::warn!(%peer, "{peer} is dropped: its report led to a panic");
+                tracing::warn!(%peer, "{peer} is disconnected: its report caused a panic");
                 return;
             };
             match answer {
                 Ok(grant) => {
                     let frame = link.borrow_mut().seal(&Message::Grant(grant));
-                    if !matches!(timeout(WRITE, write.write_all(&frame)).await, Ok(Ok(()))) {
+                    if !matches!(timeout(WRITE_TIMEOUT, write.write_all(&frame)).await, Ok(Ok(()))) {
                         return;
                     }
                 }
-                Err(refused) => {
+                Err(error) => {
                     shared.dropped.set(shared.dropped.get() + 1);
-                    tracing::warn!(%peer, cause = %refused, "{peer} is dropped: {refused}");
+                    tracing::warn!(%peer, cause = %error, "{peer} is disconnected: {error}");
                     return;
                 }
             }
@@ -172,7 +173,7 @@
     }
 }
 
-async fn person(stream: TcpStream, shared: Rc<Shared>) {
+async fn serve_state(stream: TcpStream, shared: Rc<Shared>) {
     let service = service_fn(|request: Request<Incoming>| {
         let shared = shared.clone();
         async move {
@@ -181,7 +182,7 @@
                 let now = shared.now();
                 let mut planner = shared.planner.borrow_mut();
                 let panics = planner.panics() + shared.panics.get();
-                *answer.body_mut() = Full::new(Bytes::from(json(&planner.state(now), panics, &shared)));
+                *answer.body_mut() = Full::new(Bytes::from(state_json(&planner.state(now), panics, &shared)));
                 answer
                     .headers_mut()
                     .insert("content-type", hyper::header::HeaderValue::from_static("application/json"));
@@ -193,12 +194,12 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HTTP_TIME)
+        .header_read_timeout(HTTP_HEADER_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    let _ = timeout(SILENCE, connection).await;
+    let _ = timeout(IDLE_TIMEOUT, connection).await;
 }
 
-fn json(state: &PlannerState, panics: u64, shared: &Shared) -> String {
+fn state_json(state: &PlannerState, panics: u64, shared: &Shared) -> String {
     let customers = state.customers.iter().map(|c| {
         serde_json::json!({
             "customer": &*c.customer, "plan": c.plan, "leases": c.leases,
--- a/src/bin/granitethread/api.rs
+++ b/src/bin/granitethread/api.rs
@@ -1,4 +1,4 @@
-//! What clients' requests mean here: `/ready`, `/api`, the figures in a request's head.
+//! Client requests: `/ready`, `/api` and the routes, and the request's parameters in its headers.
 
 use crate::routes::Routes;
 use granitehub::{Effect, Settings};
@@ -13,68 +13,75 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Accounts are numbers below 2^33.
+/// Account numbers are less than 2^33.
 const MAX_ACCOUNT: u64 = (1 << 33) - 1;
 
-/// What clients' requests mean to the program in service.
+/// Handler of client requests.
 pub struct Api {
     pub driver: Rc<Driver>,
     pub routes: Rc<Routes>,
     classes: Vec<(String, Effect, Duration)>,
     plans: Vec<String>,
     gateways: u32,
-    most_units: f64,
+    max_units: f64,
 }
 
 impl Api {
-    pub fn new(driver: Rc<Driver>, routes: Rc<Routes>, s: &Settings) -> Self {
-        let classes = s.classes.iter();
+    pub fn new(driver: Rc<Driver>, routes: Rc<Routes>, settings: &Settings) -> Self {
+        let classes = settings.classes.iter();
         let classes = classes.map(|c| (c.name.clone(), c.effect, Duration::from_nanos(c.deadline))).collect();
-        let plans = s.plans.iter().map(|p| p.name.clone()).collect();
-        Api { driver, routes, classes, plans, gateways: s.gateways, most_units: s.max_units.max(1.0) }
+        let plans = settings.plans.iter().map(|p| p.name.clone()).collect();
+        Api {
+            driver,
+            routes,
+            classes,
+            plans,
+            gateways: settings.gateways,
+            max_units: settings.max_units.max(1.0),
+        }
     }
 
-    /// None if a header is missing or malformed, a figure is out of the range that the settings allow, or the
-    /// method does not fit the class. The module relies on it: one wild figure would spoil its averages for
-    /// everybody.
-    fn figures(&self, head: &Parts) -> Option<engine::Incoming> {
-        let h = &head.headers;
-        let class_name = text(h, "request-class")?;
+    /// Parses the request's headers. Returns none if a header is missing or malformed, a number is out of the range that the
+    /// settings allow, or the method does not match the class. The module relies on these checks: a single extreme number
+    /// would distort its averages for all customers.
+    fn parse_headers(&self, head: &Parts) -> Option<engine::Incoming> {
+        let headers = &head.headers;
+        let class_name = text(headers, "request-class")?;
         let class = self.classes.iter().position(|(name, ..)| name == class_name)?;
-        let (_, effect, longest) = self.classes[class];
-        let keyed = h.contains_key("idempotency-key");
-        let fits = match effect {
+        let (_, effect, max_timeout) = self.classes[class];
+        let has_key = headers.contains_key("idempotency-key");
+        let method_matches = match effect {
             Effect::Safe => head.method == Method::GET,
-            Effect::Keyed => head.method == Method::POST && keyed,
-            Effect::Unsafe => head.method == Method::POST && !keyed,
+            Effect::Keyed => head.method == Method::POST && has_key,
+            Effect::Unsafe => head.method == Method::POST && !has_key,
         };
-        if !fits {
+        if !method_matches {
             return None;
         }
-        let plan_name = text(h, "plan")?;
+        let plan_name = text(headers, "plan")?;
         let plan = self.plans.iter().position(|name| name == plan_name)?;
-        let account = text(h, "account")?;
+        let account = text(headers, "account")?;
         hex(account).filter(|a| *a <= MAX_ACCOUNT)?;
-        let wait: f64 = text(h, "request-timeout")?.trim().parse().ok()?;
-        let wait = Duration::try_from_secs_f64(wait).ok().filter(|w| !w.is_zero())?;
-        let quota = text(h, "quota-info")?;
+        let timeout_s: f64 = text(headers, "request-timeout")?.trim().parse().ok()?;
+        let timeout = Duration::try_from_secs_f64(timeout_s).ok().filter(|w| !w.is_zero())?;
+        let quota = text(headers, "quota-info")?;
         let field = |key: &str| quota.split(',').find_map(|f| f.trim().strip_prefix(key)?.strip_prefix('='));
         let units: f64 = field("units")?.parse().ok()?;
         let spread: u32 = field("spread")?.parse().ok()?;
         let first: u32 = field("first")?.parse().ok()?;
-        let (gateways, most) = (self.gateways, self.most_units);
-        if !(units > 0.0 && units <= most && (1..=gateways).contains(&spread) && first < gateways) {
+        let (gateways, max_units) = (self.gateways, self.max_units);
+        if !(units > 0.0 && units <= max_units && (1..=gateways).contains(&spread) && first < gateways) {
             return None;
         }
         Some(engine::Incoming {
-            id: hex(text(h, "request-id")?)?,
+            id: hex(text(headers, "request-id")?)?,
             class,
             plan,
             customer: account.into(),
-            timeout: wait.min(longest).as_nanos() as interface::Time,
+            timeout: timeout.min(max_timeout).as_nanos() as interface::Time,
             units,
             spread,
-            repeat: h.get("client-retry").is_some_and(|v| v == "1"),
+            repeat: headers.get("client-retry").is_some_and(|v| v == "1"),
             pool: 0,
             allowance: interface::Allowance::Unknown,
             body_pending: false,
@@ -82,14 +89,14 @@
     }
 }
 
-/// The request as it goes on, its body yet to come.
+/// Builds the request to the backend, without its body.
 fn outgoing(head: Parts, uri: Uri) -> Option<Outgoing> {
     let mut headers = HeaderMap::with_capacity(8);
-    let mut keep = |name: HeaderName| head.headers.get(&name).map(|v| headers.insert(name, v.clone()));
-    keep(HOST)?;
-    keep(HeaderName::from_static("request-id"))?;
-    keep(HeaderName::from_static("idempotency-key"));
-    keep(CONTENT_TYPE);
+    let mut copy_header = |name: HeaderName| head.headers.get(&name).map(|v| headers.insert(name, v.clone()));
+    copy_header(HOST)?;
+    copy_header(HeaderName::from_static("request-id"))?;
+    copy_header(HeaderName::from_static("idempotency-key"));
+    copy_header(CONTENT_TYPE);
     Some(Outgoing { method: head.method, uri, headers, ..Outgoing::default() })
 }
 
@@ -107,13 +114,13 @@
         })
     }
 
-    /// 400 if a header is missing or malformed or a figure out of its range, 404 if no route takes it.
+    /// Returns 400 if a header is missing, malformed or out of range, and 404 if no route matches.
     fn parse(&self, head: Parts, arrived: Instant) -> Result<Incoming, ErrorReply> {
-        let mut request = self.figures(&head).ok_or_else(|| error_reply(StatusCode::BAD_REQUEST))?;
-        let place = self.routes.place(&head, request.class, &request.customer);
-        let place = place.ok_or_else(|| error_reply(StatusCode::NOT_FOUND))?;
-        request.pool = place.pool;
-        let outgoing = outgoing(head, place.uri).ok_or_else(|| error_reply(StatusCode::BAD_REQUEST))?;
+        let mut request = self.parse_headers(&head).ok_or_else(|| error_reply(StatusCode::BAD_REQUEST))?;
+        let destination = self.routes.find(&head, request.class, &request.customer);
+        let destination = destination.ok_or_else(|| error_reply(StatusCode::NOT_FOUND))?;
+        request.pool = destination.pool;
+        let outgoing = outgoing(head, destination.uri).ok_or_else(|| error_reply(StatusCode::BAD_REQUEST))?;
         Ok(Incoming { arrived, request, outgoing })
     }
 
@@ -136,17 +143,17 @@
     }
 }
 
-/// A header that comes once.
+/// Returns the value of a header that occurs exactly once.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
-    let mut all = headers.get_all(name).iter();
-    let one = all.next()?;
-    one.to_str().ok().filter(|_| all.next().is_none())
+    let mut values = headers.get_all(name).iter();
+    let value = values.next()?;
+    value.to_str().ok().filter(|_| values.next().is_none())
 }
 
-/// 16 hex digits.
+/// Parses 16 hex digits.
 fn hex(text: &str) -> Option<u64> {
-    let digits = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    if digits {
+    let is_hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    if is_hex {
         u64::from_str_radix(text, 16).ok()
     } else {
         None
--- a/src/bin/granitethread/discovery.rs
+++ b/src/bin/granitethread/discovery.rs
@@ -1,4 +1,4 @@
-//! The watch on the list of backends.
+//! Watches the list of backends at the discovery service by long polling.
 
 use background::Pace;
 use bytes::Bytes;
@@ -15,57 +15,59 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a watch may wait for news.
-const WAIT: Duration = Duration::from_secs(20);
-/// Past this an answer that may not wait is not coming.
-const SILENCE: Duration = Duration::from_secs(2);
-const LONGEST: usize = 4 << 20;
+/// How long the service may hold a call until the list changes.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout of an answer, beyond the time for which the service may hold the call.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum size of an answer's body.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// What the watch has to tell.
-pub enum News {
+/// What the watch reports.
+pub enum Update {
     List(Scope, List),
-    /// A call failed, and why. The old list stands.
+    /// A call failed, with the reason. The previous list remains in use.
     Failed(String),
 }
 
 type Connection = SendRequest<Empty<Bytes>>;
 
-/// Asks for what changed since the list that is held, or for the whole list if none is, and so on. Whatever fails,
-/// the old list stands and the next call comes on a new connection, when the pace allows.
-/// `callers`: how many gateways are believed to call, where somebody tells.
+/// Polls continually for the changes since the known revision, or for the whole list if there is none. After a failure the
+/// previous list remains in use and the next call uses a new connection, after a delay given by `pace`. `callers` is the
+/// estimated number of gateways that call the service, if it is known.
 pub async fn watch(
     address: SocketAddr,
-    held: Option<u64>,
+    known_revision: Option<u64>,
     mut pace: Pace,
     callers: Rc<Cell<Option<u32>>>,
-    tell: impl Fn(News),
+    notify: impl Fn(Update),
 ) {
-    let follow = |pace: &mut Pace| callers.get().into_iter().for_each(|n| pace.shared_by(n));
-    follow(&mut pace);
-    let mut rev = held;
+    let update_pace = |pace: &mut Pace| callers.get().into_iter().for_each(|n| pace.shared_by(n));
+    update_pace(&mut pace);
+    let mut rev = known_revision;
     let mut connection = None;
     sleep(pace.first()).await;
     loop {
-        let began = Instant::now();
-        follow(&mut pace);
+        let started = Instant::now();
+        update_pace(&mut pace);
         match call(address, &mut connection, rev).await {
-            // Changes apply to a list that is held, and only forwards.
+            // Changes apply only to a known list, and only forwards.
             Ok(list) if list.all || rev.is_some_and(|r| list.rev >= r) => {
                 if rev.replace(list.rev) == Some(list.rev) {
-                    sleep(pace.unchanged(began.elapsed(), WAIT)).await;
+                    sleep(pace.unchanged(started.elapsed(), LONG_POLL_TIMEOUT)).await;
                 } else {
                     pace.answered();
                 }
                 let scope = if list.all { Scope::Full } else { Scope::Changes };
-                tell(News::List(scope, list));
+                notify(Update::List(scope, list));
             }
-            // It runs back: another service answers. The whole list is wanted, and it is dear.
+            // The revision went backwards, so another service answers. The next call fetches the whole list, which is
+            // expensive, and therefore backs off.
             Ok(_) => {
                 rev = None;
                 sleep(pace.failed()).await;
             }
-            Err(what) => {
-                tell(News::Failed(what));
+            Err(error) => {
+                notify(Update::Failed(error));
                 connection = None;
                 sleep(pace.failed()).await;
             }
@@ -73,17 +75,20 @@
     }
 }
 
-async fn call(address: SocketAddr, kept: &mut Option<Connection>, rev: Option<u64>) -> Result<List, String> {
+async fn call(address: SocketAddr, idle: &mut Option<Connection>, rev: Option<u64>) -> Result<List, String> {
     let (path, wait) = match rev {
         None => ("/v1/endpoints".to_string(), Duration::ZERO),
-        Some(r) => (format!("/v1/endpoints?since={r}&timeout_ms={}", WAIT.as_millis()), WAIT),
+        Some(r) => (
+            format!("/v1/endpoints?since={r}&timeout_ms={}", LONG_POLL_TIMEOUT.as_millis()),
+            LONG_POLL_TIMEOUT,
+        ),
     };
-    let answer = timeout(wait + SILENCE, exchange(address, kept, path)).await;
-    answer.map_err(|_| "silent".to_string())?
+    let answer = timeout(wait + RESPONSE_TIMEOUT, exchange(address, idle, path)).await;
+    answer.map_err(|_| "no answer in time".to_string())?
 }
 
-async fn exchange(address: SocketAddr, kept: &mut Option<Connection>, path: String) -> Result<List, String> {
-    let mut connection = match kept.take().filter(|c| c.is_ready()) {
+async fn exchange(address: SocketAddr, idle: &mut Option<Connection>, path: String) -> Result<List, String> {
+    let mut connection = match idle.take().filter(|c| c.is_ready()) {
         Some(connection) => connection,
         None => connect(address).await.map_err(|e| e.to_string())?,
     };
@@ -95,9 +100,9 @@
     if answer.status() != 200 {
         return Err(format!("status {}", answer.status()));
     }
-    let body = Limited::new(answer.into_body(), LONGEST).collect().await.map_err(|e| e.to_string())?;
+    let body = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await.map_err(|e| e.to_string())?;
     let list = serde_json::from_slice(&body.to_bytes()).map_err(|e| e.to_string())?;
-    *kept = Some(connection);
+    *idle = Some(connection);
     Ok(list)
 }
 
@@ -105,7 +110,7 @@
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (connection, io) = http1::handshake(TokioIo::new(stream)).await?;
-    // Ends when the sending half is dropped.
+    // The task ends when the request sender is dropped.
     tokio::task::spawn_local(io);
     Ok(connection)
 }
--- a/src/bin/granitethread/fleet.rs
+++ b/src/bin/granitethread/fleet.rs
@@ -1,10 +1,10 @@
-//! The membership view in the program in service: who works by it, and what operators see of it. The `membership-socket`
-//! crate carries the datagrams.
+//! Connects the membership view to the rest of the gateway and reports it to operators. The `membership-socket` crate sends
+//! and receives the datagrams.
 
 use crate::allowance;
 use membership::{Config, Keys, Role, StableView, State, Time, View};
 use membership_socket::{bind, MembershipSocket, Observer, SendCounts, CLOCK_START};
-use operator::{Fleet as Table, Operator};
+use operator::{Fleet as Table, OperatorConfig};
 use proxy::driver::Driver;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -12,96 +12,96 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::{info, warn};
 
-/// Datagrams that are read before requests have their turn.
+/// Maximum number of datagrams read before other tasks run.
 const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
 
 /// The membership view on its socket.
 pub struct Fleet {
     socket: MembershipSocket,
-    users: RefCell<Option<Users>>,
+    consumers: RefCell<Option<Consumers>>,
 }
 
-/// Who works by the view, and what they were told last.
-struct Users {
+/// Components that use the view, and the values last applied to them.
+struct Consumers {
     driver: Rc<Driver>,
     subsets: bool,
     callers: Option<Rc<Cell<Option<u32>>>>,
-    /// Names of the planners that a forwarder asks.
+    /// Member names of the forwarder's planners.
     planners: Vec<String>,
-    /// How many gateways the settings name.
-    settings: u32,
-    /// The gateway's position among how many.
-    told_position: Option<(u32, u32)>,
-    /// Which planners are alive.
-    told_planners: Vec<Option<bool>>,
+    /// Number of gateways in the settings.
+    configured_gateways: u32,
+    /// Index of this gateway among the live gateways, and their number.
+    applied_position: Option<(u32, u32)>,
+    /// Which planners are alive; none if unknown.
+    applied_planners: Vec<Option<bool>>,
 }
 
 impl Fleet {
-    /// Reads the keys and takes the address.
+    /// Reads the keys and binds the socket.
     pub fn prepare(table: &Table, role: Role) -> Result<Rc<Self>, String> {
         #[cfg(feature = "defects")]
         plant()?;
-        let mut keys = vec![allowance::key(&table.key_file)?];
-        keys.extend(table.old_key_file.as_deref().map(allowance::key).transpose()?);
+        let mut keys = vec![allowance::read_key(&table.key_file)?];
+        keys.extend(table.old_key_file.as_deref().map(allowance::read_key).transpose()?);
         let socket = bind(table.listen).map_err(|e| format!("fleet.listen {}: {e}", table.listen))?;
-        let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let mut config = Config::new(&table.name, life, table.advertise);
+        let generation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        let mut config = Config::new(&table.name, generation, table.advertise);
         config.zone.clone_from(&table.zone);
         config.role = role;
         config.seeds.clone_from(&table.seeds);
-        config.probe_interval = table.period.as_nanos() as Time;
-        config.dead_retention = table.keep_dead.as_nanos() as Time;
-        config.max_members = table.most_members;
-        let secret = allowance::random()?;
+        config.probe_interval = table.probe_interval.as_nanos() as Time;
+        config.dead_retention = table.dead_retention.as_nanos() as Time;
+        config.max_members = table.max_members;
+        let secret = allowance::random_bytes()?;
         let view = View::new(config, Keys::new(keys)?, allowance::nonce()?, secret, CLOCK_START);
         let socket = MembershipSocket::new(view, socket, MAX_DATAGRAMS_PER_WAKEUP);
-        Ok(Rc::new(Fleet { socket, users: RefCell::default() }))
+        Ok(Rc::new(Fleet { socket, consumers: RefCell::default() }))
     }
 
-    /// From now on these work by the view, as far as the operators want it.
-    pub fn serves(
+    /// Sets the components that the view updates, as far as the operators' file enables it.
+    pub fn set_consumers(
         &self,
-        operator: &Operator,
+        operator: &OperatorConfig,
         driver: &Rc<Driver>,
-        settings: u32,
+        configured_gateways: u32,
         callers: &Rc<Cell<Option<u32>>>,
     ) {
         let Some(table) = &operator.fleet else { return };
         let callers = table.discovery.then(|| callers.clone());
         let planners = operator.forwarder.as_ref().map(|f| f.names.clone()).unwrap_or_default();
-        *self.users.borrow_mut() = Some(Users {
+        *self.consumers.borrow_mut() = Some(Consumers {
             driver: driver.clone(),
             subsets: table.subsets,
             callers,
-            told_position: None,
-            told_planners: vec![None; planners.len()],
+            applied_position: None,
+            applied_planners: vec![None; planners.len()],
             planners,
-            settings,
+            configured_gateways,
         });
     }
 
-    /// Tells the users of the view what has changed.
-    fn update_users(&self) {
-        let Some(users) = &mut *self.users.borrow_mut() else { return };
+    /// Applies changes of the view to its consumers.
+    fn update_consumers(&self) {
+        let Some(consumers) = &mut *self.consumers.borrow_mut() else { return };
         let view = self.socket.view();
         let position = view.position().map(|(index, gateways)| (index as u32, gateways as u32));
-        let planners: Vec<_> = users.planners.iter().map(|name| view.is_alive(name)).collect();
-        if users.told_position != position {
-            users.told_position = position;
-            if users.subsets {
-                users.driver.set_gateway_position(position);
+        let planners: Vec<_> = consumers.planners.iter().map(|name| view.is_alive(name)).collect();
+        if consumers.applied_position != position {
+            consumers.applied_position = position;
+            if consumers.subsets {
+                consumers.driver.set_gateway_position(position);
             }
-            if let Some(callers) = &users.callers {
-                callers.set(Some(position.map_or(users.settings, |(_, gateways)| gateways)));
+            if let Some(callers) = &consumers.callers {
+                callers.set(Some(position.map_or(consumers.configured_gateways, |(_, gateways)| gateways)));
             }
         }
-        if users.told_planners != planners {
-            users.told_planners.clone_from(&planners);
-            users.driver.set_planner_liveness(planners);
+        if consumers.applied_planners != planners {
+            consumers.applied_planners.clone_from(&planners);
+            consumers.driver.set_planner_liveness(planners);
         }
     }
 
-    /// Runs for as long as the process lives.
+    /// Runs until the process ends.
     pub async fn run(self: Rc<Self>) {
         if let Ok(address) = self.socket.local_address() {
             info!(%address, "fleet: on {address}");
@@ -109,12 +109,12 @@
         self.socket.run(&*self).await;
     }
 
-    /// This process ends: the others need not find out.
+    /// Announces that this process leaves, so that the other members need not detect it.
     pub fn leave(&self) {
         self.socket.leave(self);
     }
 
-    /// What `GET /status/fleet` tells.
+    /// Returns the answer to `GET /status/fleet`.
     pub fn status(&self) -> Value {
         let now = self.socket.now();
         let view = self.socket.view();
@@ -132,10 +132,11 @@
         let dropped: serde_json::Map<_, _> =
             view.dropped_datagrams().map(|(fault, n)| (fault.to_string(), json!(n))).collect();
         let SendCounts { datagrams, bytes, rejected } = self.socket.sent();
-        let users = self.users.borrow();
-        let told = users.as_ref().map(|u| json!({"place": u.told_position, "planners": u.told_planners}));
+        let consumers = self.consumers.borrow();
+        let applied =
+            consumers.as_ref().map(|u| json!({"place": u.applied_position, "planners": u.applied_planners}));
         json!({
-            "told": told,
+            "told": applied,
             "joined": health.has_joined, "superseded": health.is_superseded, "health": health.health,
             "cut_off_ms": health.isolated_since.map(ms),
             "digest": format!("{:016x}", view.digest()),
@@ -160,16 +161,16 @@
     fn superseded(&self, generation: u64) {
         warn!(
             life = generation,
-            "fleet: another process began later under this name; this one speaks no more"
+            "fleet: another process started later under this name; this one sends no more datagrams"
         );
     }
 
     fn ticked(&self) {
-        self.update_users();
+        self.update_consumers();
     }
 }
 
-/// For the test harness: a defect of the view that this process is to have.
+/// Activates the defect of the view that the test harness names.
 #[cfg(feature = "defects")]
 fn plant() -> Result<(), String> {
     let Some(name) = std::env::var_os("GRANITETHREAD_DEFECT") else { return Ok(()) };
--- a/src/bin/granitethread/log.rs
+++ b/src/bin/granitethread/log.rs
@@ -1,4 +1,4 @@
-//! The log: events with fields, on standard error. Plain text by default, one JSON object a line by a setting.
+//! Log output on standard error: plain text by default, or one JSON object with fields per line.
 
 use operator::LogFormat;
 use std::fmt;
@@ -8,22 +8,23 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// From now on events are written. A reader that goes away can't end the process: what can't be written is dropped.
+/// Installs the log subscriber. Events that cannot be written are dropped, so a closed reader cannot end the process.
 pub fn start(format: LogFormat) {
     let log = tracing_subscriber::fmt()
         .with_max_level(Level::INFO)
         .with_writer(std::io::stderr)
         .log_internal_errors(false);
-    // An error means that it is started already.
+    // An error means that a subscriber is already installed.
     let _ = match format {
         LogFormat::Plain => log.event_format(Plain).try_init(),
         LogFormat::Json => log.json().flatten_event(true).with_target(false).try_init(),
     };
 }
 
-/// The message alone: its words hold what matters, and the fields are for programs.
+/// Formats only the message: its text states what matters, and the fields are for programs.
 struct Plain;
 
+/// Writes the `message` field and ignores all others.
 struct Message<'a, 'w>(&'a mut Writer<'w>, fmt::Result);
 
 impl Visit for Message<'_, '_> {
--- a/src/bin/granitethread/main.rs
+++ b/src/bin/granitethread/main.rs
@@ -1,10 +1,10 @@
-//! granitethread: one gateway on real sockets around the decision module.
+//! `granitethread`: runs one gateway, the decision module on real sockets, or a planner.
 #![forbid(unsafe_code)]
 
 mod admin;
+mod admin_client;
 mod allowance;
 mod api;
-mod ask;
 mod config;
 mod discovery;
 mod fleet;
@@ -17,12 +17,12 @@
 use api::Api;
 use background::{Pace, Service};
 use clap::{Parser, Subcommand};
-use discovery::News;
+use discovery::Update;
 use engine::Timing;
 use fleet::Fleet;
 use granitehub::{Gateway, Module, Time};
 use membership::Role;
-use operator::{LogFormat, Operator};
+use operator::{LogFormat, OperatorConfig};
 use proxy::backends::{self, Backends};
 use proxy::driver::{Config, Driver};
 use proxy::fronts::{http1, Budget};
@@ -40,10 +40,10 @@
 use tokio::task::spawn_local;
 use tracing::{error, info, warn};
 
-/// An API gateway that keeps each customer of a shared fleet of backends to its plan.
+/// An API gateway that enforces each customer's plan on a shared fleet of backends.
 ///
-/// LB_CONFIG names its own file (deploy/gateway.example.json is one), GRANITETHREAD_OPERATOR the operators'
-/// (deploy/operator.toml), if there is one.
+/// LB_CONFIG names the gateway's configuration file (such as deploy/gateway.example.json), GRANITETHREAD_OPERATOR the
+/// optional operators' file (such as deploy/operator.toml).
 #[derive(Parser)]
 #[command(name = "granitethread", version)]
 struct Args {
@@ -53,26 +53,26 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Reads an operators' file, or a gateway's own (.json), says what is wrong with it, and ends
+    /// Validates an operators' file, or a gateway's configuration file (.json), and exits
     Check { file: PathBuf },
-    /// What a gateway has kept for its next life
+    /// Inspects the snapshot that a gateway has saved for its next process
     Snapshot {
         #[command(subcommand)]
-        what: SnapshotCommand,
+        command: SnapshotCommand,
     },
-    /// The fleet as a running gateway sees it
+    /// Queries a running gateway's view of the fleet
     Fleet {
         #[command(subcommand)]
-        what: FleetCommand,
+        command: FleetCommand,
     },
 }
 
 #[derive(Subcommand)]
 enum SnapshotCommand {
-    /// Prints whose it is, how old, and what is wrong with it
+    /// Prints a snapshot's author, age and damaged sections
     Show {
         file: PathBuf,
-        /// As one JSON object
+        /// Prints one JSON object
         #[arg(long)]
         json: bool,
     },
@@ -80,25 +80,25 @@
 
 #[derive(Subcommand)]
 enum FleetCommand {
-    /// Who lives, in its eyes
+    /// Prints the members and their states
     Status {
-        /// The gateway's second address (its operator, or LB_OPERATOR)
+        /// The gateway's admin address (`operator` in its file, or LB_OPERATOR)
         #[arg(long)]
         at: SocketAddr,
-        /// As one JSON object
+        /// Prints one JSON object
         #[arg(long)]
         json: bool,
     },
 }
 
 fn main() -> ExitCode {
-    let done = match Args::parse().command {
+    let result = match Args::parse().command {
         None => start(),
-        Some(Command::Fleet { what: FleetCommand::Status { at, json } }) => {
+        Some(Command::Fleet { command: FleetCommand::Status { at, json } }) => {
             log::start(LogFormat::Plain);
-            ask::fleet(at, json)
+            admin_client::fleet_status(at, json)
         }
-        Some(Command::Snapshot { what: SnapshotCommand::Show { file, json } }) => {
+        Some(Command::Snapshot { command: SnapshotCommand::Show { file, json } }) => {
             log::start(LogFormat::Plain);
             snapshot::show(&file, json)
         }
@@ -107,10 +107,10 @@
             check(&file)
         }
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            error!("granitethread: {what}");
+        Err(error) => {
+            error!("granitethread: {error}");
             ExitCode::FAILURE
         }
     }
@@ -120,21 +120,21 @@
     if file.extension().is_some_and(|e| e == "json") {
         return config::check(file);
     }
-    let operator = operator(file)?;
+    let operator = read_operator_file(file)?;
     routes::Routes::check(&operator).map_err(|e| format!("{}:{e}", file.display()))
 }
 
-/// The operators' file.
-fn operator(file: &Path) -> Result<Operator, String> {
+/// Reads an operators' file.
+fn read_operator_file(file: &Path) -> Result<OperatorConfig, String> {
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    operator::read(&text).map_err(|trouble| format!("{name}:{trouble}"))
+    operator::read(&text).map_err(|error| format!("{name}:{error}"))
 }
 
 fn start() -> Result<(), String> {
     let operator = match std::env::var_os("GRANITETHREAD_OPERATOR") {
-        None => Ok(Operator::default()),
-        Some(file) => operator(Path::new(&file)),
+        None => Ok(OperatorConfig::default()),
+        Some(file) => read_operator_file(Path::new(&file)),
     };
     log::start(operator.as_ref().map_or(LogFormat::Plain, |o| o.log));
     let operator = operator?;
@@ -143,21 +143,23 @@
         .enable_all()
         .build_local(Default::default())
         .map_err(|e| format!("cannot start the event loop: {e}"))?;
-    // As a task: what wakes the future of `block_on` itself costs a write to an eventfd each time.
-    runtime.block_on(async { spawn_local(run(config, operator)).await }).map_err(|e| format!("lost: {e}"))?
+    // Run as a task: each wake-up of the future of `block_on` itself would cost a write to an eventfd.
+    runtime
+        .block_on(async { spawn_local(run(config, operator)).await })
+        .map_err(|e| format!("the main task failed: {e}"))?
 }
 
-/// Runs the gateway, or the planner, until a signal ends it.
-async fn run(config: config::Config, operator: Operator) -> Result<(), String> {
+/// Runs the gateway, or the planner, until SIGTERM or SIGINT.
+async fn run(config: config::Config, operator: OperatorConfig) -> Result<(), String> {
     let signals = |kind| signal(kind).map_err(|e| format!("cannot listen for signals: {e}"));
     let (mut term, mut int) = (signals(SignalKind::terminate())?, signals(SignalKind::interrupt())?);
-    // Before `/ready`: from then on the signal may arrive, and by default it would end the process.
+    // Registered before `/ready` is served: SIGHUP may arrive from then on, and by default would end the process.
     let reload = signals(SignalKind::hangup())?;
     let fleet = prepare_fleet(&operator)?;
-    let leaving = fleet.clone();
+    let fleet_to_leave = fleet.clone();
     let stop = async {
         tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
-        if let Some(fleet) = leaving {
+        if let Some(fleet) = fleet_to_leave {
             fleet.leave();
         }
     };
@@ -167,8 +169,8 @@
     }
 }
 
-/// The membership view, if it is configured; it runs from now on.
-fn prepare_fleet(operator: &Operator) -> Result<Option<Rc<Fleet>>, String> {
+/// Starts the membership view if it is configured.
+fn prepare_fleet(operator: &OperatorConfig) -> Result<Option<Rc<Fleet>>, String> {
     let role = if operator.planner.is_some() { Role::Planner } else { Role::Gateway };
     let fleet = operator.fleet.as_ref().map(|table| Fleet::prepare(table, role)).transpose()?;
     if let Some(fleet) = &fleet {
@@ -179,7 +181,7 @@
 
 async fn run_gateway(
     config: config::Config,
-    operator: Operator,
+    operator: OperatorConfig,
     fleet: Option<Rc<Fleet>>,
     reload: Signal,
     stop: impl Future<Output = ()>,
@@ -187,7 +189,7 @@
     let routes = routes::Routes::new(&operator, &config.settings).map_err(|e| format!("routes: {e}"))?;
     let settings = granitehub::Settings { pools: routes.pools(), ..config.settings.clone() };
     let routes = Rc::new(routes);
-    let backends = backends_of(&config, &settings);
+    let backends = new_backends(&config, &settings);
     let driver = Driver::new(driver_config(&config, &operator, &settings, &routes, &backends))?;
     if let Some(forwarder) = &operator.forwarder {
         let now = driver.time(tokio::time::Instant::now());
@@ -203,7 +205,7 @@
     }
     let inherited = std::env::var("LB_INHERITED_FD").ok();
     let listener = listener(config.listen, inherited.as_deref())?;
-    // Only an inherited socket is shared with a process that comes after.
+    // Only an inherited socket is shared with a successor process.
     let link = Link::new(inherited.and(std::env::var_os("TMPDIR")).map(PathBuf::from));
     let operator_listener =
         config.operator.map(sockets::listen).transpose().map_err(|error| error.to_string())?;
@@ -226,7 +228,7 @@
     let snapshots = operator
         .snapshot
         .as_ref()
-        .and_then(|table| Snapshots::begin(table, &settings, link.role(), &driver, &mut known_revision));
+        .and_then(|table| Snapshots::open(table, &settings, link.role(), &driver, &mut known_revision));
     if let Some(snapshots) = snapshots {
         let link = link.clone();
         spawn_local(snapshots.run(driver.clone(), move || link.role()));
@@ -235,20 +237,21 @@
     let pace = Pace::new(discovery_service(&settings), config.seed);
     let callers = Rc::new(Cell::new(None));
     if let Some(fleet) = &fleet {
-        fleet.serves(&operator, &driver, settings.gateways, &callers);
+        fleet.set_consumers(&operator, &driver, settings.gateways, &callers);
     }
-    // A shared service is asked for no more than what changed since: the whole list costs it work for each line.
+    // A shared discovery service is asked only for the changes since this revision: the whole list costs it work for each
+    // line.
     let known_revision = known_revision.filter(|_| settings.subscribe);
-    spawn_local(follow(config.discovery, known_revision, pace, callers, reload, driver.clone()));
+    spawn_local(follow_discovery(config.discovery, known_revision, pace, callers, reload, driver.clone()));
     spawn_local(backends.close_idle());
     let driver = spawn_local(async move { driver.run().await });
     tokio::select! {
-        lost = driver => Err(format!("the driver ended: {lost:?}")),
+        result = driver => Err(format!("the driver ended: {result:?}")),
         () = server.accept(listener, stop) => Ok(()),
     }
 }
 
-fn backends_of(config: &config::Config, settings: &granitehub::Settings) -> Rc<Backends> {
+fn new_backends(config: &config::Config, settings: &granitehub::Settings) -> Rc<Backends> {
     let limits = backends::Limits {
         max_connections: config.backend_sockets,
         connect_timeout: config.connect_timeout,
@@ -256,24 +259,24 @@
         unacknowledged_timeout: None,
         relay_overtime: None,
     };
-    let wire = wire::Backward { most_units: settings.max_units.max(1.0) };
+    let wire = wire::BackendProtocol { max_units: settings.max_units.max(1.0) };
     Backends::new(&limits, Box::new(wire))
 }
 
 fn driver_config(
     config: &config::Config,
-    operator: &Operator,
+    operator: &OperatorConfig,
     settings: &granitehub::Settings,
     routes: &Rc<routes::Routes>,
     backends: &Rc<Backends>,
 ) -> Config {
     let nanos = |duration: Duration| duration.as_nanos() as Time;
-    let table = &operator.lifecycle;
+    let lifecycle = &operator.lifecycle;
     let timing = Timing {
-        way_back: nanos(table.way_back),
-        module_grace: nanos(table.module_grace),
-        key_margin: nanos(table.key_margin),
-        min_batch_interval: nanos(table.gap),
+        way_back: nanos(lifecycle.way_back),
+        module_grace: nanos(lifecycle.module_grace),
+        key_margin: nanos(lifecycle.key_margin),
+        min_batch_interval: nanos(lifecycle.min_batch_interval),
     };
     let (module_settings, routes) = (settings.clone(), routes.clone());
     Config {
@@ -286,7 +289,7 @@
         }),
         backends: backends.clone(),
         zones: config.zones.clone(),
-        pools: Box::new(move |target| routes.of(target)),
+        pools: Box::new(move |target| routes.pools_of(target)),
     }
 }
 
@@ -299,49 +302,52 @@
     }
 }
 
-/// The inherited socket with this descriptor's number, or one of our own.
+/// Returns the inherited socket with this descriptor number, or binds a new one.
 fn listener(address: SocketAddr, inherited: Option<&str>) -> Result<TcpListener, String> {
     match inherited {
         None => sockets::listen(address).map_err(|error| error.to_string()),
-        Some(number) => inherit(number).map_err(|e| format!("LB_INHERITED_FD is {number:?}: {e}")),
+        Some(number) => inherited_listener(number).map_err(|e| format!("LB_INHERITED_FD is {number:?}: {e}")),
     }
 }
 
-/// The listening socket that the parent process left open for this one.
-fn inherit(number: &str) -> Result<TcpListener, String> {
+/// Returns the listening socket that the parent process left open for this one.
+fn inherited_listener(number: &str) -> Result<TcpListener, String> {
     let listener = inherit::listener(number)?;
     listener.set_nonblocking(true).map_err(|e| e.to_string())?;
     TcpListener::from_std(listener).map_err(|e| e.to_string())
 }
 
-/// Watches discovery where the configuration says it is, also after a new one. The watch that waits at the
-/// old address is dropped at once: what that has yet to tell would come too late.
-async fn follow(
+/// Watches discovery at the configured address, and restarts the watch when SIGHUP reloads the configuration. The watch at
+/// the old address is aborted at once: its next update would be out of date.
+async fn follow_discovery(
     address: SocketAddr,
-    held: Option<u64>,
+    known_revision: Option<u64>,
     mut pace: Pace,
     callers: Rc<Cell<Option<u32>>>,
-    mut hup: Signal,
+    mut reload: Signal,
     driver: Rc<Driver>,
 ) {
-    let mut begin = |address, held| {
-        let driver = driver.clone();
-        let callers = callers.clone();
-        spawn_local(discovery::watch(address, held, pace.fork(), callers, move |news| match news {
-            News::List(scope, list) => driver.apply_list(scope, list),
-            News::Failed(what) => driver.discovery_failed(what),
-        }))
-    };
-    let mut watch = begin(address, held);
-    while hup.recv().await.is_some() {
+    let mut start_watch =
+        |address, known_revision| {
+            let driver = driver.clone();
+            let callers = callers.clone();
+            spawn_local(discovery::watch(address, known_revision, pace.fork(), callers, move |update| {
+                match update {
+                    Update::List(scope, list) => driver.apply_list(scope, list),
+                    Update::Failed(error) => driver.discovery_failed(error),
+                }
+            }))
+        };
+    let mut watch = start_watch(address, known_revision);
+    while reload.recv().await.is_some() {
         match config::reload() {
             Ok(address) => {
                 info!(%address, "new configuration: discovery at {address}");
                 watch.abort();
-                // Revisions of another service say nothing here.
-                watch = begin(address, None);
+                // Revisions of another service are not comparable.
+                watch = start_watch(address, None);
             }
-            Err(what) => warn!(cause = what, "new configuration refused, the old one stands: {what}"),
+            Err(error) => warn!(cause = error, "new configuration refused, the old one stands: {error}"),
         }
     }
 }
--- a/src/bin/granitethread/routes.rs
+++ b/src/bin/granitethread/routes.rs
@@ -1,136 +1,142 @@
-//! The operators' routes and pools as the program uses them: whose a request is, and whose a server.
+//! Routing table and pools from the operators' file: the pool of a request, and the pools of a server.
 
 use granitehub::{Class, Effect, Group, Settings};
 use hyper::header::HeaderMap;
 use hyper::http::uri::PathAndQuery;
 use hyper::Uri;
-use operator::{Operator, Pool};
+use operator::{OperatorConfig, Pool};
 use proxy::list::Target;
 use route::{Route, RouteQuery, Selector, Split, Table};
 use std::collections::BTreeMap;
 
-/// The one path where no route is written.
-const PATH: &str = "/api";
+/// The only path when no routes are configured.
+const DEFAULT_PATH: &str = "/api";
 
-/// The routing table and the pools of the operators' file.
+/// Routing table and pools of the operators' file.
 pub struct Routes {
     table: Table,
     pools: Vec<Selector>,
-    /// Whether the operators wrote any route.
-    written: bool,
+    /// Whether the operators' file has any route.
+    has_routes: bool,
 }
 
-/// Where a request goes.
-pub struct Place {
+/// The pool and the URI of a routed request.
+pub struct Destination {
     pub pool: usize,
-    /// The path and query as servers get them.
+    /// The path and query to send to a server.
     pub uri: Uri,
 }
 
 impl Routes {
-    /// Compiles what the operators wrote.
+    /// Compiles the routes and pools of the operators' file.
     ///
     /// # Errors
-    /// One line, with the file's own.
-    pub fn new(operator: &Operator, settings: &Settings) -> Result<Self, String> {
+    /// Returns one line that names the line of the file.
+    pub fn new(operator: &OperatorConfig, settings: &Settings) -> Result<Self, String> {
         let pools: Vec<Selector> = match operator.pools.as_slice() {
             [] => vec![Selector::default()],
             pools => pools.iter().map(selector).collect(),
         };
         let mut routes = Vec::new();
-        for r in &operator.routes {
+        for route in &operator.routes {
             let class = |name: &String| {
-                let place = settings.classes.iter().position(|c| c.name == *name);
-                place.ok_or_else(|| format!("line {}: no class is named {name:?}", r.line))
+                let index = settings.classes.iter().position(|c| c.name == *name);
+                index.ok_or_else(|| format!("line {}: no class is named {name:?}", route.line))
             };
             let pool =
                 |name: &String| operator.pools.iter().position(|p| p.name == *name).unwrap_or(usize::MAX);
             routes.push(Route {
-                line: r.line,
-                host: r.host.clone(),
-                prefix: r.prefix.clone(),
-                methods: r.methods.clone(),
-                classes: r.classes.iter().map(class).collect::<Result<_, _>>()?,
-                headers: r.headers.clone(),
+                line: route.line,
+                host: route.host.clone(),
+                prefix: route.prefix.clone(),
+                methods: route.methods.clone(),
+                classes: route.classes.iter().map(class).collect::<Result<_, _>>()?,
+                headers: route.headers.clone(),
                 split: Split {
-                    weights: r.split.iter().map(|(name, weight)| (pool(name), *weight)).collect(),
+                    weights: route.split.iter().map(|(name, weight)| (pool(name), *weight)).collect(),
                 },
-                rewrite: r.rewrite.clone(),
+                rewrite: route.rewrite.clone(),
                 shadow: None,
             });
         }
         if routes.is_empty() {
-            routes.push(Route { prefix: PATH.into(), split: Split::all(0), ..Route::default() });
+            routes.push(Route { prefix: DEFAULT_PATH.into(), split: Split::all(0), ..Route::default() });
         }
         let table = Table::new(routes, pools.len()).map_err(|e| e.to_string())?;
-        Ok(Routes { table, pools, written: !operator.routes.is_empty() })
+        Ok(Routes { table, pools, has_routes: !operator.routes.is_empty() })
     }
 
-    /// Whether a table would do for a gateway that has the classes it names.
+    /// Checks the routes and pools for a gateway whose settings have all the classes that the routes name.
     ///
     /// # Errors
-    /// One line.
-    pub fn check(operator: &Operator) -> Result<(), String> {
+    /// Returns one line that describes the problem.
+    pub fn check(operator: &OperatorConfig) -> Result<(), String> {
         let names = operator.routes.iter().flat_map(|r| &r.classes);
         let class = |name: &String| Class::new(name, 0, 0, Effect::Safe, Group::All);
         let settings = Settings { classes: names.map(class).collect(), ..Settings::default() };
         Routes::new(operator, &settings).map(drop)
     }
 
-    /// How many pools there are.
+    /// Number of pools.
     pub fn pools(&self) -> usize {
         self.pools.len()
     }
 
-    /// Whether a request for this path can be anything but 404; which it is its figures tell.
+    /// Whether a request for this path may match a route. A full match also needs the request's headers.
     pub fn may_match(&self, path: &str) -> bool {
-        self.written || path == PATH
+        self.has_routes || path == DEFAULT_PATH
     }
 
-    /// Where a request goes; none if there is no route for it.
-    pub fn place(&self, head: &hyper::http::request::Parts, class: usize, customer: &str) -> Option<Place> {
+    /// Finds the destination of a request; none if no route matches.
+    pub fn find(
+        &self,
+        head: &hyper::http::request::Parts,
+        class: usize,
+        customer: &str,
+    ) -> Option<Destination> {
         let path = head.uri.path();
         let host = head.uri.host().or_else(|| head.headers.get("host")?.to_str().ok()).unwrap_or_default();
-        let ask = RouteQuery { host: without_port(host), path, method: head.method.as_str(), class };
-        let found = self.table.find(&ask, |name| value(&head.headers, name))?;
-        let pool = found.route.split.pool(customer)?;
-        // Backends are asked for a path, also if this client thinks that it talks to a proxy.
-        let whole = head.uri.path_and_query()?;
-        let uri = match found.path(path) {
-            std::borrow::Cow::Borrowed(same) if same.len() == path.len() => Uri::from(whole.clone()),
+        let query = RouteQuery { host: without_port(host), path, method: head.method.as_str(), class };
+        let route_match = self.table.find(&query, |name| header_value(&head.headers, name))?;
+        let pool = route_match.route.split.pool(customer)?;
+        // Backends get a path, even if the client sent an absolute URI as it would to a proxy.
+        let path_and_query = head.uri.path_and_query()?;
+        let uri = match route_match.path(path) {
+            std::borrow::Cow::Borrowed(same) if same.len() == path.len() => Uri::from(path_and_query.clone()),
             path => {
-                let query = whole.query().map_or(String::new(), |q| format!("?{q}"));
-                Uri::from(PathAndQuery::try_from(format!("{path}{query}")).ok()?)
+                let query_suffix = path_and_query.query().map_or(String::new(), |q| format!("?{q}"));
+                Uri::from(PathAndQuery::try_from(format!("{path}{query_suffix}")).ok()?)
             }
         };
-        Some(Place { pool, uri })
+        Some(Destination { pool, uri })
     }
 
-    /// The pools of a server, a bit each.
-    pub fn of(&self, t: &Target) -> u32 {
-        if let [all] = self.pools.as_slice() {
-            if all.match_labels.is_empty() {
+    /// Returns the pools of a server, one bit for each.
+    pub fn pools_of(&self, target: &Target) -> u32 {
+        if let [only] = self.pools.as_slice() {
+            if only.match_labels.is_empty() {
                 return 1;
             }
         }
         let labels = BTreeMap::from([
-            ("zone".to_string(), t.az.clone()),
-            ("model".to_string(), t.model.clone()),
-            ("group".to_string(), t.pod_group.to_string()),
+            ("zone".to_string(), target.az.clone()),
+            ("model".to_string(), target.model.clone()),
+            ("group".to_string(), target.pod_group.to_string()),
         ]);
-        let bit = |(n, s): (usize, &Selector)| if s.matches(&labels) { 1 << n } else { 0 };
+        let bit =
+            |(index, selector): (usize, &Selector)| if selector.matches(&labels) { 1 << index } else { 0 };
         self.pools.iter().enumerate().map(bit).sum()
     }
 }
 
 fn selector(pool: &Pool) -> Selector {
     let groups: Vec<String> = pool.groups.iter().map(u32::to_string).collect();
-    let all = [("zone", pool.zones.clone()), ("model", pool.models.clone()), ("group", groups)];
-    let stated = all.into_iter().filter(|(_, values)| !values.is_empty());
-    Selector { match_labels: stated.map(|(name, values)| (name.to_string(), values)).collect() }
+    let labels = [("zone", pool.zones.clone()), ("model", pool.models.clone()), ("group", groups)];
+    let non_empty = labels.into_iter().filter(|(_, values)| !values.is_empty());
+    Selector { match_labels: non_empty.map(|(name, values)| (name.to_string(), values)).collect() }
 }
 
-fn value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_value<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
--- a/src/bin/granitethread/snapshot.rs
+++ b/src/bin/granitethread/snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshots on the disk: read at the start, written by a thread of their own. What they mean, and what may be made of
-//! old ones, is settled in `snapshot`.
+//! Loads the snapshot at the start and writes snapshots from a dedicated thread. The `snapshot` crate defines their format
+//! and the rules for old ones.
 
 use granitehub::Settings;
 use handover::Role;
@@ -7,8 +7,8 @@
 use proxy::driver::Driver;
 use proxy::list::List;
 use serde_json::json;
-use snapshot::age::{join, list_counts, split, Quota, Times};
-use snapshot::files::{keep, load, save, Folder};
+use snapshot::age::{is_list_usable, join, split, Quota, Times};
+use snapshot::files::{confirm, load, save, Directory};
 use snapshot::{decode, encode, inspect, Author, Kind, Section};
 use std::fs::File;
 use std::io::{Read, Write};
@@ -19,150 +19,160 @@
 use tokio::time::{interval, sleep, Instant, MissedTickBehavior};
 use tracing::{info, warn};
 
-/// A process that lives for so long has not died of what it read.
-const SURVIVED: Duration = Duration::from_secs(1);
+/// A process that runs this long has not crashed because of the snapshot that it loaded.
+const SURVIVAL_TIME: Duration = Duration::from_secs(1);
 
-/// Between two that are handed over.
-const GAP: Duration = Duration::from_millis(100);
+/// Pause between two attempts to queue a snapshot for the writer thread.
+const WRITE_PAUSE: Duration = Duration::from_millis(100);
 
-/// What is to be written: as the module left it, to be taken apart by the thread.
-struct Memory {
-    at: u64,
+/// State to be written. The module's text is as exported; the writer thread splits it.
+struct CapturedState {
+    captured_at: u64,
     module: String,
     bans: String,
     list: Option<String>,
 }
 
-/// Writes snapshots of what the gateway has learnt, and restores one at the start.
+/// Writes snapshots of the gateway's state, and restores one at the start.
 pub struct Snapshots {
     name: String,
-    life: u64,
-    every: Duration,
-    disk: Folder,
+    generation: u64,
+    interval: Duration,
+    directory: Directory,
 }
 
 impl Snapshots {
-    /// Goes on with what an earlier process left, as far as it is of use. None, after one line, if there is no folder to
-    /// write to: service goes on without. `rev`: of the list that the driver has, if it has one; a later one takes its place.
-    pub fn begin(
+    /// Restores the usable parts of an earlier process's snapshot. Without a writable directory it logs one line and returns
+    /// none: the gateway then serves without snapshots. `known_revision` is the revision of the driver's server list, if it
+    /// has one; a snapshot's list replaces it only if it is later.
+    pub fn open(
         table: &Table,
         settings: &Settings,
         role: Role,
         driver: &Rc<Driver>,
-        rev: &mut Option<u64>,
+        known_revision: &mut Option<u64>,
     ) -> Option<Self> {
-        let folder = table.folder.display();
-        let mut disk = Folder::open(&table.folder)
-            .inspect_err(|e| warn!(cause = %e, "snapshot: {folder}: {e}; nothing is kept for a next process"))
+        let path = table.folder.display();
+        let mut directory = Directory::open(&table.folder)
+            .inspect_err(|e| warn!(cause = %e, "snapshot: {path}: {e}; nothing is kept for a next process"))
             .ok()?;
-        // What lies there while another process of this gateway lives is that one's, and it will leave the rest.
+        // While another process of this gateway runs, the file belongs to that process, which will hand over its state.
         if role.saves_state() {
-            match load(&mut disk) {
+            match load(&mut directory) {
                 Ok(None) => {}
-                Ok(Some(bytes)) => go_on(&bytes, table, settings, driver, rev),
-                Err(e) => warn!(cause = %e, "snapshot: {folder}: {e}; begun with nothing"),
+                Ok(Some(bytes)) => restore(&bytes, table, settings, driver, known_revision),
+                Err(e) => warn!(cause = %e, "snapshot: {path}: {e}; begun with nothing"),
             }
         }
-        let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        Some(Snapshots { name: table.name.clone(), life, every: table.every, disk })
+        let generation = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        Some(Snapshots { name: table.name.clone(), generation, interval: table.interval, directory })
     }
 
-    /// For as long as the process lives. `role`: only one of two processes of this gateway writes.
+    /// Writes snapshots until the process ends. `role` tells whether this process is the one that writes: of two processes of
+    /// a gateway only one does.
     pub async fn run(self, driver: Rc<Driver>, role: impl Fn() -> Role) {
-        let (sender, memories) = sync_channel(1);
-        let (name, life, disk) = (self.name, self.life, self.disk);
+        let (sender, states) = sync_channel(1);
+        let (name, generation, directory) = (self.name, self.generation, self.directory);
         let thread = std::thread::Builder::new().name("snapshot".into());
-        if let Err(e) = thread.spawn(move || write(disk, &name, life, &memories)) {
-            warn!(cause = %e, "snapshot: no thread to write with: {e}");
+        if let Err(e) = thread.spawn(move || write(directory, &name, generation, &states)) {
+            warn!(cause = %e, "snapshot: cannot start the writer thread: {e}");
             return;
         }
-        sleep(SURVIVED).await;
-        let mut every = interval(self.every);
-        every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        sleep(SURVIVAL_TIME).await;
+        let mut ticks = interval(self.interval);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            // A drain that was told must be known to the next process, whenever this one ends.
+            // The next process must know of every drain that was announced, whenever this one ends.
             tokio::select! {
-                _ = every.tick() => {}
+                _ = ticks.tick() => {}
                 () = driver.list_changed() => {}
             }
-            // A disk that is slow gets fewer, not older ones; and a list that changes all the time is not written each time.
+            // A slow disk gets fewer snapshots, not older ones; and a list that changes continually is not written each time.
             while role().saves_state() {
-                match hand_over(&sender, &driver) {
-                    Handed::Gone => return,
-                    Handed::Taken => break,
-                    Handed::Busy => sleep(GAP).await,
+                match enqueue(&sender, &driver) {
+                    QueueResult::Closed => return,
+                    QueueResult::Queued => break,
+                    QueueResult::Full => sleep(WRITE_PAUSE).await,
                 }
             }
-            sleep(GAP).await;
+            sleep(WRITE_PAUSE).await;
         }
     }
 }
 
-enum Handed {
-    Taken,
-    /// The one before is still being written, and another waits.
-    Busy,
-    /// There is nobody left to write it.
-    Gone,
+/// Outcome of queueing a state for the writer thread.
+enum QueueResult {
+    Queued,
+    /// One snapshot is being written and another one waits.
+    Full,
+    /// The writer thread has ended.
+    Closed,
 }
 
-fn hand_over(to: &SyncSender<Memory>, driver: &Driver) -> Handed {
-    let at = driver.time(Instant::now());
+fn enqueue(sender: &SyncSender<CapturedState>, driver: &Driver) -> QueueResult {
+    let captured_at = driver.time(Instant::now());
     let (module, bans) = (driver.export_state(), handover::write(&driver.bans()));
-    let memory = Memory { at, module, bans, list: driver.exported_list() };
-    match to.try_send(memory) {
-        Ok(()) => Handed::Taken,
-        Err(TrySendError::Full(_)) => Handed::Busy,
-        Err(TrySendError::Disconnected(_)) => Handed::Gone,
+    let state = CapturedState { captured_at, module, bans, list: driver.exported_list() };
+    match sender.try_send(state) {
+        Ok(()) => QueueResult::Queued,
+        Err(TrySendError::Full(_)) => QueueResult::Full,
+        Err(TrySendError::Disconnected(_)) => QueueResult::Closed,
     }
 }
 
-fn write(mut disk: Folder, name: &str, life: u64, memories: &Receiver<Memory>) {
-    let (mut kept, mut wrong) = (false, None);
-    for memory in memories {
-        if !std::mem::replace(&mut kept, true) {
-            let _ = keep(&mut disk);
+fn write(mut directory: Directory, name: &str, generation: u64, states: &Receiver<CapturedState>) {
+    let (mut confirmed, mut last_error) = (false, None);
+    for state in states {
+        if !std::mem::replace(&mut confirmed, true) {
+            let _ = confirm(&mut directory);
         }
-        let mut sections = vec![Section { kind: Kind::Bans, bytes: memory.bans.into_bytes() }];
-        if let Some((stores, servers)) = split(&memory.module) {
+        let mut sections = vec![Section { kind: Kind::Bans, bytes: state.bans.into_bytes() }];
+        if let Some((stores, servers)) = split(&state.module) {
             sections.push(Section { kind: Kind::Stores, bytes: stores });
             sections.push(Section { kind: Kind::Servers, bytes: servers });
         }
-        if let Some(list) = memory.list {
+        if let Some(list) = state.list {
             sections.push(Section { kind: Kind::List, bytes: list.into_bytes() });
         }
-        let author = Author { name: name.into(), generation: life, taken_at: memory.at };
-        match save(&mut disk, &encode(&author, &sections)) {
-            Ok(()) => wrong = None,
-            Err(e) => told_once(&mut wrong, &disk, &e),
+        let author = Author { name: name.into(), generation, taken_at: state.captured_at };
+        match save(&mut directory, &encode(&author, &sections)) {
+            Ok(()) => last_error = None,
+            Err(e) => warn_once(&mut last_error, &directory, &e),
         }
     }
 }
 
-/// One line for each trouble, not one a second.
-fn told_once(wrong: &mut Option<String>, disk: &Folder, e: &std::io::Error) {
-    let what = e.to_string();
-    if wrong.as_ref() != Some(&what) {
-        warn!(cause = what, "snapshot: {}: {what}; the one before stands", disk.path().display());
-        *wrong = Some(what);
+/// Logs a failed write unless the previous one failed in the same way.
+fn warn_once(last_error: &mut Option<String>, directory: &Directory, e: &std::io::Error) {
+    let error = e.to_string();
+    if last_error.as_ref() != Some(&error) {
+        warn!(cause = error, "snapshot: {}: {error}; the one before stands", directory.path().display());
+        *last_error = Some(error);
     }
 }
 
-fn go_on(bytes: &[u8], table: &Table, settings: &Settings, driver: &Rc<Driver>, rev: &mut Option<u64>) {
+/// Restores the usable parts of a snapshot, and logs each part that is not.
+fn restore(
+    bytes: &[u8],
+    table: &Table,
+    settings: &Settings,
+    driver: &Rc<Driver>,
+    known_revision: &mut Option<u64>,
+) {
     let now = driver.time(Instant::now());
-    let read = match decode(bytes, &table.name, now) {
-        Ok(read) => read,
-        Err(refused) => return warn!(cause = %refused, "snapshot: {refused}; begun with nothing"),
+    let snapshot = match decode(bytes, &table.name, now) {
+        Ok(snapshot) => snapshot,
+        Err(error) => return warn!(cause = %error, "snapshot: {error}; begun with nothing"),
     };
-    let times = Times::new(read.author.taken_at, table.every.as_nanos() as u64, now);
-    for (kind, spoilt) in read.sections.iter().filter_map(|(k, s)| Some((k, s.as_ref().err()?))) {
-        warn!(cause = %spoilt, "snapshot: {kind}: {spoilt}; begun without");
+    let times = Times::new(snapshot.author.taken_at, table.interval.as_nanos() as u64, now);
+    for (kind, error) in snapshot.sections.iter().filter_map(|(k, s)| Some((k, s.as_ref().err()?))) {
+        warn!(cause = %error, "snapshot: {kind}: {error}; begun without");
     }
-    let section = |kind| read.sections.get(&kind).and_then(|s| s.as_deref().ok());
-    // First: what was learnt of servers is taken of those that are known.
+    let section = |kind| snapshot.sections.get(&kind).and_then(|s| s.as_deref().ok());
+    // The list comes first: observations are restored only for servers that are known.
     match section(Kind::List).map(serde_json::from_slice::<List>) {
-        Some(Ok(list)) if list_counts(times, list.rev, *rev) => {
-            *rev = Some(list.rev);
+        Some(Ok(list)) if is_list_usable(times, list.rev, *known_revision) => {
+            *known_revision = Some(list.rev);
             driver.apply_cached_list(list);
         }
         Some(Err(e)) => warn!(cause = %e, "snapshot: list: {e}; begun without"),
@@ -176,60 +186,60 @@
     }
     let plans: Vec<Quota> = settings.plans.iter().map(|p| Quota { rate: p.rate, depth: p.depth }).collect();
     let text = section(Kind::Stores).and_then(|stores| join(stores, section(Kind::Servers), &plans, times));
-    let age = now.saturating_sub(read.author.taken_at) / 1_000_000;
+    let age = now.saturating_sub(snapshot.author.taken_at) / 1_000_000;
     match text.map(|text| driver.import_state(&text)) {
         Some(Ok(())) => info!(age, bytes = bytes.len(), "snapshot: goes on with one that is {age} ms old"),
-        Some(Err(what)) => warn!(cause = what, "snapshot: stores and servers: {what}; begun without"),
+        Some(Err(error)) => warn!(cause = error, "snapshot: stores and servers: {error}; begun without"),
         None => {}
     }
 }
 
-/// `granitethread snapshot show`.
+/// Runs `granitethread snapshot show`.
 pub fn show(file: &Path, as_json: bool) -> Result<(), String> {
-    let wrong = |e: std::io::Error| format!("{}: {e}", file.display());
+    let io_error = |e: std::io::Error| format!("{}: {e}", file.display());
     let mut bytes = Vec::new();
-    let most = snapshot::MOST_BYTES as u64 + 1;
-    File::open(file).map_err(wrong)?.take(most).read_to_end(&mut bytes).map_err(wrong)?;
-    let read = inspect(&bytes).map_err(|refused| format!("{}: {refused}", file.display()))?;
+    let max_bytes = snapshot::MAX_BYTES as u64 + 1;
+    File::open(file).map_err(io_error)?.take(max_bytes).read_to_end(&mut bytes).map_err(io_error)?;
+    let snapshot = inspect(&bytes).map_err(|error| format!("{}: {error}", file.display()))?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_nanos() as u64;
-    let age = now.saturating_sub(read.author.taken_at) / 1_000_000;
-    let sections: Vec<_> = read
+    let age = now.saturating_sub(snapshot.author.taken_at) / 1_000_000;
+    let sections: Vec<_> = snapshot
         .sections
         .iter()
-        .map(|(kind, found)| {
-            let bytes = found.as_ref().map_or(0, Vec::len);
-            let wrong = found.as_ref().err().map(ToString::to_string);
-            (kind.to_string(), bytes, wrong)
+        .map(|(kind, content)| {
+            let bytes = content.as_ref().map_or(0, Vec::len);
+            let error = content.as_ref().err().map(ToString::to_string);
+            (kind.to_string(), bytes, error)
         })
         .collect();
     let text = if as_json {
-        let one = |(kind, bytes, wrong): &(String, usize, Option<String>)| json!({"section": kind, "bytes": bytes, "wrong": wrong});
-        let all: Vec<_> = sections.iter().map(one).collect();
-        let author = &read.author;
+        let section_json = |(kind, bytes, error): &(String, usize, Option<String>)| json!({"section": kind, "bytes": bytes, "wrong": error});
+        let all: Vec<_> = sections.iter().map(section_json).collect();
+        let author = &snapshot.author;
         format!(
             "{}\n",
             json!({
                 "name": author.name, "life": author.generation, "age_ms": age, "bytes": bytes.len(), "sections": all,
-                "table_damaged": read.table_damaged, "unknown_sections": read.unknown,
+                "table_damaged": snapshot.table_damaged, "unknown_sections": snapshot.unknown,
             })
         )
     } else {
         let mut text = format!(
             "{}, life {}, {age} ms old, {} bytes\n",
-            read.author.name,
-            read.author.generation,
+            snapshot.author.name,
+            snapshot.author.generation,
             bytes.len()
         );
-        for (kind, bytes, wrong) in &sections {
-            let state = wrong.as_deref().map_or_else(|| "sound".to_string(), |w| format!("of no use: {w}"));
-            text.push_str(&format!("{kind:10} {bytes:>10} bytes  {state}\n"));
+        for (kind, bytes, error) in &sections {
+            let status = error.as_deref().map_or_else(|| "sound".to_string(), |w| format!("of no use: {w}"));
+            text.push_str(&format!("{kind:10} {bytes:>10} bytes  {status}\n"));
         }
-        if read.table_damaged {
-            text.push_str("one of its two tables is damaged\n");
+        if snapshot.table_damaged {
+            text.push_str("one of the two copies of its table is damaged\n");
         }
         text
     };
-    // A reader that goes away is no trouble of ours.
+    // A closed pipe at the reader is not an error of this command.
     let _ = std::io::stdout().write_all(text.as_bytes());
     Ok(())
 }
--- a/src/bin/granitethread/wire/tests.rs
+++ b/src/bin/granitethread/wire/tests.rs
@@ -4,9 +4,9 @@
 use proxy::backends::Upload;
 use std::cell::RefCell;
 
-/// The header is the simulator's figure less 1, in percent; units are the true ones.
+/// The `usage-percent` header is the simulator's `metered` value less 1; billed units are passed unchanged.
 #[test]
-fn the_meter_and_the_bill_reach_the_module_in_its_units() {
+fn metered_usage_and_billed_units_are_converted_for_the_module() {
     let request = Outgoing {
         method: Method::GET,
         uri: Uri::from_static("/api"),
@@ -18,7 +18,7 @@
         let answer = Response::builder().status(status).header("usage-percent", "85");
         let answer =
             answer.header("billed-units", "3").body(Content::Complete(Bytes::from_static(b"x"))).unwrap();
-        Backward { most_units: 8.0 }.read(&request, &"s".into(), answer)
+        BackendProtocol { max_units: 8.0 }.read(&request, &"s".into(), answer)
     };
     let good = answer(200);
     assert_eq!((good.metered, good.settled, good.ending), (Some(0.85), 3.0, Ending::Success));
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -211,7 +211,7 @@
     for (bytes, name, wanted) in [
         (flipped.clone(), "g1", "snapshot: bans: its checksum does not hold; begun without"),
         (sound[..sound.len() / 2].to_vec(), "g1", "the file ends before it does; begun without"),
-        (sound.clone(), "g2", "snapshot: it is \"g1\"'s; begun with nothing"),
+        (sound.clone(), "g2", "snapshot: it belongs to \"g1\"; begun with nothing"),
         (b"anything".to_vec(), "g1", "snapshot: not a snapshot; begun with nothing"),
         (Vec::new(), "g1", "snapshot: not a snapshot; begun with nothing"),
     ] {
