--- a/crates/tools/granitethread-ctl/src/command.rs
+++ b/crates/tools/granitethread-ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands that an operator types, and how they are carried out.
+//! Parses and executes the operator's commands.
 
 use crate::control_client::ControlClient;
 use crate::error::Error;
@@ -7,19 +7,19 @@
 use messages::Query;
 use std::net::SocketAddr;
 
-/// Shown by `help`.
+/// Text that `help` prints.
 pub const HELP: &str = "status         each control node: the leader, voters, configuration, counts\n\
                         backends       service, address, zone, state of each\n\
-                        gateways       which are agreed on, and whom they follow\n\
-                        configuration  the one that is agreed on, as it was sent\n\
-                        trials         when each ends, which are over, pace and waits by gateway\n\
-                        check FILE     whether a configuration is sound, and where not\n\
-                        diff FILE      what it would change of what stands\n\
-                        apply FILE     send it as it is\n\
-                        trial TENANT ends=TIME pace=N wait=MS, or off: in the next version, on what stands\n\
+                        gateways       the agreed gateways, and the nodes they follow\n\
+                        configuration  the agreed configuration, as it was sent\n\
+                        trials         end and phase of each, rate and waits by gateway\n\
+                        check FILE     validate a configuration and report where it is invalid\n\
+                        diff FILE      changes that it would make to the current configuration\n\
+                        apply FILE     submit it unchanged\n\
+                        trial TENANT ends=TIME pace=N wait=MS, or off: set in the next version of the current configuration\n\
                         help, quit";
 
-/// One line of an operator.
+/// A parsed command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command<'a> {
     Query(Query),
@@ -30,8 +30,10 @@
 }
 
 impl<'a> Command<'a> {
+    /// Parses a line.
+    ///
     /// # Errors
-    /// The line is no command.
+    /// Returns an error if the line is not a valid command.
     pub fn parse(line: &'a str) -> Result<Self, Error> {
         let words: Vec<&str> = line.split_whitespace().collect();
         let command = match words[..] {
@@ -57,21 +59,21 @@
     Ok(query)
 }
 
-/// Where control nodes are reached, and how answers are printed.
+/// Addresses of the control nodes, and the output format.
 pub struct Targets {
-    /// Internal addresses, for queries.
+    /// Internal addresses, used for queries.
     pub query_nodes: Vec<SocketAddr>,
-    /// Control addresses, for changes of the configuration.
+    /// Control addresses, used for reading and changing the configuration.
     pub control_nodes: Vec<SocketAddr>,
-    /// Answers as JSON, one object a line.
+    /// Whether to print JSON, one object per line.
     pub is_json: bool,
 }
 
 impl Targets {
-    /// Carries out one line; what it returns is printed.
+    /// Executes one line and returns the text to print.
     ///
     /// # Errors
-    /// It is no command, or has no answer.
+    /// Returns an error if the line is not a valid command or the command fails.
     pub async fn run(&self, line: &str) -> Result<String, Error> {
         match Command::parse(line)? {
             Command::Query(query) => self.query(query).await,
@@ -94,7 +96,7 @@
         }
         let result = query_all(query, &self.query_nodes).await;
         if result.responses.is_empty() {
-            return Err(Error::NobodyReached(self.query_nodes.clone()));
+            return Err(Error::NoNodeReached(self.query_nodes.clone()));
         }
         Ok(if self.is_json { report::json(&result) } else { report::text(query, &result) })
     }
--- a/crates/tools/granitethread-ctl/src/command/tests.rs
+++ b/crates/tools/granitethread-ctl/src/command/tests.rs
@@ -14,10 +14,11 @@
 #[tokio::test(flavor = "current_thread")]
 async fn command_without_its_address_is_refused() {
     let targets = Targets { query_nodes: Vec::new(), control_nodes: Vec::new(), is_json: false };
-    for (line, refusal) in
-        [("status", "--at IP:PORT is wanted for that"), ("diff f", "--control IP:PORT is wanted for that")]
-    {
-        let error = targets.run(line).await.expect_err("there is no address");
+    for (line, refusal) in [
+        ("status", "this command requires --at IP:PORT"),
+        ("diff f", "this command requires --control IP:PORT"),
+    ] {
+        let error = targets.run(line).await.expect_err("an address is missing");
         assert_eq!(error.to_string(), refusal);
     }
 }
--- a/crates/tools/granitethread-ctl/src/configuration_changes.rs
+++ b/crates/tools/granitethread-ctl/src/configuration_changes.rs
@@ -1,5 +1,5 @@
-//! Commands that check, compare and change the configuration. Each change is made on the version that was read; a change that
-//! another one overtook is reported, or, where it is one field of a tenant, made again on the newer version.
+//! Commands that validate, compare and change the configuration. Each change is based on the version that was read. If another
+//! change was committed first, the conflict is reported; a change of a tenant's trial is retried on the newer version.
 
 use crate::control_client::{Answer, ControlClient};
 use crate::differences::differences;
@@ -9,21 +9,21 @@
 use hyper::StatusCode;
 use serde_json::{json, Value};
 
-/// How often a change of one field is made on a newer version.
-const MAX_CONFLICTS: usize = 4;
+/// Maximum number of attempts to change a trial when other changes conflict with it.
+const MAX_TRIAL_ATTEMPTS: usize = 4;
 
 /// Validates a configuration file.
 ///
 /// # Errors
-/// The first thing that is wrong with it, and where.
+/// Returns the first problem of the file and its location.
 pub fn check(file: &str) -> Result<String, Error> {
     validated(file).map(|(_, summary)| summary)
 }
 
-/// What a file would change of the configuration in force, a line each.
+/// Returns the differences between the current configuration and a file, one line each.
 ///
 /// # Errors
-/// The file is invalid, or the configuration could not be read.
+/// Returns an error if the file is invalid or the current configuration cannot be read.
 pub async fn diff(client: &ControlClient<'_>, file: &str) -> Result<String, Error> {
     let (text, _) = validated(file)?;
     let new =
@@ -36,10 +36,10 @@
     Ok(lines.join("\n"))
 }
 
-/// Proposes a file as it is.
+/// Proposes a file unchanged.
 ///
 /// # Errors
-/// The file is invalid, no node answered, or the change was refused.
+/// Returns an error if the file is invalid, no node answers, or the change is refused.
 pub async fn apply(client: &ControlClient<'_>, file: &str) -> Result<String, Error> {
     let (text, summary) = validated(file)?;
     let answer = client.replace(text.into()).await?;
@@ -49,12 +49,12 @@
     Err(refusal(&answer))
 }
 
-/// Sets fields of a tenant's trial (`ends=TIME pace=N wait=MS`), or removes the trial (`off`). Fields that are not named stay.
+/// Sets fields of a tenant's trial (`ends=TIME pace=N wait=MS`), or removes the trial (`off`). Other fields stay unchanged.
 ///
 /// # Errors
-/// The fields are wrong, no node answered, or other changes kept coming between.
+/// Returns an error if the fields are invalid, no node answers, or every attempt conflicts with another change.
 pub async fn trial(client: &ControlClient<'_>, tenant: &str, fields: &[&str]) -> Result<String, Error> {
-    for _ in 0..MAX_CONFLICTS {
+    for _ in 0..MAX_TRIAL_ATTEMPTS {
         let mut configuration = client.read().await?.ok_or(Error::NoConfiguration)?;
         let base = version_of(&configuration)?;
         set_trial(&mut configuration, tenant, fields)?;
@@ -64,7 +64,7 @@
         let answer = client.replace(configuration.to_string().into()).await?;
         match answer.status {
             StatusCode::OK => return Ok(format!("taken as {version:08x} on {base:08x}")),
-            // Another change came between: the same again on top of it.
+            // Another change was committed first: retry on the newer version.
             StatusCode::PRECONDITION_FAILED => {}
             _ => return Err(refusal(&answer)),
         }
@@ -72,7 +72,7 @@
     Err(Error::RetriesExhausted)
 }
 
-/// A valid file's text, and a line that sums it up.
+/// Returns the text of a valid file, and a summary line.
 fn validated(file: &str) -> Result<(Vec<u8>, String), Error> {
     let text = std::fs::read(file).map_err(|reason| Error::File { file: file.to_string(), reason })?;
     let configuration = configuration::validate(&text)
--- a/crates/tools/granitethread-ctl/src/control_client.rs
+++ b/crates/tools/granitethread-ctl/src/control_client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls to the control nodes: the configuration is read and replaced.
+//! HTTP client of the control nodes: reads and replaces the configuration.
 
 use crate::error::{CallError, Error, HttpError};
 use bytes::Bytes;
@@ -17,28 +17,30 @@
 const REPLACE_PATH: &str = "/-/Configuration.Replace";
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2500);
 const MAX_ATTEMPTS: usize = 12;
-const RETRY_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The addresses under which control nodes take calls of operators.
+/// Client of the control nodes at their control addresses.
 pub struct ControlClient<'a> {
     nodes: &'a [SocketAddr],
 }
 
-/// An answer that is no redirect.
+/// Status and body of an answer.
 pub struct Answer {
     pub status: StatusCode,
     pub body: Bytes,
 }
 
-/// What a node answered, and where it redirects to.
+/// The answer of one node, and the target if it is a redirect.
 struct NodeAnswer {
     answer: Answer,
     redirect: Option<SocketAddr>,
 }
 
 impl<'a> ControlClient<'a> {
+    /// Creates a client.
+    ///
     /// # Errors
-    /// No address was given.
+    /// Returns an error if there are no addresses.
     pub fn new(nodes: &'a [SocketAddr]) -> Result<Self, Error> {
         if nodes.is_empty() {
             return Err(Error::AddressMissing("control"));
@@ -46,31 +48,31 @@
         Ok(ControlClient { nodes })
     }
 
-    /// The configuration in force, if there is one yet.
+    /// Returns the current configuration, if there is one.
     ///
     /// # Errors
-    /// No node answered, or none with a configuration.
+    /// Returns an error if no node answers, or if the answer is not a configuration.
     pub async fn read(&self) -> Result<Option<Value>, Error> {
         let Answer { status, body } = self.call(Method::GET, READ_PATH, Bytes::new()).await?;
         match status {
             StatusCode::OK => {
                 let parsed = serde_json::from_slice(&body);
-                parsed.map(Some).map_err(Error::NotJsonAnswer)
+                parsed.map(Some).map_err(Error::AnswerNotJson)
             }
             StatusCode::NOT_FOUND => Ok(None),
             _ => Err(Error::UnexpectedAnswer { status, body: String::from_utf8_lossy(&body).into_owned() }),
         }
     }
 
-    /// Proposes a configuration; the answer may be a refusal.
+    /// Proposes a configuration. The answer may be a refusal.
     ///
     /// # Errors
-    /// No node answered.
+    /// Returns an error if no node answers.
     pub async fn replace(&self, configuration: Bytes) -> Result<Answer, CallError> {
         self.call(Method::POST, REPLACE_PATH, configuration).await
     }
 
-    /// Follows redirects to the leader, and tries again while there is none.
+    /// Sends a call, follows redirects to the leader, and retries failed attempts.
     async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Answer, CallError> {
         let mut redirect = None;
         let mut error = CallError::NotAttempted;
@@ -91,7 +93,7 @@
                 Err(_) => error = CallError::TimedOut { node },
             }
             if redirect.is_none() {
-                sleep(RETRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
         }
         Err(error)
@@ -116,12 +118,12 @@
     };
     tokio::select! {
         answer = answer => answer,
-        // A sound connection goes on until the answer is whole.
+        // Without an error, the connection stays open until the answer is complete.
         Err(error) = connection => Err(error.into()),
     }
 }
 
-/// The address that a `Location` header names.
+/// Returns the address in a `Location` header.
 fn redirect_of<B>(response: &Response<B>) -> Option<SocketAddr> {
     let location = response.headers().get(LOCATION)?.to_str().ok()?;
     location.strip_prefix("http://")?.split('/').next()?.parse().ok()
--- a/crates/tools/granitethread-ctl/src/differences.rs
+++ b/crates/tools/granitethread-ctl/src/differences.rs
@@ -1,11 +1,12 @@
-//! What differs between two configurations, for an operator to read.
+//! Describes the differences between two configurations for an operator.
 
 use serde_json::Value;
 
-/// Lists whose elements are compared by their `name`.
+/// Lists whose elements are matched by `name`.
 const NAMED_LISTS: [&str; 3] = ["routes", "services", "tenants"];
 
-/// A line for each difference: elements of the lists by name, the limits whole. API keys are never shown.
+/// Returns one line per difference. List elements are matched by name; the limits are compared as a whole. API keys are
+/// never included.
 pub fn differences(old: &Value, new: &Value) -> Vec<String> {
     let mut lines = Vec::new();
     for list in NAMED_LISTS {
--- a/crates/tools/granitethread-ctl/src/error.rs
+++ b/crates/tools/granitethread-ctl/src/error.rs
@@ -1,14 +1,14 @@
-//! What can go wrong while a command is carried out.
+//! Errors of commands.
 
 use displaydoc::Display;
 use hyper::StatusCode;
 use std::error::Error as StdError;
 use std::net::SocketAddr;
 
-/// Why a command has no answer. Its text is all that the operator is shown.
+/// Why a command failed. The operator sees only this text.
 #[derive(Debug, Display)]
 pub enum Error {
-    /// {0}; --help says what is known
+    /// {0}; see --help
     Usage(getopts::Fail),
     /// --{option} {text}: {reason}
     Address { option: &'static str, text: String, reason: std::net::AddrParseError },
@@ -16,12 +16,12 @@
     Runtime(std::io::Error),
     /// {0}
     LineEditor(rustyline::error::ReadlineError),
-    /// {0:?} is no query; help names them
+    /// unknown command {0:?}; see help
     UnknownCommand(String),
-    /// --{0} IP:PORT is wanted for that
+    /// this command requires --{0} IP:PORT
     AddressMissing(&'static str),
-    /// nobody was reached at {0:?}
-    NobodyReached(Vec<SocketAddr>),
+    /// no control node answered at {0:?}
+    NoNodeReached(Vec<SocketAddr>),
     /// {file}: {reason}
     File { file: String, reason: std::io::Error },
     /// {file}: {reason}
@@ -31,20 +31,20 @@
     /// {0}
     Call(CallError),
     /// {0}
-    NotJsonAnswer(serde_json::Error),
+    AnswerNotJson(serde_json::Error),
     /// {0}
     UnreadableConfiguration(configuration::ConfigurationError),
     /// {status} {body}
     UnexpectedAnswer { status: StatusCode, body: String },
-    /// overtaken: {0}; read it again
+    /// conflict with a newer version: {0}; read the configuration again
     Conflict(String),
     /// refused: {status} {reason}
     Refused { status: StatusCode, reason: String },
     /// there is no configuration yet
     NoConfiguration,
-    /// versions are used up
+    /// version numbers are exhausted
     VersionsExhausted,
-    /// others change it all the time; nothing was changed here
+    /// too many conflicting changes; nothing was changed
     RetriesExhausted,
     /// {0}
     Trial(TrialError),
@@ -58,12 +58,12 @@
             Error::Runtime(error) | Error::File { reason: error, .. } => Some(error),
             Error::LineEditor(error) => Some(error),
             Error::InvalidFile { reason, .. } | Error::UnreadableConfiguration(reason) => Some(reason),
-            Error::NotJson { reason, .. } | Error::NotJsonAnswer(reason) => Some(reason),
+            Error::NotJson { reason, .. } | Error::AnswerNotJson(reason) => Some(reason),
             Error::Call(error) => Some(error),
             Error::Trial(error) => Some(error),
             Error::UnknownCommand(_)
             | Error::AddressMissing(_)
-            | Error::NobodyReached(_)
+            | Error::NoNodeReached(_)
             | Error::UnexpectedAnswer { .. }
             | Error::Conflict(_)
             | Error::Refused { .. }
@@ -98,16 +98,16 @@
     }
 }
 
-/// Why a call to the control interface was given up: what came of the last attempt.
+/// Why a call to the control interface failed: the result of the last attempt.
 #[derive(Debug, Display)]
 pub enum CallError {
-    /// nobody was asked
+    /// no attempt was made
     NotAttempted,
     /// {node}: {status} {body}
     ServerError { node: SocketAddr, status: StatusCode, body: String },
     /// {node}: {reason}
     Http { node: SocketAddr, reason: HttpError },
-    /// {node}: it says nothing
+    /// {node}: timed out
     TimedOut { node: SocketAddr },
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// Why an HTTP request has no answer.
+/// Why an HTTP request failed.
 #[derive(Debug, Display)]
 pub enum HttpError {
     /// {0}
@@ -159,18 +159,18 @@
     }
 }
 
-/// Why a trial cannot be set as it was asked for.
+/// Why a trial cannot be set.
 #[derive(Clone, Debug, Display, PartialEq, Eq)]
 pub enum TrialError {
-    /// it names no tenants
+    /// the configuration has no tenants
     NoTenants,
     /// no tenant is named {0}
     UnknownTenant(String),
     /// ends=TIME, pace=N, wait=MS, or off is wanted
     NothingToSet,
-    /// {0:?} is none of ends=, pace=, wait=
+    /// {0:?} is not one of ends=, pace=, wait=
     UnknownField(String),
-    /// {0:?}: no number
+    /// {0:?} has no valid number
     NotANumber(String),
 }
 
--- a/crates/tools/granitethread-ctl/src/main.rs
+++ b/crates/tools/granitethread-ctl/src/main.rs
@@ -1,5 +1,5 @@
-//! `granitethread-ctl`: a shell for operators. It asks control nodes what they know, says how fresh that is and which nodes it
-//! could not reach, and changes the configuration.
+//! `granitethread-ctl`: a command line tool and shell for operators. It queries the state of the control nodes, reports how
+//! fresh each answer is and which nodes were unreachable, and changes the configuration.
 #![forbid(unsafe_code)]
 
 mod command;
@@ -48,21 +48,21 @@
     }
 }
 
-const USAGE: &str = "granitethread-ctl: queries on the fleet's state.\n\n\
+const USAGE: &str = "granitethread-ctl: queries the state of the fleet and changes its configuration.\n\n\
                      Usage: granitethread-ctl -a IP:PORT [-c QUERY]";
 
 fn options() -> Options {
     let mut options = Options::new();
-    options.optflag("h", "help", "print this and end");
+    options.optflag("h", "help", "print this help and exit");
     options.optmulti(
         "k",
         "control",
         "a control node's control address, for diff, apply and trial",
         "IP:PORT",
     );
-    options.optflag("j", "json", "answers as JSON, one object a line");
-    options.optopt("c", "command", "ask this and end", "QUERY");
-    let at = "a control node's internal address; all that it knows of are asked too";
+    options.optflag("j", "json", "print answers as JSON, one object per line");
+    options.optopt("c", "command", "run this command and exit", "QUERY");
+    let at = "a control node's internal address; all nodes known to it are queried too";
     options.optmulti("a", "at", at, "IP:PORT");
     options
 }
@@ -86,7 +86,7 @@
                 Err(error) => eprintln!("{error}"),
             },
         }
-        // A line that cannot be kept in the history was carried out all the same.
+        // The command has run even if the line cannot be added to the history.
         let _ = editor.add_history_entry(line);
     }
     Ok(ExitCode::SUCCESS)
--- a/crates/tools/granitethread-ctl/src/query_client.rs
+++ b/crates/tools/granitethread-ctl/src/query_client.rs
@@ -8,29 +8,29 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A control node that is silent for longer counts as unreached.
+/// A control node that does not answer within this time counts as unreached.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Which control nodes answered a query, and which did not.
+/// Responses of the control nodes that answered a query, and the nodes that did not.
 pub struct QueryResult {
     pub responses: Vec<QueryResponse>,
     pub unreached: Vec<IpAddr>,
 }
 
-/// Asks the nodes at these addresses and all nodes that these know of. All use the port of the first address.
+/// Queries the nodes at these addresses and all nodes that they know of. All use the port of the first address.
 pub async fn query_all(query: Query, nodes: &[SocketAddr]) -> QueryResult {
     let port = nodes[0].port();
     let mut pending: BTreeSet<SocketAddr> = nodes.iter().copied().collect();
-    let mut asked = BTreeSet::new();
+    let mut queried = BTreeSet::new();
     let mut result = QueryResult { responses: Vec::new(), unreached: Vec::new() };
     while let Some(node) = pending.pop_first() {
-        if !asked.insert(node) {
+        if !queried.insert(node) {
             continue;
         }
         match timeout(RESPONSE_TIMEOUT, query_node(query, node)).await {
             Ok(Ok(NodeResponse { status, response })) => {
                 let known = known_nodes(&status, port).into_iter();
-                pending.extend(known.filter(|node| !asked.contains(node)));
+                pending.extend(known.filter(|node| !queried.contains(node)));
                 result.responses.push(response);
             }
             _ => result.unreached.push(node.ip()),
@@ -39,7 +39,7 @@
     result
 }
 
-/// A node's status, by which further nodes are found, and its response to the query itself.
+/// A node's status, which names further nodes, and its response to the query itself.
 struct NodeResponse {
     status: QueryResponse,
     response: QueryResponse,
--- a/crates/tools/granitethread-ctl/src/report.rs
+++ b/crates/tools/granitethread-ctl/src/report.rs
@@ -1,14 +1,14 @@
-//! Answers of the control nodes as text and as JSON.
+//! Formats the answers of the control nodes as text and as JSON.
 
 use crate::query_client::QueryResult;
 use messages::{Query, QueryAnswer, QueryResponse, TrialReport};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, UNIX_EPOCH};
 
-/// A node that has had no contact with a majority for longer, in ms, may report what is old.
-const MAX_FRESH_MS: u64 = 1000;
+/// A node whose last contact with a quorum is longer ago than this may report outdated state.
+const MAX_QUORUM_CONTACT_AGE_MS: u64 = 1000;
 
-/// One JSON object a line: each response, then each node that was not reached.
+/// Formats one JSON object per line: the responses, then the unreached nodes.
 pub fn json(result: &QueryResult) -> String {
     let unreached = result.unreached.iter();
     let unreached = unreached.map(|ip| serde_json::json!({"by": ip, "reached": false}).to_string());
@@ -16,10 +16,11 @@
     responses.chain(unreached).collect::<Vec<_>>().join("\n")
 }
 
-/// Lines for an operator. Where one node's answer is enough, it is the one that had contact with a majority last.
+/// Formats the answers as lines of text. If one node's answer is sufficient, the node with the most recent quorum contact
+/// provides it.
 ///
 /// # Panics
-/// No node responded.
+/// Panics if no node responded.
 pub fn text(query: Query, result: &QueryResult) -> String {
     let responses = &result.responses;
     let mut lines: Vec<String> = result.unreached.iter().map(|ip| format!("{ip}: NOT REACHED")).collect();
@@ -33,7 +34,7 @@
     lines.join("\n").trim_end().to_string()
 }
 
-/// The response of the node that had contact with a majority last.
+/// Returns the response of the node with the most recent quorum contact.
 fn freshest(responses: &[QueryResponse]) -> &QueryResponse {
     let age = |response: &&QueryResponse| response.quorum_contact_ms.unwrap_or(u64::MAX);
     responses.iter().min_by_key(age).expect("a node responded")
@@ -41,9 +42,9 @@
 
 fn freshness(response: &QueryResponse) -> String {
     match response.quorum_contact_ms {
-        Some(ms) if ms <= MAX_FRESH_MS => format!("a majority {ms} ms ago"),
-        Some(ms) => format!("CUT OFF: a majority {ms} ms ago, what follows may be old"),
-        None => "CUT OFF: no majority since it began, what follows may be old".to_string(),
+        Some(ms) if ms <= MAX_QUORUM_CONTACT_AGE_MS => format!("a majority {ms} ms ago"),
+        Some(ms) => format!("CUT OFF: a majority {ms} ms ago, the following may be out of date"),
+        None => "CUT OFF: no majority since it started, the following may be out of date".to_string(),
     }
 }
 
@@ -127,7 +128,8 @@
     lines
 }
 
-/// Trials as the quota coordinator reports them, which alone knows how tenants are throttled; else as the freshest node.
+/// Formats the trials as the quota coordinator reports them, since it alone knows how tenants are throttled, or else as the
+/// freshest node does.
 fn trial_lines(responses: &[QueryResponse]) -> Vec<String> {
     let knows_throttles = |response: &&QueryResponse| match &response.answer {
         QueryAnswer::Trials(trials) => trials.iter().any(|trial| trial.throttle.is_some()),
@@ -136,12 +138,12 @@
     let response = responses.iter().find(knows_throttles).unwrap_or(freshest(responses));
     let mut lines = vec![source_line(response)];
     if let QueryAnswer::Trials(trials) = &response.answer {
-        lines.extend(trials.iter().flat_map(lines_of_trial));
+        lines.extend(trials.iter().flat_map(trial_report_lines));
     }
     lines
 }
 
-fn lines_of_trial(trial: &TrialReport) -> Vec<String> {
+fn trial_report_lines(trial: &TrialReport) -> Vec<String> {
     let ends = humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_millis(trial.ends_at));
     let phase = if trial.expired { "over" } else { "under way" };
     let throttle = match trial.throttle {
--- a/crates/tools/granitethread-ctl/src/trial_settings.rs
+++ b/crates/tools/granitethread-ctl/src/trial_settings.rs
@@ -1,12 +1,13 @@
-//! Fields of a tenant's trial, set in a configuration's JSON so that all other fields keep their form.
+//! Sets the fields of a tenant's trial directly in a configuration's JSON, so that all other fields keep their form.
 
 use crate::error::TrialError;
 use serde_json::{json, Value};
 
-/// Sets the fields that are named (`ends=`, `pace=`, `wait=`), or removes the trial (`off`).
+/// Sets the given fields (`ends=`, `pace=`, `wait=`), or removes the trial (`off`).
 ///
 /// # Errors
-/// No such tenant, or a field that is unknown or no number; nothing is changed then.
+/// Returns an error if the tenant does not exist, or if a field is unknown or not a number. The configuration is then
+/// unchanged.
 pub fn set_trial(configuration: &mut Value, tenant: &str, fields: &[&str]) -> Result<(), TrialError> {
     let tenants = configuration["tenants"].as_array_mut().ok_or(TrialError::NoTenants)?;
     let tenant = tenants
--- a/crates/tools/granitethread-ctl/src/trial_settings/tests.rs
+++ b/crates/tools/granitethread-ctl/src/trial_settings/tests.rs
@@ -18,5 +18,5 @@
         assert!(set_trial(&mut changed, "t", &fields).is_err(), "{fields:?}");
     }
     assert!(set_trial(&mut changed, "u", &["off"]).is_err());
-    assert_eq!(changed, configuration(), "what is refused changes nothing");
+    assert_eq!(changed, configuration(), "a refused change leaves the configuration unchanged");
 }
--- a/src/bin/granitehub-adapter/main.rs
+++ b/src/bin/granitehub-adapter/main.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire around the module: lines in, lines out, no decisions.
+//! Runs the decision module on the platform simulator's protocol: reads one batch of messages per line and writes one reply
+//! per batch. It makes no decisions of its own.
 
 mod wire;
 
@@ -13,14 +14,14 @@
     let stdout = io::stdout().lock();
     match run(stdin, stdout) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("granitehub-adapter: {what}");
+        Err(error) => {
+            eprintln!("granitehub-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// One independent module for each instance, and the events it has in this batch.
+/// The independent module of one gateway instance, and its events of the current batch.
 struct Instance {
     gateway: Gateway,
     events: Vec<Event>,
@@ -39,7 +40,8 @@
             continue;
         }
         reply.clear();
-        batch(text, &mut instances, &mut actions, &mut reply).map_err(|e| format!("line {line}: {e}"))?;
+        handle_batch(text, &mut instances, &mut actions, &mut reply)
+            .map_err(|e| format!("line {line}: {e}"))?;
         output
             .write_all(reply.as_bytes())
             .and_then(|()| output.flush())
@@ -48,7 +50,8 @@
     Ok(())
 }
 
-fn batch(
+/// Applies one batch of messages and appends the resulting actions to the reply.
+fn handle_batch(
     text: &str,
     instances: &mut BTreeMap<u64, Instance>,
     actions: &mut Vec<Action>,
@@ -57,27 +60,27 @@
     let value: Value = serde_json::from_str(text).map_err(|e| e.to_string())?;
     let now = value.get("sim_time").and_then(Value::as_u64).ok_or("sim_time: a time is wanted")?;
     let input = value.get("input").and_then(Value::as_array).ok_or("input: an array is wanted")?;
-    for (place, message) in input.iter().enumerate() {
-        let at = |e: String| format!("message {}: {e}", place + 1);
-        let message = wire::Message::new(message).map_err(at)?;
+    for (index, message) in input.iter().enumerate() {
+        let in_message = |e: String| format!("message {}: {e}", index + 1);
+        let message = wire::Message::new(message).map_err(in_message)?;
         match message.name {
             "Begin" => {
-                let seed = message.whole(2, "rng_seed").map_err(at)?;
+                let seed = message.unsigned(2, "rng_seed").map_err(in_message)?;
                 let settings = granitehub::settings::read(message.value(3))
-                    .map_err(|e| at(format!("Begin: env: {e}")))?;
+                    .map_err(|e| in_message(format!("Begin: env: {e}")))?;
                 let gateway =
-                    Gateway::new(settings, seed, now).map_err(|e| at(format!("Begin: env: {e}")))?;
+                    Gateway::new(settings, seed, now).map_err(|e| in_message(format!("Begin: env: {e}")))?;
                 instances.insert(
-                    message.whole(1, "gateway_id").map_err(at)?,
+                    message.unsigned(1, "gateway_id").map_err(in_message)?,
                     Instance { gateway, events: Vec::new() },
                 );
             }
             "Exit" => {
-                instances.remove(&message.whole(1, "gateway_id").map_err(at)?);
+                instances.remove(&message.unsigned(1, "gateway_id").map_err(in_message)?);
             }
             _ => {
-                if let Some(event) = wire::event(&message).map_err(at)? {
-                    let id = message.whole(1, "gateway_id").map_err(at)?;
+                if let Some(event) = wire::event(&message).map_err(in_message)? {
+                    let id = message.unsigned(1, "gateway_id").map_err(in_message)?;
                     if let Some(instance) = instances.get_mut(&id) {
                         instance.events.push(event);
                     }
