--- a/crates/service/operator/src/lib.rs
+++ b/crates/service/operator/src/lib.rs
@@ -95,7 +95,7 @@
     pub tick: Duration,
     /// `lease_ms`, 3 ticks to 10000, default 500: TTL of a lease.
     pub lease: Duration,
-    /// `loan_ms`, 2 leases to 60000, default 1500: how long a planner still counts a forwarder that sends no reports.
+    /// `loan_ms`, 2 leases to 60000, default 1500: how long a planner still counts a silent forwarder as active.
     pub loan: Duration,
     /// `drift_permille`, 0 to 200, default 10: maximum difference between the rates of two monotonic clocks.
     pub drift_permille: u32,
--- a/crates/service/snapshot/src/age.rs
+++ b/crates/service/snapshot/src/age.rs
@@ -56,35 +56,35 @@
 /// It must not be too old, since an address may belong to another server later, and revisions must not go backwards.
 #[must_use]
 pub fn is_list_usable(times: Times, rev: u64, known: Option<u64>) -> bool {
-    let fresh = times.now.saturating_sub(times.saved_at) <= MAX_AGE || planted!(OldListTaken);
-    fresh && known.is_none_or(|known| rev > known)
+    let is_fresh = times.now.saturating_sub(times.saved_at) <= MAX_AGE || planted!(OldListTaken);
+    is_fresh && known.is_none_or(|known| rev > known)
 }
 
 /// Splits the module's text into the token buckets with the remaining fields, and the servers. Returns none if the text
 /// is not valid.
 #[must_use]
 pub fn split(text: &str) -> Option<(Vec<u8>, Vec<u8>)> {
-    let mut whole: Map<String, Value> = serde_json::from_str(text).ok()?;
-    let servers = whole.remove("servers")?;
-    Some((serde_json::to_vec(&whole).ok()?, serde_json::to_vec(&servers).ok()?))
+    let mut state: Map<String, Value> = serde_json::from_str(text).ok()?;
+    let servers = state.remove("servers")?;
+    Some((serde_json::to_vec(&state).ok()?, serde_json::to_vec(&servers).ok()?))
 }
 
 /// Builds the module's text for a process that starts now. Returns none without valid token buckets, since the module
 /// reads the observations of servers together with them.
 #[must_use]
 pub fn join(stores: &[u8], servers: Option<&[u8]>, plans: &[Quota], times: Times) -> Option<String> {
-    let mut whole: Map<String, Value> = serde_json::from_slice(stores).ok()?;
+    let mut state: Map<String, Value> = serde_json::from_slice(stores).ok()?;
     let servers = servers.and_then(|s| serde_json::from_slice::<Map<String, Value>>(s).ok());
-    whole.insert("servers".into(), Value::Object(aged_servers(servers.unwrap_or_default(), times)));
-    let customers = whole.get_mut("customers")?.as_object_mut()?;
+    state.insert("servers".into(), Value::Object(aged_servers(servers.unwrap_or_default(), times)));
+    let customers = state.get_mut("customers")?.as_object_mut()?;
     customers.retain(|_, customer| {
         customer.as_object_mut().is_some_and(|c| age_customer(c, plans, times).is_some())
     });
     // Whatever fills with the time since the start begins to fill now.
     if !planted!(BornEarlier) {
-        whole.insert("born".into(), json!(times.now));
+        state.insert("born".into(), json!(times.now));
     }
-    serde_json::to_string(&whole).ok()
+    serde_json::to_string(&state).ok()
 }
 
 fn age_customer(customer: &mut Map<String, Value>, plans: &[Quota], times: Times) -> Option<()> {
--- a/crates/service/snapshot/src/defects.rs
+++ b/crates/service/snapshot/src/defects.rs
@@ -1,4 +1,5 @@
-//! Planted defects that the tests must detect. The active one applies to the whole process; release builds contain none.
+//! Planted defects that the tests must detect. The active one applies to the whole process; builds without the
+//! feature `defects` contain none.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
--- a/crates/service/snapshot/src/lib.rs
+++ b/crates/service/snapshot/src/lib.rs
@@ -4,7 +4,7 @@
 //! The format and the rules do no I/O. [`files`] works on a [`files::Disk`]; the implementation for a real disk is small.
 #![forbid(unsafe_code)]
 
-/// Whether a named defect is planted. Constantly false in release builds, where the compiler removes it.
+/// Whether a named defect is planted. Constantly false, and removed by the compiler, without the feature `defects`.
 macro_rules! planted {
     ($name:ident) => {{
         #[cfg(any(test, feature = "defects"))]
--- a/src/bin/granitethread/admin/mod.rs
+++ b/src/bin/granitethread/admin/mod.rs
@@ -31,7 +31,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 const MAX_BODY_BYTES: usize = 4 << 10;
 const MAX_HEADER_BYTES: usize = 8 << 10;
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// HTTP interface for operators.
 pub struct Admin {
@@ -59,7 +59,7 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(_) => {
-                    sleep(ACCEPT_PAUSE).await;
+                    sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
             };
--- a/src/bin/granitethread/allowance/planner.rs
+++ b/src/bin/granitethread/allowance/planner.rs
@@ -28,7 +28,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// A forwarder that does not accept a grant within this time is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-const ACCEPT_PAUSE: Duration = Duration::from_millis(5);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Connections allowed beyond one for each seat: closing ones, and peers that are not forwarders.
 const SPARE_CONNECTIONS: usize = 16;
 const HTTP_HEADER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -110,7 +110,7 @@
 ) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         // A connection beyond the limit is closed immediately.
--- a/src/bin/granitethread/discovery.rs
+++ b/src/bin/granitethread/discovery.rs
@@ -22,7 +22,7 @@
 /// Maximum size of an answer's body.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// What the watch reports.
+/// Result of a call to the discovery service.
 pub enum Update {
     List(Scope, List),
     /// A call failed, with the reason. The previous list remains in use.
