--- a/src/bin/granitethread/admin/mod.rs
+++ b/src/bin/granitethread/admin/mod.rs
@@ -123,7 +123,7 @@
                     Ok(Err(_)) => {
                         error_reply(StatusCode::PAYLOAD_TOO_LARGE, &format!("{MAX_BODY_BYTES} bytes at most"))
                     }
-                    Err(_) => error_reply(StatusCode::REQUEST_TIMEOUT, "timed out reading the body"),
+                    Err(_) => error_reply(StatusCode::REQUEST_TIMEOUT, "the body did not come"),
                 }
             }
         }
@@ -150,7 +150,7 @@
                     Ok(()) => (StatusCode::OK, json!({"target": target, "changed": changed}).to_string()),
                     Err(e) => error_reply(
                         StatusCode::INTERNAL_SERVER_ERROR,
-                        &format!("{action} here, but not saved: {e}"),
+                        &format!("{action} here, not kept: {e}"),
                     ),
                 }
             }
