--- a/crates/common/process/src/settings.rs
+++ b/crates/common/process/src/settings.rs
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Validates the text of a settings file against the schema and parses it.
+    /// Validates the text of a settings file against the built-in schema and parses it. `file` is the file's name, for
+    /// the error.
     ///
     /// # Errors
     /// The text is invalid.
--- a/crates/data/data-plane/src/backend_protocol.rs
+++ b/crates/data/data-plane/src/backend_protocol.rs
@@ -68,7 +68,7 @@
     mismatched_responses: Cell<u64>,
 }
 
-/// The meaning of a response, as proven by its head.
+/// What a response tells about its request, read from the status and headers only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AnswerMeaning {
     /// The response of an execution, to be passed on.
--- a/crates/data/data-plane/src/gateway.rs
+++ b/crates/data/data-plane/src/gateway.rs
@@ -138,7 +138,7 @@
         self.pools.borrow_mut().pool_for_requests(service)
     }
 
-    /// Returns the pools of a service's backends as a bit mask.
+    /// Returns the pool of a service's backends as a bit mask, with one bit set; 0 if the service has no pool.
     pub fn pools_of_backend(&self, service: &str) -> u32 {
         self.pools.borrow_mut().pools_of_backend(service)
     }
--- a/crates/data/data-plane/src/membership.rs
+++ b/crates/data/data-plane/src/membership.rs
@@ -13,7 +13,8 @@
 /// Probe interval. A failed gateway is detected after about ten seconds, and the probes remain negligible for
 /// hundreds of gateways on narrow links.
 const PROBE_INTERVAL: Time = 2_000_000_000;
-/// Time for which a dead member is remembered.
+/// Time for which a member that is dead or has left is kept in the view. It is pinged now and then, since it may only
+/// have been cut off, and a dead one is reported as missing.
 const DEAD_RETENTION: Time = 120_000_000_000;
 /// Maximum number of datagrams read before requests are served.
 const MAX_DATAGRAMS_PER_WAKEUP: usize = 16;
@@ -63,7 +64,8 @@
         peers.into_iter().map(|(_, ip)| ip).collect()
     }
 
-    /// Returns the names of gateways that are suspected, or believed to be dead without having left.
+    /// Returns the names of at most `MAX_MISSING` gateways that are suspected, or believed to be dead without having
+    /// left.
     pub fn missing_members(&self) -> Vec<String> {
         let view = self.socket.view();
         let is_missing = |state| matches!(state, State::Suspect | State::Dead);
--- a/crates/data/data-plane/src/pools.rs
+++ b/crates/data/data-plane/src/pools.rs
@@ -28,12 +28,12 @@
         Some(next)
     }
 
-    /// Returns the pool for requests to a service.
+    /// Returns the pool for requests to a service; the last pool, which has no backends, if the service has none.
     pub fn pool_for_requests(&mut self, service: &str) -> usize {
         self.assign(service).unwrap_or(UNROUTABLE_POOL)
     }
 
-    /// Returns the pools of a service's backends as a bit mask.
+    /// Returns the pool of a service's backends as a bit mask, with one bit set; 0 if the service has no pool.
     pub fn pools_of_backend(&mut self, service: &str) -> u32 {
         self.assign(service).map_or(0, |pool| 1 << pool)
     }
--- a/crates/data/subscription/src/backoff.rs
+++ b/crates/data/subscription/src/backoff.rs
@@ -24,7 +24,7 @@
     retried: bool,
 }
 
-/// The nodes in back-off.
+/// The control nodes to which a connection failed, also those whose back-off has ended.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Backoffs(BTreeMap<IpAddr, Backoff>);
 
--- a/crates/data/subscription/src/freshness.rs
+++ b/crates/data/subscription/src/freshness.rs
@@ -14,7 +14,7 @@
 /// clients connect elsewhere.
 const READINESS_TIMEOUT: Time = 3000 * MS;
 
-/// The freshness of a gateway's state.
+/// The latest times at which a gateway's state is proven to have been up to date.
 #[derive(Clone, Debug, Default)]
 pub struct Freshness {
     /// Last proven contact of the control node with a majority.
--- a/crates/data/subscription/src/view.rs
+++ b/crates/data/subscription/src/view.rs
@@ -222,7 +222,7 @@
         changes
     }
 
-    /// Returns whether a list of gateways was received that is neither accepted nor known to be older.
+    /// Returns whether a received list of gateways waits for the proof that it is not older than the accepted one.
     pub fn has_unproven_gateways(&self) -> bool {
         self.unproven_gateways.is_some()
     }
--- a/crates/gateway/forward/src/customer.rs
+++ b/crates/gateway/forward/src/customer.rs
@@ -5,7 +5,8 @@
 use plan::message::{Amounts, Entry, Lease, Seat, HARD_LIMIT, QUOTA, SLOTS};
 use plan::LeaseConfig;
 
-/// Number of ticks whose demand is kept in a lease. The excess over that is returned once it exceeds twice as much.
+/// Number of ticks of demand for which a lease keeps units, besides a headroom. Once more than twice that sum is left,
+/// the excess is returned.
 const LEASE_TICKS: f64 = 4.0;
 /// Weight of the last tick in the moving average of the demand.
 const EWMA_WEIGHT: f64 = 0.3;
--- a/crates/gateway/forward/src/lib.rs
+++ b/crates/gateway/forward/src/lib.rs
@@ -63,9 +63,9 @@
 pub enum InvalidGrant {
     /// The grant is for another seat or another incarnation.
     WrongAddressee,
-    /// The grant is from an earlier instance of the planner than the known one.
+    /// The grant is from another instance of the planner than the known one, and its epoch is not later.
     Fenced { epoch: u64, known: u64 },
-    /// The grant is from a planner instance that the share is not lent to.
+    /// The share is lent to this planner, but to another instance of it than the grant is from.
     OtherPlanner,
     /// The grant is not newer than the last one applied.
     Outdated { number: u64 },
--- a/crates/gateway/plan/src/message.rs
+++ b/crates/gateway/plan/src/message.rs
@@ -16,8 +16,8 @@
 /// Units of the quota, units of the hard limit, attempts in flight at once.
 pub type Amounts = [f64; 3];
 
-/// One run of a planner process, which starts without state under a random nonce. `epoch` orders the runs of one
-/// planner: a forwarder that has seen a later epoch rejects grants of an earlier one.
+/// Identity of one run of a planner process, which starts without state. `nonce` is random. `epoch` orders the runs of
+/// one planner: a forwarder that knows one run rejects grants of earlier epochs, and of another run with the same epoch.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Instance {
     pub nonce: u64,
--- a/crates/gateway/proxy/src/backends/attempt.rs
+++ b/crates/gateway/proxy/src/backends/attempt.rs
@@ -130,7 +130,8 @@
         ExchangeStart { started_at, idle_time }
     }
 
-    /// Writes the request and waits for the head of its response.
+    /// Writes the request and waits for the head of its response. `wait` is the remaining time, which the request states
+    /// unless it has a timeout of its own; `pause` limits the wait for the rest of a head that has begun.
     async fn send(
         &self,
         connection: &mut Connection,
--- a/crates/gateway/proxy/src/backends/progress.rs
+++ b/crates/gateway/proxy/src/backends/progress.rs
@@ -27,7 +27,8 @@
     pub(super) reported: Cell<Option<AttemptStage>>,
     /// Bytes written so far.
     pub(super) written: Cell<usize>,
-    /// Number of written bytes from which on the backend may have started to execute the request; 0 if not known yet.
+    /// Number of the attempt's written bytes from which on the backend may have started to execute the request. 0 until
+    /// the request is built; `usize::MAX` as long as it depends on a body of unknown length.
     pub(super) execution_start: Cell<usize>,
     /// Whether part of the final response has arrived, that is not only an interim response (1xx).
     pub(super) response_begun: Arc<AtomicBool>,
@@ -83,7 +84,7 @@
         self.response_begun.load(Relaxed)
     }
 
-    /// Waits for the head of the response. Once it has begun, the rest must arrive without a pause longer than `pause`.
+    /// Waits for the head of the response. Once it has begun, waits for the rest for at most `pause`.
     pub(super) async fn wait_for_head<F: Future>(&self, pause: Duration, waiting: F) -> Option<F::Output> {
         let mut waiting = pin!(waiting);
         loop {
--- a/crates/gateway/proxy/src/backends/response.rs
+++ b/crates/gateway/proxy/src/backends/response.rs
@@ -80,7 +80,8 @@
         None
     }
 
-    /// Whether a response with this head may be streamed if it is long.
+    /// Whether a response with this head may be passed on before its end has arrived, if it is long, or slow and of
+    /// unknown length. Any other response must fit in `MAX_BUFFERED_RESPONSE_BYTES`.
     fn is_streamable(&self, head: &Parts) -> bool {
         head.status == StatusCode::OK
     }
--- a/crates/gateway/proxy/src/fronts/http1/mod.rs
+++ b/crates/gateway/proxy/src/fronts/http1/mod.rs
@@ -36,8 +36,8 @@
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant};
 use tracing::info;
 
-/// Time within which a request must arrive completely: the first one, including its head, counted from the connect, and a
-/// later one from its head.
+/// Time within which the body of a request must arrive, extended by the bytes received at the minimum rate. Counted from
+/// the connect for a connection's first request, and from the head for a later one.
 const BODY_TIMEOUT: Duration = Duration::from_millis(2600);
 /// Minimum rate of a request body: half of the rate that clients may be required to keep.
 const MIN_BODY_BYTES_PER_SECOND: usize = 32 << 10;
--- a/crates/gateway/proxy/src/fronts/http1/request.rs
+++ b/crates/gateway/proxy/src/fronts/http1/request.rs
@@ -21,7 +21,8 @@
         .any(|line| line.len() >= name.len() && line[..name.len()].eq_ignore_ascii_case(name))
 }
 
-/// Minimum rate at which a body must arrive, after a grace period.
+/// Pace at which a body must arrive: within `grace` of `start`, plus the time that the bytes received so far take at
+/// the minimum rate; and without a pause longer than `grace`.
 #[derive(Clone, Copy)]
 pub(super) struct Pace {
     pub(super) start: Instant,
