--- a/crates/control/control-plane/src/storage/database_file.rs
+++ b/crates/control/control-plane/src/storage/database_file.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Size limit of a generation file, in bytes. It holds the entries after the snapshot and the values that they refer to, which
-/// the leader limits to half of this.
+/// Size limit of a generation file, in bytes. It holds the snapshot, the entries after it and the values that these refer to.
+/// The leader's limits on the bytes of applied and uncommitted entries add up to less than half of this.
 pub const MAX_BYTES: u64 = 5 << 20;
 
 /// A file of at most [`MAX_BYTES`]. After a change of the length the file is synced before anything is written to the new part.
--- a/crates/control/control-plane/src/storage/store.rs
+++ b/crates/control/control-plane/src/storage/store.rs
@@ -226,6 +226,7 @@
         })
     }
 
+    /// Returns an entry as it is stored. Adds its new values to `values`, and writes its new blobs to the disk.
     fn prepare_entry(&mut self, entry: &Entry, values: &mut Values) -> Result<StoredEntry, StorageError> {
         let payload = match &entry.payload {
             EntryPayload::Noop => StoredPayload::Noop,
--- a/crates/gateway/membership/src/view/receive.rs
+++ b/crates/gateway/membership/src/view/receive.rs
@@ -10,6 +10,10 @@
 }
 
 impl View {
+    /// Verifies a datagram and handles its message. The sender is the member that the datagram names.
+    ///
+    /// # Errors
+    /// The datagram is rejected; `out` may still have an answer to it.
     pub(super) fn on_datagram(
         &mut self,
         now: Time,
--- a/crates/gateway/membership/src/wire.rs
+++ b/crates/gateway/membership/src/wire.rs
@@ -165,7 +165,7 @@
         mac
     }
 
-    /// Returns a 16-byte tag under the first key.
+    /// Returns the first 16 bytes of the parts' HMAC under the first key.
     pub(crate) fn sign(&self, parts: &[&[u8]]) -> [u8; TAG_BYTES] {
         let tag = Keys::mac(&self.0[0], parts).finalize().into_bytes();
         let mut truncated = [0; TAG_BYTES];
--- a/crates/gateway/route/src/table.rs
+++ b/crates/gateway/route/src/table.rs
@@ -23,7 +23,7 @@
 pub const MAX_ROUTES_PER_PREFIX: usize = 64;
 /// Maximum number of routes of a table.
 pub const MAX_ROUTES: usize = 100_000;
-/// Maximum length of a prefix and of a rewritten prefix.
+/// Maximum length of a prefix and of its replacement.
 pub const MAX_PREFIX_BYTES: usize = 1024;
 
 /// A route as written in the configuration.
--- a/crates/gateway/route/src/zone.rs
+++ b/crates/gateway/route/src/zone.rs
@@ -4,9 +4,9 @@
 /// One zone of a pool as a gateway sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Zone {
-    /// Work in flight in the zone.
+    /// Work in flight in the zone, in the unit of `capacity`.
     pub used: f64,
-    /// Capacity of the zone's ready servers, in the same unit.
+    /// Capacity of the zone's ready servers.
     pub capacity: f64,
 }
 
