--- a/src/bin/granitethread/routes.rs
+++ b/src/bin/granitethread/routes.rs
@@ -28,7 +28,7 @@
 }
 
 impl Routes {
-    /// Compiles the routes and pools of the operators' file.
+    /// Compiles the routes and pools of the operators' file. `settings` has the classes that the routes name.
     ///
     /// # Errors
     /// Returns one line that names the line of the file.
--- a/src/bin/granitethread/snapshot.rs
+++ b/src/bin/granitethread/snapshot.rs
@@ -68,8 +68,8 @@
         Some(Snapshots { name: table.name.clone(), generation, interval: table.interval, directory })
     }
 
-    /// Writes snapshots until the process ends. `role` tells whether this process is the one that writes: of two processes of
-    /// a gateway only one does.
+    /// Writes a snapshot at each interval and after each change of the server list, until the process ends. `role` is the
+    /// process's current role: of two processes of a gateway only the earlier one writes.
     pub async fn run(self, driver: Rc<Driver>, role: impl Fn() -> Role) {
         let (sender, states) = sync_channel(1);
         let (name, generation, directory) = (self.name, self.generation, self.directory);
--- a/src/bin/granitethread/wire/tests.rs
+++ b/src/bin/granitethread/wire/tests.rs
@@ -4,7 +4,8 @@
 use proxy::backends::Upload;
 use std::cell::RefCell;
 
-/// The `usage-percent` header is the simulator's `metered` value less 1; billed units are passed unchanged.
+/// The `usage-percent` header is passed as a fraction. Billed units are passed unchanged if the request succeeded, and
+/// as 0 otherwise.
 #[test]
 fn metered_usage_and_billed_units_are_converted_for_the_module() {
     let request = Outgoing {
