--- a/crates/testing/control-sim/src/backends.rs
+++ b/crates/testing/control-sim/src/backends.rs
@@ -1,33 +1,34 @@
-//! Backends: they heartbeat at whichever control node answers, leave, and must be known for as long as they live.
+//! Backends: they send heartbeats to any control node that answers, drain, and must be known as long as they are
+//! alive.
 
 use crate::machine::HEARTBEAT_INTERVAL;
 use crate::{Time, MS};
 use fastrand::Rng;
 use registry::Heartbeat;
 
-/// A life.
+/// One instance of a backend.
 #[derive(Clone, Debug)]
 pub struct Backend {
     pub id: String,
     address: String,
     sequence: u64,
-    /// It wants to leave: it says so with each heartbeat, from then on.
+    /// Whether it wants to leave: each heartbeat from then on says so.
     pub is_draining: bool,
-    /// Its leaving was acknowledged, and when.
+    /// When its drain was acknowledged.
     pub drained_at: Option<Time>,
-    /// It has ended.
+    /// Whether it has ended.
     pub has_ended: bool,
     /// Since when all of its heartbeats were acknowledged, each in time.
     pub acknowledged_since: Option<Time>,
-    /// When the latest was.
+    /// When the latest heartbeat was acknowledged.
     pub last_acknowledged_at: Time,
-    /// The call that is under way, and how often this heartbeat was tried.
+    /// The call in progress, and how often this heartbeat was tried.
     pub call: u64,
     pub attempts: u32,
 }
 
 impl Backend {
-    /// The `number`th life at address `b`.
+    /// Creates instance `number` at address `b`.
     pub fn new(b: usize, number: u64) -> Self {
         Backend {
             id: format!("i{b}-{number}"),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// What it says now.
+    /// Returns its next heartbeat.
     pub fn next_heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let (id, address) = (self.id.clone(), self.address.clone());
@@ -57,7 +58,7 @@
         }
     }
 
-    /// A heartbeat was acknowledged.
+    /// Records that a heartbeat was acknowledged.
     pub fn acknowledged(&mut self, now: Time) {
         if now > self.last_acknowledged_at + 2 * HEARTBEAT_INTERVAL {
             self.acknowledged_since = None;
@@ -67,12 +68,12 @@
         self.attempts = 0;
     }
 
-    /// When it heartbeats next.
+    /// Returns the pause until its next heartbeat.
     pub fn heartbeat_pause(rng: &mut Rng) -> Time {
         HEARTBEAT_INTERVAL - rng.u64(..50) * MS
     }
 
-    /// Since when it has been heard all the time, if it lives on.
+    /// Returns since when its heartbeats have been acknowledged without a gap, if it is still alive.
     pub fn alive_since(&self, now: Time) -> Option<Time> {
         self.acknowledged_since.filter(|_| {
             !self.has_ended && !self.is_draining && now <= self.last_acknowledged_at + 2 * HEARTBEAT_INTERVAL
--- a/crates/testing/control-sim/src/change_history.rs
+++ b/crates/testing/control-sim/src/change_history.rs
@@ -1,4 +1,4 @@
-//! What is true of all orders, and what operators were told of them: what must hold of each answer.
+//! The true history of all changes and what operators were told of them; checks each answer against it.
 
 use crate::rules::Violation;
 use crate::Time;
@@ -7,15 +7,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A change as an operator sends it, of so many bytes.
+/// A change as an operator sends it, with a body of `bytes` bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Change {
     pub base: Version,
     pub version: Version,
-    /// Tells two of one number apart.
+    /// Distinguishes two changes with the same version.
     pub nonce: u64,
     pub bytes: u32,
-    /// Much of it is as in others.
+    /// Whether most of its body equals that of other changes.
     pub alike: bool,
 }
 
@@ -32,15 +32,15 @@
     }
 }
 
-/// What a machine reads in an order.
-pub fn check(body: &[u8]) -> Result<DeclaredVersions, ConfigurationError> {
+/// Reads the versions from the body of a change, as a machine does.
+pub fn validate(body: &[u8]) -> Result<DeclaredVersions, ConfigurationError> {
     let number = |at: usize| body.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_be_bytes);
     let read = number(0).zip(number(4));
     read.map(|(base, version)| DeclaredVersions { base, version })
-        .ok_or_else(|| ConfigurationError::Malformed("it is cut short".into()))
+        .ok_or_else(|| ConfigurationError::Malformed("body is too short".into()))
 }
 
-/// What tells one body from another here.
+/// Distinguishes one body from another in the simulation.
 type Nonce = u64;
 
 fn nonce(body: &[u8]) -> Nonce {
@@ -53,40 +53,40 @@
     hasher.finish()
 }
 
-/// What a call asks for.
+/// The request of a call.
 #[derive(Clone, Debug)]
 pub enum Request {
     Replace(Change),
-    /// With what was acknowledged when it was sent.
+    /// A read, with the newest version that was acknowledged when it was sent.
     Read(Version),
 }
 
-/// What a call is answered.
+/// The answer to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// 200.
+    /// HTTP 200.
     Acknowledged,
-    /// 412.
+    /// HTTP 412.
     Conflict,
-    /// 400.
+    /// HTTP 400.
     Invalid,
-    /// 200, with what stands.
+    /// HTTP 200, with the current configuration.
     Current(Option<(Version, Vec<u8>)>),
-    /// 307.
+    /// HTTP 307.
     Redirect(String),
-    /// 503: nothing is known.
+    /// HTTP 503: the outcome is unknown.
     Unavailable,
 }
 
 impl Reply {
-    /// What a control node says.
+    /// Converts the reply of a control node.
     pub fn of(reply: &control_node::Reply) -> Reply {
         match reply {
             control_node::Reply::Acknowledged => Reply::Acknowledged,
             control_node::Reply::Conflict { .. } => Reply::Conflict,
             control_node::Reply::Invalid(_) => Reply::Invalid,
-            control_node::Reply::Current(held) => {
-                Reply::Current(held.as_ref().map(|c| (c.version, c.body.clone())))
+            control_node::Reply::Current(configuration) => {
+                Reply::Current(configuration.as_ref().map(|c| (c.version, c.body.clone())))
             }
             control_node::Reply::Redirect(name) => Reply::Redirect(name.clone()),
             control_node::Reply::Unavailable => Reply::Unavailable,
@@ -94,51 +94,51 @@
     }
 }
 
-/// What is agreed on, folded once more without the program's code, and all that operators were told.
+/// The committed state, computed a second time without the program's code, and everything that operators were told.
 #[derive(Debug, Default)]
 pub struct ChangeHistory {
-    /// What stands at each place, as a hash of its bytes.
+    /// Hash of the bytes of the entry at each index.
     entries: BTreeMap<LogIndex, u64>,
-    /// All orders that were ever sent, by their marks.
+    /// All changes ever sent, by the digests of their bodies.
     sent: BTreeMap<BodyDigest, Nonce>,
-    /// Backends that are agreed to leave.
+    /// Backends whose drain is committed.
     draining: BTreeSet<String>,
-    /// The newest, and since when.
+    /// The current version, and since when.
     current: (Version, Time),
-    /// Each taken order by its number and bytes, and since when.
+    /// Version and nonce of each committed change, and when it was committed.
     committed: BTreeMap<(Version, Nonce), Time>,
-    /// Acknowledged: number, with base and bytes.
+    /// Acknowledged versions, each with its base and nonce.
     acknowledged: BTreeMap<Version, (Version, Nonce)>,
     refused: BTreeSet<Change>,
-    /// When each was first acknowledged, as they came.
+    /// When each was first acknowledged, in order.
     acknowledged_at: Vec<(Time, Version)>,
     pub counts: Counts,
 }
 
-/// How often each came.
+/// Number of events of each kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Counts {
-    pub taken: u32,
+    pub committed_changes: u32,
     pub acknowledged: u32,
-    pub again: u32,
+    pub acknowledged_again: u32,
     pub refused: u32,
     pub reads: u32,
-    /// Taken as a change of what stood.
+    /// Changes committed as a delta to the current configuration.
     pub changes: u32,
     pub drains: u32,
 }
 
 impl ChangeHistory {
-    pub fn applied(&mut self, now: Time, place: LogIndex, word: &[u8]) -> Result<(), Violation> {
-        let bytes = hash(word);
-        if let Some(known) = self.entries.get(&place) {
-            return if *known == bytes { Ok(()) } else { Err(Violation::Agreed(place)) };
+    pub fn applied(&mut self, now: Time, index: LogIndex, command: &[u8]) -> Result<(), Violation> {
+        let bytes = hash(command);
+        if let Some(known) = self.entries.get(&index) {
+            return if *known == bytes { Ok(()) } else { Err(Violation::Agreed(index)) };
         }
-        self.entries.insert(place, bytes);
-        let (base, version, nonce) = match Command::decode(word) {
+        self.entries.insert(index, bytes);
+        let (base, version, nonce) = match Command::decode(command) {
             Some(Command::ReplaceConfiguration { base, version, body }) => (base, version, nonce(&body)),
-            Some(Command::ConfigurationDelta { base, version, digest: mark, .. }) => {
-                let Some(nonce) = self.sent.get(&mark) else { return Err(Violation::Agreed(place)) };
+            Some(Command::ConfigurationDelta { base, version, digest, .. }) => {
+                let Some(nonce) = self.sent.get(&digest) else { return Err(Violation::Agreed(index)) };
                 self.counts.changes += 1;
                 (base, version, *nonce)
             }
@@ -153,24 +153,24 @@
             return Ok(());
         }
         let refused = |o: &Change| (o.version, o.nonce) == key;
-        if let Some(order) = self.refused.iter().find(|o| refused(o)) {
-            return Err(Violation::TakenThoughRefused(order.version));
+        if let Some(change) = self.refused.iter().find(|o| refused(o)) {
+            return Err(Violation::TakenThoughRefused(change.version));
         }
-        self.counts.taken += 1;
+        self.counts.committed_changes += 1;
         self.current = (version, now);
         self.committed.insert(key, now);
         Ok(())
     }
 
-    /// An operator sends this.
-    pub fn sent(&mut self, order: &Change, body: &[u8]) {
-        self.sent.insert(body_digest(body), order.nonce);
+    /// Records that an operator sent this change.
+    pub fn sent(&mut self, change: &Change, body: &[u8]) {
+        self.sent.insert(body_digest(body), change.nonce);
     }
 
-    /// A backend was told that its leaving is known.
+    /// Records that a backend's drain was acknowledged.
     ///
     /// # Errors
-    /// It was not agreed on.
+    /// Returns a violation if the drain is not committed.
     pub fn drained(&mut self, id: &str) -> Result<(), Violation> {
         self.counts.drains += 1;
         if self.draining.contains(id) {
@@ -180,48 +180,57 @@
         }
     }
 
-    /// The newest that was acknowledged.
+    /// Returns the newest acknowledged version.
     pub fn newest(&self) -> Version {
         self.acknowledged.last_key_value().map_or(0, |(v, _)| *v)
     }
 
-    /// An order was agreed on.
-    pub fn is_committed(&self, order: &Change) -> bool {
-        self.committed.contains_key(&(order.version, order.nonce))
+    /// Returns whether a change was committed.
+    pub fn is_committed(&self, change: &Change) -> bool {
+        self.committed.contains_key(&(change.version, change.nonce))
     }
 
-    /// The newest that was acknowledged by this time.
+    /// Returns the newest version that was acknowledged by this time.
     pub fn acknowledged_by(&self, at: Time) -> Version {
         self.acknowledged_at.iter().rev().find(|(when, _)| *when <= at).map_or(0, |(_, version)| *version)
     }
 
-    /// A control node says this to a call that came then.
-    pub fn answered(&mut self, now: Time, came: Time, ask: &Request, reply: &Reply) -> Result<(), Violation> {
-        match (ask, reply) {
+    /// Checks a control node's answer to a call that arrived at `arrived_at`.
+    pub fn answered(
+        &mut self,
+        now: Time,
+        arrived_at: Time,
+        request: &Request,
+        reply: &Reply,
+    ) -> Result<(), Violation> {
+        match (request, reply) {
             (_, Reply::Redirect(_) | Reply::Unavailable) => Ok(()),
-            (Request::Replace(order), Reply::Acknowledged) => self.confirmed(now, order),
-            (Request::Replace(order), Reply::Conflict | Reply::Invalid) => {
+            (Request::Replace(change), Reply::Acknowledged) => self.acknowledge(now, change),
+            (Request::Replace(change), Reply::Conflict | Reply::Invalid) => {
                 self.counts.refused += 1;
-                if self.is_committed(order) {
-                    return Err(Violation::RefusedThoughTaken(order.version));
+                if self.is_committed(change) {
+                    return Err(Violation::RefusedThoughTaken(change.version));
                 }
-                // Whatever is proper on top of what stands is not to be refused.
-                if order.base == self.current.0 && self.current.1 < came && order.version > order.base {
-                    return Err(Violation::RefusedOnNewest(order.version));
+                // A valid change based on the current configuration must not be refused.
+                if change.base == self.current.0
+                    && self.current.1 < arrived_at
+                    && change.version > change.base
+                {
+                    return Err(Violation::RefusedOnNewest(change.version));
                 }
-                self.refused.insert(*order);
+                self.refused.insert(*change);
                 Ok(())
             }
-            (Request::Read(acknowledged), Reply::Current(held)) => {
+            (Request::Read(acknowledged), Reply::Current(configuration)) => {
                 self.counts.reads += 1;
-                let read = held.as_ref().map_or(0, |(v, _)| *v);
+                let read = configuration.as_ref().map_or(0, |(v, _)| *v);
                 if read < *acknowledged {
                     return Err(Violation::Stale { read, acknowledged: *acknowledged });
                 }
-                let same = |(v, body): &(Version, Vec<u8>)| {
-                    self.acknowledged.get(v).is_none_or(|(_, told)| *told == nonce(body))
+                let has_same_body = |(v, body): &(Version, Vec<u8>)| {
+                    self.acknowledged.get(v).is_none_or(|(_, known_nonce)| *known_nonce == nonce(body))
                 };
-                if held.as_ref().is_some_and(|h| !same(h)) {
+                if configuration.as_ref().is_some_and(|h| !has_same_body(h)) {
                     return Err(Violation::Number(read));
                 }
                 Ok(())
@@ -230,11 +239,11 @@
         }
     }
 
-    fn confirmed(&mut self, now: Time, order: &Change) -> Result<(), Violation> {
-        let Change { base, version, nonce, .. } = *order;
+    fn acknowledge(&mut self, now: Time, change: &Change) -> Result<(), Violation> {
+        let Change { base, version, nonce, .. } = *change;
         match self.acknowledged.get(&version) {
-            Some((_, told)) if *told != nonce => return Err(Violation::Number(version)),
-            Some(_) => self.counts.again += 1,
+            Some((_, known_nonce)) if *known_nonce != nonce => return Err(Violation::Number(version)),
+            Some(_) => self.counts.acknowledged_again += 1,
             None => self.counts.acknowledged += 1,
         }
         if self.acknowledged.iter().any(|(v, (b, _))| *b == base && *v != version) {
@@ -244,7 +253,7 @@
         if self.acknowledged.insert(version, (base, nonce)).is_none() {
             self.acknowledged_at.push((now, newest));
         }
-        if !self.is_committed(order) {
+        if !self.is_committed(change) {
             return Err(Violation::NotAgreed(version));
         }
         Ok(())
--- a/crates/testing/control-sim/src/defect.rs
+++ b/crates/testing/control-sim/src/defect.rs
@@ -1,30 +1,30 @@
-//! Defects to plant, each of which some seed must find.
+//! Planted defects, each of which some seed must find.
 
-/// A way to get it wrong.
+/// A planted defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// In a control node itself.
+    /// A defect in a control node itself.
     ControlNode(control_node::Defect),
-    /// A machine whose disk was lost comes back as the voter that it was.
+    /// A machine that lost its disk comes back under the same voter identity.
     WipedVotes,
-    /// A gateway that is alone passes whatever comes.
+    /// An isolated gateway passes every request.
     AloneAndFree,
-    /// The log is cut short at each start.
+    /// The last entry of the log is dropped at each start.
     TailLost,
-    /// A gateway that is alone lets a tenant on trial go at full speed.
+    /// An isolated gateway passes a trial tenant at full speed.
     FullWhileAlone,
-    /// A slowed tenant's requests are refused, not made to wait.
+    /// A throttled tenant's requests are refused instead of queued.
     RefusedAtOnce,
-    /// A slowed tenant's requests go without a turn.
+    /// A throttled tenant's requests pass without waiting for their turn.
     PaceIgnored,
-    /// At its start one takes its snapshot and nothing of the log behind it.
+    /// A node starts from its snapshot without the log entries after it.
     LogTruncatedAtStart,
-    /// A gateway's fallback share has no end.
+    /// A gateway's fallback share never expires.
     FallbackWithoutEnd,
 }
 
 impl Defect {
-    /// All of them.
+    /// Returns all defects.
     pub fn all() -> impl Iterator<Item = Defect> {
         let own = [
             Defect::WipedVotes,
@@ -39,22 +39,22 @@
         control_node::Defect::ALL.into_iter().map(Defect::ControlNode).chain(own)
     }
 
-    /// As it is planted in a control node; none: it is planted in the world.
-    pub fn planted(self) -> Option<control_node::Defect> {
+    /// Returns the defect to plant in a control node, or `None` if it is planted in the simulation.
+    pub fn control_node_defect(self) -> Option<control_node::Defect> {
         match self {
-            Defect::ControlNode(planted) => Some(planted),
+            Defect::ControlNode(control_node_defect) => Some(control_node_defect),
             _ => None,
         }
     }
 
-    /// Its name on a command line.
+    /// Returns its name on the command line.
     pub fn name(self) -> String {
-        let told = match self {
-            Defect::ControlNode(planted) => format!("{planted:?}"),
+        let variant = match self {
+            Defect::ControlNode(control_node_defect) => format!("{control_node_defect:?}"),
             own => format!("{own:?}"),
         };
         let mut name = String::new();
-        for c in told.chars() {
+        for c in variant.chars() {
             if c.is_ascii_uppercase() && !name.is_empty() {
                 name.push('-');
             }
--- a/crates/testing/control-sim/src/fault_schedule.rs
+++ b/crates/testing/control-sim/src/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a world of minutes, and when: fault phases and calm spells by turns.
+//! The schedule of faults in a long workload: fault phases and calm phases alternate.
 
 use crate::cluster::Event;
 use crate::defect::Defect;
@@ -8,78 +8,81 @@
 use fastrand::Rng;
 
 const SECOND: Time = 1000 * MS;
-/// The first comes no sooner: a core is bootstrapped by then.
-const FOUNDED: Time = 6 * SECOND;
+/// Earliest time of a fault: the control plane is bootstrapped by then.
+const BOOTSTRAPPED_BY: Time = 6 * SECOND;
 
-/// How a machine is isolated.
+/// Direction in which a machine is isolated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum IsolationDirection {
     Both,
-    /// It hears nobody.
+    /// It receives nothing.
     In,
-    /// Nobody hears it.
+    /// Nothing that it sends is received.
     Out,
-    /// Both, and what is on its way is lost.
+    /// Both directions, and messages in flight are lost.
     Reset,
 }
 
-/// A kind of trouble for one machine, of those that befall the leader and then its successor.
+/// A fault of one machine, of the kinds that hit the leader and then its successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    Cut(Way),
+    Cut(IsolationDirection),
     Freeze,
     Stall,
     /// Its disk is full.
     Full,
 }
 
+/// A scheduled fault.
 #[derive(Clone, Debug)]
 pub enum FaultEvent {
-    /// Whatever chance draws.
+    /// A randomly drawn fault.
     Next,
-    /// Machines are replaced in turn, each by one of another name, until the world ends.
+    /// Machines are replaced in turn, each by one with another name, until the run ends.
     Replace,
-    /// The leader of that moment, so often in a row, for so long.
+    /// A fault of the current leader and then of its successors: the fault, the number of leaders left to hit, the
+    /// duration of each.
     Leader(Fault, u8, Time),
 }
 
+/// The phases of a run and what limits its faults.
 #[derive(Default)]
 pub struct FaultSchedule {
-    /// Ends of fault phases and calm spells by turns.
+    /// Ends of the alternating calm and fault phases.
     phases: Vec<Time>,
-    /// Between two troubles at the most.
-    gap: Time,
+    /// Maximum time between two faults.
+    max_gap: Time,
     tolerance: usize,
-    /// As many may be replaced at a time as may be lost.
-    pairs: bool,
-    /// Those that were.
+    /// Whether as many machines may be replaced at once as may be lost.
+    replaces_pairs: bool,
+    /// Machines that were replaced.
     replaced: Vec<usize>,
 }
 
 impl FaultSchedule {
-    pub fn new(rng: &mut Rng, voters: usize, pairs: bool) -> Self {
+    pub fn new(rng: &mut Rng, voters: usize, replaces_pairs: bool) -> Self {
         let length = rng.u64(120..300) * SECOND;
-        let mut phases = vec![FOUNDED];
+        let mut phases = vec![BOOTSTRAPPED_BY];
         while phases[phases.len() - 1] < length {
-            let lasts = if phases.len() % 2 == 1 { rng.u64(10..60) } else { rng.u64(14..30) };
-            phases.push(phases[phases.len() - 1] + lasts * SECOND);
+            let duration = if phases.len() % 2 == 1 { rng.u64(10..60) } else { rng.u64(14..30) };
+            phases.push(phases[phases.len() - 1] + duration * SECOND);
         }
         if phases.len() % 2 == 0 {
             phases.push(phases[phases.len() - 1] + 15 * SECOND);
         }
-        let gap = [1, 4, 15][rng.usize(..3)] * SECOND;
-        FaultSchedule { phases, gap, tolerance: (voters - 1) / 2, pairs, replaced: Vec::new() }
+        let max_gap = [1, 4, 15][rng.usize(..3)] * SECOND;
+        FaultSchedule { phases, max_gap, tolerance: (voters - 1) / 2, replaces_pairs, replaced: Vec::new() }
     }
 
-    pub fn first(&self) -> Time {
+    pub fn first_fault_at(&self) -> Time {
         self.phases[0]
     }
 
-    pub fn ends(&self) -> Time {
+    pub fn ends_at(&self) -> Time {
         self.phases[self.phases.len() - 1]
     }
 
-    /// The phase at this time: an odd one is a fault schedule.
+    /// Returns the phase at this time; odd phases are fault phases.
     fn phase(&self, now: Time) -> usize {
         self.phases.iter().take_while(|end| **end <= now).count()
     }
@@ -88,150 +91,160 @@
         self.phase(now).is_multiple_of(2)
     }
 
-    /// When what begins now ends at the latest.
-    fn until(&self, now: Time, lasts: Time) -> Time {
-        (now + lasts).min(self.phases.get(self.phase(now)).copied().unwrap_or(now))
+    /// Returns the end of a fault that begins now: no later than the end of the phase.
+    fn fault_ends_at(&self, now: Time, duration: Time) -> Time {
+        (now + duration).min(self.phases.get(self.phase(now)).copied().unwrap_or(now))
     }
 
-    pub fn inject(&mut self, world: &mut LongWorkload, trouble: FaultEvent) -> Result<(), Violation> {
-        match trouble {
-            FaultEvent::Next => self.next(world),
+    pub fn inject(&mut self, workload: &mut LongWorkload, fault_event: FaultEvent) -> Result<(), Violation> {
+        match fault_event {
+            FaultEvent::Next => self.next(workload),
             FaultEvent::Replace => {
-                let at = world.now + world.rng.u64(9..25) * SECOND;
-                world.later(at, WorkloadEvent::Fault(FaultEvent::Replace));
-                let voters = world.voters();
-                // The oldest, which is at times the leader.
-                self.replace(world, voters[0]);
+                let at = workload.now + workload.rng.u64(9..25) * SECOND;
+                workload.schedule_workload(at, WorkloadEvent::Fault(FaultEvent::Replace));
+                let voters = workload.voters();
+                // The oldest voter, which is sometimes the leader.
+                self.replace(workload, voters[0]);
                 Ok(())
             }
-            FaultEvent::Leader(..) if self.is_calm(world.now) => Ok(()),
-            FaultEvent::Leader(blow, left, lasts) => {
-                let Some(leader) = world.leader() else {
-                    // Nobody leads yet: a little later.
-                    let at = world.now + 50 * MS;
-                    world.later(at, WorkloadEvent::Fault(FaultEvent::Leader(blow, left, lasts)));
+            FaultEvent::Leader(..) if self.is_calm(workload.now) => Ok(()),
+            FaultEvent::Leader(fault, remaining, duration) => {
+                let Some(leader) = workload.leader() else {
+                    // There is no leader yet: retry a little later.
+                    let at = workload.now + 50 * MS;
+                    workload.schedule_workload(
+                        at,
+                        WorkloadEvent::Fault(FaultEvent::Leader(fault, remaining, duration)),
+                    );
                     return Ok(());
                 };
-                self.apply_fault(world, leader, blow, lasts);
-                if left > 1 {
-                    // Then its successor, at once.
-                    let at = world.now + lasts;
-                    world.later(at, WorkloadEvent::Fault(FaultEvent::Leader(blow, left - 1, lasts)));
+                self.apply_fault(workload, leader, fault, duration);
+                if remaining > 1 {
+                    // Then the same fault for its successor, immediately.
+                    let at = workload.now + duration;
+                    workload.schedule_workload(
+                        at,
+                        WorkloadEvent::Fault(FaultEvent::Leader(fault, remaining - 1, duration)),
+                    );
                 }
                 Ok(())
             }
         }
     }
 
-    fn next(&mut self, world: &mut LongWorkload) -> Result<(), Violation> {
-        let now = world.now;
+    fn next(&mut self, workload: &mut LongWorkload) -> Result<(), Violation> {
+        let now = workload.now;
         let phase = self.phase(now);
         if self.is_calm(now) {
-            // Whoever begins a fault schedule may do so with a lost disk: all had time to catch up.
+            // A fault phase may begin with a lost disk: every machine had time to catch up.
             if let Some(ends) = self.phases.get(phase).copied() {
-                world.later(ends, WorkloadEvent::Fault(FaultEvent::Next));
+                workload.schedule_workload(ends, WorkloadEvent::Fault(FaultEvent::Next));
             }
             return Ok(());
         }
-        let began = self.phases[phase - 1] + 50 * MS >= now;
-        let gap = world.rng.u64(self.gap / 20..self.gap);
-        let at = self.until(now, gap);
-        world.later(at, WorkloadEvent::Fault(FaultEvent::Next));
-        let count = world.machines.len();
-        let leader = world.leader();
-        let mut n = world.rng.usize(..count);
-        if world.rng.u8(..3) == 0 {
+        let phase_just_began = self.phases[phase - 1] + 50 * MS >= now;
+        let gap = workload.rng.u64(self.max_gap / 20..self.max_gap);
+        let at = self.fault_ends_at(now, gap);
+        workload.schedule_workload(at, WorkloadEvent::Fault(FaultEvent::Next));
+        let count = workload.machines.len();
+        let leader = workload.leader();
+        let mut n = workload.rng.usize(..count);
+        if workload.rng.u8(..3) == 0 {
             n = leader.unwrap_or(n);
         }
-        let lasts = match world.rng.u8(..4) {
-            0 => world.rng.u64(50..1000) * MS,
-            1 | 2 => world.rng.u64(500..8000) * MS,
-            _ => world.rng.u64(18_000..30_000) * MS,
+        let duration = match workload.rng.u8(..4) {
+            0 => workload.rng.u64(50..1000) * MS,
+            1 | 2 => workload.rng.u64(500..8000) * MS,
+            _ => workload.rng.u64(18_000..30_000) * MS,
+        };
+        let draw = if phase_just_began && workload.rng.u8(..2) == 0 {
+            workload.rng.u8(12..15)
+        } else {
+            workload.rng.u8(..24)
         };
-        let draw = if began && world.rng.u8(..2) == 0 { world.rng.u8(12..15) } else { world.rng.u8(..24) };
         match draw {
             0..=3 => {
-                let blow = self.random_fault(&mut world.rng);
-                let lasts = world.rng.u64(18..24) * SECOND;
-                let left = world.rng.u8(1..4);
-                return self.inject(world, FaultEvent::Leader(blow, left, lasts));
+                let fault = self.random_fault(&mut workload.rng);
+                let duration = workload.rng.u64(18..24) * SECOND;
+                let remaining = workload.rng.u8(1..4);
+                return self.inject(workload, FaultEvent::Leader(fault, remaining, duration));
             }
             4 | 5 => {
-                let blow = self.random_fault(&mut world.rng);
-                self.apply_fault(world, n, blow, lasts);
+                let fault = self.random_fault(&mut workload.rng);
+                self.apply_fault(workload, n, fault, duration);
             }
-            6 => self.partition(world, lasts),
+            6 => self.partition(workload, duration),
             7 => {
-                let m = world.rng.usize(..count);
-                let until = self.until(now, lasts);
-                let both = world.rng.bool();
-                world.log(|| format!("cut p{n} -> p{m}, both ways {both}, for {} ms", (until - now) / MS));
-                world.net.partition(n, m, until);
+                let m = workload.rng.usize(..count);
+                let until = self.fault_ends_at(now, duration);
+                let both = workload.rng.bool();
+                workload.log(|| format!("cut p{n} -> p{m}, both ways {both}, for {} ms", (until - now) / MS));
+                workload.net.partition(n, m, until);
                 if both {
-                    world.net.partition(m, n, until);
+                    workload.net.partition(m, n, until);
                 }
-                self.machines_lost(world, &[n, m], until);
+                self.disturb_machines(workload, &[n, m], until);
             }
             8 | 9 => {
-                let lasts = self.until(now, lasts) - now;
-                world.kill(n, lasts);
+                let duration = self.fault_ends_at(now, duration) - now;
+                workload.kill(n, duration);
             }
             10 => {
-                world.log(|| "all lose power".into());
+                workload.log(|| "all lose power".into());
                 for m in 0..count {
-                    let lasts = self.until(now, world.rng.u64(50..3000) * MS) - now;
-                    world.kill(m, lasts);
+                    let duration = self.fault_ends_at(now, workload.rng.u64(50..3000) * MS) - now;
+                    workload.kill(m, duration);
                 }
             }
-            11 => self.shut_down(world, n, lasts),
-            12 | 13 => self.wipe(world, n),
-            14 => self.replace(world, n),
+            11 => self.shut_down(workload, n, duration),
+            12 | 13 => self.wipe(workload, n),
+            14 => self.replace(workload, n),
             15 => {
-                let rate = [250_000.0, 60_000.0][world.rng.usize(..2)];
-                let until = self.until(now, lasts);
-                world.log(|| format!("p{n} has a narrow link for {} ms", (until - now) / MS));
-                world.net.narrow(n, rate, until);
-                self.machines_lost(world, &[n], until);
+                let rate = [250_000.0, 60_000.0][workload.rng.usize(..2)];
+                let until = self.fault_ends_at(now, duration);
+                workload.log(|| format!("p{n} has a narrow link for {} ms", (until - now) / MS));
+                workload.net.narrow(n, rate, until);
+                self.disturb_machines(workload, &[n], until);
             }
             16 => {
-                let until = self.until(now, lasts);
-                let per_mille = world.rng.u32(10..150);
-                world.log(|| format!("links lose {per_mille} of 1000 for {} ms", (until - now) / MS));
-                world.net.make_lossy(per_mille, until);
+                let until = self.fault_ends_at(now, duration);
+                let per_mille = workload.rng.u32(10..150);
+                workload.log(|| format!("links lose {per_mille} of 1000 for {} ms", (until - now) / MS));
+                workload.net.make_lossy(per_mille, until);
                 let all: Vec<usize> = (0..count).collect();
-                self.machines_lost(world, &all, until);
+                self.disturb_machines(workload, &all, until);
             }
             17 | 18 => {
-                world.deaf[n] = self.until(now, lasts);
-                world.log(|| format!("callers don't reach p{n} for {} ms", lasts / MS));
+                workload.unreachable_until[n] = self.fault_ends_at(now, duration);
+                workload.log(|| format!("callers don't reach p{n} for {} ms", duration / MS));
             }
             19 | 20 => {
-                world.calls_lost = (world.rng.u32(50..600), self.until(now, lasts));
-                world.log(|| format!("callers' messages are lost for {} ms", lasts / MS));
+                workload.call_loss = (workload.rng.u32(50..600), self.fault_ends_at(now, duration));
+                workload.log(|| format!("callers' messages are lost for {} ms", duration / MS));
             }
             21 => {
-                let (gateways, until) = (world.gateways.len(), self.until(now, lasts));
-                let g = world.rng.usize(..gateways);
-                if world.rng.u8(..3) == 0 {
-                    world.log(|| format!("gateway {g} begins anew"));
-                    world.restart_gateway(g);
-                    world.gateway_struck(g);
+                let (gateways, until) = (workload.gateways.len(), self.fault_ends_at(now, duration));
+                let g = workload.rng.usize(..gateways);
+                if workload.rng.u8(..3) == 0 {
+                    workload.log(|| format!("gateway {g} restarts"));
+                    workload.restart_gateway(g);
+                    workload.record_gateway_fault(g);
                     return Ok(());
                 }
-                world.log(|| format!("gateway {g} reaches no node for {} ms", (until - now) / MS));
-                world.gateways[g].isolated_until = until;
+                workload.log(|| format!("gateway {g} reaches no node for {} ms", (until - now) / MS));
+                workload.gateways[g].isolated_until = until;
             }
             22 => {
-                world.log(|| "connections are reset".into());
-                let m = world.rng.usize(..count);
+                workload.log(|| "connections are reset".into());
+                let m = workload.rng.usize(..count);
                 (0..count)
                     .filter(|o| *o != n && (m == n || *o == m))
-                    .for_each(|o| world.net.reset(n, o, now));
-                (world.event, world.last_fault_at) = (now, now);
+                    .for_each(|o| workload.net.reset(n, o, now));
+                (workload.last_disturbance_at, workload.last_fault_at) = (now, now);
             }
             _ => {
-                let blow = if world.rng.bool() { Fault::Stall } else { Fault::Full };
-                self.apply_fault(world, n, blow, lasts.min(6 * SECOND));
+                let fault = if workload.rng.bool() { Fault::Stall } else { Fault::Full };
+                self.apply_fault(workload, n, fault, duration.min(6 * SECOND));
             }
         }
         Ok(())
@@ -239,162 +252,166 @@
 
     fn random_fault(&self, rng: &mut Rng) -> Fault {
         match rng.u8(..8) {
-            0 | 1 => Fault::Cut(Way::Both),
-            2 => Fault::Cut(Way::In),
-            3 => Fault::Cut(Way::Out),
-            4 => Fault::Cut(Way::Reset),
+            0 | 1 => Fault::Cut(IsolationDirection::Both),
+            2 => Fault::Cut(IsolationDirection::In),
+            3 => Fault::Cut(IsolationDirection::Out),
+            4 => Fault::Cut(IsolationDirection::Reset),
             5 => [Fault::Stall, Fault::Full][rng.usize(..2)],
             _ => Fault::Freeze,
         }
     }
 
-    /// The core is unsettled by this, and by its end.
-    fn machines_lost(&mut self, world: &mut LongWorkload, machines: &[usize], until: Time) {
-        (world.event, world.last_fault_at) = (world.now, world.now);
-        world.later(until, WorkloadEvent::FaultEnded);
+    /// Records that the control plane is unsettled by a fault of these machines now, and by its end.
+    fn disturb_machines(&mut self, workload: &mut LongWorkload, machines: &[usize], until: Time) {
+        (workload.last_disturbance_at, workload.last_fault_at) = (workload.now, workload.now);
+        workload.schedule_workload(until, WorkloadEvent::FaultEnded);
         for n in machines {
-            world.lost[*n] = world.lost[*n].max(until);
+            workload.impaired_until[*n] = workload.impaired_until[*n].max(until);
         }
     }
 
-    fn apply_fault(&mut self, world: &mut LongWorkload, n: usize, blow: Fault, lasts: Time) {
-        let now = world.now;
-        let until = self.until(now, lasts);
-        world.log(|| format!("p{n}: {blow:?} for {} ms", (until - now) / MS));
-        self.machines_lost(world, &[n], until);
-        match blow {
+    fn apply_fault(&mut self, workload: &mut LongWorkload, n: usize, fault: Fault, duration: Time) {
+        let now = workload.now;
+        let until = self.fault_ends_at(now, duration);
+        workload.log(|| format!("p{n}: {fault:?} for {} ms", (until - now) / MS));
+        self.disturb_machines(workload, &[n], until);
+        match fault {
             Fault::Freeze => {
-                let thaws = until.max(world.machines[n].frozen_until);
-                world.machines[n].frozen_until = thaws;
-                world.at(thaws, Event::Wake(n));
+                let resumes_at = until.max(workload.machines[n].frozen_until);
+                workload.machines[n].frozen_until = resumes_at;
+                workload.schedule(resumes_at, Event::Wake(n));
             }
             Fault::Stall => {
-                world.disks.stall(n, until);
+                workload.disks.stall(n, until);
             }
             Fault::Full => {
-                world.disks.fill(n, until);
+                workload.disks.fill(n, until);
             }
-            Fault::Cut(way) => {
-                // Callers, in the other half of the cases, are on its side of the cut.
-                if world.rng.bool() {
-                    world.deaf[n] = until;
+            Fault::Cut(direction) => {
+                // In half of the cases the callers are cut off from the machine too; in the other half they are on its
+                // side of the cut.
+                if workload.rng.bool() {
+                    workload.unreachable_until[n] = until;
                 }
-                for m in (0..world.machines.len()).filter(|m| *m != n) {
-                    if way != Way::Out {
-                        world.net.partition(m, n, until);
+                for m in (0..workload.machines.len()).filter(|m| *m != n) {
+                    if direction != IsolationDirection::Out {
+                        workload.net.partition(m, n, until);
                     }
-                    if way != Way::In {
-                        world.net.partition(n, m, until);
+                    if direction != IsolationDirection::In {
+                        workload.net.partition(n, m, until);
                     }
-                    if way == Way::Reset {
-                        world.net.reset(n, m, now);
+                    if direction == IsolationDirection::Reset {
+                        workload.net.reset(n, m, now);
                     }
                 }
             }
         }
     }
 
-    /// Two sides that do not hear each other.
-    fn partition(&mut self, world: &mut LongWorkload, lasts: Time) {
-        let until = self.until(world.now, lasts);
-        let count = world.machines.len();
-        let side: Vec<bool> = (0..count).map(|_| world.rng.bool()).collect();
-        let some: Vec<usize> = (0..side.len()).filter(|n| side[*n]).collect();
-        world.log(|| format!("{some:?} are cut from the others for {} ms", lasts / MS));
+    /// Partitions the machines into two sides that do not hear each other.
+    fn partition(&mut self, workload: &mut LongWorkload, duration: Time) {
+        let until = self.fault_ends_at(workload.now, duration);
+        let count = workload.machines.len();
+        let side: Vec<bool> = (0..count).map(|_| workload.rng.bool()).collect();
+        let one_side: Vec<usize> = (0..side.len()).filter(|n| side[*n]).collect();
+        workload.log(|| format!("{one_side:?} are cut from the others for {} ms", duration / MS));
         for a in 0..side.len() {
             for b in (0..side.len()).filter(|b| side[*b] != side[a]) {
-                world.net.partition(a, b, until);
+                workload.net.partition(a, b, until);
             }
         }
         let all: Vec<usize> = (0..side.len()).collect();
-        self.machines_lost(world, &all, until);
+        self.disturb_machines(workload, &all, until);
     }
 
-    /// SIGTERM: it names its successor, answers what it has, and ends.
-    fn shut_down(&mut self, world: &mut LongWorkload, n: usize, lasts: Time) {
-        let now = world.now;
-        let name = world.machines[n].id.to_string();
-        world.log(|| format!("{name} is told to end"));
-        let life = world.machines[n].starts;
-        world.later(now, WorkloadEvent::Shutdown(n, life));
-        let ends = self.until(now, world.rng.u64(20..1200) * MS);
-        let lasts = self.until(ends, lasts) - ends;
-        world.event = now;
-        world.lost[n] = world.lost[n].max(ends + lasts);
-        world.later(ends, WorkloadEvent::Kill(n, lasts));
+    /// Simulates SIGTERM: the node hands over leadership, answers pending calls, and exits.
+    fn shut_down(&mut self, workload: &mut LongWorkload, n: usize, duration: Time) {
+        let now = workload.now;
+        let name = workload.machines[n].id.to_string();
+        workload.log(|| format!("{name} is shut down"));
+        let machine_start = workload.machines[n].starts;
+        workload.schedule_workload(now, WorkloadEvent::Shutdown(n, machine_start));
+        let ends = self.fault_ends_at(now, workload.rng.u64(20..1200) * MS);
+        let duration = self.fault_ends_at(ends, duration) - ends;
+        workload.last_disturbance_at = now;
+        workload.impaired_until[n] = workload.impaired_until[n].max(ends + duration);
+        workload.schedule_workload(ends, WorkloadEvent::Kill(n, duration));
     }
 
-    /// A machine is removed for good, told to end or not, and another of a new name begins, which is told of some that
-    /// there are, at times of those that are isolated or down first.
-    fn replace(&mut self, world: &mut LongWorkload, n: usize) {
-        let voters = world.voters();
+    /// Removes a machine permanently, with or without a shutdown, and starts another with a new name. Its seeds are
+    /// some of the existing machines, preferably machines that are isolated or down.
+    fn replace(&mut self, workload: &mut LongWorkload, n: usize) {
+        let voters = workload.voters();
         if !voters.contains(&n)
             || self.replaced.contains(&n)
-            || world.machines.len() >= 60
-            || !self.tolerates_loss_of(world, n)
+            || workload.machines.len() >= 60
+            || !self.tolerates_loss_of(workload, n)
         {
             return;
         }
-        // One after the other, unless it is asked for otherwise.
-        if !self.pairs && voters.iter().any(|m| *m != n && !world.is_back(*m)) {
+        // One at a time, unless pairs are enabled.
+        if !self.replaces_pairs && voters.iter().any(|m| *m != n && !workload.is_back(*m)) {
             return;
         }
-        let now = world.now;
-        let planned = world.rng.u8(..3) > 0;
-        let begins = now + world.rng.u64(..3000) * MS;
+        let now = workload.now;
+        let planned = workload.rng.u8(..3) > 0;
+        let starts_at = now + workload.rng.u64(..3000) * MS;
         let mut seeds: Vec<usize> =
-            (0..world.machines.len()).filter(|m| !world.machines[*m].is_removed).collect();
-        world.rng.shuffle(&mut seeds);
-        seeds.sort_by_key(|m| world.lost[*m] <= now);
+            (0..workload.machines.len()).filter(|m| !workload.machines[*m].is_removed).collect();
+        workload.rng.shuffle(&mut seeds);
+        seeds.sort_by_key(|m| workload.impaired_until[*m] <= now);
         seeds.truncate(3);
-        // One of three is there.
-        if let Some(there) = voters.iter().find(|m| **m != n && world.machines[**m].runs(now)) {
+        // At least one of the three seeds is up.
+        if let Some(there) = voters.iter().find(|m| **m != n && workload.machines[**m].is_running(now)) {
             seeds[0] = *there;
         }
         self.replaced.push(n);
-        let newcomer = world.add_machine(&seeds, begins);
-        world.log(|| format!("p{n} is replaced by p{newcomer}, planned {planned}"));
-        world.event = now;
+        let replacement = workload.add_machine(&seeds, starts_at);
+        workload.log(|| format!("p{n} is replaced by p{replacement}, planned {planned}"));
+        workload.last_disturbance_at = now;
         if planned {
-            let (life, ends) = (world.machines[n].starts, now + world.rng.u64(300..1200) * MS);
-            world.later(now, WorkloadEvent::Shutdown(n, life));
-            world.later(ends, WorkloadEvent::Removed(n));
+            let (machine_start, ends) = (workload.machines[n].starts, now + workload.rng.u64(300..1200) * MS);
+            workload.schedule_workload(now, WorkloadEvent::Shutdown(n, machine_start));
+            workload.schedule_workload(ends, WorkloadEvent::Removed(n));
         } else {
-            world.later(now, WorkloadEvent::Removed(n));
+            workload.schedule_workload(now, WorkloadEvent::Removed(n));
         }
     }
 
-    /// Whether one more may lose its disk: of those that count no more than the stated ones are lost at a time.
-    fn tolerates_loss_of(&self, world: &LongWorkload, n: usize) -> bool {
-        // Who is new has its time to catch up while there is a majority to catch up with.
-        let lost = |m: &usize| *m != n && (world.now < world.lost[*m] + CATCH_UP || !world.is_back(*m));
-        let others = world.voters().into_iter().filter(lost).count();
-        world.history.newest() > 0 && others < self.tolerance && world.now > FOUNDED
+    /// Returns whether one more machine may lose its disk: no more voters are lost at a time than the control plane
+    /// tolerates.
+    fn tolerates_loss_of(&self, workload: &LongWorkload, n: usize) -> bool {
+        // A new machine needs time to catch up while there is a majority to catch up with.
+        let is_lost = |m: &usize| {
+            *m != n && (workload.now < workload.impaired_until[*m] + CATCH_UP || !workload.is_back(*m))
+        };
+        let others = workload.voters().into_iter().filter(is_lost).count();
+        workload.history.newest() > 0 && others < self.tolerance && workload.now > BOOTSTRAPPED_BY
     }
 
-    fn wipe(&mut self, world: &mut LongWorkload, n: usize) {
-        let voters = world.voters();
+    fn wipe(&mut self, workload: &mut LongWorkload, n: usize) {
+        let voters = workload.voters();
         let n = if voters.contains(&n) { n } else { voters[0] };
-        if !self.tolerates_loss_of(world, n) {
+        if !self.tolerates_loss_of(workload, n) {
             return;
         }
-        let now = world.now;
-        let others_too = world.rng.u8(..3) == 0;
-        let lasts = self.until(now, world.rng.u64(20..4000) * MS) - now;
-        if world.machines[n].is_removed {
+        let now = workload.now;
+        let others_too = workload.rng.u8(..3) == 0;
+        let duration = self.fault_ends_at(now, workload.rng.u64(20..4000) * MS) - now;
+        if workload.machines[n].is_removed {
             return;
         }
-        world.kill(n, lasts);
-        world.lost[n] = world.lost[n].max(now + lasts);
-        let keeps_id = world.defect == Some(Defect::WipedVotes);
-        world.machines[n].wipe(keeps_id);
-        let name = world.machines[n].id.to_string();
-        world.log(|| format!("and comes back without its disk, as {name}"));
+        workload.kill(n, duration);
+        workload.impaired_until[n] = workload.impaired_until[n].max(now + duration);
+        let keeps_id = workload.defect == Some(Defect::WipedVotes);
+        workload.machines[n].wipe(keeps_id);
+        let name = workload.machines[n].id.to_string();
+        workload.log(|| format!("and comes back without its disk, as {name}"));
         if others_too {
-            world.log(|| "all others lose power meanwhile".into());
-            for m in (0..world.machines.len()).filter(|m| *m != n) {
-                let lasts = self.until(now, world.rng.u64(20..3000) * MS) - now;
-                world.kill(m, lasts);
+            workload.log(|| "all others lose power meanwhile".into());
+            for m in (0..workload.machines.len()).filter(|m| *m != n) {
+                let duration = self.fault_ends_at(now, workload.rng.u64(20..3000) * MS) - now;
+                workload.kill(m, duration);
             }
         }
     }
--- a/crates/testing/control-sim/src/growth/tests.rs
+++ b/crates/testing/control-sim/src/growth/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What a gateway is told of rights does not grow with the fleet.
+/// A gateway's lease traffic does not grow with the fleet.
 #[test]
 fn rights_cost_a_gateway_the_same_in_any_fleet() {
     let (few, many) = (quota_costs(&gateways(12), 40).0, quota_costs(&gateways(120), 40).0);
--- a/crates/testing/control-sim/src/lib.rs
+++ b/crates/testing/control-sim/src/lib.rs
@@ -1,16 +1,19 @@
-//! Whole control planes and the deciding parts of gateways on a simulated network, disk and clock. A seed draws all
-//! that happens: loss, delay, copies, one-way cuts, crashes before, in the middle of and behind a save, lost disks,
-//! freezes. The rules that concern state are checked after each step; a seed that breaks one prints its story, and
-//! plays it again.
+//! Deterministic simulation of whole control planes and of the decision logic of gateways on a simulated network, disk
+//! and clock.
+//!
+//! Everything that happens is drawn from a seed: loss, delay, duplicates, one-way partitions, crashes before, during
+//! and after a write, lost disks, freezes. The rules about state are checked after each step. A seed that breaks a
+//! rule prints its story, and running the seed again reproduces it.
 #![forbid(unsafe_code)]
 
-/// Fallback shares end after so long in half of the worlds of seconds, so that gateways are removed within them. In the other
-/// half they last as in the program, and isolated gateways go on with theirs.
+/// Lifetime of fallback shares in half of the short workloads, so that gateways are removed within them. The other
+/// half use the program's lifetime, and isolated gateways keep using their shares.
 const SHORT_FALLBACK_LIFETIME: Time = 1500 * MS;
 
 mod backends;
 mod change_history;
 mod cluster;
+mod continuous_reader;
 mod defect;
 mod disks;
 mod fault_schedule;
@@ -20,7 +23,6 @@
 mod machine;
 mod network;
 mod operators;
-mod restless_reader;
 mod rules;
 mod short_workload;
 mod story;
@@ -33,19 +35,19 @@
 pub use short_workload::ShortWorkload;
 pub use story::Story;
 
-/// Nanoseconds.
+/// Simulated time in nanoseconds.
 pub type Time = u64;
 pub(crate) const MS: Time = 1_000_000;
 
-/// Of four seeds one plays a world of minutes.
+/// Returns whether the seed runs the long workload, as one seed in four does.
 pub fn is_long(seed: u64) -> bool {
     seed % 4 == 3
 }
 
-/// Plays a seed to its end.
+/// Runs a seed to its end.
 ///
 /// # Errors
-/// The rule that was broken, and the story up to there.
+/// Returns the rule that was broken and the story up to that point.
 pub fn play(seed: u64, defect: Option<Defect>) -> Result<Story, Box<(Violation, Story)>> {
     if is_long(seed) {
         LongWorkload::new(seed, defect, false).play()
@@ -54,10 +56,10 @@
     }
 }
 
-/// Plays a world of minutes in which as many machines are replaced at a time as may be lost.
+/// Runs a long workload that replaces as many machines at once as the control plane may lose.
 ///
 /// # Errors
-/// The rule that was broken, and the story up to there.
+/// Returns the rule that was broken and the story up to that point.
 pub fn play_pairs(seed: u64, defect: Option<Defect>) -> Result<Story, Box<(Violation, Story)>> {
     LongWorkload::new(seed, defect, true).play()
 }
--- a/crates/testing/control-sim/src/long_workload.rs
+++ b/crates/testing/control-sim/src/long_workload.rs
@@ -1,9 +1,9 @@
-//! A world of minutes: control nodes on links that are cut, reset, narrow or rough, operators that send again what was
-//! not answered, backends that come and leave, gateways that follow. Fault phases and calm spells by turns; `fault
-//! schedule` draws what goes wrong.
+//! The long workload, a run of minutes: control nodes on links that are cut, reset, narrow or lossy, operators that
+//! resend unanswered requests, backends that come and leave, subscribed gateways. Fault phases and calm phases
+//! alternate; `fault_schedule` draws the faults.
 
 use crate::backends::Backend;
-use crate::change_history::{check, ChangeHistory, Reply, Request};
+use crate::change_history::{validate, ChangeHistory, Reply, Request};
 use crate::cluster::{Cluster, Event, Observation};
 use crate::defect::Defect;
 use crate::fault_schedule::{FaultEvent, FaultSchedule};
@@ -20,38 +20,40 @@
 use subscription::ViewChange;
 use trial::TenantTerms;
 
-/// `contactMs`: so long after the last event the core is settled.
-const CONTACT: Time = 3_000 * MS;
-/// `ackMs`: an order has its answer within so long in a settled stretch.
-const ACKNOWLEDGED: Time = 5_000 * MS;
-/// `catchUpS`: who is back, or new, counts again after so long.
+/// `contactMs`: time after the last disturbance until the control plane counts as settled.
+const SETTLE_TIME: Time = 3_000 * MS;
+/// `ackMs`: maximum time to answer a change in a settled period.
+const MAX_ACK_TIME: Time = 5_000 * MS;
+/// `catchUpS`: time until a returned or new machine counts as available again.
 pub const CATCH_UP: Time = 6_000 * MS;
-/// Who has had no way to a majority for so long confirms and refuses nothing, and does not say that it is in touch.
-const ALONE: Time = 1_500 * MS;
-/// What a gateway may refuse for good rests on all that was acknowledged so long ago.
-const FRESH: Time = 1_502 * MS;
-/// `configApplyMs`: a gateway knows what was acknowledged so long ago, in a settled stretch.
-const APPLIED: Time = 3_000 * MS;
-/// A control node that has known of a majority within so long is one to follow, in the gateway's eyes.
-const STALE: Time = 1_000 * MS;
-/// A backend that was heard all the time for so long is known to all who are in touch.
-const KNOWN: Time = 4_000 * MS;
+/// Time without a path to a majority after which a node neither acknowledges nor refuses anything, nor claims to be in
+/// contact with a majority.
+const MAX_CONTACT_GAP: Time = 1_500 * MS;
+/// Age of an acknowledged configuration that must be included in a view on which a gateway bases final refusals.
+const FRESHNESS_AGE: Time = 1_502 * MS;
+/// `configApplyMs`: maximum time until a gateway has an acknowledged configuration, in a settled period.
+const MAX_APPLY_TIME: Time = 3_000 * MS;
+/// Maximum age of a control node's contact with a majority for gateways to subscribe to it.
+const MAX_CONTACT_AGE: Time = 1_000 * MS;
+/// Time of continuously acknowledged heartbeats after which every node in contact knows a backend.
+const BACKEND_DISCOVERY_TIME: Time = 4_000 * MS;
 const GATEWAYS: usize = 4;
 const BACKENDS: usize = 6;
-const LOOK: Time = 100 * MS;
-/// Where a seed that is lost at the very first start is lost: before, while and after the core is bootstrapped.
-const FOUNDING: Time = 1_500 * MS;
+const CHECK_INTERVAL: Time = 100 * MS;
+/// Period in which a seed node may be killed during the very first start: before, during and after the bootstrap of
+/// the control plane.
+const BOOTSTRAP_TIME: Time = 1_500 * MS;
 
-/// What happens beside what the system does.
+/// An event of the workload itself.
 #[derive(Debug)]
 pub enum WorkloadEvent {
     Start(usize),
     Kill(usize, Time),
-    /// Told to end.
+    /// The machine receives a shutdown signal, in this run of its process.
     Shutdown(usize, u64),
-    /// Ends for good.
+    /// The machine is removed permanently.
     Removed(usize),
-    /// An operator's call comes to a machine.
+    /// An operator's call arrives at a machine.
     Call {
         to: usize,
         call: u64,
@@ -64,9 +66,9 @@
         reply: Option<Reply>,
     },
     Operator(usize),
-    /// A backend's turn to say something.
+    /// A backend sends a heartbeat.
     Heartbeat(usize),
-    /// What it says comes to a machine.
+    /// A backend's heartbeat arrives at a machine.
     HeartbeatArrives {
         to: usize,
         call: u64,
@@ -78,58 +80,60 @@
         call: u64,
         acknowledged: bool,
     },
-    /// A backend's fate turns.
-    Fate(usize),
+    /// A backend's lifecycle advances.
+    AdvanceBackend(usize),
     CheckRules,
     Fault(FaultEvent),
-    /// Something of the fault schedule's ends by itself.
+    /// A scheduled fault ends by itself.
     FaultEnded,
 }
 
-/// Who waits for an answer.
+/// A caller that waits for an answer.
 #[derive(Debug)]
 enum Caller {
-    Operator { operator: usize, ask: Request, came: Time },
+    Operator { operator: usize, request: Request, arrived_at: Time },
     Backend { b: usize, id: String, drains: bool },
 }
 
+/// State of the long workload.
 pub struct LongWorkload {
     system: Cluster<WorkloadEvent>,
-    /// Machines that callers do not reach, and until when; and how many in a thousand of their messages are lost.
-    pub deaf: Vec<Time>,
-    pub calls_lost: (u32, Time),
-    /// When a machine was last down, frozen, slowed or isolated: this may lie ahead.
-    pub lost: Vec<Time>,
+    /// Until when callers do not reach each machine; and how many per mille of the callers' messages are lost, until
+    /// when.
+    pub unreachable_until: Vec<Time>,
+    pub call_loss: (u32, Time),
+    /// When each machine was last down, frozen, slowed or isolated; this may lie in the future.
+    pub impaired_until: Vec<Time>,
     operators: Vec<Operator>,
     settings: MachineSettings,
-    /// Between two orders of one operator, at the most.
-    pace: Time,
-    /// Bytes of a configuration at the most.
-    bytes: u32,
+    /// Maximum time between two requests of one operator.
+    max_pause: Time,
+    /// Maximum size of a configuration, in bytes.
+    max_body_bytes: u32,
     backends: Vec<Backend>,
-    /// Lives so far.
+    /// Number of backend restarts so far.
     backend_starts: u64,
     call: u64,
     calls: BTreeMap<u64, Caller>,
     pub history: ChangeHistory,
-    /// When each last had a way to a majority of those that it takes for voters, both ways by itself; and when it may
-    /// have heard of one by others.
-    contact: Vec<Time>,
-    hearsay: Vec<Time>,
-    /// When two that were both in contact with a majority last had no way to each other, or something was slowed.
+    /// When each machine last had a direct two-way path to a majority of what it considers the voters; and when it may
+    /// last have heard of one from others.
+    last_contact_at: Vec<Time>,
+    last_heard_contact_at: Vec<Time>,
+    /// When two machines that both hear of a majority last had no path to each other, or something was slowed.
     partitioned_at: Time,
-    /// When something was last killed, frozen, isolated or reset: a heartbeat that it had acknowledged may be lost with
-    /// it.
+    /// When a machine was last killed, frozen, isolated or reset: a heartbeat that it had acknowledged may be lost
+    /// with it.
     pub last_fault_at: Time,
-    /// The last event that unsettles the core.
-    pub event: Time,
-    settled: Option<Time>,
-    /// When callers last had no way to the leader, or only a rough one.
-    unheard: Time,
-    /// Since when each runs and is joined with all others that run.
-    joined: Vec<Option<Time>>,
+    /// When the control plane was last disturbed.
+    pub last_disturbance_at: Time,
+    settled_since: Option<Time>,
+    /// When callers last had no path, or only a lossy one, to the leader.
+    leader_unreachable_at: Time,
+    /// Since when each machine runs and is connected with all others that run.
+    connected_since: Vec<Option<Time>>,
     /// Since when each gateway runs and reaches control nodes.
-    well: Vec<Time>,
+    gateway_healthy_since: Vec<Time>,
     faults: FaultSchedule,
     pub story: Story,
 }
@@ -148,63 +152,63 @@
 }
 
 impl LongWorkload {
-    pub fn new(seed: u64, defect: Option<Defect>, pairs: bool) -> Self {
+    pub fn new(seed: u64, defect: Option<Defect>, replaces_pairs: bool) -> Self {
         let mut rng = Rng::with_seed(seed);
         let voters = if rng.bool() { 3 } else { 5 };
-        let fold = if rng.bool() { 64 } else { rng.usize(6..30) };
+        let snapshot_threshold = if rng.bool() { 64 } else { rng.usize(6..30) };
         let operators = rng.usize(2..9);
-        // Of forty worlds one has hundreds of changes.
-        let dense = rng.u8(..40) == 0;
-        let faults = FaultSchedule::new(&mut rng, voters, pairs);
-        // Large configurations are few: their bytes are real ones.
-        let heavy = !dense && rng.u8(..12) == 0;
-        let pace = if heavy { 12_000 } else { [400, 1500, 6000][rng.usize(..3)] };
-        let pace = if dense { 60 } else { pace };
+        // One run in forty has hundreds of changes.
+        let is_dense = rng.u8(..40) == 0;
+        let faults = FaultSchedule::new(&mut rng, voters, replaces_pairs);
+        // Large configurations are rare: their bytes are really allocated.
+        let is_heavy = !is_dense && rng.u8(..12) == 0;
+        let max_pause = if is_heavy { 12_000 } else { [400, 1500, 6000][rng.usize(..3)] };
+        let max_pause = if is_dense { 60 } else { max_pause };
         let operators = (0..operators).map(|_| Operator::new(&mut rng)).collect();
-        let mut system = Cluster::new(rng, defect, check);
-        let terms = |_: &[u8]| TenantTerms::default();
+        let mut system = Cluster::new(rng, defect, validate);
+        let read_terms = |_: &[u8]| TenantTerms::default();
         let seeds = (0..3).map(address).collect();
         let settings = MachineSettings {
             seeds,
             is_initial_start: true,
             zone: String::new(),
-            terms,
-            snapshot_threshold: fold,
+            read_terms,
+            snapshot_threshold,
             fallback_lifetime: quota::FALLBACK_LIFETIME,
         };
-        // The last has no disk.
+        // The last machine has no disk.
         for n in 0..=voters {
             system.add(n < voters, MachineSettings { zone: format!("z{}", n % 3), ..settings.clone() });
         }
         for g in 0..GATEWAYS {
             let mut gateway = Gateway::new(g, &format!("z{}", g % 3), &[0, 1, 2]);
-            gateway.rate = (g % 2 == 0).then_some(250_000.0);
+            gateway.bytes_per_s = (g % 2 == 0).then_some(250_000.0);
             system.gateways.push(gateway);
         }
         let count = system.machines.len();
         LongWorkload {
             system,
-            deaf: vec![0; count],
-            calls_lost: (0, 0),
-            lost: vec![0; count],
+            unreachable_until: vec![0; count],
+            call_loss: (0, 0),
+            impaired_until: vec![0; count],
             operators,
             settings,
-            pace: pace * MS,
-            bytes: if heavy { 250_000 } else { 400 },
+            max_pause: max_pause * MS,
+            max_body_bytes: if is_heavy { 250_000 } else { 400 },
             backends: (0..BACKENDS).map(|b| Backend::new(b, 0)).collect(),
             backend_starts: 0,
             call: 0,
             calls: BTreeMap::new(),
             history: ChangeHistory::default(),
-            contact: vec![0; count],
-            hearsay: vec![0; count],
+            last_contact_at: vec![0; count],
+            last_heard_contact_at: vec![0; count],
             partitioned_at: 0,
             last_fault_at: 0,
-            event: 0,
-            settled: None,
-            unheard: 0,
-            joined: vec![None; count],
-            well: vec![0; GATEWAYS],
+            last_disturbance_at: 0,
+            settled_since: None,
+            leader_unreachable_at: 0,
+            connected_since: vec![None; count],
+            gateway_healthy_since: vec![0; GATEWAYS],
             faults,
             story: Story::default(),
         }
@@ -218,14 +222,14 @@
         self.story.lines.push_back(format!("{now:10.3} {}", line()));
     }
 
-    /// Plays to the end.
+    /// Runs to the end.
     pub fn play(mut self) -> Result<Story, Box<(Violation, Story)>> {
         let result = self.run();
         let counts = self.history.counts;
         (self.story.acknowledged, self.story.reads) = (counts.acknowledged, counts.reads);
-        (self.story.again, self.story.refused) = (counts.again, counts.refused);
+        (self.story.acknowledged_again, self.story.refused) = (counts.acknowledged_again, counts.refused);
         (self.story.drains, self.story.changes) = (counts.drains, counts.changes);
-        self.story.lasted = self.now;
+        self.story.duration = self.now;
         match result {
             Ok(()) => Ok(self.story),
             Err(broken) => {
@@ -239,31 +243,31 @@
     fn run(&mut self) -> Result<(), Violation> {
         for n in 0..self.machines.len() {
             let at = self.rng.u64(..300) * MS;
-            self.at(at, Event::Start(n));
+            self.schedule(at, Event::Start(n));
         }
-        self.begin();
+        self.start_gateways();
         if self.rng.u8(..6) == 0 {
-            // A seed ends before the core is bootstrapped, or just behind that.
-            let (n, at) = (self.rng.usize(..3), self.rng.u64(1..FOUNDING / MS) * MS);
-            let lasts = self.rng.u64(50..1000) * MS;
-            self.later(at, WorkloadEvent::Kill(n, lasts));
+            // A seed node is killed before the control plane is bootstrapped, or just after.
+            let (n, at) = (self.rng.usize(..3), self.rng.u64(1..BOOTSTRAP_TIME / MS) * MS);
+            let duration = self.rng.u64(50..1000) * MS;
+            self.schedule_workload(at, WorkloadEvent::Kill(n, duration));
         }
-        self.later(LOOK, WorkloadEvent::CheckRules);
+        self.schedule_workload(CHECK_INTERVAL, WorkloadEvent::CheckRules);
         for o in 0..self.operators.len() {
             let at = self.rng.u64(1500..4000) * MS;
-            self.later(at, WorkloadEvent::Operator(o));
+            self.schedule_workload(at, WorkloadEvent::Operator(o));
         }
         for b in 0..self.backends.len() {
             let at = self.rng.u64(..1000) * MS;
-            self.later(at, WorkloadEvent::Heartbeat(b));
+            self.schedule_workload(at, WorkloadEvent::Heartbeat(b));
             let at = self.rng.u64(8_000..40_000) * MS;
-            self.later(at, WorkloadEvent::Fate(b));
+            self.schedule_workload(at, WorkloadEvent::AdvanceBackend(b));
         }
-        let ends = self.faults.ends();
-        let first = self.faults.first();
-        self.later(first, WorkloadEvent::Fault(FaultEvent::Next));
+        let ends = self.faults.ends_at();
+        let first = self.faults.first_fault_at();
+        self.schedule_workload(first, WorkloadEvent::Fault(FaultEvent::Next));
         if self.rng.u8(..4) == 0 {
-            self.later(first + 1000 * MS, WorkloadEvent::Fault(FaultEvent::Replace));
+            self.schedule_workload(first + 1000 * MS, WorkloadEvent::Fault(FaultEvent::Replace));
         }
         while let Some(event) = self.pop() {
             if self.now >= ends {
@@ -283,21 +287,21 @@
         match event {
             WorkloadEvent::Start(n) => {
                 if !self.machines[n].is_up() && !self.machines[n].is_removed {
-                    self.log(|| format!("p{n} begins"));
+                    self.log(|| format!("p{n} starts"));
                     self.set_new_seeds(n);
-                    self.event = now;
-                    self.lost[n] = self.lost[n].max(now);
-                    self.at(now, Event::Start(n));
+                    self.last_disturbance_at = now;
+                    self.impaired_until[n] = self.impaired_until[n].max(now);
+                    self.schedule(now, Event::Start(n));
                 }
             }
-            WorkloadEvent::Kill(n, lasts) => self.kill(n, lasts),
-            WorkloadEvent::Shutdown(n, life) => {
-                if self.machines[n].starts == life {
-                    let thaws = self.machines[n].frozen_until;
-                    if thaws > now {
-                        self.later(thaws, WorkloadEvent::Shutdown(n, life));
+            WorkloadEvent::Kill(n, duration) => self.kill(n, duration),
+            WorkloadEvent::Shutdown(n, machine_start) => {
+                if self.machines[n].starts == machine_start {
+                    let resumes_at = self.machines[n].frozen_until;
+                    if resumes_at > now {
+                        self.schedule_workload(resumes_at, WorkloadEvent::Shutdown(n, machine_start));
                     } else {
-                        self.with(n, |p| p.begin_shutdown(now))?;
+                        self.with_node(n, |node| node.begin_shutdown(now))?;
                     }
                 }
             }
@@ -306,7 +310,7 @@
                 self.machines[n].is_removed = true;
                 (0..self.machines.len()).for_each(|m| self.set_new_seeds(m));
             }
-            WorkloadEvent::Call { to, call, operator, request: ask } => self.call(to, call, operator, ask)?,
+            WorkloadEvent::Call { to, call, operator, request } => self.call(to, call, operator, request)?,
             WorkloadEvent::Reply { operator, call, reply } => self.reply(operator, call, reply),
             WorkloadEvent::Operator(o) => self.operator(o),
             WorkloadEvent::Heartbeat(b) => self.send_heartbeat(b),
@@ -316,31 +320,32 @@
             WorkloadEvent::HeartbeatAnswered { b, call, acknowledged } => {
                 self.heartbeat_answered(b, call, acknowledged)
             }
-            WorkloadEvent::Fate(b) => self.fate(b),
+            WorkloadEvent::AdvanceBackend(b) => self.advance_backend(b),
             WorkloadEvent::CheckRules => self.check_rules()?,
-            WorkloadEvent::Fault(trouble) => self.inject_fault(trouble)?,
-            WorkloadEvent::FaultEnded => self.event = self.event.max(now),
+            WorkloadEvent::Fault(fault_event) => self.inject_fault(fault_event)?,
+            WorkloadEvent::FaultEnded => self.last_disturbance_at = self.last_disturbance_at.max(now),
         }
         Ok(())
     }
 
     fn process_observations(&mut self) -> Result<(), Violation> {
-        while let Some(seen) = self.seen.pop_front() {
-            match seen {
-                Observation::Applied { index: place, command: word } => {
+        while let Some(observation) = self.pending_observations.pop_front() {
+            match observation {
+                Observation::Applied { index, command } => {
                     let now = self.now;
-                    self.history.applied(now, place, &word)?;
+                    self.history.applied(now, index, &command)?;
                 }
                 Observation::Answered { n, call, reply } => self.answered(n, call, &reply)?,
-                Observation::ViewChanged { g, changes: news } => {
-                    // A word that tells of an end and of what came behind it is one word.
-                    let fold = self.system.gateways[g].subscription.view();
-                    let over = news.into_iter().filter_map(|n| match n {
-                        ViewChange::BackendRemoved(id) if !fold.accepts_work(&id) => Some(id),
+                Observation::ViewChanged { g, changes } => {
+                    // An update that contains a backend's removal and later changes counts as a whole: only the
+                    // resulting view is checked.
+                    let view = self.system.gateways[g].subscription.view();
+                    let removed = changes.into_iter().filter_map(|change| match change {
+                        ViewChange::BackendRemoved(id) if !view.accepts_work(&id) => Some(id),
                         _ => None,
                     });
-                    for id in over.collect::<Vec<_>>() {
-                        self.ended(g, &id)?;
+                    for id in removed.collect::<Vec<_>>() {
+                        self.check_backend_end(g, &id)?;
                     }
                 }
                 Observation::Granted { .. } => {}
@@ -351,14 +356,19 @@
 
     // ---- Machines ----
 
-    fn answered(&mut self, n: usize, call: u64, said: &control_node::Reply) -> Result<(), Violation> {
+    fn answered(
+        &mut self,
+        n: usize,
+        call: u64,
+        control_reply: &control_node::Reply,
+    ) -> Result<(), Violation> {
         let now = self.now;
         match self.calls.remove(&call) {
-            Some(Caller::Operator { operator, ask, came }) => {
-                self.operator_answered(n, call, operator, &ask, came, Reply::of(said))
+            Some(Caller::Operator { operator, request, arrived_at }) => {
+                self.operator_answered(n, call, operator, &request, arrived_at, Reply::of(control_reply))
             }
             Some(Caller::Backend { b, id, drains }) => {
-                let acknowledged = *said == control_node::Reply::Acknowledged;
+                let acknowledged = *control_reply == control_node::Reply::Acknowledged;
                 if acknowledged && drains {
                     self.history.drained(&id)?;
                     if self.backends[b].id == id {
@@ -367,7 +377,10 @@
                 }
                 let delay = MS / 2 + self.rng.u64(..3 * MS);
                 if self.call_arrives(n) {
-                    self.later(now + delay, WorkloadEvent::HeartbeatAnswered { b, call, acknowledged });
+                    self.schedule_workload(
+                        now + delay,
+                        WorkloadEvent::HeartbeatAnswered { b, call, acknowledged },
+                    );
                 }
                 Ok(())
             }
@@ -380,82 +393,86 @@
         n: usize,
         call: u64,
         operator: usize,
-        ask: &Request,
-        came: Time,
+        request: &Request,
+        arrived_at: Time,
         reply: Reply,
     ) -> Result<(), Violation> {
         let now = self.now;
-        let clear = !matches!(reply, Reply::Redirect(_) | Reply::Unavailable);
-        if clear {
-            self.log(|| format!("p{n} answers {ask:?}: {}", short(&reply)));
-        }
-        self.history.answered(now, came, ask, &reply)?;
-        // A call that lay here while the machine stood still has no caller any more; what it is told was true before.
-        let has_caller = now <= came + CALL_TIMEOUT;
-        if clear && has_caller && now.saturating_sub(self.contact[n]) > ALONE && self.is_alone(n).0 {
+        let is_decisive = !matches!(reply, Reply::Redirect(_) | Reply::Unavailable);
+        if is_decisive {
+            self.log(|| format!("p{n} answers {request:?}: {}", summarize(&reply)));
+        }
+        self.history.answered(now, arrived_at, request, &reply)?;
+        // A call that waited here while the machine was frozen has no caller any more; the answer was true before.
+        let has_caller = now <= arrived_at + CALL_TIMEOUT;
+        if is_decisive
+            && has_caller
+            && now.saturating_sub(self.last_contact_at[n]) > MAX_CONTACT_GAP
+            && self.is_alone(n).0
+        {
             return Err(Violation::DecidedAlone(n));
         }
         let delay = MS / 2 + self.rng.u64(..3 * MS);
         if self.call_arrives(n) {
-            self.later(now + delay, WorkloadEvent::Reply { operator, call, reply: Some(reply) });
+            self.schedule_workload(now + delay, WorkloadEvent::Reply { operator, call, reply: Some(reply) });
         }
         Ok(())
     }
 
-    pub fn kill(&mut self, n: usize, lasts: Time) {
+    pub fn kill(&mut self, n: usize, duration: Time) {
         if !self.machines[n].is_up() {
             return;
         }
-        self.log(|| format!("p{n} dies for {} ms", lasts / MS));
+        self.log(|| format!("p{n} is killed for {} ms", duration / MS));
         self.stop(n);
-        (self.event, self.last_fault_at) = (self.now, self.now);
-        let at = self.now + lasts;
-        self.lost[n] = self.lost[n].max(at);
-        self.later(at, WorkloadEvent::Start(n));
+        (self.last_disturbance_at, self.last_fault_at) = (self.now, self.now);
+        let at = self.now + duration;
+        self.impaired_until[n] = self.impaired_until[n].max(at);
+        self.schedule_workload(at, WorkloadEvent::Start(n));
     }
 
-    /// The operators' list names some that are there. A voter whose seeds are all gone or down knows the others by its
-    /// log; one that has nothing is told anew.
+    /// Updates a machine's seeds to some that exist, as the operators' list does. A voter whose seeds are all gone or
+    /// down knows the others from its log; a machine without data gets new seeds.
     fn set_new_seeds(&mut self, n: usize) {
         let now = self.now;
-        let gone = |s: &String| machine_index(s) == n || !self.machines[machine_index(s)].runs(now);
+        let is_gone = |s: &String| machine_index(s) == n || !self.machines[machine_index(s)].is_running(now);
         let machine = &self.machines[n];
         if machine.can_vote && machine.disk != PersistedState::default()
-            || !machine.settings.seeds.iter().all(gone)
+            || !machine.settings.seeds.iter().all(is_gone)
         {
             return;
         }
-        let mut there: Vec<usize> =
+        let mut existing: Vec<usize> =
             (0..self.machines.len()).filter(|m| *m != n && !self.machines[*m].is_removed).collect();
-        self.rng.shuffle(&mut there);
-        there.sort_by_key(|m| !self.machines[*m].runs(now));
-        let seeds: Vec<String> = there.into_iter().take(3).map(address).collect();
-        // One that runs is told by a signal.
-        self.machines[n].with(|p| seeds.iter().for_each(|s| p.learn_node(s, "")));
+        self.rng.shuffle(&mut existing);
+        existing.sort_by_key(|m| !self.machines[*m].is_running(now));
+        let seeds: Vec<String> = existing.into_iter().take(3).map(address).collect();
+        // A running machine learns of them through a signal.
+        self.machines[n].with_node(|node| seeds.iter().for_each(|s| node.learn_node(s, "")));
         self.machines[n].settings.seeds = seeds;
     }
 
-    /// A new machine under a new name, with an empty disk, which is told of these others.
-    pub fn add_machine(&mut self, seeds: &[usize], begins: Time) -> usize {
+    /// Adds a machine with a new name and an empty disk, which is given these seeds.
+    pub fn add_machine(&mut self, seeds: &[usize], starts_at: Time) -> usize {
         let seeds = seeds.iter().map(|n| address(*n)).collect();
         let zone = format!("z{}", self.machines.len() % 3);
-        let told = MachineSettings { seeds, is_initial_start: false, zone, ..self.settings.clone() };
-        let n = self.add(true, told);
-        self.deaf.push(0);
-        self.lost.push(begins);
-        self.contact.push(0);
-        self.hearsay.push(0);
-        self.joined.push(None);
-        self.later(begins, WorkloadEvent::Start(n));
+        let settings = MachineSettings { seeds, is_initial_start: false, zone, ..self.settings.clone() };
+        let n = self.add(true, settings);
+        self.unreachable_until.push(0);
+        self.impaired_until.push(starts_at);
+        self.last_contact_at.push(0);
+        self.last_heard_contact_at.push(0);
+        self.connected_since.push(None);
+        self.schedule_workload(starts_at, WorkloadEvent::Start(n));
         n
     }
 
     // ---- Operators ----
 
-    /// Whether something between a caller and this machine arrives.
+    /// Returns whether a message between a caller and this machine arrives.
     fn call_arrives(&mut self, n: usize) -> bool {
-        let rough = self.calls_lost.1 > self.now && self.rng.u32(..1000) < self.calls_lost.0;
-        self.deaf[n] <= self.now && !rough
+        let is_lost = self.call_loss.1 > self.now && self.rng.u32(..1000) < self.call_loss.0;
+        self.unreachable_until[n] <= self.now && !is_lost
     }
 
     fn operator(&mut self, o: usize) {
@@ -464,8 +481,8 @@
         self.call += 1;
         let (call, now) = (self.call, self.now);
         let operator = &mut self.operators[o];
-        if operator.job.is_none() {
-            let bytes = self.system.rng.u32(self.bytes / 4..self.bytes);
+        if operator.pending.is_none() {
+            let bytes = self.system.rng.u32(self.max_body_bytes / 4..self.max_body_bytes);
             operator.start_request(&mut self.system.rng, now, call, bytes, acknowledged);
         }
         if let Some(to) = operator.next(&mut self.system.rng, call, &listed) {
@@ -474,69 +491,72 @@
     }
 
     fn send_call(&mut self, o: usize, to: usize) {
-        let Some(job) = &self.operators[o].job else { return };
-        let (call, ask, now) = (job.call, job.request.clone(), self.now);
-        let delay = MS / 2 + self.rng.u64(..3 * MS) + upload(&ask);
+        let Some(pending) = &self.operators[o].pending else { return };
+        let (call, request, now) = (pending.call, pending.request.clone(), self.now);
+        let delay = MS / 2 + self.rng.u64(..3 * MS) + upload_time(&request);
         if self.call_arrives(to) {
             if !self.machines[to].is_up() {
-                self.later(
+                self.schedule_workload(
                     now + MS,
                     WorkloadEvent::Reply { operator: o, call, reply: Some(Reply::Unavailable) },
                 );
                 return;
             }
-            self.later(now + delay, WorkloadEvent::Call { to, call, operator: o, request: ask });
+            self.schedule_workload(now + delay, WorkloadEvent::Call { to, call, operator: o, request });
         }
-        self.later(now + delay + CALL_TIMEOUT, WorkloadEvent::Reply { operator: o, call, reply: None });
+        self.schedule_workload(
+            now + delay + CALL_TIMEOUT,
+            WorkloadEvent::Reply { operator: o, call, reply: None },
+        );
     }
 
-    fn call(&mut self, to: usize, call: u64, operator: usize, ask: Request) -> Result<(), Violation> {
+    fn call(&mut self, to: usize, call: u64, operator: usize, request: Request) -> Result<(), Violation> {
         let now = self.now;
-        let thaws = self.machines[to].frozen_until;
-        if thaws > now {
-            // It waits in the machine's socket, whether its caller still does or not.
-            self.later(thaws, WorkloadEvent::Call { to, call, operator, request: ask });
+        let resumes_at = self.machines[to].frozen_until;
+        if resumes_at > now {
+            // It waits in the machine's socket, whether or not its caller still waits.
+            self.schedule_workload(resumes_at, WorkloadEvent::Call { to, call, operator, request });
             return Ok(());
         }
         if !self.machines[to].is_up() {
             return Ok(());
         }
-        let ask = match ask {
+        let request = match request {
             Request::Read(_) => Request::Read(self.history.newest()),
-            order => order,
+            change => change,
         };
-        self.calls.insert(call, Caller::Operator { operator, ask: ask.clone(), came: now });
-        match ask {
-            Request::Replace(order) => {
-                let body = order.body();
-                self.history.sent(&order, &body);
-                self.with(to, |p| p.replace_configuration(now, call, body.into()))
+        self.calls.insert(call, Caller::Operator { operator, request: request.clone(), arrived_at: now });
+        match request {
+            Request::Replace(change) => {
+                let body = change.body();
+                self.history.sent(&change, &body);
+                self.with_node(to, |node| node.replace_configuration(now, call, body.into()))
             }
-            Request::Read(_) => self.with(to, |p| p.read_configuration(now, call)),
+            Request::Read(_) => self.with_node(to, |node| node.read_configuration(now, call)),
         }
     }
 
     fn reply(&mut self, o: usize, call: u64, reply: Option<Reply>) {
-        if self.operators[o].job.as_ref().is_none_or(|j| j.call != call) {
+        if self.operators[o].pending.as_ref().is_none_or(|j| j.call != call) {
             return;
         }
         match self.operators[o].on_reply(reply.as_ref(), machine_index) {
             Next::Send(to) => {
                 self.call += 1;
                 let call = self.call;
-                if let Some(job) = &mut self.operators[o].job {
-                    job.call = call;
+                if let Some(pending) = &mut self.operators[o].pending {
+                    pending.call = call;
                 }
                 self.send_call(o, to);
             }
             Next::Pause(pause) => {
                 let at = self.now + pause;
-                self.later(at, WorkloadEvent::Operator(o));
+                self.schedule_workload(at, WorkloadEvent::Operator(o));
             }
             Next::Ended => {
-                let calm = if self.faults.is_calm(self.now) { 3 } else { 1 };
-                let at = self.now + calm * self.system.rng.u64(self.pace / 8..self.pace);
-                self.later(at, WorkloadEvent::Operator(o));
+                let calm_factor = if self.faults.is_calm(self.now) { 3 } else { 1 };
+                let at = self.now + calm_factor * self.system.rng.u64(self.max_pause / 8..self.max_pause);
+                self.schedule_workload(at, WorkloadEvent::Operator(o));
             }
         }
     }
@@ -555,20 +575,29 @@
         let delay = MS / 2 + self.rng.u64(..3 * MS);
         if self.call_arrives(to) {
             if !self.machines[to].is_up() {
-                return self
-                    .later(now + MS, WorkloadEvent::HeartbeatAnswered { b, call, acknowledged: false });
+                return self.schedule_workload(
+                    now + MS,
+                    WorkloadEvent::HeartbeatAnswered { b, call, acknowledged: false },
+                );
             }
-            self.later(now + delay, WorkloadEvent::HeartbeatArrives { to, call, b, id });
+            self.schedule_workload(now + delay, WorkloadEvent::HeartbeatArrives { to, call, b, id });
         }
-        self.later(now + CALL_TIMEOUT, WorkloadEvent::HeartbeatAnswered { b, call, acknowledged: false });
+        self.schedule_workload(
+            now + CALL_TIMEOUT,
+            WorkloadEvent::HeartbeatAnswered { b, call, acknowledged: false },
+        );
     }
 
-    /// It comes to a machine: a heartbeat, or the word that it ends, if its leaving is known for long enough.
+    /// Delivers a backend's heartbeat to a machine, or its deregistration once its drain has been acknowledged for
+    /// long enough.
     fn heartbeat_arrives(&mut self, to: usize, call: u64, b: usize, id: &str) -> Result<(), Violation> {
         let now = self.now;
-        let thaws = self.machines[to].frozen_until;
-        if thaws > now {
-            self.later(thaws, WorkloadEvent::HeartbeatArrives { to, call, b, id: id.into() });
+        let resumes_at = self.machines[to].frozen_until;
+        if resumes_at > now {
+            self.schedule_workload(
+                resumes_at,
+                WorkloadEvent::HeartbeatArrives { to, call, b, id: id.into() },
+            );
             return Ok(());
         }
         if !self.machines[to].is_up() || self.backends[b].id != id {
@@ -577,12 +606,12 @@
         let backend = &mut self.backends[b];
         let drains = backend.is_draining;
         self.calls.insert(call, Caller::Backend { b, id: id.into(), drains });
-        if backend.drained_at.is_some_and(|at| now >= at + APPLIED) {
+        if backend.drained_at.is_some_and(|at| now >= at + MAX_APPLY_TIME) {
             backend.has_ended = true;
-            return self.system.with(to, |p| p.deregister(now, call, id));
+            return self.system.with_node(to, |node| node.deregister(now, call, id));
         }
-        let fact = backend.next_heartbeat();
-        self.system.with(to, |p| p.heartbeat(now, call, fact))
+        let heartbeat = backend.next_heartbeat();
+        self.system.with_node(to, |node| node.heartbeat(now, call, heartbeat))
     }
 
     fn heartbeat_answered(&mut self, b: usize, call: u64, acknowledged: bool) {
@@ -594,42 +623,44 @@
         if acknowledged {
             self.backends[b].acknowledged(now);
             let pause = Backend::heartbeat_pause(&mut self.rng);
-            return self.later(now + pause, WorkloadEvent::Heartbeat(b));
+            return self.schedule_workload(now + pause, WorkloadEvent::Heartbeat(b));
         }
         self.backends[b].attempts += 1;
         let pause = ((30 * MS) << self.backends[b].attempts.min(4)).min(400 * MS);
-        self.later(now + pause, WorkloadEvent::Heartbeat(b));
+        self.schedule_workload(now + pause, WorkloadEvent::Heartbeat(b));
     }
 
-    /// It leaves, ends without a word, or another life begins at its address.
-    fn fate(&mut self, b: usize) {
+    /// A backend starts draining, ends without notice, or is succeeded by a new instance at its address.
+    fn advance_backend(&mut self, b: usize) {
         let at = self.now + self.rng.u64(6_000..40_000) * MS;
-        self.later(at, WorkloadEvent::Fate(b));
+        self.schedule_workload(at, WorkloadEvent::AdvanceBackend(b));
         let id = self.backends[b].id.clone();
         if self.backends[b].has_ended {
             self.backend_starts += 1;
             self.backends[b] = Backend::new(b, self.backend_starts);
             let (now, id) = (self.now, self.backends[b].id.clone());
-            self.log(|| format!("{id} begins"));
-            return self.later(now, WorkloadEvent::Heartbeat(b));
+            self.log(|| format!("{id} starts"));
+            return self.schedule_workload(now, WorkloadEvent::Heartbeat(b));
         }
         if self.rng.u8(..4) == 0 {
-            self.log(|| format!("{id} ends without a word"));
+            self.log(|| format!("{id} ends without notice"));
             self.backends[b].has_ended = true;
         } else {
-            self.log(|| format!("{id} wants to leave"));
+            self.log(|| format!("{id} starts draining"));
             self.backends[b].is_draining = true;
         }
     }
 
-    /// A gateway takes a backend's life for over.
-    fn ended(&mut self, g: usize, id: &str) -> Result<(), Violation> {
+    /// Checks the report to a gateway that a backend has ended.
+    fn check_backend_end(&mut self, g: usize, id: &str) -> Result<(), Violation> {
         let now = self.now;
-        self.log(|| format!("gateway {g} hears that {id} is over"));
-        let lives = self.backends.iter().find(|b| b.id == id).and_then(|b| b.alive_since(now));
-        // Whom two that both are in touch do not tell each other of, one of them ends: worst-days, 1.
-        let whole = now >= self.partitioned_at + KNOWN + 4_000 * MS && now >= self.last_fault_at + KNOWN;
-        match lives.filter(|since| whole && now >= since + KNOWN) {
+        self.log(|| format!("gateway {g} is told that {id} has ended"));
+        let heard_since = self.backends.iter().find(|b| b.id == id).and_then(|b| b.alive_since(now));
+        // Two nodes that are both in contact with a majority but not with each other do not forward heartbeats to each
+        // other; one of them ends the backend: worst-days, 1.
+        let is_undisturbed = now >= self.partitioned_at + BACKEND_DISCOVERY_TIME + 4_000 * MS
+            && now >= self.last_fault_at + BACKEND_DISCOVERY_TIME;
+        match heard_since.filter(|since| is_undisturbed && now >= since + BACKEND_DISCOVERY_TIME) {
             Some(_) => Err(Violation::EndedAlive { gateway: g, id: id.into() }),
             None => Ok(()),
         }
@@ -637,23 +668,27 @@
 
     // ---- Gateways ----
 
-    /// What a gateway that believes to be in touch knows.
+    /// Checks what a gateway with a fresh view knows.
     fn check_gateways_know_backends(&mut self) -> Result<(), Violation> {
         let now = self.now;
-        let acknowledged = self.history.acknowledged_by(now.saturating_sub(FRESH));
+        let acknowledged = self.history.acknowledged_by(now.saturating_sub(FRESHNESS_AGE));
         for (g, gateway) in self.system.gateways.iter().enumerate() {
             if gateway.suspended_until > now {
                 continue;
             }
-            let (touch, fold) = (gateway.subscription.freshness(), gateway.subscription.view());
-            let version = fold.configuration().map_or(0, |c| c.version);
-            if touch.is_fresh(now) && version < acknowledged {
+            let (view_freshness, view) = (gateway.subscription.freshness(), gateway.subscription.view());
+            let version = view.configuration().map_or(0, |c| c.version);
+            if view_freshness.is_fresh(now) && version < acknowledged {
                 return Err(Violation::ServedOld { gateway: g, version, acknowledged });
             }
-            // What it was told as of then it has heard of; a time in ms says no more.
-            let heard = |at: Time| touch.last_quorum_contact().is_some_and(|told| told > at + 2 * MS);
-            let drained =
-                self.backends.iter().find(|b| b.drained_at.is_some_and(heard) && fold.accepts_work(&b.id));
+            // A view as of a later time includes the drain; the tolerance is there because the time is in ms.
+            let is_included = |at: Time| {
+                view_freshness.last_quorum_contact().is_some_and(|last_contact| last_contact > at + 2 * MS)
+            };
+            let drained = self
+                .backends
+                .iter()
+                .find(|b| b.drained_at.is_some_and(is_included) && view.accepts_work(&b.id));
             if let Some(b) = drained {
                 return Err(Violation::DrainUnknown { gateway: g, id: b.id.clone() });
             }
@@ -661,194 +696,216 @@
         Ok(())
     }
 
-    /// Who says that it is in touch could have heard of a majority.
+    /// Checks that nodes that claim contact with a majority could have heard of one.
     fn check_contact_claims(&mut self) -> Result<(), Violation> {
         let now = self.now;
         for n in 0..self.machines.len() {
-            if !self.machines[n].runs(now) || now.saturating_sub(self.hearsay[n]) <= ALONE {
+            if !self.machines[n].is_running(now)
+                || now.saturating_sub(self.last_heard_contact_at[n]) <= MAX_CONTACT_GAP
+            {
                 continue;
             }
-            let age = self.machines[n].with(|p| p.quorum_contact_age(now));
-            if age.is_some_and(|age| age <= STALE) && self.is_alone(n).1 {
+            let age = self.machines[n].with_node(|node| node.quorum_contact_age(now));
+            if age.is_some_and(|age| age <= MAX_CONTACT_AGE) && self.is_alone(n).1 {
                 return Err(Violation::SaysInTouch(n));
             }
         }
         Ok(())
     }
 
-    /// In a settled stretch each gateway that reaches control nodes has what is in force, and knows all backends that
-    /// live.
+    /// Checks, in a settled period, that each gateway that reaches control nodes has the current configuration and
+    /// knows all live backends.
     fn check_gateways_follow(&mut self, since: Time) -> Result<(), Violation> {
         let now = self.now;
-        let long = if self.bytes > 1000 { 2 * APPLIED } else { APPLIED };
-        let acknowledged = self.history.acknowledged_by(now.saturating_sub(long));
+        let max_apply_time = if self.max_body_bytes > 1000 { 2 * MAX_APPLY_TIME } else { MAX_APPLY_TIME };
+        let acknowledged = self.history.acknowledged_by(now.saturating_sub(max_apply_time));
         for (g, gateway) in self.system.gateways.iter().enumerate() {
-            if now < since.max(self.well[g]) + long {
+            if now < since.max(self.gateway_healthy_since[g]) + max_apply_time {
                 continue;
             }
-            let fold = gateway.subscription.view();
-            let version = fold.configuration().map_or(0, |c| c.version);
+            let view = gateway.subscription.view();
+            let version = view.configuration().map_or(0, |c| c.version);
             if version < acknowledged {
                 return Err(Violation::GatewayBehind { gateway: g, version, acknowledged });
             }
-            let known = |b: &&Backend| b.alive_since(now).is_some_and(|at| now >= at + KNOWN);
-            let unknown = self.backends.iter().filter(known).find(|b| !fold.accepts_work(&b.id));
-            // Whom two that both are in touch do not tell each other of, one of them does not know: worst-days, 1.
-            if let Some(b) = unknown.filter(|_| now >= since.max(self.partitioned_at) + KNOWN + APPLIED) {
+            let known =
+                |b: &&Backend| b.alive_since(now).is_some_and(|at| now >= at + BACKEND_DISCOVERY_TIME);
+            let unknown = self.backends.iter().filter(known).find(|b| !view.accepts_work(&b.id));
+            // Two nodes that are both in contact with a majority but not with each other do not forward heartbeats to
+            // each other; one of them does not know the backend: worst-days, 1.
+            if let Some(b) = unknown
+                .filter(|_| now >= since.max(self.partitioned_at) + BACKEND_DISCOVERY_TIME + MAX_APPLY_TIME)
+            {
                 return Err(Violation::LifeUnknown { gateway: g, id: b.id.clone() });
             }
         }
         Ok(())
     }
 
-    // ---- What holds in calm spells ----
+    // ---- Rules of settled periods ----
 
-    /// What must hold once all has been calm for long enough.
+    /// Checks the rules that hold at any time, and those that must hold once everything has been calm for long enough.
     fn check_rules(&mut self) -> Result<(), Violation> {
         let now = self.now;
-        self.later(now + LOOK, WorkloadEvent::CheckRules);
-        let (whole, slowed) = self.contacts();
+        self.schedule_workload(now + CHECK_INTERVAL, WorkloadEvent::CheckRules);
+        let (has_full_majority, slowed) = self.update_contacts();
         self.check_gateways_know_backends()?;
         self.check_contact_claims()?;
         if slowed {
-            self.event = now;
+            self.last_disturbance_at = now;
         }
-        let settled = whole && !slowed && now >= self.event + CONTACT;
-        self.settled = if settled { self.settled.or(Some(now)) } else { None };
-        let Some(since) = self.settled else { return Ok(()) };
+        let settled = has_full_majority && !slowed && now >= self.last_disturbance_at + SETTLE_TIME;
+        self.settled_since = if settled { self.settled_since.or(Some(now)) } else { None };
+        let Some(since) = self.settled_since else { return Ok(()) };
         self.check_answers_come(since)?;
         self.check_gateways_follow(since)?;
         self.check_returned_machines()
     }
 
-    /// Who has a way to whom. Whether there is a majority that is whole, and whether something is slowed.
-    fn contacts(&mut self) -> (bool, bool) {
+    /// Updates which machines have paths to which. Returns whether there is a fully connected majority, and whether
+    /// something is slowed.
+    fn update_contacts(&mut self) -> (bool, bool) {
         let now = self.now;
         let count = self.machines.len();
-        let runs: Vec<bool> = self.machines.iter().map(|m| m.runs(now)).collect();
-        let joined = |a: usize, b: usize| runs[a] && runs[b] && self.net.is_connected(a, b, now);
-        // Of the voters that `n` knows, how many have a way to it of this kind; itself counts.
-        let most = |n: usize, way: &dyn Fn(usize, usize) -> bool| {
-            let Some(duty) = self.machines[n].leadership() else { return false };
-            let members = &duty.voters;
-            let with = |(name, disk): &(&String, &u64)| {
+        let running: Vec<bool> = self.machines.iter().map(|m| m.is_running(now)).collect();
+        let are_connected = |a: usize, b: usize| running[a] && running[b] && self.net.is_connected(a, b, now);
+        // Whether a majority of the voters that `n` knows have a path of this kind to it, counting itself.
+        let has_majority = |n: usize, way: &dyn Fn(usize, usize) -> bool| {
+            let Some(leader_status) = self.machines[n].leadership() else { return false };
+            let members = &leader_status.voters;
+            let has_path = |(name, disk): &(&String, &u64)| {
                 let m = machine_index(name);
                 self.machines[m].id.disk_id == **disk && (m == n || way(m, n))
             };
-            2 * members.iter().filter(with).count() > members.len()
+            2 * members.iter().filter(has_path).count() > members.len()
         };
-        let mut contact = vec![false; count];
-        for n in (0..count).filter(|n| runs[*n]) {
-            let (id, duty) = (&self.machines[n].id, self.machines[n].leadership());
-            contact[n] =
-                duty.is_some_and(|d| d.voters.get(&id.name) == Some(&id.disk_id)) && most(n, &joined);
-        }
-        // Contact is proven by a leader that has a majority.
-        let hears: Vec<bool> =
-            (0..count).map(|n| contact[n] || (0..count).any(|m| contact[m] && joined(m, n))).collect();
-        // Those of a majority that is whole: each has a way to each other.
-        let all = |n: usize| (0..count).all(|m| m == n || !contact[m] || !contact[n] || joined(n, m));
-        let enough = |n: usize| !contact[n] || most(n, &|m, _| contact[m]);
-        let whole = contact.iter().any(|c| *c) && (0..count).all(|n| all(n) && enough(n));
-        // While voters are exchanged a majority of the old ones is wanted too: a disk that was just lost, and another
-        // machine isolated meanwhile, are two.
-        let reaches_old = |n: usize| {
-            let Some(core) = self.machines[n].raft().filter(|c| contact[n] && c.is_reconfiguring()) else {
+        let mut in_contact = vec![false; count];
+        for n in (0..count).filter(|n| running[*n]) {
+            let (id, leader_status) = (&self.machines[n].id, self.machines[n].leadership());
+            in_contact[n] = leader_status.is_some_and(|d| d.voters.get(&id.name) == Some(&id.disk_id))
+                && has_majority(n, &are_connected);
+        }
+        // A leader with a majority proves contact.
+        let hears_majority: Vec<bool> = (0..count)
+            .map(|n| in_contact[n] || (0..count).any(|m| in_contact[m] && are_connected(m, n)))
+            .collect();
+        // Members of a fully connected majority: each has a path to each other.
+        let all =
+            |n: usize| (0..count).all(|m| m == n || !in_contact[m] || !in_contact[n] || are_connected(n, m));
+        let reaches_majority = |n: usize| !in_contact[n] || has_majority(n, &|m, _| in_contact[m]);
+        let has_full_majority =
+            in_contact.iter().any(|c| *c) && (0..count).all(|n| all(n) && reaches_majority(n));
+        // During a joint consensus a majority of the old voters is needed too: a just lost disk and another isolated
+        // machine are two failures.
+        let reaches_old_majority = |n: usize| {
+            let Some(raft_node) = self.machines[n].raft().filter(|c| in_contact[n] && c.is_reconfiguring())
+            else {
                 return true;
             };
-            let entries = core.persisted_state().entries;
+            let entries = raft_node.persisted_state().entries;
             let old = entries.iter().rev().find_map(|e| match &e.payload {
                 EntryPayload::JointConfiguration { old, .. } => Some(old),
                 _ => None,
             });
-            let with = |(name, disk): &(&String, &u64)| {
+            let has_path = |(name, disk): &(&String, &u64)| {
                 let m = machine_index(name);
-                self.machines[m].id.disk_id == **disk && (m == n || joined(m, n))
+                self.machines[m].id.disk_id == **disk && (m == n || are_connected(m, n))
             };
-            old.is_none_or(|old| 2 * old.iter().filter(with).count() > old.len())
+            old.is_none_or(|old| 2 * old.iter().filter(has_path).count() > old.len())
+        };
+        let has_full_majority = has_full_majority && (0..count).all(reaches_old_majority);
+        let is_connected_to_all =
+            |n: usize| hears_majority[n] && (0..count).all(|m| m == n || !running[m] || are_connected(n, m));
+        let connected_to_all: Vec<bool> = (0..count).map(is_connected_to_all).collect();
+        let slowed = (0..count).any(|n| self.net.is_slowed(n, now) || self.disks.is_impaired(n, now));
+        let is_partitioned = |a: usize| {
+            (0..count).any(|b| hears_majority[a] && hears_majority[b] && a != b && !are_connected(a, b))
         };
-        let whole = whole && (0..count).all(reaches_old);
-        let well = |n: usize| hears[n] && (0..count).all(|m| m == n || !runs[m] || joined(n, m));
-        let joins: Vec<bool> = (0..count).map(well).collect();
-        let slowed = (0..count).any(|n| self.net.is_slowed(n, now) || self.disks.is_bad(n, now));
-        let parted = |a: usize| (0..count).any(|b| hears[a] && hears[b] && a != b && !joined(a, b));
-        let apart = slowed || (0..count).any(parted);
-        // Whoever one hears may tell when that one last had a majority.
-        let kept = |m: usize| if contact[m] { now } else { self.contact[m] };
-        let told = |n: usize| (0..count).filter(|m| joined(*m, n)).map(kept).max().unwrap_or(0);
-        let hearsay: Vec<Time> = (0..count).map(|n| self.hearsay[n].max(told(n))).collect();
-        self.hearsay = hearsay;
-        if apart {
+        let any_partitioned = slowed || (0..count).any(is_partitioned);
+        // Any machine that a node hears may report when it last had a majority.
+        let last_contact_of = |m: usize| if in_contact[m] { now } else { self.last_contact_at[m] };
+        let reported_contact =
+            |n: usize| (0..count).filter(|m| are_connected(*m, n)).map(last_contact_of).max().unwrap_or(0);
+        let last_heard_contact_at: Vec<Time> =
+            (0..count).map(|n| self.last_heard_contact_at[n].max(reported_contact(n))).collect();
+        self.last_heard_contact_at = last_heard_contact_at;
+        if any_partitioned {
             self.partitioned_at = now;
         }
         for g in 0..self.gateways.len() {
             if self.gateways[g].isolated_until > now || self.gateways[g].suspended_until > now {
-                self.well[g] = now;
+                self.gateway_healthy_since[g] = now;
             }
         }
         for n in 0..count {
-            if contact[n] {
-                self.contact[n] = now;
+            if in_contact[n] {
+                self.last_contact_at[n] = now;
             }
-            self.joined[n] = if joins[n] && !slowed { self.joined[n].or(Some(now)) } else { None };
+            self.connected_since[n] =
+                if connected_to_all[n] && !slowed { self.connected_since[n].or(Some(now)) } else { None };
         }
-        (whole, slowed)
+        (has_full_majority, slowed)
     }
 
-    /// Whether this one has no way to a majority now, by itself and by others: what has just been healed is seen here
-    /// first.
+    /// Returns whether this node has no path to a majority now, by itself and through others. A link that has just
+    /// healed is noticed here first.
     fn is_alone(&mut self, n: usize) -> (bool, bool) {
-        self.contacts();
-        (self.contact[n] < self.now, self.hearsay[n] < self.now)
+        self.update_contacts();
+        (self.last_contact_at[n] < self.now, self.last_heard_contact_at[n] < self.now)
     }
 
     fn check_answers_come(&mut self, since: Time) -> Result<(), Violation> {
         let now = self.now;
-        let deaf = |n: &usize| self.deaf[*n] > now;
-        if self.calls_lost.1 > now || self.leader().is_some_and(|n| deaf(&n)) {
-            self.unheard = now;
+        let is_unreachable = |n: &usize| self.unreachable_until[*n] > now;
+        if self.call_loss.1 > now || self.leader().is_some_and(|n| is_unreachable(&n)) {
+            self.leader_unreachable_at = now;
         }
-        // A caller that tries one of those that do not answer goes on after a second.
+        // A caller that tries an unresponsive machine goes on to another after a second.
         let count = self.machines.len();
-        let mute = |n: &usize| !self.machines[*n].runs(now) || self.contact[*n] < now || deaf(n);
-        let mute = (0..count).filter(mute).count() as Time;
-        let since = since.max(self.unheard);
-        // One that may have been taken so long ago that nobody knows is neither acknowledged nor refused: worst-days,
-        // 2.
+        let unresponsive = |n: &usize| {
+            !self.machines[*n].is_running(now) || self.last_contact_at[*n] < now || is_unreachable(n)
+        };
+        let unresponsive = (0..count).filter(unresponsive).count() as Time;
+        let since = since.max(self.leader_unreachable_at);
+        // A change that may have been committed so long ago that no record is left is neither acknowledged nor
+        // refused: worst-days, 2.
         let state = self.leader().and_then(|n| self.machines[n].state());
-        let forgotten = |ask: &Request| match ask {
-            Request::Replace(order) => state.is_some_and(|b| b.may_have_forgotten_version(order.version)),
+        let forgotten = |request: &Request| match request {
+            Request::Replace(change) => state.is_some_and(|b| b.may_have_forgotten_version(change.version)),
             Request::Read(_) => false,
         };
         for operator in &self.operators {
-            let Some(job) = operator.job.as_ref().filter(|j| !forgotten(&j.request)) else { continue };
-            // It is sent whole to each, and once more to whoever an answer names.
-            let sends = upload(&job.request) * (mute + 3);
-            if now.saturating_sub(job.began.max(since))
-                > ACKNOWLEDGED + mute * (CALL_TIMEOUT + 500 * MS) + sends
+            let Some(pending) = operator.pending.as_ref().filter(|j| !forgotten(&j.request)) else {
+                continue;
+            };
+            // The whole request is sent to each machine, and once more to each redirect target.
+            let total_upload_time = upload_time(&pending.request) * (unresponsive + 3);
+            if now.saturating_sub(pending.began_at.max(since))
+                > MAX_ACK_TIME + unresponsive * (CALL_TIMEOUT + 500 * MS) + total_upload_time
             {
-                return Err(Violation::NotAnswered(format!("{:?}", job.request)));
+                return Err(Violation::NotAnswered(format!("{:?}", pending.request)));
             }
         }
         Ok(())
     }
 
-    /// Who has been back for long enough knows all, and votes.
+    /// Checks that a machine that has been back for long enough has every acknowledged configuration, and votes.
     fn check_returned_machines(&mut self) -> Result<(), Violation> {
         let now = self.now;
         let known = self.history.acknowledged_by(now - 1500 * MS);
-        let back = |n: usize| self.joined[n].is_some_and(|at| now >= at + CATCH_UP + CONTACT);
-        for (_, m) in self.machines.iter().enumerate().filter(|(n, _)| back(*n)) {
+        let has_been_back =
+            |n: usize| self.connected_since[n].is_some_and(|at| now >= at + CATCH_UP + SETTLE_TIME);
+        for (_, m) in self.machines.iter().enumerate().filter(|(n, _)| has_been_back(*n)) {
             if m.version() < known {
                 return Err(Violation::Behind(m.id.to_string()));
             }
         }
         let voters: Vec<(usize, &Machine)> =
             self.machines.iter().enumerate().filter(|(_, m)| m.can_vote && !m.is_removed).collect();
-        if voters.iter().all(|(n, _)| back(*n)) {
-            let wanted: VoterSet = voters.iter().map(|(_, m)| (m.id.name.clone(), m.id.disk_id)).collect();
+        if voters.iter().all(|(n, _)| has_been_back(*n)) {
+            let expected: VoterSet = voters.iter().map(|(_, m)| (m.id.name.clone(), m.id.disk_id)).collect();
             if let Some((_, m)) =
-                voters.iter().find(|(_, m)| m.leadership().is_none_or(|d| d.voters != wanted))
+                voters.iter().find(|(_, m)| m.leadership().is_none_or(|d| d.voters != expected))
             {
                 return Err(Violation::NotRepaired(m.id.to_string()));
             }
@@ -856,29 +913,31 @@
         Ok(())
     }
 
-    fn inject_fault(&mut self, trouble: FaultEvent) -> Result<(), Violation> {
-        // What follows may end a contact that was seen by nobody yet.
-        self.contacts();
-        let mut storm = std::mem::take(&mut self.faults);
-        let result = storm.inject(self, trouble);
-        self.faults = storm;
+    fn inject_fault(&mut self, fault_event: FaultEvent) -> Result<(), Violation> {
+        // The following fault may end a contact that was not recorded yet.
+        self.update_contacts();
+        let mut taken_schedule = std::mem::take(&mut self.faults);
+        let result = taken_schedule.inject(self, fault_event);
+        self.faults = taken_schedule;
         result
     }
 
-    /// It has been joined with all others, with a majority among them, for as long as it takes to catch up.
+    /// Returns whether a machine has been connected with all others, with a majority among them, for as long as it
+    /// needs to catch up.
     pub fn is_back(&self, n: usize) -> bool {
-        self.joined[n].is_some_and(|at| self.now >= at + CATCH_UP)
+        self.connected_since[n].is_some_and(|at| self.now >= at + CATCH_UP)
     }
 
-    /// A gateway has to catch up from now on.
-    pub fn gateway_struck(&mut self, g: usize) {
-        self.well[g] = self.now;
-        // Its settings file names some that are there.
-        let there: Vec<usize> = (0..self.machines.len()).filter(|m| !self.machines[*m].is_removed).collect();
-        self.gateways[g].set_seeds(&there);
+    /// Records that a gateway has to catch up from now on.
+    pub fn record_gateway_fault(&mut self, g: usize) {
+        self.gateway_healthy_since[g] = self.now;
+        // Its settings file names some existing machines.
+        let existing: Vec<usize> =
+            (0..self.machines.len()).filter(|m| !self.machines[*m].is_removed).collect();
+        self.gateways[g].set_seeds(&existing);
     }
 
-    /// Those that count: neither gone nor without a disk.
+    /// Returns the machines that count as voters: neither removed nor without a disk.
     pub fn voters(&self) -> Vec<usize> {
         (0..self.machines.len())
             .filter(|n| self.machines[*n].can_vote && !self.machines[*n].is_removed)
@@ -886,36 +945,38 @@
     }
 }
 
-/// How long a caller takes to send this: 3 ms for each route, of some 250 bytes.
-fn upload(ask: &Request) -> Time {
-    match ask {
-        Request::Replace(order) => 3 * MS * Time::from(order.bytes) / 250,
+/// Returns the time that a caller takes to send a request: 3 ms for each route, of some 250 bytes.
+fn upload_time(request: &Request) -> Time {
+    match request {
+        Request::Replace(change) => 3 * MS * Time::from(change.bytes) / 250,
         Request::Read(_) => 0,
     }
 }
 
-fn short(reply: &Reply) -> String {
+fn summarize(reply: &Reply) -> String {
     match reply {
-        Reply::Current(held) => format!("stands {:?}", held.as_ref().map(|(v, _)| *v)),
+        Reply::Current(configuration) => format!("current {:?}", configuration.as_ref().map(|(v, _)| *v)),
         reply => format!("{reply:?}"),
     }
 }
 
 fn describe(machine: &Machine) -> String {
-    let Machine { id, can_vote: votes, is_removed: gone, .. } = machine;
-    let Some(node) = machine.node() else { return format!("{id}: down, votes {votes}, gone {gone}") };
-    let (core, duty) = (node.raft(), node.leadership());
+    let Machine { id, can_vote, is_removed, .. } = machine;
+    let Some(node) = machine.node() else {
+        return format!("{id}: down, votes {can_vote}, gone {is_removed}");
+    };
+    let (raft_node, leader_status) = (node.raft(), node.leadership());
     format!(
-        "{id}: {}, votes {votes}, gone {gone}, term {}, agreed {}, from {}, {} entries, configuration {}, leads {}, follows {:?}, \
+        "{id}: {}, votes {can_vote}, gone {is_removed}, term {}, commit index {}, snapshot {}, {} entries, configuration {}, leads {}, follows {:?}, \
          members {:?}",
         node.describe_storage(),
-        core.term(),
-        core.commit_index(),
-        core.snapshot().index,
-        core.entry_count(),
+        raft_node.term(),
+        raft_node.commit_index(),
+        raft_node.snapshot().index,
+        raft_node.entry_count(),
         machine.version(),
-        duty.is_leader,
-        duty.leader,
-        duty.voters
+        leader_status.is_leader,
+        leader_status.leader,
+        leader_status.voters
     )
 }
--- a/crates/testing/control-sim/src/machine.rs
+++ b/crates/testing/control-sim/src/machine.rs
@@ -1,5 +1,5 @@
-//! A machine of the control plane: the program's control node, with a simulated disk that takes its time, loses or
-//! refuses.
+//! A machine of the control plane: the program's control node with a simulated disk that is slow, loses its contents
+//! or refuses writes.
 
 use crate::defect::Defect;
 use crate::rules::Violation;
@@ -11,54 +11,55 @@
 use std::collections::VecDeque;
 use trial::{TenantTerms, UnixMillis};
 
-/// How often backends are heard here.
+/// Interval between the heartbeats of a backend in the simulation.
 pub const HEARTBEAT_INTERVAL: Time = 1000 * MS;
 
-/// The address of machine `n`, which is its name.
+/// Returns the address of machine `n`, which is also its name.
 pub fn address(n: usize) -> String {
     format!("10.0.{}.{}", n / 250, n % 250 + 1)
 }
 
-/// Which machine that is.
+/// Returns the index of the machine with this name.
 pub fn machine_index(name: &str) -> usize {
     let mut numbers = name.split('.').skip(2).filter_map(|n| n.parse::<usize>().ok());
     let (high, low) = (numbers.next().unwrap_or(0), numbers.next().unwrap_or(1));
     high * 250 + low.saturating_sub(1)
 }
 
-/// What a machine is told of its world.
+/// Settings of a machine.
 #[derive(Clone)]
 pub struct MachineSettings {
     pub seeds: Vec<String>,
-    /// It starts with the whole system, for the first time.
+    /// Whether its first start is the bootstrap of the whole control plane.
     pub is_initial_start: bool,
     pub zone: String,
-    pub terms: fn(&[u8]) -> TenantTerms,
-    /// The log is folded into the state at so many entries.
+    pub read_terms: fn(&[u8]) -> TenantTerms,
+    /// Number of log entries at which the log is compacted into a snapshot.
     pub snapshot_threshold: usize,
-    /// How long a gateway's fallback share lasts without an answer.
+    /// Lifetime of a gateway's fallback share without an answer from the coordinator.
     pub fallback_lifetime: Time,
 }
 
+/// A machine, its disk, and the control node that runs on it while it is up.
 pub struct Machine {
     pub id: NodeId,
-    /// It has a disk.
+    /// Whether it has a disk, and so may vote.
     pub can_vote: bool,
-    /// Replaced for good.
+    /// Whether it was replaced permanently.
     pub is_removed: bool,
-    /// What would be there after a loss of power.
+    /// What would survive a loss of power.
     pub disk: PersistedState,
-    /// Backends as it kept them for the next start, on its disk too.
+    /// Backends that it saved to disk for its next start.
     saved_registry: Vec<Heartbeat>,
-    /// Starts of its process.
+    /// Number of starts of its process.
     pub starts: u64,
     pub frozen_until: Time,
-    /// How far its time of day is from the true one, in ms.
-    pub skew: i64,
+    /// Deviation of its clock from true time, in ms.
+    pub clock_skew_ms: i64,
     pub settings: MachineSettings,
     node: Option<ControlNode>,
-    /// What the disk is at, in order, by number.
-    writes: VecDeque<(u64, StorageRequest)>,
+    /// Writes in progress on the disk, in order, by number.
+    pending_writes: VecDeque<(u64, StorageRequest)>,
     applied: LogIndex,
     defect: Option<Defect>,
 }
@@ -73,10 +74,10 @@
             saved_registry: Vec::new(),
             starts: 0,
             frozen_until: 0,
-            skew: 0,
+            clock_skew_ms: 0,
             settings,
             node: None,
-            writes: VecDeque::new(),
+            pending_writes: VecDeque::new(),
             applied: 0,
             defect,
         }
@@ -86,8 +87,8 @@
         self.node.is_some()
     }
 
-    /// Its process runs.
-    pub fn runs(&self, now: Time) -> bool {
+    /// Returns whether its process is up and not frozen.
+    pub fn is_running(&self, now: Time) -> bool {
         self.is_up() && self.frozen_until <= now
     }
 
@@ -99,7 +100,7 @@
         self.node.as_ref().map(ControlNode::state)
     }
 
-    /// The configuration that it holds; 0: none.
+    /// Returns the version of its configuration, or 0 if it has none.
     pub fn version(&self) -> u32 {
         self.state().map_or(0, ControlState::version)
     }
@@ -116,48 +117,49 @@
         self.leadership().is_some_and(|d| d.is_leader)
     }
 
-    /// It starts, or starts again.
+    /// Starts or restarts the machine.
     pub fn start(&mut self, now: Time, seed: u64) {
         self.starts += 1;
         if !self.can_vote {
             (self.disk, self.id.disk_id) = (PersistedState::default(), self.id.disk_id + 1);
             self.saved_registry.clear();
         }
-        let mut stored = self.disk.clone();
+        let mut persisted = self.disk.clone();
         match self.defect {
-            Some(Defect::TailLost) => drop(stored.entries.pop()),
-            Some(Defect::LogTruncatedAtStart) => stored.entries.clear(),
+            Some(Defect::TailLost) => drop(persisted.entries.pop()),
+            Some(Defect::LogTruncatedAtStart) => persisted.entries.clear(),
             _ => {}
         }
-        let setup = NodeConfig {
+        let config = NodeConfig {
             id: self.id.clone(),
             zone: self.settings.zone.clone(),
             can_vote: self.can_vote,
             initial_start: self.settings.is_initial_start && self.starts == 1,
             seeds: self.settings.seeds.clone(),
             heartbeat_interval: HEARTBEAT_INTERVAL,
-            read_terms: self.settings.terms,
+            read_terms: self.settings.read_terms,
             fallback_lifetime: self.settings.fallback_lifetime,
             seed,
         };
-        let planted = self.defect.and_then(Defect::planted);
+        let planted = self.defect.and_then(Defect::control_node_defect);
         self.applied = 0;
-        let mut node = ControlNode::with_defect(setup, stored, self.saved_registry.clone(), now, planted);
+        let mut node = ControlNode::with_defect(config, persisted, self.saved_registry.clone(), now, planted);
         node.set_snapshot_threshold(self.settings.snapshot_threshold);
         self.node = Some(node);
     }
 
-    /// Power is lost, or the process is killed. How much of what the disk is at comes to it is chance.
-    pub fn stop(&mut self, writes: usize) {
-        for (_, work) in std::mem::take(&mut self.writes).into_iter().take(writes) {
-            self.apply_write(work);
+    /// Simulates a loss of power or a killed process. The first `completed_writes` of the pending writes reach the
+    /// disk.
+    pub fn stop(&mut self, completed_writes: usize) {
+        for (_, request) in std::mem::take(&mut self.pending_writes).into_iter().take(completed_writes) {
+            self.apply_write(request);
         }
         if let Some(node) = self.node.take() {
             self.saved_registry = node.serving_backends().1;
         }
     }
 
-    /// The disk is lost, and what comes in its place has another id.
+    /// Erases the disk. Its replacement has another ID unless `keeps_id` is set.
     pub fn wipe(&mut self, keeps_id: bool) {
         self.disk = PersistedState::default();
         self.saved_registry.clear();
@@ -166,88 +168,88 @@
         }
     }
 
-    /// How many writes the disk is at.
-    pub fn writes(&self) -> usize {
-        self.writes.len()
+    /// Returns the number of pending writes.
+    pub fn pending_write_count(&self) -> usize {
+        self.pending_writes.len()
     }
 
-    fn apply_write(&mut self, work: StorageRequest) {
-        match work {
-            StorageRequest::Append { changes: saves, commit_index: agreed } => {
-                saves.iter().for_each(|s| save(&mut self.disk, s));
-                self.disk.commit_index = agreed;
+    fn apply_write(&mut self, request: StorageRequest) {
+        match request {
+            StorageRequest::Append { changes, commit_index } => {
+                changes.iter().for_each(|change| apply_change(&mut self.disk, change));
+                self.disk.commit_index = commit_index;
             }
-            StorageRequest::Full(stored) => self.disk = *stored,
+            StorageRequest::Full(persisted) => self.disk = *persisted,
         }
     }
 
-    /// The disk is at this from now on.
-    pub fn begin_write(&mut self, number: u64, work: StorageRequest) {
-        self.writes.push_back((number, work));
+    /// Adds a write to the pending writes.
+    pub fn begin_write(&mut self, number: u64, request: StorageRequest) {
+        self.pending_writes.push_back((number, request));
     }
 
-    /// The disk has done this, or has refused it.
-    pub fn written(&mut self, now: Time, number: u64, done: bool) {
-        if let Some((_, work)) = self.writes.pop_front().filter(|(n, _)| *n == number) {
-            if done {
-                self.apply_write(work);
+    /// Completes a write, or fails it if the disk refused it.
+    pub fn complete_write(&mut self, now: Time, number: u64, succeeded: bool) {
+        if let Some((_, request)) = self.pending_writes.pop_front().filter(|(n, _)| *n == number) {
+            if succeeded {
+                self.apply_write(request);
             }
         }
-        self.with(|p| p.on_persisted(now, number, done));
+        self.with_node(|node| node.on_persisted(now, number, succeeded));
     }
 
-    /// Hands it something, if it runs.
-    pub fn with<T>(&mut self, act: impl FnOnce(&mut ControlNode) -> T) -> Option<T> {
+    /// Passes input to the node, if it is up.
+    pub fn with_node<T>(&mut self, act: impl FnOnce(&mut ControlNode) -> T) -> Option<T> {
         self.node.as_mut().map(act)
     }
 
-    /// What it wants done, and what it has applied.
+    /// Returns the node's pending effects and the records that it applied.
     ///
     /// # Errors
-    /// It applied something out of order.
+    /// Returns a violation if it applied something out of order.
     pub fn effects(&mut self) -> Result<(Vec<Effect>, Vec<AppliedRecord>), Violation> {
         let Some(node) = &mut self.node else { return Ok(Default::default()) };
-        let (effects, journal) = (node.take_effects(), std::mem::take(&mut node.applied_records));
-        for applied in &journal {
+        let (effects, records) = (node.take_effects(), std::mem::take(&mut node.applied_records));
+        for applied in &records {
             match applied {
-                AppliedRecord::Command(place, _) if *place <= self.applied => {
-                    return Err(Violation::Order(*place))
+                AppliedRecord::Command(index, _) if *index <= self.applied => {
+                    return Err(Violation::Order(*index))
                 }
-                AppliedRecord::Snapshot(place) if *place < self.applied => {
-                    return Err(Violation::Order(*place))
+                AppliedRecord::Snapshot(index) if *index < self.applied => {
+                    return Err(Violation::Order(*index))
                 }
-                AppliedRecord::Command(place, _) | AppliedRecord::Snapshot(place) => self.applied = *place,
+                AppliedRecord::Command(index, _) | AppliedRecord::Snapshot(index) => self.applied = *index,
             }
         }
-        Ok((effects, journal))
+        Ok((effects, records))
     }
 
-    /// When it next wants to work.
+    /// Returns when the node is due to be advanced.
     pub fn next_due(&self) -> Time {
         self.node.as_ref().map_or(Time::MAX, ControlNode::next_due)
     }
 
-    /// This machine's time of day; true time began at `began`.
-    pub fn wall(&self, now: Time, began: UnixMillis) -> UnixMillis {
-        (began + now / MS).saturating_add_signed(self.skew)
+    /// Returns this machine's wall-clock time; true time was `epoch_unix_ms` at the start.
+    pub fn wall_clock_ms(&self, now: Time, epoch_unix_ms: UnixMillis) -> UnixMillis {
+        (epoch_unix_ms + now / MS).saturating_add_signed(self.clock_skew_ms)
     }
 }
 
-/// What the disk holds after a save.
-fn save(disk: &mut PersistedState, save: &Persist) {
-    match save {
+/// Applies one change to the contents of the disk.
+fn apply_change(disk: &mut PersistedState, change: &Persist) {
+    match change {
         Persist::HardState { term, vote } => (disk.term, disk.vote) = (*term, vote.clone()),
         Persist::Entries { from, entries } => {
             let kept = from.saturating_sub(disk.snapshot.index + 1) as usize;
             disk.entries.truncate(kept);
             disk.entries.extend(entries.iter().cloned());
         }
-        Persist::Snapshot { snapshot, replaces_log: whole } => {
-            let behind = snapshot.index.saturating_sub(disk.snapshot.index) as usize;
-            let kept: Vec<Entry> = if *whole || behind > disk.entries.len() {
+        Persist::Snapshot { snapshot, replaces_log } => {
+            let covered = snapshot.index.saturating_sub(disk.snapshot.index) as usize;
+            let kept: Vec<Entry> = if *replaces_log || covered > disk.entries.len() {
                 Vec::new()
             } else {
-                disk.entries.split_off(behind)
+                disk.entries.split_off(covered)
             };
             (disk.entries, disk.snapshot) = (kept, snapshot.clone());
         }
--- a/crates/testing/control-sim/src/main.rs
+++ b/crates/testing/control-sim/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays seeds: `control-sim --seeds 1000`, `control-sim --seed 7 --story`, `control-sim --defect wiped-votes`.
+//! Runs seeds: `control-sim --seeds 1000`, `control-sim --seed 7 --story`, `control-sim --defect wiped-votes`.
 #![forbid(unsafe_code)]
 
 use control_sim::{play, play_pairs, Defect, Story, Violation};
@@ -16,18 +16,18 @@
     options.optopt("s", "seed", "the first seed (default 0)", "N");
     options.optopt("n", "seeds", "how many seeds to simulate (default 1)", "N");
     options.optopt("j", "jobs", "seeds simulated in parallel (default 1)", "N");
-    options.optflag("", "pairs", "only worlds of minutes in which several machines are replaced at a time");
-    options.optopt("d", "defect", "plant this defect; exit 1 means that it was found", "NAME");
+    options.optflag("", "pairs", "run only long workloads that replace several machines at a time");
+    options.optopt("d", "defect", "plant this defect; exit status 1 means that it was found", "NAME");
     options.optflag("", "growth", "print how sizes and costs grow with the fleet and exit");
-    options.optflag("", "story", "print each event also where no rule was broken");
-    let told = match options.parse(std::env::args().skip(1)) {
-        Ok(told) => told,
+    options.optflag("", "story", "print every event, even if no rule was broken");
+    let matches = match options.parse(std::env::args().skip(1)) {
+        Ok(matches) => matches,
         Err(e) => {
             eprintln!("control-sim: {e}");
             return ExitCode::FAILURE;
         }
     };
-    if told.opt_present("h") {
+    if matches.opt_present("h") {
         print!(
             "{}",
             options.usage(
@@ -36,34 +36,34 @@
         );
         return ExitCode::SUCCESS;
     }
-    if told.opt_present("l") {
+    if matches.opt_present("l") {
         Defect::all().for_each(|d| println!("{}", d.name()));
         return ExitCode::SUCCESS;
     }
-    if told.opt_present("growth") {
+    if matches.opt_present("growth") {
         control_sim::growth::table().iter().for_each(|l| println!("{l}"));
         return ExitCode::SUCCESS;
     }
-    let number = |name: &str, usual: u64| told.opt_get_default(name, usual);
+    let number = |name: &str, default: u64| matches.opt_get_default(name, default);
     let (Ok(first), Ok(count)) = (number("seed", 0), number("seeds", 1)) else {
         eprintln!("control-sim: --seed and --seeds take a number");
         return ExitCode::FAILURE;
     };
-    let defect = told.opt_str("defect");
+    let defect = matches.opt_str("defect");
     let planted = defect.as_ref().and_then(|name| Defect::all().find(|d| d.name() == *name));
     if defect.is_some() && planted.is_none() {
-        eprintln!("control-sim: no defect of this name; --list-defects lists them");
+        eprintln!("control-sim: unknown defect; --list-defects lists them");
         return ExitCode::FAILURE;
     }
     let Ok(jobs) = number("jobs", 1) else {
         eprintln!("control-sim: --jobs takes a number");
         return ExitCode::FAILURE;
     };
-    let seeds = (first..first.saturating_add(count), told.opt_present("story"));
-    let plays: Plays = if told.opt_present("pairs") { play_pairs } else { play };
-    match several(seeds, planted, jobs.max(1), plays) {
-        Ok(sums) => {
-            println!("{count} seeds from {first}: no rule broken; {}", sums.summary());
+    let seeds = (first..first.saturating_add(count), matches.opt_present("story"));
+    let play_fn: PlayFn = if matches.opt_present("pairs") { play_pairs } else { play };
+    match run_seeds(seeds, planted, jobs.max(1), play_fn) {
+        Ok(totals) => {
+            println!("{count} seeds from {first}: no rule broken; {}", totals.summary());
             ExitCode::SUCCESS
         }
         Err((seed, broken)) => {
@@ -75,35 +75,35 @@
 }
 
 type Failure = (u64, Box<(Violation, Story)>);
-type Plays = fn(u64, Option<Defect>) -> Result<Story, Box<(Violation, Story)>>;
+type PlayFn = fn(u64, Option<Defect>) -> Result<Story, Box<(Violation, Story)>>;
 
-/// What all stories come to.
+/// Totals over all stories.
 #[derive(Default)]
-struct Sums {
+struct Totals {
     steps: u64,
     acknowledged: u64,
     trial: [u64; 3],
-    longs: u64,
-    again: u64,
+    long_runs: u64,
+    acknowledged_again: u64,
     refused: u64,
     minutes: f64,
     recovery_times: Vec<u64>,
 }
 
-impl Sums {
+impl Totals {
     fn add(&mut self, story: &Story) {
         self.steps += story.steps;
         self.acknowledged += u64::from(story.acknowledged);
         let (full, paced, refused) = story.trial;
         self.trial.iter_mut().zip([full, paced, refused]).for_each(|(sum, n)| *sum += u64::from(n));
-        self.longs += u64::from(story.lasted > 0);
-        self.again += u64::from(story.again);
+        self.long_runs += u64::from(story.duration > 0);
+        self.acknowledged_again += u64::from(story.acknowledged_again);
         self.refused += u64::from(story.refused);
-        self.minutes += story.lasted as f64 / 60e9;
+        self.minutes += story.duration as f64 / 60e9;
         self.recovery_times.extend(&story.recovery_times);
     }
 
-    /// How long it took from the end of a fault to the first read that was answered.
+    /// Formats the quantiles of the time from the end of a fault to the first answered read.
     fn recovery(&self) -> String {
         let mut times = self.recovery_times.clone();
         times.sort_unstable();
@@ -125,29 +125,29 @@
         format!(
             "{} steps, {} acknowledged\non trial: {full} at full speed, {paced} in turn, {refused} refused for the pace\n\
              worlds of minutes: {}, of {:.0} minutes together; {} orders acknowledged again, {} refused\n{}",
-            self.steps, self.acknowledged, self.longs, self.minutes, self.again, self.refused, self.recovery()
+            self.steps, self.acknowledged, self.long_runs, self.minutes, self.acknowledged_again, self.refused, self.recovery()
         )
     }
 }
 
-/// Plays seeds, so many at a time. The lowest that broke a rule, of those that were played by then.
-fn several(
-    (seeds, tells): (Range<u64>, bool),
+/// Runs seeds on `jobs` threads. On failure, returns the lowest failing seed of those run by then.
+fn run_seeds(
+    (seeds, prints_stories): (Range<u64>, bool),
     planted: Option<Defect>,
     jobs: u64,
-    plays: Plays,
-) -> Result<Sums, Failure> {
-    let (next, sums, failed) =
-        (AtomicU64::new(seeds.start), Mutex::new(Sums::default()), Mutex::new(None::<Failure>));
+    play_fn: PlayFn,
+) -> Result<Totals, Failure> {
+    let (next, totals, failed) =
+        (AtomicU64::new(seeds.start), Mutex::new(Totals::default()), Mutex::new(None::<Failure>));
     let work = || loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
         if seed >= seeds.end || failed.lock().is_ok_and(|f| f.is_some()) {
             return;
         }
-        match (plays(seed, planted), sums.lock(), failed.lock()) {
-            (Ok(story), Ok(mut sums), _) => {
-                sums.add(&story);
-                if tells {
+        match (play_fn(seed, planted), totals.lock(), failed.lock()) {
+            (Ok(story), Ok(mut totals), _) => {
+                totals.add(&story);
+                if prints_stories {
                     story.lines.iter().for_each(|l| println!("{l}"));
                 }
             }
@@ -162,6 +162,6 @@
     std::thread::scope(|s| (0..jobs).for_each(|_| drop(s.spawn(work))));
     match failed.into_inner() {
         Ok(Some(failure)) => Err(failure),
-        _ => Ok(sums.into_inner().unwrap_or_default()),
+        _ => Ok(totals.into_inner().unwrap_or_default()),
     }
 }
--- a/crates/testing/control-sim/src/operators.rs
+++ b/crates/testing/control-sim/src/operators.rs
@@ -1,65 +1,68 @@
-//! Operators: each has an order or a read under way, sends it again until it is answered, at times long after, and
-//! through whichever machine.
+//! Operators: each has one change or read in progress and retries it through any machine until it is answered; some
+//! changes are sent again long afterwards.
 
 use crate::change_history::{Change, Reply, Request};
 use crate::{Time, MS};
 use configuration::Version;
 use fastrand::Rng;
 
-/// A caller goes on to another machine after so much silence.
+/// Time without an answer after which a caller tries another machine.
 pub const CALL_TIMEOUT: Time = 1000 * MS;
-/// A caller follows so many answers that name another machine.
-const HOPS: u32 = 2;
-/// Of what was sent so many are remembered, to be sent again.
-const REMEMBERED: usize = 400;
+/// Maximum number of redirects that a caller follows in a row.
+const MAX_REDIRECTS: u32 = 2;
+/// Maximum number of sent changes that are remembered to be sent again.
+const MAX_REMEMBERED: usize = 400;
 
+/// A request that is retried until it is answered.
 pub struct PendingRequest {
     pub request: Request,
-    pub began: Time,
-    /// The try that is under way; answers to others are nobody's.
+    pub began_at: Time,
+    /// The current attempt; answers to other attempts are ignored.
     pub call: u64,
     pub attempts: u32,
-    hops: u32,
+    redirects: u32,
     /// The machines that are still to be tried.
-    line: Vec<usize>,
+    untried: Vec<usize>,
 }
 
+/// An operator and the request that it has in progress.
 pub struct Operator {
-    /// The newest that it knows of.
+    /// The newest version that it knows of.
     pub base: Version,
-    pub job: Option<PendingRequest>,
-    /// What it sent: for certain taken, or nothing is known of it.
+    pub pending: Option<PendingRequest>,
+    /// Changes that it sent: acknowledged, or of unknown outcome.
     sent: Vec<Change>,
-    reads_next: bool,
-    /// It gives up after so many tries.
+    read_next: bool,
+    /// Number of attempts after which it gives up.
     max_attempts: u32,
 }
 
-/// What an operator does now.
+/// The next action of an operator.
 pub enum Next {
-    /// Sends its call to this machine.
+    /// Send the call to this machine.
     Send(usize),
-    /// Pauses, then sends it to another.
+    /// Pause, then send it to another machine.
     Pause(Time),
-    /// Has done with it.
+    /// The request is finished.
     Ended,
 }
 
 impl Operator {
     pub fn new(rng: &mut Rng) -> Self {
-        Operator { base: 0, job: None, sent: Vec::new(), reads_next: false, max_attempts: rng.u32(4..60) }
+        Operator { base: 0, pending: None, sent: Vec::new(), read_next: false, max_attempts: rng.u32(4..60) }
     }
 
-    /// What it wants next. `nonce`: new; `acknowledged`: the newest that anybody was told of.
+    /// Starts the next request. `nonce` is unused so far; `acknowledged` is the newest version acknowledged to
+    /// anybody.
     pub fn start_request(&mut self, rng: &mut Rng, now: Time, nonce: u64, bytes: u32, acknowledged: Version) {
-        let reads = std::mem::take(&mut self.reads_next);
-        let ask = match rng.u8(..10) {
-            _ if reads => Request::Read(acknowledged),
+        let must_read = std::mem::take(&mut self.read_next);
+        let request = match rng.u8(..10) {
+            _ if must_read => Request::Read(acknowledged),
             0 => Request::Read(acknowledged),
             1 if !self.sent.is_empty() => {
-                // Mostly one of late.
-                let most = if rng.bool() { self.sent.len() } else { self.sent.len().min(3) };
-                Request::Replace(self.sent[self.sent.len() - 1 - rng.usize(..most)])
+                // Mostly a recent one.
+                let candidates = if rng.bool() { self.sent.len() } else { self.sent.len().min(3) };
+                Request::Replace(self.sent[self.sent.len() - 1 - rng.usize(..candidates)])
             }
             _ => {
                 let version = self.base + 1 + rng.u32(..2);
@@ -67,64 +70,64 @@
                 Request::Replace(Change { base: self.base, version, nonce, bytes, alike })
             }
         };
-        self.job = Some(PendingRequest {
-            request: ask,
-            began: now,
+        self.pending = Some(PendingRequest {
+            request,
+            began_at: now,
             call: 0,
             attempts: 0,
-            hops: 0,
-            line: Vec::new(),
+            redirects: 0,
+            untried: Vec::new(),
         });
     }
 
-    /// The next machine of the list, in an order of its own; a new try.
+    /// Starts a new attempt: returns the next machine of the list, in a shuffled order.
     pub fn next(&mut self, rng: &mut Rng, call: u64, listed: &[usize]) -> Option<usize> {
-        let job = self.job.as_mut()?;
-        if job.line.is_empty() {
-            job.line = listed.to_vec();
-            rng.shuffle(&mut job.line);
+        let pending = self.pending.as_mut()?;
+        if pending.untried.is_empty() {
+            pending.untried = listed.to_vec();
+            rng.shuffle(&mut pending.untried);
         }
-        (job.call, job.hops) = (call, 0);
-        job.attempts += 1;
-        job.line.pop()
+        (pending.call, pending.redirects) = (call, 0);
+        pending.attempts += 1;
+        pending.untried.pop()
     }
 
-    /// A try was answered, or not at all.
-    pub fn on_reply(&mut self, reply: Option<&Reply>, place: impl Fn(&str) -> usize) -> Next {
-        let Some(job) = &mut self.job else { return Next::Ended };
-        let pause = Next::Pause(((50 * MS) << job.attempts.min(4)).min(500 * MS));
-        match (reply, &job.request) {
-            (Some(Reply::Redirect(name)), _) if job.hops < HOPS => {
-                job.hops += 1;
-                return Next::Send(place(name));
+    /// Processes the answer to an attempt, or its absence.
+    pub fn on_reply(&mut self, reply: Option<&Reply>, machine_index: impl Fn(&str) -> usize) -> Next {
+        let Some(pending) = &mut self.pending else { return Next::Ended };
+        let pause = Next::Pause(((50 * MS) << pending.attempts.min(4)).min(500 * MS));
+        match (reply, &pending.request) {
+            (Some(Reply::Redirect(name)), _) if pending.redirects < MAX_REDIRECTS => {
+                pending.redirects += 1;
+                return Next::Send(machine_index(name));
             }
-            (None | Some(Reply::Redirect(_) | Reply::Unavailable), ask) => {
-                if job.attempts < self.max_attempts {
+            (None | Some(Reply::Redirect(_) | Reply::Unavailable), request) => {
+                if pending.attempts < self.max_attempts {
                     return pause;
                 }
-                // Nothing is known of it; it may be sent again some day.
-                if let Request::Replace(order) = *ask {
-                    self.remember(order);
-                    self.reads_next = true;
+                // The outcome is unknown; the change may be sent again later.
+                if let Request::Replace(change) = *request {
+                    self.remember(change);
+                    self.read_next = true;
                 }
             }
-            (Some(Reply::Acknowledged), Request::Replace(order)) => {
-                let order = *order;
-                self.base = self.base.max(order.version);
-                self.remember(order);
+            (Some(Reply::Acknowledged), Request::Replace(change)) => {
+                let change = *change;
+                self.base = self.base.max(change.version);
+                self.remember(change);
             }
-            (Some(Reply::Current(held)), _) => self.base = held.as_ref().map_or(0, |(v, _)| *v),
-            (Some(Reply::Conflict | Reply::Invalid | Reply::Acknowledged), _) => self.reads_next = true,
+            (Some(Reply::Current(current)), _) => self.base = current.as_ref().map_or(0, |(v, _)| *v),
+            (Some(Reply::Conflict | Reply::Invalid | Reply::Acknowledged), _) => self.read_next = true,
         }
-        self.job = None;
+        self.pending = None;
         Next::Ended
     }
 
-    fn remember(&mut self, order: Change) {
-        if !self.sent.contains(&order) {
-            self.sent.push(order);
+    fn remember(&mut self, change: Change) {
+        if !self.sent.contains(&change) {
+            self.sent.push(change);
         }
-        if self.sent.len() > REMEMBERED {
+        if self.sent.len() > MAX_REMEMBERED {
             self.sent.remove(0);
         }
     }
--- a/crates/testing/control-sim/src/rules.rs
+++ b/crates/testing/control-sim/src/rules.rs
@@ -1,4 +1,4 @@
-//! What must hold after each step.
+//! The rules that are checked after each step.
 
 use crate::{trial_configuration, Time};
 use control_state::{Command, LogIndex};
@@ -7,66 +7,68 @@
 use std::fmt;
 use trial::UnixMillis;
 
-/// A rule that was broken.
+/// A broken rule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// Two say different things of one place of the agreed log.
+    /// Two nodes have different entries at the same index of the committed log.
     Agreed(LogIndex),
-    /// One applied a place out of its order.
+    /// A node applied an index out of order.
     Order(LogIndex),
-    /// A read missed what was acknowledged before it was asked for.
+    /// A read missed a configuration that was acknowledged before the read was sent.
     Stale { read: u32, acknowledged: u32 },
-    /// Two changes on one base were both acknowledged.
+    /// Two changes with the same base version were both acknowledged.
     Twice(u32),
-    /// A drain that was acknowledged is not known to a later read.
+    /// A later read does not know of an acknowledged drain.
     Drain(String),
-    /// Two lend at the same time.
+    /// Two quota coordinators are active at the same time.
     TwoLend(u64, u64),
-    /// More of a tenant's requests passed in five seconds than its limit allows.
+    /// More of a tenant's requests passed within five seconds than its limit allows.
     Quota { passed: u32, most: f64 },
-    /// A gateway in touch refused a tenant for its pace within 100 ms of another's letting it go at full speed.
+    /// A gateway that is not isolated refused a tenant because of its pace within 100 ms of another gateway passing it
+    /// at full speed.
     Both { refuses: usize, full: usize },
-    /// A tenant went at full speed that long after its trial was agreed to be over, in ms.
+    /// A tenant passed at full speed this long after its trial was committed as expired, in ms.
     Full { after: u64 },
-    /// More than its pace allows passed in five seconds.
+    /// More throttled requests passed within five seconds than the tenant's pace allows.
     Pace { passed: u32, most: f64 },
-    /// A trial was over so many ms before its end.
+    /// A trial was expired this many ms before its end.
     TooEarly { by: u64 },
-    /// A trial's end has long passed, and it is not over.
+    /// A trial's end is long past, and it has not been expired.
     NeverOver,
-    /// One that could hear all for a second does not know what was acknowledged before.
+    /// A node that could hear all others for a second lacks a configuration acknowledged before.
     Behind(String),
-    /// An order was confirmed that is not agreed on.
+    /// A change was acknowledged that is not committed.
     NotAgreed(u32),
-    /// Two of one number were both acknowledged, or what was acknowledged under a number is read with other bytes.
+    /// Two changes with the same version were both acknowledged, or a read returned other bytes for an acknowledged
+    /// version.
     Number(u32),
-    /// An order that had been taken was refused when it was sent again.
+    /// A committed change was refused when it was sent again.
     RefusedThoughTaken(u32),
-    /// An order that was refused was taken later.
+    /// A refused change was committed later.
     TakenThoughRefused(u32),
-    /// A proper order on top of what stands was refused.
+    /// A valid change based on the current configuration was refused.
     RefusedOnNewest(u32),
-    /// One that had no way to a majority for long confirmed, refused, or told what stands.
+    /// A node without a path to a majority for a long time acknowledged or refused a change, or answered a read.
     DecidedAlone(usize),
-    /// One that could not have heard of a majority for long told gateways that it is in touch.
+    /// A node that cannot have heard of a majority for a long time told gateways that it is in contact with one.
     SaysInTouch(usize),
-    /// A gateway that believes to be in touch has an old configuration.
+    /// A gateway that considers its view fresh has an old configuration.
     ServedOld { gateway: usize, version: u32, acknowledged: u32 },
-    /// A gateway that was told of a time behind a drain's acknowledgement still gives that backend new work.
+    /// A gateway whose view is as of a time after a drain's acknowledgement still sends that backend new work.
     DrainUnknown { gateway: usize, id: String },
-    /// A gateway was told that a backend has ended which was heard all the time.
+    /// A gateway was told that a backend has ended whose heartbeats were acknowledged throughout.
     EndedAlive { gateway: usize, id: String },
-    /// A gateway does not know a backend that was heard all the time, though all was calm for long.
+    /// A gateway does not know a backend whose heartbeats were acknowledged throughout, after a long calm period.
     LifeUnknown { gateway: usize, id: String },
-    /// A gateway lacks what was acknowledged long ago, though all was calm.
+    /// A gateway lacks a configuration that was acknowledged long ago, in a calm period.
     GatewayBehind { gateway: usize, version: u32, acknowledged: u32 },
-    /// A gateway that was removed may use its fallback share, which has gone to the others.
+    /// A removed gateway may still use its fallback share, which now belongs to the others.
     ShareTwice { gateway: usize },
-    /// Nobody answered this though the core was settled for long.
+    /// A request was not answered though the control plane was settled for a long time.
     NotAnswered(String),
-    /// All have been back for long, and the voters are not those that there are.
+    /// All machines have been back for a long time, and the voters are not the machines that exist.
     NotRepaired(String),
-    /// Nothing was agreed on though nothing was wrong for a long time.
+    /// Nothing was acknowledged for a long time without faults.
     Stuck,
 }
 
@@ -76,44 +78,44 @@
     }
 }
 
-/// The window of the limit, and what it allows beyond: the operators' own figures.
+/// The window of the limit and the excess that it tolerates: the operators' own figures.
 const WINDOW: Time = 5_000_000_000;
 const OVERSHOOT: f64 = 0.1;
-const SLACK: f64 = 20.0;
-/// How far clocks that are not stepped are from true time, in ms, and a little.
-const SKEW_MS: u64 = 60;
-/// Behind the word that a trial is over: the step's lead, behind the one before if that is on its way, each seen with
-/// the next ask that comes.
-const FULL_BEHIND: Time = 2 * (PHASE_NOTICE + REQUEST_INTERVAL);
+const SLACK_REQUESTS: f64 = 20.0;
+/// Maximum deviation from true time of a clock that does not jump, in ms, with a small margin.
+const MAX_CLOCK_SKEW_MS: u64 = 60;
+/// Maximum delay between the committed expiry of a trial and its effect: the notice before a phase change, behind that
+/// of a preceding change still in progress; a gateway learns of each with the answer to its next request.
+const MAX_FULL_SPEED_DELAY: Time = 2 * (PHASE_NOTICE + REQUEST_INTERVAL);
 
-/// All that was seen so far.
+/// Everything observed so far.
 #[derive(Debug, Default)]
 pub struct Observations {
     agreed: BTreeMap<LogIndex, Vec<u8>>,
-    /// Acknowledged configurations: base by version.
-    taken: BTreeMap<u32, u32>,
+    /// Acknowledged configurations: base version by version.
+    acknowledged_bases: BTreeMap<u32, u32>,
     drains: BTreeSet<String>,
     passed: VecDeque<Time>,
     trial_tenant: TrialObservations,
     pub acknowledged: u32,
     pub reads: u32,
-    pub through: u32,
+    pub hot_passed: u32,
 }
 
 impl Observations {
-    pub fn applied(&mut self, now: Time, place: LogIndex, word: &[u8]) -> Result<(), Violation> {
-        let first = !self.agreed.contains_key(&place);
-        let known = self.agreed.entry(place).or_insert_with(|| word.to_vec());
-        if known != word {
-            return Err(Violation::Agreed(place));
+    pub fn applied(&mut self, now: Time, index: LogIndex, command: &[u8]) -> Result<(), Violation> {
+        let first = !self.agreed.contains_key(&index);
+        let known = self.agreed.entry(index).or_insert_with(|| command.to_vec());
+        if known != command {
+            return Err(Violation::Agreed(index));
         }
-        match Command::decode(word).filter(|_| first) {
-            Some(Command::ExpireTrial { ends_at: ends, .. }) => self.trial_tenant.over(now, ends),
+        match Command::decode(command).filter(|_| first) {
+            Some(Command::ExpireTrial { ends_at, .. }) => self.trial_tenant.expire(now, ends_at),
             Some(Command::ReplaceConfiguration { base, version, body })
                 if base == self.trial_tenant.version =>
             {
                 self.trial_tenant.version = version;
-                self.trial_tenant.moved(now, trial_configuration::trial_end(&body));
+                self.trial_tenant.set_end(now, trial_configuration::trial_end(&body));
                 Ok(())
             }
             _ => Ok(()),
@@ -121,20 +123,20 @@
     }
 
     pub fn newest(&self) -> u32 {
-        self.taken.last_key_value().map_or(0, |(v, _)| *v)
+        self.acknowledged_bases.last_key_value().map_or(0, |(v, _)| *v)
     }
 
     pub fn drains(&self) -> BTreeSet<String> {
         self.drains.clone()
     }
 
-    pub fn acknowledge(&mut self, word: &Command) -> Result<(), Violation> {
+    pub fn acknowledge(&mut self, command: &Command) -> Result<(), Violation> {
         self.acknowledged += 1;
-        match word {
+        match command {
             Command::ReplaceConfiguration { base, version, .. }
             | Command::ConfigurationDelta { base, version, .. } => {
-                let other = self.taken.iter().any(|(v, b)| b == base && v != version);
-                self.taken.insert(*version, *base);
+                let other = self.acknowledged_bases.iter().any(|(v, b)| b == base && v != version);
+                self.acknowledged_bases.insert(*version, *base);
                 if other {
                     return Err(Violation::Twice(*base));
                 }
@@ -145,7 +147,7 @@
         Ok(())
     }
 
-    /// A read that was asked for when `acknowledged` and `drains` were known.
+    /// Checks a read that was sent when `acknowledged` and `drains` were known.
     pub fn read(
         &mut self,
         read: u32,
@@ -158,90 +160,105 @@
             return Err(Violation::Stale { read, acknowledged });
         }
         match drains.iter().find(|d| !knows(d)) {
-            Some(forgotten) => Err(Violation::Drain(forgotten.clone())),
+            Some(missing) => Err(Violation::Drain(missing.clone())),
             None => Ok(()),
         }
     }
 
-    /// One of the tenant's requests passed.
+    /// Records a request of the hot tenant that passed.
     pub fn pass(&mut self, now: Time, rate: f64, burst: f64) -> Result<(), Violation> {
-        self.through += 1;
-        quota(&mut self.passed, now, rate, burst)
+        self.hot_passed += 1;
+        check_quota(&mut self.passed, now, rate, burst)
     }
 
-    // ---- The guest ----
+    // ---- The trial tenant ----
 
-    /// One of the trial tenant's requests passed at full speed, at this gateway.
-    pub fn full(&mut self, now: Time, gateway: usize, rate: f64, burst: f64) -> Result<(), Violation> {
-        let g = &mut self.trial_tenant;
-        g.counts.0 += 1;
-        let beside = |(other, at): &&(usize, Time)| *other != gateway && now - at < PHASE_GAP;
-        if let Some((refuses, _)) = g.refused.iter().find(beside) {
+    /// Records a request of the trial tenant that passed this gateway at full speed.
+    pub fn pass_full_speed(
+        &mut self,
+        now: Time,
+        gateway: usize,
+        rate: f64,
+        burst: f64,
+    ) -> Result<(), Violation> {
+        let trial = &mut self.trial_tenant;
+        trial.counts.0 += 1;
+        let is_conflicting = |(other, at): &&(usize, Time)| *other != gateway && now - at < PHASE_GAP;
+        if let Some((refuses, _)) = trial.refused.iter().find(is_conflicting) {
             return Err(Violation::Both { refuses: *refuses, full: gateway });
         }
-        let after = g.over_since.map_or(0, |since| now.saturating_sub(since));
-        if after > FULL_BEHIND {
+        let after = trial.expired_at.map_or(0, |since| now.saturating_sub(since));
+        if after > MAX_FULL_SPEED_DELAY {
             return Err(Violation::Full { after: after / 1_000_000 });
         }
-        record(&mut g.full, now, gateway);
-        quota(&mut g.passed, now, rate, burst)
+        record(&mut trial.full, now, gateway);
+        check_quota(&mut trial.passed, now, rate, burst)
     }
 
-    /// One was refused for the pace.
-    pub fn refused(&mut self, now: Time, gateway: usize, in_touch: bool) -> Result<(), Violation> {
-        let g = &mut self.trial_tenant;
-        g.counts.2 += 1;
-        if !in_touch {
+    /// Records a request of the trial tenant that was refused because of its pace.
+    pub fn refuse_throttled(
+        &mut self,
+        now: Time,
+        gateway: usize,
+        is_in_contact: bool,
+    ) -> Result<(), Violation> {
+        let trial = &mut self.trial_tenant;
+        trial.counts.2 += 1;
+        if !is_in_contact {
             return Ok(());
         }
-        if let Some((full, _)) = g.full.iter().find(|(other, at)| *other != gateway && now - at < PHASE_GAP) {
+        if let Some((full, _)) =
+            trial.full.iter().find(|(other, at)| *other != gateway && now - at < PHASE_GAP)
+        {
             return Err(Violation::Both { refuses: gateway, full: *full });
         }
-        record(&mut g.refused, now, gateway);
+        record(&mut trial.refused, now, gateway);
         Ok(())
     }
 
-    /// One passed in its turn.
-    pub fn paced(&mut self, now: Time, slow: TrialPace) -> Result<(), Violation> {
-        let g = &mut self.trial_tenant;
-        g.counts.1 += 1;
-        let passed = window(&mut g.paced, now);
-        // Twice the wait by what is promised, a fifth of a second for each change of the coordinator's, and those
-        // alone.
-        let span = (WINDOW + 2 * slow.max_wait) as f64 / 1e9;
-        let most = slow.rate * (span + 1.0) + 6.0;
+    /// Records a throttled request of the trial tenant that was admitted in its turn.
+    pub fn pass_throttled(&mut self, now: Time, pace: TrialPace) -> Result<(), Violation> {
+        let trial = &mut self.trial_tenant;
+        trial.counts.1 += 1;
+        let passed = count_in_window(&mut trial.paced, now);
+        // Twice the maximum wait, as promised; a fifth of a second for each change of coordinator; and an allowance
+        // for isolated gateways.
+        let span = (WINDOW + 2 * pace.max_wait) as f64 / 1e9;
+        let most = pace.rate * (span + 1.0) + 6.0;
         if f64::from(passed) > most {
             return Err(Violation::Pace { passed, most });
         }
         Ok(())
     }
 
-    /// At the end of a world that was calm for long.
-    pub fn trial_at_the_end(&self, now: Time) -> Result<(), Violation> {
-        let g = &self.trial_tenant;
-        let passed =
-            g.ends.is_some_and(|ends| ends + 2000 < trial_configuration::START_OF_TIME + now / 1_000_000);
-        let long = now.saturating_sub(g.moved_at) > 2_000_000_000;
-        if passed && long && g.over_since.is_none() {
+    /// Checks at the end of a run, after a long calm period, that an ended trial was expired.
+    pub fn check_trial_at_end(&self, now: Time) -> Result<(), Violation> {
+        let trial = &self.trial_tenant;
+        let passed = trial
+            .ends_at
+            .is_some_and(|ends_at| ends_at + 2000 < trial_configuration::EPOCH_UNIX_MS + now / 1_000_000);
+        let long = now.saturating_sub(trial.end_changed_at) > 2_000_000_000;
+        if passed && long && trial.expired_at.is_none() {
             return Err(Violation::NeverOver);
         }
         Ok(())
     }
 
-    /// How many of the trial tenant's requests went at full speed, in their turn, and were refused for the pace.
+    /// Returns how many of the trial tenant's requests passed at full speed, passed in their turn, and were refused
+    /// because of the pace.
     pub fn trial_counts(&self) -> (u32, u32, u32) {
         self.trial_tenant.counts
     }
 }
 
-/// What was seen of the tenant on trial.
+/// Observations of the trial tenant.
 #[derive(Debug, Default)]
 struct TrialObservations {
     version: u32,
-    ends: Option<UnixMillis>,
-    moved_at: Time,
-    /// Since when its trial is agreed to be over.
-    over_since: Option<Time>,
+    ends_at: Option<UnixMillis>,
+    end_changed_at: Time,
+    /// When the expiry of its trial was committed.
+    expired_at: Option<Time>,
     full: VecDeque<(usize, Time)>,
     refused: VecDeque<(usize, Time)>,
     passed: VecDeque<Time>,
@@ -250,22 +267,22 @@
 }
 
 impl TrialObservations {
-    fn over(&mut self, now: Time, ends: UnixMillis) -> Result<(), Violation> {
-        let true_now = trial_configuration::START_OF_TIME + now / 1_000_000;
-        if ends > true_now + SKEW_MS {
-            return Err(Violation::TooEarly { by: ends - true_now });
+    fn expire(&mut self, now: Time, ends_at: UnixMillis) -> Result<(), Violation> {
+        let true_now = trial_configuration::EPOCH_UNIX_MS + now / 1_000_000;
+        if ends_at > true_now + MAX_CLOCK_SKEW_MS {
+            return Err(Violation::TooEarly { by: ends_at - true_now });
         }
-        if self.ends == Some(ends) {
-            self.over_since.get_or_insert(now);
+        if self.ends_at == Some(ends_at) {
+            self.expired_at.get_or_insert(now);
         }
         Ok(())
     }
 
-    fn moved(&mut self, now: Time, ends: Option<UnixMillis>) {
-        if std::mem::replace(&mut self.ends, ends) != ends {
-            self.moved_at = now;
-            // The last end that passed is the one that is remembered.
-            self.over_since = None;
+    fn set_end(&mut self, now: Time, ends_at: Option<UnixMillis>) {
+        if std::mem::replace(&mut self.ends_at, ends_at) != ends_at {
+            self.end_changed_at = now;
+            // Only the latest end of a trial that passed is remembered.
+            self.expired_at = None;
         }
     }
 }
@@ -277,8 +294,8 @@
     }
 }
 
-/// How many there were in the last five seconds, with this one.
-fn window(list: &mut VecDeque<Time>, now: Time) -> u32 {
+/// Records an event and returns the number of events within the last five seconds, including it.
+fn count_in_window(list: &mut VecDeque<Time>, now: Time) -> u32 {
     list.push_back(now);
     while list.front().is_some_and(|at| now - at > WINDOW) {
         list.pop_front();
@@ -286,9 +303,9 @@
     list.len() as u32
 }
 
-fn quota(list: &mut VecDeque<Time>, now: Time, rate: f64, burst: f64) -> Result<(), Violation> {
-    let passed = window(list, now);
-    let most = (rate * WINDOW as f64 / 1e9 + burst) * (1.0 + OVERSHOOT) + SLACK;
+fn check_quota(list: &mut VecDeque<Time>, now: Time, rate: f64, burst: f64) -> Result<(), Violation> {
+    let passed = count_in_window(list, now);
+    let most = (rate * WINDOW as f64 / 1e9 + burst) * (1.0 + OVERSHOOT) + SLACK_REQUESTS;
     if f64::from(passed) > most {
         return Err(Violation::Quota { passed, most });
     }
