--- a/crates/testing/control-sim/src/short_workload.rs
+++ b/crates/testing/control-sim/src/short_workload.rs
@@ -1,12 +1,12 @@
-//! A world of seconds: control nodes, gateways with one hot tenant and one on trial, operators and leaving backends,
-//! and what goes wrong, on a network that keeps no order.
+//! The short workload, a run of seconds: control nodes, gateways with a hot tenant and a trial tenant, operators,
+//! leaving backends, and faults, on a network that does not preserve order.
 
-use crate::change_history::check;
-use crate::cluster::{Cluster, Event, Observation as Happened};
+use crate::change_history::validate;
+use crate::cluster::{Cluster, Event, Observation as ClusterObservation};
+use crate::continuous_reader::{ContinuousReader, READ_INTERVAL};
 use crate::defect::Defect;
 use crate::gateways::Gateway;
 use crate::machine::{address, MachineSettings};
-use crate::restless_reader::{RestlessReader, READ_INTERVAL};
 use crate::rules::{Observations, Violation};
 use crate::story::Story;
 use crate::trial_configuration;
@@ -21,26 +21,26 @@
 use std::ops::{Deref, DerefMut};
 use subscription::ViewChange;
 
-/// How long a seed is played, and how long nothing goes wrong at its end.
-const LENGTH: Time = 16_000 * MS;
-const CALM: Time = 4_000 * MS;
-/// Nothing goes wrong before the core is bootstrapped, which takes no longer than that.
-const FOUNDED: Time = 2_500 * MS;
+/// Duration of a run, and of the calm period at its end.
+const RUN_TIME: Time = 16_000 * MS;
+const CALM_TIME: Time = 4_000 * MS;
+/// Earliest time of a fault: the control plane is bootstrapped by then.
+const BOOTSTRAPPED_BY: Time = 2_500 * MS;
 const GATEWAYS: usize = 5;
-/// A disk is lost again no sooner: the machine has come back and caught up by then.
+/// Minimum time between two losses of a disk: the machine has come back and caught up by then.
 const CATCH_UP: Time = 4_000 * MS;
 
-/// What happens beside what the system does.
+/// An event of the workload itself.
 #[derive(Debug)]
 pub enum WorkloadEvent {
-    HandOver(usize),
+    Shutdown(usize),
     Kill(usize, Time),
-    /// One way, until then.
+    /// A one-way partition until a time.
     Partition(usize, usize, Time),
     Operator,
     Fault,
-    Gateway,
-    RestlessReader,
+    GatewayRequests,
+    ContinuousReader,
 }
 
 /// A call that waits for its answer.
@@ -48,37 +48,38 @@
 enum Call {
     Change { base: u32, version: u32, body: Vec<u8> },
     Drain { instance: String },
-    Read { acknowledged: u32, drains: BTreeSet<String>, is_restless: bool },
+    Read { acknowledged: u32, drains: BTreeSet<String>, is_continuous: bool },
 }
 
+/// State of the short workload.
 pub struct ShortWorkload {
     system: Cluster<WorkloadEvent>,
     quota_clients: Vec<QuotaClient>,
     fallback_lifetime: Time,
     waiting_for_units: Vec<Vec<Time>>,
     trial_tenant: TrialTenant,
-    /// Requests of the trial tenant's a second.
+    /// Rate of the trial tenant's requests per second.
     trial_request_rate: f64,
-    /// When a clock that had been stepped was last right again.
-    stepped: Time,
-    wiped_at: Vec<Option<Time>>,
+    /// When a clock that had jumped was last correct again.
+    clock_corrected_at: Time,
+    restored_at: Vec<Option<Time>>,
     observations: Observations,
-    reader: RestlessReader,
-    /// What operators know of.
-    known: u32,
+    reader: ContinuousReader,
+    /// The newest version that operators know of.
+    known_version: u32,
     version: u32,
     instance: u32,
-    /// Requests of the hot tenant's a second, and since when they come: its store is full by then.
-    hot: f64,
-    hot_from: Time,
-    /// Traffic has begun: all gateways know of each other.
-    is_open: bool,
+    /// Rate of the hot tenant's requests per second, and when they start: its bucket is full by then.
+    hot_request_rate: f64,
+    hot_start: Time,
+    /// Whether traffic has started: all gateways know of each other.
+    has_traffic: bool,
     call: u64,
     calls: BTreeMap<u64, Call>,
     pub story: Story,
     last_ack: Time,
-    /// The newest that was acknowledged a second before the end.
-    settled: u32,
+    /// The newest version that was acknowledged a second before the end.
+    settled_version: u32,
 }
 
 impl Deref for ShortWorkload {
@@ -98,52 +99,52 @@
     pub fn new(seed: u64, defect: Option<Defect>) -> Self {
         let mut rng = Rng::with_seed(seed);
         let count = if rng.bool() { 3 } else { 5 };
-        let (trial_request_rate, hot) =
+        let (trial_request_rate, hot_request_rate) =
             (5.0 + rng.f64() * 90.0, rng.f64() * 5.0 * trial_configuration::HOT_RATE);
-        let hot_from = if rng.bool() { 0 } else { rng.u64(3_000..9_000) * MS };
+        let hot_start = if rng.bool() { 0 } else { rng.u64(3_000..9_000) * MS };
         let is_short = rng.bool();
         let fallback_lifetime = if is_short { SHORT_FALLBACK_LIFETIME } else { FALLBACK_LIFETIME };
-        let mut system = Cluster::new(rng, defect, check);
-        (system.net.wild, system.began) = (true, trial_configuration::START_OF_TIME);
+        let mut system = Cluster::new(rng, defect, validate);
+        (system.net.is_unordered, system.epoch_unix_ms) = (true, trial_configuration::EPOCH_UNIX_MS);
         let seeds = (0..3).map(address).collect();
-        let told = MachineSettings {
+        let settings = MachineSettings {
             seeds,
             is_initial_start: true,
             zone: String::new(),
-            terms: trial_configuration::terms,
+            read_terms: trial_configuration::terms,
             snapshot_threshold: 24,
             fallback_lifetime,
         };
-        // The last has no disk.
+        // The last machine has no disk.
         for n in 0..=count {
-            let n = system.add(n < count, told.clone());
-            system.machines[n].skew = system.rng.i64(-20..=20);
+            let n = system.add(n < count, settings.clone());
+            system.machines[n].clock_skew_ms = system.rng.i64(-20..=20);
         }
         for g in 0..GATEWAYS {
             system.gateways.push(Gateway::new(g, "", &[g % 3, (g + 1) % 3]));
         }
         ShortWorkload {
-            wiped_at: vec![None; system.machines.len()],
+            restored_at: vec![None; system.machines.len()],
             system,
             fallback_lifetime,
             quota_clients: (0..GATEWAYS).map(|_| quota_client(0, fallback_lifetime, defect)).collect(),
             waiting_for_units: vec![Vec::new(); GATEWAYS],
             trial_tenant: TrialTenant::new(GATEWAYS),
             trial_request_rate,
-            stepped: 0,
+            clock_corrected_at: 0,
             observations: Observations::default(),
-            reader: RestlessReader::default(),
-            known: 0,
+            reader: ContinuousReader::default(),
+            known_version: 0,
             version: 0,
             instance: 0,
-            hot,
-            hot_from,
-            is_open: false,
+            hot_request_rate,
+            hot_start,
+            has_traffic: false,
             call: 0,
             calls: BTreeMap::new(),
             story: Story::default(),
             last_ack: 0,
-            settled: 0,
+            settled_version: 0,
         }
     }
 
@@ -155,7 +156,7 @@
         self.story.lines.push_back(format!("{now:9.3} {line}"));
     }
 
-    /// Plays to the end.
+    /// Runs to the end.
     pub fn play(mut self) -> Result<Story, Box<(Violation, Story)>> {
         match self.run() {
             Ok(()) => Ok(self.end()),
@@ -166,68 +167,69 @@
     fn end(mut self) -> Story {
         self.story.trial = self.observations.trial_counts();
         self.story.recovery_times = std::mem::take(&mut self.reader).into_recovery_times();
-        let Observations { acknowledged, reads, through, .. } = self.observations;
-        (self.story.acknowledged, self.story.reads, self.story.through) = (acknowledged, reads, through);
+        let Observations { acknowledged, reads, hot_passed, .. } = self.observations;
+        (self.story.acknowledged, self.story.reads, self.story.hot_passed) =
+            (acknowledged, reads, hot_passed);
         self.story
     }
 
     fn run(&mut self) -> Result<(), Violation> {
         for n in 0..self.machines.len() {
             let at = self.rng.u64(..300) * MS;
-            self.at(at, Event::Start(n));
+            self.schedule(at, Event::Start(n));
         }
-        self.begin();
-        for event in [WorkloadEvent::Operator, WorkloadEvent::Gateway] {
-            self.later(200 * MS, event);
+        self.start_gateways();
+        for event in [WorkloadEvent::Operator, WorkloadEvent::GatewayRequests] {
+            self.schedule_workload(200 * MS, event);
         }
-        self.later(FOUNDED, WorkloadEvent::Fault);
-        self.later(FOUNDED, WorkloadEvent::RestlessReader);
+        self.schedule_workload(BOOTSTRAPPED_BY, WorkloadEvent::Fault);
+        self.schedule_workload(BOOTSTRAPPED_BY, WorkloadEvent::ContinuousReader);
         while let Some(event) = self.pop() {
-            if self.now > LENGTH {
+            if self.now > RUN_TIME {
                 break;
             }
             self.story.steps += 1;
-            if self.now < LENGTH - 1000 * MS {
-                self.settled = self.observations.newest();
+            if self.now < RUN_TIME - 1000 * MS {
+                self.settled_version = self.observations.newest();
             }
-            let stepped = at_which(&event);
+            let interruptible = interruptible_machine(&event);
             if let Some(event) = self.system.step(event)? {
                 self.step(event)?;
             }
             self.process_observations()?;
-            if let Some(n) = stepped.filter(|_| self.now > FOUNDED && !self.is_calm()) {
-                self.may_die(n);
+            if let Some(n) = interruptible.filter(|_| self.now > BOOTSTRAPPED_BY && !self.is_calm()) {
+                self.maybe_kill(n);
             }
-            self.check_lease()?;
+            self.check_coordinators()?;
         }
-        self.observations.trial_at_the_end(self.now)?;
-        if self.now.saturating_sub(self.last_ack) > CALM {
+        self.observations.check_trial_at_end(self.now)?;
+        if self.now.saturating_sub(self.last_ack) > CALM_TIME {
             let cores = self.machines.iter().filter_map(|n| n.raft());
             let cores: Vec<String> = cores.map(|c| format!("{c:?}")).collect();
             cores.into_iter().for_each(|c| self.log(c));
             return Err(Violation::Stuck);
         }
-        // A second is enough for everybody, with a vote or without one.
-        let behind = self.machines.iter().find(|n| n.is_up() && n.version() < self.settled);
+        // A second suffices for every node, voter or not.
+        let behind = self.machines.iter().find(|n| n.is_up() && n.version() < self.settled_version);
         behind.map_or(Ok(()), |n| Err(Violation::Behind(n.id.to_string())))
     }
 
     fn is_calm(&self) -> bool {
-        self.now + CALM > LENGTH
+        self.now + CALM_TIME > RUN_TIME
     }
 
-    /// One dies in the middle of what it does, at times: of what is to be saved some is, and nothing that rests on it
-    /// was said.
-    fn may_die(&mut self, n: usize) {
+    /// Occasionally kills a machine in the middle of its work: some of its pending writes are done, and nothing that
+    /// depends on the others was sent.
+    fn maybe_kill(&mut self, n: usize) {
         if self.machines[n].is_up() && self.rng.u16(..4000) == 0 {
-            let lasts = self.rng.u64(50..900) * MS;
-            self.kill(n, lasts);
+            let duration = self.rng.u64(50..900) * MS;
+            self.kill(n, duration);
         }
     }
 
-    fn check_lease(&mut self) -> Result<(), Violation> {
+    fn check_coordinators(&mut self) -> Result<(), Violation> {
         let now = self.now;
-        // One that stands still lends nothing: it looks at the clock when it goes on.
+        // A frozen node grants nothing: it reads the clock when it resumes.
         let awake = self.machines.iter().filter(|n| n.frozen_until <= now);
         let mut all = awake.filter_map(|n| n.node()?.coordinator_term(now));
         match (all.next(), all.next()) {
@@ -239,46 +241,46 @@
     fn step(&mut self, event: WorkloadEvent) -> Result<(), Violation> {
         let now = self.now;
         match event {
-            WorkloadEvent::HandOver(n) => self.with(n, |p| p.begin_shutdown(now)),
-            WorkloadEvent::Kill(n, lasts) => {
-                self.kill(n, lasts);
+            WorkloadEvent::Shutdown(n) => self.with_node(n, |node| node.begin_shutdown(now)),
+            WorkloadEvent::Kill(n, duration) => {
+                self.kill(n, duration);
                 Ok(())
             }
             WorkloadEvent::Partition(from, to, until) => {
                 self.net.partition(from, to, until);
                 Ok(())
             }
-            WorkloadEvent::Operator => self.operator(),
+            WorkloadEvent::Operator => self.call_as_operator(),
             WorkloadEvent::Fault => {
                 self.inject_fault();
                 Ok(())
             }
-            WorkloadEvent::Gateway => self.gateways(),
-            WorkloadEvent::RestlessReader => self.read_restlessly(),
+            WorkloadEvent::GatewayRequests => self.send_requests(),
+            WorkloadEvent::ContinuousReader => self.read_continuously(),
         }
     }
 
     fn process_observations(&mut self) -> Result<(), Violation> {
         let now = self.now;
-        while let Some(seen) = self.system.seen.pop_front() {
-            match seen {
-                Happened::Applied { index: place, command: word } => {
-                    self.observations.applied(now, place, &word)?
+        while let Some(observation) = self.system.pending_observations.pop_front() {
+            match observation {
+                ClusterObservation::Applied { index, command } => {
+                    self.observations.applied(now, index, &command)?
                 }
-                Happened::Answered { n, call, reply } => self.answered(n, call, reply)?,
-                Happened::Granted { g, lent } => drop(self.quota_clients[g].on_grant(now, &lent)),
-                Happened::ViewChanged { g, changes: news } => {
-                    news.into_iter().for_each(|n| self.view_changed(g, &n))
+                ClusterObservation::Answered { n, call, reply } => self.on_reply(n, call, reply)?,
+                ClusterObservation::Granted { g, grant } => drop(self.quota_clients[g].on_grant(now, &grant)),
+                ClusterObservation::ViewChanged { g, changes } => {
+                    changes.into_iter().for_each(|change| self.view_changed(g, &change))
                 }
             }
         }
         Ok(())
     }
 
-    /// A gateway has heard of something; nothing that it knows goes back.
-    fn view_changed(&mut self, g: usize, news: &ViewChange) {
+    /// Applies a change of a gateway's view to its quota client; the view never goes back to an older state.
+    fn view_changed(&mut self, g: usize, change: &ViewChange) {
         let now = self.now;
-        match news {
+        match change {
             ViewChange::Configuration(c) => {
                 if trial_configuration::trial_end(&c.body).is_some() {
                     self.trial_tenant.unaware.remove(&g);
@@ -297,23 +299,24 @@
         }
     }
 
-    /// Operators change and read, backends leave, at any control node.
-    fn operator(&mut self) -> Result<(), Violation> {
+    /// Makes a call to a random control node: operators change and read the configuration, backends leave.
+    fn call_as_operator(&mut self) -> Result<(), Violation> {
         let (now, next) = (self.now, self.rng.u64(10..120) * MS);
-        self.later(now + next, WorkloadEvent::Operator);
+        self.schedule_workload(now + next, WorkloadEvent::Operator);
         let count = self.machines.len();
         let mut n = self.rng.usize(..count);
-        // In the end they find whoever leads, as they do by its word; chance alone may miss it for long.
+        // In the calm period the operators find the leader, as they would by redirects; random choice may miss it for
+        // a long time.
         if self.is_calm() {
             n = self.leader().unwrap_or(n);
         }
-        if !self.machines[n].runs(now) {
+        if !self.machines[n].is_running(now) {
             return Ok(());
         }
         self.call += 1;
         let call = self.call;
         match self.rng.u8(..4) {
-            // Now and then two on one base.
+            // Some changes share their base with another.
             0 | 1 => {
                 self.version += 1;
                 let old = self.rng.u8(..4) == 0;
@@ -321,58 +324,60 @@
                 let held = state
                     .and_then(|b| b.configuration())
                     .and_then(|c| trial_configuration::trial_end(&c.body));
-                let base = if old { self.known } else { self.machines[n].version() };
+                let base = if old { self.known_version } else { self.machines[n].version() };
                 let ends = trial_configuration::next_trial_end(&mut self.rng, now, held);
                 let version = self.version.max(base + 1);
                 let body = trial_configuration::body(base, version, ends);
                 self.calls.insert(call, Call::Change { base, version, body: body.clone() });
-                self.with(n, |p| p.replace_configuration(now, call, body.into()))
+                self.with_node(n, |node| node.replace_configuration(now, call, body.into()))
             }
             2 => {
                 self.instance += 1;
                 let instance = format!("i{}", self.instance);
                 self.calls.insert(call, Call::Drain { instance: instance.clone() });
-                self.with(n, |p| p.deregister(now, call, &instance))
+                self.with_node(n, |node| node.deregister(now, call, &instance))
             }
             _ => {
                 let (acknowledged, drains) = (self.observations.newest(), self.observations.drains());
-                self.calls.insert(call, Call::Read { acknowledged, drains, is_restless: false });
-                self.with(n, |p| p.read_configuration(now, call))
+                self.calls.insert(call, Call::Read { acknowledged, drains, is_continuous: false });
+                self.with_node(n, |node| node.read_configuration(now, call))
             }
         }
     }
 
-    /// One more read, at the next machine.
-    fn read_restlessly(&mut self) -> Result<(), Violation> {
+    /// Sends one more read, to the next machine.
+    fn read_continuously(&mut self) -> Result<(), Violation> {
         let now = self.now;
-        self.later(now + READ_INTERVAL, WorkloadEvent::RestlessReader);
+        self.schedule_workload(now + READ_INTERVAL, WorkloadEvent::ContinuousReader);
         let is_healthy = self.is_healthy();
         self.reader.observe_health(now, is_healthy);
         let n = self.reader.next_machine(self.system.machines.len());
-        if !self.machines[n].runs(now) {
+        if !self.machines[n].is_running(now) {
             return Ok(());
         }
         self.call += 1;
         let call = self.call;
         let (acknowledged, drains) = (self.observations.newest(), self.observations.drains());
-        self.calls.insert(call, Call::Read { acknowledged, drains, is_restless: true });
-        self.with(n, |p| p.read_configuration(now, call))
+        self.calls.insert(call, Call::Read { acknowledged, drains, is_continuous: true });
+        self.with_node(n, |node| node.read_configuration(now, call))
     }
 
-    /// Whether a majority of those that may vote runs, and all that run are connected both ways.
+    /// Returns whether a majority of the machines that may vote runs, and all running machines are connected both
+    /// ways.
     fn is_healthy(&self) -> bool {
         let now = self.now;
-        let running: Vec<usize> = (0..self.machines.len()).filter(|n| self.machines[*n].runs(now)).collect();
+        let running: Vec<usize> =
+            (0..self.machines.len()).filter(|n| self.machines[*n].is_running(now)).collect();
         let electorate = self.machines.iter().filter(|machine| machine.can_vote).count();
         let voters_running = running.iter().filter(|n| self.machines[**n].can_vote).count();
         let are_connected = |a: &usize| running.iter().all(|b| a == b || self.net.is_connected(*a, *b, now));
         voters_running > electorate / 2 && running.iter().all(are_connected)
     }
 
-    fn answered(&mut self, n: usize, call: u64, reply: Reply) -> Result<(), Violation> {
+    fn on_reply(&mut self, n: usize, call: u64, reply: Reply) -> Result<(), Violation> {
         match (self.calls.remove(&call), reply) {
             (Some(Call::Change { base, version, body }), Reply::Acknowledged) => {
-                self.known = self.known.max(version);
+                self.known_version = self.known_version.max(version);
                 self.last_ack = self.now;
                 self.observations.acknowledge(&Command::ReplaceConfiguration { base, version, body })
             }
@@ -380,21 +385,21 @@
                 self.last_ack = self.now;
                 self.observations.acknowledge(&Command::Drain { instance })
             }
-            (Some(Call::Read { acknowledged, drains, is_restless }), Reply::Current(held)) => {
+            (Some(Call::Read { acknowledged, drains, is_continuous }), Reply::Current(held)) => {
                 let version = held.map_or(0, |c| c.version);
-                if is_restless {
+                if is_continuous {
                     if let Some(time) = self.reader.on_answer(self.now) {
-                        self.log(format!("first read answered {} ms behind the last fault", time / MS));
+                        self.log(format!("first read answered {} ms after the last fault", time / MS));
                     }
                 } else {
-                    (self.known, self.last_ack) = (self.known.max(version), self.now);
+                    (self.known_version, self.last_ack) = (self.known_version.max(version), self.now);
                 }
                 let state = self.system.machines[n].state();
                 let knows = |d: &str| state.is_some_and(|b| b.is_draining(d));
                 self.observations.read(version, acknowledged, knows, &drains)
             }
             (_, Reply::Conflict { current }) => {
-                (self.known, self.last_ack) = (self.known.max(current), self.now);
+                (self.known_version, self.last_ack) = (self.known_version.max(current), self.now);
                 Ok(())
             }
             _ => Ok(()),
@@ -404,89 +409,92 @@
     fn inject_fault(&mut self) {
         if self.is_calm() {
             self.net.heal();
-            self.machines.iter_mut().for_each(|n| n.skew = n.skew.clamp(-20, 20));
+            self.machines.iter_mut().for_each(|n| n.clock_skew_ms = n.clock_skew_ms.clamp(-20, 20));
             return;
         }
         let (now, next) = (self.now, self.rng.u64(100..900) * MS);
-        self.later(now + next, WorkloadEvent::Fault);
+        self.schedule_workload(now + next, WorkloadEvent::Fault);
         let count = self.machines.len();
         let (n, m) = (self.rng.usize(..count), self.rng.usize(..count));
         let short = self.rng.bool();
-        let lasts = if short { self.rng.u64(20..200) } else { self.rng.u64(200..2500) } * MS;
-        let until = (now + lasts).min(LENGTH - CALM);
+        let duration = if short { self.rng.u64(20..200) } else { self.rng.u64(200..2500) } * MS;
+        let until = (now + duration).min(RUN_TIME - CALM_TIME);
         match self.rng.u8(..10) {
-            8 => self.one_against_the_leader(),
-            9 => self.step_a_clock(n),
+            8 => self.isolate_voter_from_leader(),
+            9 => self.jump_clock(n),
             0 | 1 => {
-                self.log(format!("cut {n} -> {m} for {} ms", lasts / MS));
+                self.log(format!("cut {n} -> {m} for {} ms", duration / MS));
                 self.net.partition(n, m, until);
                 if self.rng.bool() {
                     self.net.partition(m, n, until);
                 }
             }
             2 => {
-                self.log(format!("cut {n} off for {} ms", lasts / MS));
+                self.log(format!("isolate {n} for {} ms", duration / MS));
                 for other in (0..count).filter(|other| *other != n) {
                     self.net.partition(n, other, until);
                     self.net.partition(other, n, until);
                 }
             }
             3 => {
-                self.log(format!("freeze {n} for {} ms", lasts / MS));
+                self.log(format!("freeze {n} for {} ms", duration / MS));
                 self.machines[n].frozen_until = until;
-                self.at(until, Event::Wake(n));
+                self.schedule(until, Event::Wake(n));
             }
-            4 => self.kill(n, lasts),
+            4 => self.kill(n, duration),
             5 => {
-                // Told to end: it names its successor, and dies a little later.
-                self.log(format!("{} is told to end", self.machines[n].id));
-                self.later(now, WorkloadEvent::HandOver(n));
-                self.later(now + 30 * MS, WorkloadEvent::Kill(n, lasts));
+                // On shutdown the node hands over leadership; it is killed a little later.
+                self.log(format!("{} is shut down", self.machines[n].id));
+                self.schedule_workload(now, WorkloadEvent::Shutdown(n));
+                self.schedule_workload(now + 30 * MS, WorkloadEvent::Kill(n, duration));
             }
             6 => {
                 self.log("kill all".into());
                 for n in 0..count {
-                    let lasts = self.rng.u64(50..900) * MS;
-                    self.kill(n, lasts);
+                    let duration = self.rng.u64(50..900) * MS;
+                    self.kill(n, duration);
                 }
             }
-            _ => self.wipe(n, lasts),
+            _ => self.wipe(n, duration),
         }
         self.restart_a_gateway();
-        // The unlucky gateways.
+        // Faults of gateways.
         let g = self.rng.usize(..GATEWAYS);
         if self.rng.u8(..3) == 0 {
-            let lasts = self.rng.u64(200..4000) * MS;
-            self.system.gateways[g].isolated_until = now + lasts;
+            let duration = self.rng.u64(200..4000) * MS;
+            self.system.gateways[g].isolated_until = now + duration;
         }
         if self.rng.u8(..5) == 0 {
-            let (g, lasts) = (self.rng.usize(..GATEWAYS), self.rng.u64(50..2500) * MS);
-            self.system.gateways[g].suspended_until = now + lasts;
-            self.log(format!("gateway {g} stands still"));
+            let (g, duration) = (self.rng.usize(..GATEWAYS), self.rng.u64(50..2500) * MS);
+            self.system.gateways[g].suspended_until = now + duration;
+            self.log(format!("gateway {g} is suspended"));
         }
     }
 
-    /// Another process of the same name: it knows nothing, and nothing that was granted is its own.
+    /// Restarts a gateway process under the same name: it has no state, and nothing that was granted before belongs to
+    /// it.
     fn restart_a_gateway(&mut self) {
         let now = self.now;
         let g = self.rng.usize(..GATEWAYS);
-        if self.rng.u8(..8) > 0 || !self.is_open {
+        if self.rng.u8(..8) > 0 || !self.has_traffic {
             return;
         }
-        self.log(format!("gateway {g} begins anew"));
+        self.log(format!("gateway {g} restarts"));
         self.system.gateways[g].restart();
         self.quota_clients[g] = quota_client(now, self.fallback_lifetime, self.defect);
         self.waiting_for_units[g].clear();
         self.trial_tenant.restart(g);
     }
 
-    /// A removed gateway's fallback share is the others': its process must not use it any more.
+    /// Checks that the process of a removed gateway does not use its fallback share any more, which now belongs to the
+    /// others.
     fn check_fallback_shares(&self) -> Result<(), Violation> {
         let now = self.now;
         let awake = self.machines.iter().filter(|n| n.frozen_until <= now);
         let coordinators = awake.filter_map(|n| n.node().filter(|node| node.coordinator_term(now).is_some()));
         for coordinator in coordinators {
-            // A process that was not answered yet has its share for an election, whatever was agreed on before its start.
+            // A process that was not answered yet keeps its share for an election, whatever was committed before its
+            // start.
             let has_share = |g: &usize| {
                 let client = &self.quota_clients[*g];
                 client.was_answered() && client.has_fallback_share(now)
@@ -499,106 +507,114 @@
         Ok(())
     }
 
-    /// One machine's time of day jumps, by seconds or by hours; never those of so many that they are a majority.
-    fn step_a_clock(&mut self, n: usize) {
-        let stepped = self.machines.iter().any(|n| n.skew.abs() > 20);
-        if stepped {
-            self.log("the clock that jumped is back".into());
-            self.machines.iter_mut().for_each(|n| n.skew = n.skew.clamp(-20, 20));
-            self.stepped = self.now;
+    /// Makes one machine's clock jump, by seconds or by hours; never those of a majority.
+    fn jump_clock(&mut self, n: usize) {
+        let has_jumped = self.machines.iter().any(|n| n.clock_skew_ms.abs() > 20);
+        if has_jumped {
+            self.log("the clock that jumped is corrected".into());
+            self.machines.iter_mut().for_each(|n| n.clock_skew_ms = n.clock_skew_ms.clamp(-20, 20));
+            self.clock_corrected_at = self.now;
         }
-        if stepped || self.now < self.stepped + trial::MAX_READING_AGE + 500 * MS {
+        if has_jumped || self.now < self.clock_corrected_at + trial::MAX_READING_AGE + 500 * MS {
             return;
         }
         let by = if self.rng.bool() { self.rng.i64(500..5000) } else { self.rng.i64(5000..4_000_000) };
         let by = if self.rng.bool() { by } else { -by };
         self.log(format!("the clock of {n} jumps by {by} ms"));
-        self.machines[n].skew = by;
+        self.machines[n].clock_skew_ms = by;
     }
 
-    fn kill(&mut self, n: usize, lasts: Time) {
+    fn kill(&mut self, n: usize, duration: Time) {
         if !self.machines[n].is_up() {
             return;
         }
-        self.log(format!("{} dies", self.machines[n].id));
+        self.log(format!("{} is killed", self.machines[n].id));
         self.stop(n);
-        let at = (self.now + lasts).min(LENGTH - CALM).max(self.now);
-        self.at(at, Event::Start(n));
+        let at = (self.now + duration).min(RUN_TIME - CALM_TIME).max(self.now);
+        self.schedule(at, Event::Start(n));
     }
 
-    /// One does not hear the leader and stands up; another, who does, dies meanwhile and is back at once.
-    fn one_against_the_leader(&mut self) {
+    /// Cuts one node off from the leader, so that it stands for election, while another node that hears the leader is
+    /// killed and restarts at once.
+    fn isolate_voter_from_leader(&mut self) {
         let Some(leader) = self.leader() else { return };
         let count = self.machines.iter().filter(|n| n.can_vote).count();
-        let (deaf, dies) = ((leader + 1) % count, (leader + 2) % count);
-        self.log(format!("{deaf} does not hear {leader}, {dies} dies for a moment"));
+        let (isolated, restarting) = ((leader + 1) % count, (leader + 2) % count);
+        self.log(format!("{isolated} does not hear {leader}, {restarting} restarts"));
         let now = self.now;
-        let until = (now + 1500 * MS).min(LENGTH - CALM);
-        self.net.partition(leader, deaf, until);
-        self.net.partition(deaf, leader, until);
+        let until = (now + 1500 * MS).min(RUN_TIME - CALM_TIME);
+        self.net.partition(leader, isolated, until);
+        self.net.partition(isolated, leader, until);
         for _ in 0..3 {
             let at = now + self.rng.u64(500..1300) * MS;
-            self.later(at, WorkloadEvent::Kill(dies, 20 * MS));
+            self.schedule_workload(at, WorkloadEvent::Kill(restarting, 20 * MS));
         }
         if self.rng.bool() {
-            // Nor does that one hear the leader any more, once it is back.
+            // After its restart the other node does not hear the leader either.
             let at = now + self.rng.u64(500..1000) * MS;
-            self.later(at, WorkloadEvent::Kill(dies, 20 * MS));
-            self.later(at, WorkloadEvent::Partition(leader, dies, until));
+            self.schedule_workload(at, WorkloadEvent::Kill(restarting, 20 * MS));
+            self.schedule_workload(at, WorkloadEvent::Partition(leader, restarting, until));
         }
     }
 
-    /// One disk at a time, and not before the one before has caught up.
-    fn wipe(&mut self, n: usize, lasts: Time) {
+    /// Loses one disk at a time, and only after the previous machine has caught up.
+    fn wipe(&mut self, n: usize, duration: Time) {
         let now = self.now;
-        let recent = |at: &Option<Time>| at.is_some_and(|at| now < at + CATCH_UP);
-        let all_in =
+        let was_recent = |at: &Option<Time>| at.is_some_and(|at| now < at + CATCH_UP);
+        let all_voters_present =
             self.machines.iter().filter(|node| node.can_vote).all(|node| {
                 node.raft().is_some_and(consensus::RaftNode::is_voter) && node.frozen_until <= now
             });
-        if !self.machines[n].can_vote || self.wiped_at.iter().any(recent) || !all_in {
+        if !self.machines[n].can_vote || self.restored_at.iter().any(was_recent) || !all_voters_present {
             return;
         }
-        self.kill(n, lasts);
-        self.wiped_at[n] = Some(now + lasts);
+        self.kill(n, duration);
+        self.restored_at[n] = Some(now + duration);
         let keeps_id = self.defect == Some(Defect::WipedVotes);
         self.machines[n].wipe(keeps_id);
         self.log(format!("and comes back without its disk, as {}", self.machines[n].id));
     }
 
-    /// A hot tenant's requests through all gateways, each 10 ms.
-    fn gateways(&mut self) -> Result<(), Violation> {
+    /// Sends the hot tenant's and the trial tenant's requests through all gateways, every 10 ms.
+    fn send_requests(&mut self) -> Result<(), Violation> {
         let now = self.now;
-        self.later(now + 10 * MS, WorkloadEvent::Gateway);
+        self.schedule_workload(now + 10 * MS, WorkloadEvent::GatewayRequests);
         self.check_fallback_shares()?;
         let defect = self.defect;
-        // Before a gateway knows what tenants may do it refuses them all.
+        // A gateway refuses every tenant until it knows the tenants' limits.
         let knows = |g: &Gateway| {
             g.subscription.configuration_index() > 0 && g.subscription.view().gateways().len() == GATEWAYS
         };
-        self.is_open |= self.system.gateways.iter().all(knows);
+        self.has_traffic |= self.system.gateways.iter().all(knows);
         for g in 0..GATEWAYS {
             let gateway = &self.system.gateways[g];
             let knows_limits = gateway.subscription.configuration_index() > 0;
-            if !self.is_open || !knows_limits || gateway.suspended_until > now {
+            if !self.has_traffic || !knows_limits || gateway.suspended_until > now {
                 continue;
             }
             let rng = &mut self.system.rng;
-            let comes = rng.f64() < self.trial_request_rate * 0.01 / GATEWAYS as f64;
+            let has_new_request = rng.f64() < self.trial_request_rate * 0.01 / GATEWAYS as f64;
             let client = &mut self.quota_clients[g];
-            self.trial_tenant.turn((now, g), comes, client, rng, defect, &mut self.observations)?;
-            let mut tries: Vec<Option<Time>> =
+            self.trial_tenant.process_requests(
+                (now, g),
+                has_new_request,
+                client,
+                rng,
+                defect,
+                &mut self.observations,
+            )?;
+            let mut attempts: Vec<Option<Time>> =
                 std::mem::take(&mut self.waiting_for_units[g]).into_iter().map(Some).collect();
-            if rng.f64() < self.hot * 0.01 / GATEWAYS as f64 && now >= self.hot_from {
-                tries.push(None);
+            if rng.f64() < self.hot_request_rate * 0.01 / GATEWAYS as f64 && now >= self.hot_start {
+                attempts.push(None);
             }
-            for since in tries {
+            for since in attempts {
                 let draw = rng.f64();
-                let mut verdict = client.acquire(now, trial_configuration::HOT, draw, since);
+                let mut decision = client.acquire(now, trial_configuration::HOT, draw, since);
                 if defect == Some(Defect::AloneAndFree) && client.is_isolated(now) {
-                    verdict = Decision::Granted;
+                    decision = Decision::Granted;
                 }
-                match verdict {
+                match decision {
                     Decision::Granted => self.observations.pass(
                         now,
                         trial_configuration::HOT_RATE,
@@ -608,10 +624,10 @@
                     Decision::Wait { .. } => self.waiting_for_units[g].push(since.unwrap_or(now)),
                 }
             }
-            // Without a link it is lost.
-            let ask = self.quota_clients[g].next_request(now);
-            if let Some((ask, link)) = ask.zip(self.system.gateways[g].link) {
-                self.send_to_control_node(g, link, GatewayMessage::LeaseRequest(ask));
+            // Without a link the request is lost.
+            let request = self.quota_clients[g].next_request(now);
+            if let Some((request, link)) = request.zip(self.system.gateways[g].link) {
+                self.send_to_control_node(g, link, GatewayMessage::LeaseRequest(request));
             }
         }
         Ok(())
@@ -625,11 +641,11 @@
     client
 }
 
-/// At which machine something happens that it may die of.
-fn at_which(event: &Event<WorkloadEvent>) -> Option<usize> {
+/// Returns the machine at which an event happens that may be interrupted by a crash.
+fn interruptible_machine(event: &Event<WorkloadEvent>) -> Option<usize> {
     match event {
-        Event::Peer { to, .. } => Some(*to),
-        Event::Written(n, ..) => Some(*n),
+        Event::MessageArrives { to, .. } => Some(*to),
+        Event::WriteCompleted(n, ..) => Some(*n),
         _ => None,
     }
 }
--- a/crates/testing/control-sim/src/story.rs
+++ b/crates/testing/control-sim/src/story.rs
@@ -1,30 +1,30 @@
-//! What happened in a world, and what it came to.
+//! The events and the totals of one run.
 
 use crate::Time;
 use std::collections::VecDeque;
 
-/// What happened, a line each.
+/// The record of one run.
 #[derive(Debug, Default)]
 pub struct Story {
-    /// The latest 400.
+    /// The latest 400 events, one line each.
     pub lines: VecDeque<String>,
-    /// Events processed.
+    /// Number of processed events.
     pub steps: u64,
-    /// Changes and drains that were acknowledged.
+    /// Acknowledged changes and drains.
     pub acknowledged: u32,
-    /// Reads that were answered.
+    /// Answered reads.
     pub reads: u32,
     /// Requests of the hot tenant that passed.
-    pub through: u32,
-    /// Of the tenant on trial: at full speed, in turn, refused for the pace.
+    pub hot_passed: u32,
+    /// Requests of the trial tenant: passed at full speed, passed in their turn, refused because of the pace.
     pub trial: (u32, u32, u32),
-    /// Of worlds of minutes: acknowledged again, refused, and how long they lasted.
-    pub again: u32,
+    /// Long workloads only: changes acknowledged again, changes refused, and the simulated duration.
+    pub acknowledged_again: u32,
     pub refused: u32,
-    pub lasted: Time,
-    /// Drains that were acknowledged, and configurations that were agreed on as a change of what stood.
+    pub duration: Time,
+    /// Acknowledged drains, and configurations committed as a delta to the current one.
     pub drains: u32,
     pub changes: u32,
-    /// From the end of each fault to the first read of the configuration that is answered.
+    /// Time from the end of each fault to the first answered read of the configuration.
     pub recovery_times: Vec<Time>,
 }
--- a/crates/testing/control-sim/src/trial_tenant.rs
+++ b/crates/testing/control-sim/src/trial_tenant.rs
@@ -1,4 +1,4 @@
-//! A tenant on trial, whose trial is moved, ended and given back all the time, and what gateways make of it.
+//! A trial tenant, whose trial is continually moved, ended and restored, and how gateways treat its requests.
 
 use crate::defect::Defect;
 use crate::rules::{Observations, Violation};
@@ -11,46 +11,53 @@
 /// The trial tenant's requests at all gateways.
 #[derive(Default)]
 pub struct TrialTenant {
-    next: u64,
-    /// Who waits for its turn, at which gateway.
+    next_id: u64,
+    /// Throttled requests that wait for their turn, and at which gateway.
     queued: BTreeMap<u64, usize>,
-    /// Who waits for a unit at each gateway, and since when.
+    /// Requests that wait for a unit at each gateway, and since when.
     waiting_for_units: BTreeMap<usize, Vec<Time>>,
-    /// Gateways that have heard of no trial by their configuration.
+    /// Gateways that know of no trial from their configuration.
     pub unaware: BTreeSet<usize>,
 }
 
 impl TrialTenant {
-    /// Nobody knows of a trial yet.
+    /// Creates the tenant; no gateway knows of a trial yet.
     pub fn new(gateways: usize) -> Self {
         TrialTenant { unaware: (0..gateways).collect(), ..TrialTenant::default() }
     }
 
-    /// Another process begins at this gateway: whoever waited there is gone, and it knows of no trial.
+    /// Restarts a gateway process: the requests that waited there are gone, and it knows of no trial.
     pub fn restart(&mut self, g: usize) {
         self.queued.retain(|_, gateway| *gateway != g);
         self.waiting_for_units.remove(&g);
         self.unaware.insert(g);
     }
 
-    /// One gateway's turn: `comes`: a new request does.
-    pub fn turn(
+    /// Processes one gateway's requests; `has_new_request` adds a new one.
+    pub fn process_requests(
         &mut self,
         (now, g): (Time, usize),
-        comes: bool,
+        has_new_request: bool,
         client: &mut QuotaClient,
         rng: &mut Rng,
         defect: Option<Defect>,
-        seen: &mut Observations,
+        observations: &mut Observations,
     ) -> Result<(), Violation> {
-        // Who hears of the trial neither by the configuration nor by the quota coordinator cannot go by it.
-        let blind = self.unaware.contains(&g) && client.is_isolated(now);
-        let full = |seen: &mut Observations| if blind { Ok(()) } else { seen.full(now, g, RATE, RATE) };
+        // A gateway that hears of the trial neither from the configuration nor from the quota coordinator cannot
+        // enforce it.
+        let is_unaware = self.unaware.contains(&g) && client.is_isolated(now);
+        let check_full_speed = |observations: &mut Observations| {
+            if is_unaware {
+                Ok(())
+            } else {
+                observations.pass_full_speed(now, g, RATE, RATE)
+            }
+        };
         let waited = self.waiting_for_units.remove(&g).unwrap_or_default();
-        let tries = waited.into_iter().map(Some).chain(comes.then_some(None));
-        for since in tries {
+        let attempts = waited.into_iter().map(Some).chain(has_new_request.then_some(None));
+        for since in attempts {
             match client.acquire(now, NAME, rng.f64(), since) {
-                Decision::Granted => full(seen)?,
+                Decision::Granted => check_full_speed(observations)?,
                 Decision::Refused { .. } => {}
                 Decision::Wait { .. } => {
                     self.waiting_for_units.entry(g).or_default().push(since.unwrap_or(now))
@@ -58,31 +65,31 @@
                 Decision::Throttled { .. }
                     if defect == Some(Defect::FullWhileAlone) && client.is_isolated(now) =>
                 {
-                    full(seen)?;
+                    check_full_speed(observations)?;
                 }
                 Decision::Throttled { .. } if defect == Some(Defect::PaceIgnored) => {
-                    seen.paced(now, TRIAL_PACE)?
+                    observations.pass_throttled(now, TRIAL_PACE)?
                 }
                 Decision::Throttled { .. } if defect == Some(Defect::RefusedAtOnce) => {
-                    seen.refused(now, g, !client.is_isolated(now))?;
+                    observations.refuse_throttled(now, g, !client.is_isolated(now))?;
                 }
-                Decision::Throttled { max_wait: wait } => {
-                    self.next += 1;
-                    let pressing = rng.u8(..4) == 0;
-                    let by = pressing.then_some(now + 300 * MS);
+                Decision::Throttled { max_wait } => {
+                    self.next_id += 1;
+                    let is_urgent = rng.u8(..4) == 0;
+                    let urgent_by = is_urgent.then_some(now + 300 * MS);
                     if client
                         .enqueue(
                             NAME,
                             QueuedRequest {
-                                id: self.next,
+                                id: self.next_id,
                                 enqueued_at: now,
-                                deadline: now + wait,
-                                urgent_by: by,
+                                deadline: now + max_wait,
+                                urgent_by,
                             },
                         )
                         .is_ok()
                     {
-                        self.queued.insert(self.next, g);
+                        self.queued.insert(self.next_id, g);
                     }
                 }
             }
@@ -91,15 +98,17 @@
         if matches!(probe, Decision::Wait { .. }) {
             client.cancel_wait(NAME);
         }
-        let slow = matches!(probe, Decision::Throttled { .. });
-        while let Some((_, id, word)) = client.next_outcome(now) {
+        let is_throttled = matches!(probe, Decision::Throttled { .. });
+        while let Some((_, id, outcome)) = client.next_outcome(now) {
             let known = self.queued.remove(&id).is_some();
-            match word {
-                // Now and then its client is gone.
+            match outcome {
+                // Sometimes the client of the request is gone.
                 QueueOutcome::Proceed if !known || rng.u8(..20) == 0 => client.return_turn(now, NAME),
-                QueueOutcome::Proceed if slow => seen.paced(now, TRIAL_PACE)?,
-                QueueOutcome::Proceed => full(seen)?,
-                QueueOutcome::Refused { .. } => seen.refused(now, g, !client.is_isolated(now))?,
+                QueueOutcome::Proceed if is_throttled => observations.pass_throttled(now, TRIAL_PACE)?,
+                QueueOutcome::Proceed => check_full_speed(observations)?,
+                QueueOutcome::Refused { .. } => {
+                    observations.refuse_throttled(now, g, !client.is_isolated(now))?
+                }
             }
         }
         Ok(())
--- a/crates/testing/control-sim/tests/seeds_and_defects.rs
+++ b/crates/testing/control-sim/tests/seeds_and_defects.rs
@@ -1,4 +1,4 @@
-//! Seeds and defects. `simulation --seed N --story` plays a seed by hand.
+//! Runs seeds without and with planted defects. `control-sim --seed N --story` runs one seed by hand.
 
 use control_node::Defect as Planted;
 use control_sim::{is_long, play, play_pairs, Defect};
@@ -7,37 +7,37 @@
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
 
 const SEEDS: u64 = 1000;
-/// A defect is found within so many.
+/// Number of seeds within which a defect must be found.
 const DEFECT_SEEDS: u64 = 1000;
-/// Of worlds of minutes in which as many machines are replaced at a time as may be lost: 127 and 223 once made seven
-/// voters of five, two of them gone.
-const PAIRS: std::ops::Range<u64> = 120..240;
+/// Seeds of long workloads in which as many machines are replaced at once as may be lost: 127 and 223 once produced
+/// seven voters instead of five, two of them gone.
+const PAIR_SEEDS: std::ops::Range<u64> = 120..240;
 
 #[gtest]
 fn no_rule_is_broken_whatever_a_seed_brings() {
     let threads = std::thread::available_parallelism().map_or(4, |n| n.get() as u64);
     let work = |part: u64| {
-        let (mut acknowledged, mut refused, mut again) = (0, 0, 0);
+        let (mut acknowledged, mut refused, mut acknowledged_again) = (0, 0, 0);
         for seed in (part..SEEDS).step_by(threads as usize) {
             match play(seed, None) {
                 Ok(story) => {
                     acknowledged += u64::from(story.acknowledged);
                     refused += u64::from(story.trial.2);
-                    again += u64::from(story.again);
+                    acknowledged_again += u64::from(story.acknowledged_again);
                 }
                 Err(broken) => panic!("seed {seed}: {}\n{:#?}", broken.0, broken.1.lines),
             }
         }
-        (acknowledged, refused, again)
+        (acknowledged, refused, acknowledged_again)
     };
     let sums: Vec<(u64, u64, u64)> = std::thread::scope(|s| {
         let all: Vec<_> = (0..threads).map(|part| s.spawn(move || work(part))).collect();
         all.into_iter().map(|t| t.join().expect("no rule is broken")).collect()
     });
-    // A world in which nothing is acknowledged, or nobody is slowed, proves nothing.
+    // Runs in which nothing is acknowledged, or nobody is throttled, would prove nothing.
     expect_that!(sums.iter().map(|s| s.0).sum::<u64>(), gt(10 * SEEDS));
     expect_that!(sums.iter().map(|s| s.1).sum::<u64>(), gt(10 * SEEDS));
-    // Orders that were sent again after their answer was lost, or long after.
+    // Changes that were sent again after their answer was lost, or long afterwards.
     expect_that!(sums.iter().map(|s| s.2).sum::<u64>(), gt(SEEDS));
 }
 
@@ -45,7 +45,7 @@
 fn as_many_losses_are_borne_after_several_were_replaced_at_a_time() {
     let threads = std::thread::available_parallelism().map_or(4, |n| n.get());
     let work = |part: usize| {
-        for seed in PAIRS.skip(part).step_by(threads) {
+        for seed in PAIR_SEEDS.skip(part).step_by(threads) {
             if let Err(broken) = play_pairs(seed, None) {
                 panic!("seed {seed}: {}\n{:#?}", broken.0, broken.1.lines);
             }
@@ -57,18 +57,18 @@
     });
 }
 
-/// These need moments of milliseconds, which worlds of seconds bring about far more often: the others are left out for
-/// them. They are found in two to four worlds of 1,000, so that whether one is found within 1,000 seeds is luck: the same
-/// rate is asked for over more of them.
-const SECONDS: [Defect; 2] =
+/// Defects that depend on moments of milliseconds, which short workloads produce far more often: the long ones are
+/// left out for them. They are found in two to four of 1,000 runs, so whether 1,000 seeds find one at all is luck: the
+/// same rate is required over more of them.
+const SHORT_WORKLOAD_DEFECTS: [Defect; 2] =
     [Defect::ControlNode(Planted::SendBeforeSync), Defect::ControlNode(Planted::VoteRightAfterRestart)];
-/// Such a defect is found in so many of [`RARE_DEFECT_SEEDS`].
+/// Number of the [`RARE_DEFECT_SEEDS`] that must find such a defect.
 const RARE_DEFECT_FINDS: usize = 4;
 const RARE_DEFECT_SEEDS: u64 = 4 * DEFECT_SEEDS;
-/// Threads that play the seeds of one of them.
+/// Threads that run the seeds of one rare defect.
 const RARE_DEFECT_THREADS: u64 = 5;
 
-/// A rule is broken, or an invariant, which ends the process.
+/// Returns whether a rule is broken, or an invariant, which panics.
 fn is_found(seed: u64, defect: Defect) -> bool {
     catch_unwind(|| play(seed, Some(defect)).is_err()).unwrap_or(true)
 }
@@ -76,9 +76,9 @@
 #[gtest]
 fn every_defect_is_found() {
     let missed: Vec<String> = std::thread::scope(|s| {
-        let often = Defect::all().filter(|defect| !SECONDS.contains(defect));
+        let frequent = Defect::all().filter(|defect| !SHORT_WORKLOAD_DEFECTS.contains(defect));
         let all: Vec<_> =
-            often.map(|d| s.spawn(move || (d, (0..DEFECT_SEEDS).any(|seed| is_found(seed, d))))).collect();
+            frequent.map(|d| s.spawn(move || (d, (0..DEFECT_SEEDS).any(|seed| is_found(seed, d))))).collect();
         let found = all.into_iter().map(|t| t.join().expect("a defect's end is caught"));
         found.filter(|(_, found)| !found).map(|(d, _)| d.name()).collect()
     });
@@ -87,7 +87,7 @@
 
 #[gtest]
 fn every_rare_defect_is_found_as_often() {
-    for defect in SECONDS {
+    for defect in SHORT_WORKLOAD_DEFECTS {
         let finds = AtomicUsize::new(0);
         std::thread::scope(|s| {
             for part in 0..RARE_DEFECT_THREADS {
