--- a/crates/testing/control-sim/src/long_workload.rs
+++ b/crates/testing/control-sim/src/long_workload.rs
@@ -790,11 +790,11 @@
             .map(|n| in_contact[n] || (0..count).any(|m| in_contact[m] && are_connected(m, n)))
             .collect();
         // Members of a fully connected majority: each has a path to each other.
-        let all =
+        let is_fully_connected =
             |n: usize| (0..count).all(|m| m == n || !in_contact[m] || !in_contact[n] || are_connected(n, m));
         let reaches_majority = |n: usize| !in_contact[n] || has_majority(n, &|m, _| in_contact[m]);
         let has_full_majority =
-            in_contact.iter().any(|c| *c) && (0..count).all(|n| all(n) && reaches_majority(n));
+            in_contact.iter().any(|c| *c) && (0..count).all(|n| is_fully_connected(n) && reaches_majority(n));
         // During a joint consensus a majority of the old voters is needed too: a just lost disk and another isolated
         // machine are two failures.
         let reaches_old_majority = |n: usize| {
--- a/crates/testing/control-sim/src/rules.rs
+++ b/crates/testing/control-sim/src/rules.rs
@@ -68,7 +68,7 @@
     NotAnswered(String),
     /// All machines have been back for a long time, and the voters are not the machines that exist.
     NotRepaired(String),
-    /// Nothing was acknowledged for a long time without faults.
+    /// No call of an operator had a definite answer throughout the calm period at the end.
     Stuck,
 }
 
@@ -91,7 +91,7 @@
 /// Everything observed so far.
 #[derive(Debug, Default)]
 pub struct Observations {
-    agreed: BTreeMap<LogIndex, Vec<u8>>,
+    committed: BTreeMap<LogIndex, Vec<u8>>,
     /// Acknowledged configurations: base version by version.
     acknowledged_bases: BTreeMap<u32, u32>,
     drains: BTreeSet<String>,
@@ -104,12 +104,12 @@
 
 impl Observations {
     pub fn applied(&mut self, now: Time, index: LogIndex, command: &[u8]) -> Result<(), Violation> {
-        let first = !self.agreed.contains_key(&index);
-        let known = self.agreed.entry(index).or_insert_with(|| command.to_vec());
+        let is_first = !self.committed.contains_key(&index);
+        let known = self.committed.entry(index).or_insert_with(|| command.to_vec());
         if known != command {
             return Err(Violation::Agreed(index));
         }
-        match Command::decode(command).filter(|_| first) {
+        match Command::decode(command).filter(|_| is_first) {
             Some(Command::ExpireTrial { ends_at, .. }) => self.trial_tenant.expire(now, ends_at),
             Some(Command::ReplaceConfiguration { base, version, body })
                 if base == self.trial_tenant.version =>
@@ -135,9 +135,9 @@
         match command {
             Command::ReplaceConfiguration { base, version, .. }
             | Command::ConfigurationDelta { base, version, .. } => {
-                let other = self.acknowledged_bases.iter().any(|(v, b)| b == base && v != version);
+                let has_sibling = self.acknowledged_bases.iter().any(|(v, b)| b == base && v != version);
                 self.acknowledged_bases.insert(*version, *base);
-                if other {
+                if has_sibling {
                     return Err(Violation::Twice(*base));
                 }
             }
@@ -237,8 +237,8 @@
         let passed = trial
             .ends_at
             .is_some_and(|ends_at| ends_at + 2000 < trial_configuration::EPOCH_UNIX_MS + now / 1_000_000);
-        let long = now.saturating_sub(trial.end_changed_at) > 2_000_000_000;
-        if passed && long && trial.expired_at.is_none() {
+        let is_long_ago = now.saturating_sub(trial.end_changed_at) > 2_000_000_000;
+        if passed && is_long_ago && trial.expired_at.is_none() {
             return Err(Violation::NeverOver);
         }
         Ok(())
