--- a/benches/passthrough.rs
+++ b/benches/passthrough.rs
@@ -190,7 +190,7 @@
     for (name, file) in [("before", before), ("gateway", Some(now))] {
         let Some(file) = file else { continue };
         programs.push((name, Program::start(&file, &config.to_string(), discovery.address)?));
-        discovery.called(programs.len() * 2);
+        discovery.wait_for_calls(programs.len() * 2);
     }
     let view = number("FLEET", 0) > 0;
     let folder = std::env::temp_dir().join(format!("granitethread-bench-{}", std::process::id()));
@@ -198,12 +198,14 @@
     if view {
         let [with, members @ ..] = members(&folder)?;
         let file = Path::new(env!("CARGO_BIN_EXE_granitethread"));
-        programs
-            .push(("view", Program::start_as(file, &config.to_string(), discovery.address, Some(&with))?));
+        programs.push((
+            "view",
+            Program::start_with_operator_file(file, &config.to_string(), discovery.address, Some(&with))?,
+        ));
         for member in members {
-            others.push(Program::start_as(file, EXAMPLE, discovery.address, Some(&member))?);
+            others.push(Program::start_with_operator_file(file, EXAMPLE, discovery.address, Some(&member))?);
         }
-        discovery.called((programs.len() + others.len()) * 2);
+        discovery.wait_for_calls((programs.len() + others.len()) * 2);
     }
     if number("SNAPSHOT", 0) > 0 {
         let own = folder.join("snapshots");
@@ -213,7 +215,7 @@
         let program = Path::new(env!("CARGO_BIN_EXE_granitethread"));
         programs.push((
             "snapshot",
-            Program::start_as(program, &config.to_string(), discovery.address, Some(&file))?,
+            Program::start_with_operator_file(program, &config.to_string(), discovery.address, Some(&file))?,
         ));
     }
     let places: Vec<String> = addresses.iter().map(ToString::to_string).collect();
--- a/crates/testing/fleet-sim/src/days.rs
+++ b/crates/testing/fleet-sim/src/days.rs
@@ -105,13 +105,13 @@
             s.start()?;
         }
         thread::sleep(told.saturating_duration_since(Instant::now()));
-        discovery.tell(2, day.list(2));
+        discovery.publish(2, day.list(2));
     }
     if let Some(at) = spec.crash {
         wait(begun, at);
         gateways[0].kill();
         wait(begun, at + 2000 * MS);
-        gateways[0].start_again()?;
+        gateways[0].restart()?;
     }
     let done = clients.join().map_err(|_| "the clients panicked".to_string());
     drop(gateways);
@@ -260,7 +260,7 @@
         let keyed = message.header("idempotency-key").is_some();
         let ran = if keyed { lock(&self.keys).insert(id, Instant::now()) } else { None };
         let repeat = ran.is_some_and(|at| at.elapsed() < Duration::from_secs(2));
-        let used = self.meter.book(&customer.to_string(), if repeat { 0.0 } else { units });
+        let used = self.meter.record_usage(&customer.to_string(), if repeat { 0.0 } else { units });
         let rate = self.spec.settings(0).plans[plan_of(customer)].rate;
         let head = format!(
             "HTTP/1.1 200 OK\r\nBilled-Units: {units}\r\nUsage-Percent: {:.0}\r\nContent-Length: 2\r\n\r\nok",
--- a/crates/testing/test-harness/src/comeback.rs
+++ b/crates/testing/test-harness/src/comeback.rs
@@ -101,7 +101,12 @@
             } else {
                 None
             };
-            gateways.push(Program::start_as(program, &config(n), discovery.address, operator.as_deref())?);
+            gateways.push(Program::start_with_operator_file(
+                program,
+                &config(n),
+                discovery.address,
+                operator.as_deref(),
+            )?);
         }
         let (outcomes, lanes) = Default::default();
         Ok(Arm { gateways, folders: own, ledger, outcomes, lanes, _discovery: discovery })
@@ -232,7 +237,7 @@
     }
     thread::sleep((at + AWAY).saturating_duration_since(Instant::now()));
     for arm in &mut arms[..2] {
-        killed.iter().try_for_each(|n| arm.gateways[*n].start_again())?;
+        killed.iter().try_for_each(|n| arm.gateways[*n].restart())?;
     }
     let started = Instant::now();
     thread::sleep(until.saturating_duration_since(Instant::now()));
--- a/crates/testing/test-harness/src/crowd.rs
+++ b/crates/testing/test-harness/src/crowd.rs
@@ -132,8 +132,8 @@
     let discovery = Discovery::new(list(1, true, &servers));
     let limits = format!(r#""memory_mb": {MEMORY_MB}, "sockets": {SOCKETS}"#);
     let config = EXAMPLE.replace(r#""memory_mb": 192, "sockets": 1024"#, &limits);
-    let gateway = Program::start_operated(&locate()?, &config, discovery.address, None)?;
-    discovery.called(2);
+    let gateway = Program::start_with_operator_listener(&locate()?, &config, discovery.address, None)?;
+    discovery.wait_for_calls(2);
     let (to, gateway) = (gateway.address, Arc::new(Mutex::new(gateway)));
     let (over, ledger) = (Arc::new(AtomicBool::new(false)), Arc::<RequestRecord>::default());
     let mut threads = Vec::new();
@@ -149,7 +149,7 @@
     let mut watch = |until: Instant| {
         while Instant::now() < until {
             let gateway = lock(&gateway);
-            let (o, m) = gateway.held().unwrap_or_default();
+            let (o, m) = gateway.resource_usage().unwrap_or_default();
             (open, memory) = (open.max(o), memory.max(m));
             calls += 1;
             late += usize::from(gateway.call("GET /status/metrics", "").is_none_or(|(s, _)| s != 200));
@@ -169,7 +169,7 @@
     } else {
         unclean += usize::from(!one.drain(Duration::from_secs(5))?.success());
     }
-    one.start_again()?;
+    one.restart()?;
     drop(one);
     watch(Instant::now() + play.time / 2);
     over.store(true, Ordering::Relaxed);
--- a/crates/testing/test-harness/src/demo.rs
+++ b/crates/testing/test-harness/src/demo.rs
@@ -70,14 +70,14 @@
             let id = m.header("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
             let member = ((id >> 40) as usize).checked_sub(1).and_then(|n| MEMBERS.get(n));
             let percent = member.map(|(plan, account, _)| {
-                100.0 * meter.book(account, 1.0) / rates.get(*plan).copied().unwrap_or(1.0)
+                100.0 * meter.record_usage(account, 1.0) / rates.get(*plan).copied().unwrap_or(1.0)
             });
             good(to, &body(m), percent)
         };
         servers.push((name, serve(Arc::new(answer)).map_err(|e| e.to_string())?, "Ready"));
     }
     let discovery = Discovery::new(list(1, true, &servers));
-    let gateway = Program::start_operated(&locate()?, EXAMPLE, discovery.address, None)?;
+    let gateway = Program::start_with_operator_listener(&locate()?, EXAMPLE, discovery.address, None)?;
     say(&format!("a gateway listens on {} before three servers of two cores each", gateway.address));
     say("try it, or press Ctrl-C to end:");
     say(&format!(
--- a/crates/testing/test-harness/src/fleet.rs
+++ b/crates/testing/test-harness/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Stand-in servers that work: so many at a time, with a waiting room, a meter of what each customer used, and
 //! a ledger of what ran.
 
-use crate::peers::{read, say, Message};
+use crate::peers::{read, write_text, Message};
 use std::collections::HashMap;
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -66,7 +66,7 @@
 
 impl Meter {
     /// Books units; what the customer used in the last period, in units a second.
-    pub fn book(&self, account: &str, units: f64) -> f64 {
+    pub fn record_usage(&self, account: &str, units: f64) -> f64 {
         let period = (self.started.elapsed().as_millis() / PERIOD.as_millis()) as u64;
         let mut used = lock(&self.used);
         let u = used.entry(account.to_string()).or_default();
@@ -113,7 +113,7 @@
 
 /// Turned away unseen.
 pub fn not_started(to: &mut TcpStream) -> bool {
-    say(to, "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+    write_text(to, "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
 /// The body of a good answer to this request.
@@ -124,7 +124,7 @@
 /// A good answer, with the customer's use in percent of its rate if that is known.
 pub fn good(to: &mut TcpStream, body: &str, percent: Option<f64>) -> bool {
     let meter = percent.map_or(String::new(), |p| format!("Usage-Percent: {p:.0}\r\n"));
-    say(
+    write_text(
         to,
         &format!("HTTP/1.1 200 OK\r\nBilled-Units: 1\r\n{meter}Content-Length: {}\r\n\r\n{body}", body.len()),
     )
--- a/crates/testing/test-harness/src/peers.rs
+++ b/crates/testing/test-harness/src/peers.rs
@@ -98,16 +98,16 @@
         self.requests.recv_timeout(LIMIT).expect("a request reaches the backend")
     }
 
-    pub fn untouched(&self) -> bool {
+    pub fn received_nothing(&self) -> bool {
         self.requests.try_recv().is_err()
     }
 }
 
 pub fn ok(to: &mut TcpStream, body: &str) -> bool {
-    say(to, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+    write_text(to, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-pub fn say(to: &mut TcpStream, text: &str) -> bool {
+pub fn write_text(to: &mut TcpStream, text: &str) -> bool {
     to.write_all(text.as_bytes()).is_ok()
 }
 
@@ -130,7 +130,7 @@
         let address = listener.local_addr().expect("an address");
         let told = Arc::new((Mutex::new(SharedList::default()), Condvar::new()));
         let d = Discovery { address, told: told.clone() };
-        d.tell(1, first);
+        d.publish(1, first);
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let (Ok(stream), told) = (stream, told.clone()) else { return };
@@ -143,7 +143,7 @@
     /// Discovery that takes calls and answers none.
     pub fn never_answers() -> Self {
         let d = Discovery::new(String::new());
-        d.untell();
+        d.withdraw_latest();
         d
     }
 
@@ -169,13 +169,13 @@
         }
     }
 
-    pub fn tell(&self, rev: u64, body: String) {
+    pub fn publish(&self, rev: u64, body: String) {
         self.told.0.lock().expect("not poisoned").lists.push((rev, body));
         self.told.1.notify_all();
     }
 
     /// Takes the latest back.
-    pub fn untell(&self) {
+    pub fn withdraw_latest(&self) {
         self.told.0.lock().expect("not poisoned").lists.pop();
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Waits until the gateway has called so often: it has then taken in what the calls before told.
-    pub fn called(&self, times: usize) {
+    pub fn wait_for_calls(&self, times: usize) {
         let t = self.told.0.lock().expect("not poisoned");
         let (_guard, late) =
             self.told.1.wait_timeout_while(t, LIMIT, |t| t.calls < times).expect("not poisoned");
@@ -263,7 +263,7 @@
     pub timeout: &'static str,
 }
 
-pub fn ask(class: &'static str) -> CallerRequest {
+pub fn caller_request(class: &'static str) -> CallerRequest {
     let id = format!("{:016x}", NUMBER.fetch_add(1, Ordering::Relaxed));
     CallerRequest { class, id, plan: "basic", timeout: "2.0" }
 }
--- a/crates/testing/test-harness/src/planners.rs
+++ b/crates/testing/test-harness/src/planners.rs
@@ -91,7 +91,7 @@
                 lock(&ledger.came).push((Instant::now(), customer(id), units(id)));
                 used = units(id);
             }
-            let percent = 100.0 * meter.book(&customer(id).to_string(), used) / QUOTA.0;
+            let percent = 100.0 * meter.record_usage(&customer(id).to_string(), used) / QUOTA.0;
             thread::sleep(Duration::from_millis(15));
             billed(to, units(id), percent)
         };
@@ -102,7 +102,7 @@
 }
 
 fn billed(to: &mut std::net::TcpStream, units: f64, percent: f64) -> bool {
-    crate::peers::say(
+    crate::peers::write_text(
         to,
         &format!("HTTP/1.1 200 OK\r\nBilled-Units: {units}\r\nUsage-Percent: {percent:.0}\r\nContent-Length: 2\r\n\r\nok"),
     )
@@ -326,7 +326,12 @@
                 Some(files.add("forwarder.toml", &text, 0o600)?)
             }
         };
-        started.push(Program::start_as(program, &config(n), discovery.address, operator.as_deref())?);
+        started.push(Program::start_with_operator_file(
+            program,
+            &config(n),
+            discovery.address,
+            operator.as_deref(),
+        )?);
     }
     Ok(started)
 }
@@ -405,7 +410,7 @@
             5 => {
                 // With half its leases spent, and back within their life.
                 lock(&killed).insert(fleet[f].address, Instant::now() + Duration::from_millis(100));
-                fleet[f].start_again()?;
+                fleet[f].restart()?;
             }
             // For less than a head may take (2.2 s): what was not read by then is closed unanswered.
             6 => {
--- a/crates/testing/test-harness/src/planning_cost.rs
+++ b/crates/testing/test-harness/src/planning_cost.rs
@@ -94,8 +94,9 @@
     let operator = files.add("forwarder.toml", &text, 0o600)?;
     let (_ledger, discovery) = fleet()?;
     let (_other_ledger, other_discovery) = fleet()?;
-    let forwarder = Program::start_as(&program, &config(0), discovery.address, Some(&operator))?;
-    let plain = Program::start_as(&program, &config(0), other_discovery.address, None)?;
+    let forwarder =
+        Program::start_with_operator_file(&program, &config(0), discovery.address, Some(&operator))?;
+    let plain = Program::start_with_operator_file(&program, &config(0), other_discovery.address, None)?;
     // The loan is made; what is granted gathers while requests come, and is judged after.
     thread::sleep(Duration::from_millis(2500));
     let begin = Instant::now();
--- a/crates/testing/test-harness/src/program.rs
+++ b/crates/testing/test-harness/src/program.rs
@@ -134,14 +134,14 @@
     /// # Errors
     /// One line, if it does not come up.
     pub fn start(program: &Path, config: &str, discovery: SocketAddr) -> Result<Self, String> {
-        Program::start_as(program, config, discovery, None)
+        Program::start_with_operator_file(program, config, discovery, None)
     }
 
     /// The same with an operators' file.
     ///
     /// # Errors
     /// One line, if it does not come up.
-    pub fn start_as(
+    pub fn start_with_operator_file(
         program: &Path,
         config: &str,
         discovery: SocketAddr,
@@ -158,7 +158,7 @@
     ///
     /// # Errors
     /// One line, if it does not come up.
-    pub fn start_operated(
+    pub fn start_with_operator_listener(
         program: &Path,
         config: &str,
         discovery: SocketAddr,
@@ -215,7 +215,7 @@
     }
 
     /// Its open descriptors, and the most memory that it has had, in kB. None once it has ended.
-    pub fn held(&self) -> Option<(usize, usize)> {
+    pub fn resource_usage(&self) -> Option<(usize, usize)> {
         let open = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).ok()?.count();
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let line = status.lines().find(|l| l.starts_with("VmHWM"))?;
@@ -226,7 +226,7 @@
     ///
     /// # Errors
     /// One line, if it does not come up.
-    pub fn start_again(&mut self) -> Result<(), String> {
+    pub fn restart(&mut self) -> Result<(), String> {
         self.kill();
         self.command.env("LB_LISTEN", self.address.to_string());
         (self.child, self.address, self.operators, self.log) = spawn(&mut self.command)?;
--- a/crates/testing/test-harness/src/request_lifecycle.rs
+++ b/crates/testing/test-harness/src/request_lifecycle.rs
@@ -4,7 +4,7 @@
 
 use crate::demo::request;
 use crate::fleet::{body, good, lock, not_started, serve};
-use crate::peers::{list, say, Client, Discovery, Message};
+use crate::peers::{list, write_text, Client, Discovery, Message};
 use crate::program::{locate, Program, EXAMPLE};
 use crate::scenario::{Figures, Play, Scenario};
 use fastrand::Rng;
@@ -83,11 +83,11 @@
         }
         ran();
         match fate {
-            8..=15 => say(to, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"),
+            8..=15 => write_text(to, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"),
             16..=21 => false,
-            22..=25 => say(to, "HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n"),
+            22..=25 => write_text(to, "HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n"),
             26..=28 => {
-                say(to, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf");
+                write_text(to, "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\nhalf");
                 false
             }
             29..=31 => {
@@ -158,7 +158,7 @@
     let all: Vec<_> = (0..SERVERS).map(|n| (names[n], addresses[n], "Ready")).collect();
     let discovery = Arc::new(Discovery::new(list(1, true, &all)));
     let mut gateway = Program::start(&locate()?, EXAMPLE, discovery.address)?;
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let (until, over) = (Instant::now() + play.time, Arc::new(AtomicBool::new(false)));
     // One server after another is drained for a while.
     let changes = {
@@ -171,7 +171,7 @@
                 for state in ["Terminating", "Ready"] {
                     rev += 1;
                     if !deaf {
-                        discovery.tell(rev, list(rev, false, &[(names[n], addresses[n], state)]));
+                        discovery.publish(rev, list(rev, false, &[(names[n], addresses[n], state)]));
                     }
                     lock(&ledger.drained)[n] = (state == "Terminating").then(Instant::now);
                     let next = Instant::now() + Duration::from_millis(1800);
--- a/crates/testing/test-harness/src/upgrade.rs
+++ b/crates/testing/test-harness/src/upgrade.rs
@@ -98,7 +98,7 @@
 ) -> Result<Duration, String> {
     let began = Instant::now();
     let config = EXAMPLE.replace(r#""sockets": 1024"#, &format!(r#""sockets": {SOCKETS}"#));
-    let new = Program::start_operated(program, &config, discovery, Some(shared))?;
+    let new = Program::start_with_operator_listener(program, &config, discovery, Some(shared))?;
     while new.call("GET /status", "").is_none_or(|(status, _)| status != 200) {
         if began.elapsed() > YES {
             return Err("the new process never says yes".into());
@@ -139,7 +139,8 @@
         let (gateways, over, most) = (gateways.clone(), over.clone(), most.clone());
         thread::spawn(move || {
             while !over.load(Ordering::Relaxed) {
-                let held: usize = lock(&gateways).iter().filter_map(Program::held).map(|h| h.0).sum();
+                let held: usize =
+                    lock(&gateways).iter().filter_map(Program::resource_usage).map(|h| h.0).sum();
                 most.fetch_max(held, Ordering::Relaxed);
                 thread::sleep(Duration::from_millis(10));
             }
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::{ask, list, ok, Backend, CallerRequest, Client, Discovery, Gateway, Setup, LIMIT};
+use support::{caller_request, list, ok, Backend, CallerRequest, Client, Discovery, Gateway, Setup, LIMIT};
 
 fn one(backend: &Backend) -> Discovery {
     Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]))
@@ -29,10 +29,10 @@
     let backend = silent();
     let discovery = one(&backend);
     let mut gateway = Gateway::with(&discovery, Setup { deadline_ms: 4000, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut client = gateway.client();
     let started = Instant::now();
-    client.send(&CallerRequest { timeout: "4.0", ..ask("book-slot") }.text());
+    client.send(&CallerRequest { timeout: "4.0", ..caller_request("book-slot") }.text());
     backend.next();
     gateway.signal("-TERM");
     let answer = client.answer();
@@ -48,7 +48,7 @@
     let backend = silent();
     let mut gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
-    let text = CallerRequest { timeout: "2.5", ..ask("book-slot") }.text();
+    let text = CallerRequest { timeout: "2.5", ..caller_request("book-slot") }.text();
     let (head, body) = text.split_at(text.len() - 2);
     client.send(head);
     // The listener is read in order: once a later client has its answer, the head has been seen.
@@ -82,7 +82,7 @@
     while Instant::now() < until {
         let new = kept.is_none();
         let Some(mut client) = kept.take().or_else(|| Client::try_connect(to)) else { return };
-        let text = ask("quote").text();
+        let text = caller_request("quote").text();
         if client.stream.write_all(text.as_bytes()).is_err() && new {
             seen.lost.fetch_add(1, Ordering::Relaxed);
             return;
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc::channel;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::{ask, config_file, list, ok, say, Backend, Discovery, Gateway, Setup, LIMIT};
+use support::{caller_request, config_file, list, ok, write_text, Backend, Discovery, Gateway, Setup, LIMIT};
 
 fn one(backend: &Backend) -> Discovery {
     Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]))
@@ -17,15 +17,15 @@
 
 /// Says something and closes the connection.
 fn last_words(to: &mut TcpStream, text: &str) -> bool {
-    say(to, text);
+    write_text(to, text);
     false
 }
 
 /// Asks until this backend has had a request: the list that names it is in. Nothing is lost meanwhile.
 fn served_until_used(client: &mut support::Client, backend: &Backend) {
     let started = Instant::now();
-    while backend.untouched() {
-        assert_eq!(client.ask(&ask("quote").text()).status(), 200);
+    while backend.received_nothing() {
+        assert_eq!(client.ask(&caller_request("quote").text()).status(), 200);
         assert!(started.elapsed() < LIMIT, "the new list is never taken in");
         // Within the quota of 1,000 a second: an optimised build asks faster.
         std::thread::sleep(std::time::Duration::from_millis(2));
@@ -46,7 +46,7 @@
     let gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
     for class in ["quote", "confirm", "book-slot"] {
-        let a = ask(class);
+        let a = caller_request(class);
         let answer = client.ask(&a.text());
         assert_eq!((answer.status(), answer.body), (200, format!("for {}", a.id).into_bytes()));
         let m = backend.next();
@@ -64,10 +64,10 @@
 #[test]
 fn a_chunked_answer_is_served_whole() {
     let backend = Backend::new(|_, s| {
-        say(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+        write_text(s, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
     });
     let gateway = Gateway::start(&one(&backend));
-    let answer = gateway.client().ask(&ask("book-slot").text());
+    let answer = gateway.client().ask(&caller_request("book-slot").text());
     assert_eq!((answer.status(), answer.body), (200, b"abcde".to_vec()));
 }
 
@@ -79,7 +79,7 @@
     // The store holds one unit and fills in 100 s.
     let (mut served, mut turned) = (0, 0);
     for _ in 0..40 {
-        let mut a = ask("quote");
+        let mut a = caller_request("quote");
         a.plan = "tight";
         let answer = client.ask(&a.text());
         if answer.status() == 200 {
@@ -100,7 +100,7 @@
     let backend = Backend::good();
     let gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
-    let good = ask("book-slot").text();
+    let good = caller_request("book-slot").text();
     let without = |name: &str| {
         let lines = good.split("\r\n").filter(|l| !l.starts_with(name));
         lines.collect::<Vec<_>>().join("\r\n")
@@ -139,7 +139,7 @@
     }
     let unknown = good.replace("/api?x=1", "/else");
     assert_eq!(client.ask(&unknown).status(), 404);
-    assert!(backend.untouched(), "nothing was sent on");
+    assert!(backend.received_nothing(), "nothing was sent on");
     assert_eq!(client.ask(&good).status(), 200, "the connection still serves");
 }
 
@@ -149,11 +149,12 @@
     let backend = Backend::good();
     let gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
-    let twice = ask("quote").text().replace("Host: origin.svc", "Host: origin.svc\r\nHost: other.svc");
+    let twice =
+        caller_request("quote").text().replace("Host: origin.svc", "Host: origin.svc\r\nHost: other.svc");
     assert_eq!(client.ask(&twice).status(), 400);
     assert_eq!(client.ask("GET /ready HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n").status(), 400);
-    assert!(backend.untouched());
-    assert_eq!(client.ask(&ask("quote").text()).status(), 200, "the connection goes on");
+    assert!(backend.received_nothing());
+    assert_eq!(client.ask(&caller_request("quote").text()).status(), 200, "the connection goes on");
 }
 
 /// 32 MiB at most, either way of saying so.
@@ -162,7 +163,7 @@
     let backend = Backend::good();
     let gateway = Gateway::start(&one(&backend));
     let head = |length: usize| {
-        ask("book-slot")
+        caller_request("book-slot")
             .text()
             .replace("Content-Length: 5\r\n\r\nhello", &format!("Content-Length: {length}\r\n\r\n"))
     };
@@ -175,14 +176,14 @@
     let fits = "x".repeat(3 << 20);
     assert_eq!(gateway.client().ask(&(head(fits.len()) + &fits)).status(), 200);
     assert_eq!(backend.next().body.len(), fits.len());
-    assert!(backend.untouched());
+    assert!(backend.received_nothing());
 }
 
 #[test]
 fn half_a_request_and_noise_harm_nobody_else() {
     let backend = Backend::good();
     let gateway = Gateway::start(&one(&backend));
-    let text = ask("book-slot").text();
+    let text = caller_request("book-slot").text();
     let mut half = gateway.client();
     half.send(&text[..text.len() / 2]);
     let mut body = gateway.client();
@@ -190,18 +191,18 @@
     let mut noise = gateway.client();
     noise.send("\u{1}\u{2} what is this\r\n\r\n");
     assert_eq!(noise.answer().status(), 400);
-    assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
+    assert_eq!(gateway.client().ask(&caller_request("quote").text()).status(), 200);
     backend.next();
     drop(half);
     assert_eq!(body.answer().status(), 408, "the rest of a body is not awaited for ever");
-    assert!(backend.untouched());
+    assert!(backend.received_nothing());
 }
 
 #[test]
 fn a_body_of_uncertain_length_is_refused_and_nothing_behind_it_is_read() {
     let backend = Backend::good();
     let gateway = Gateway::start(&one(&backend));
-    let hidden = ask("book-slot").text();
+    let hidden = caller_request("book-slot").text();
     let chunks = format!("0\r\n\r\n{hidden}");
     let length = format!("Content-Length: {}", chunks.len());
     let coding = "Transfer-Encoding: chunked".to_string();
@@ -212,7 +213,7 @@
         (&length, &"Content-Length: 5".to_string()),
         (&"Content-Length: -5".to_string(), &"X: x".to_string()),
     ] {
-        let text = ask("book-slot").text().replace("Content-Length: 5", &format!("{a}\r\n{b}"));
+        let text = caller_request("book-slot").text().replace("Content-Length: 5", &format!("{a}\r\n{b}"));
         let mut client = gateway.client();
         client.send(&(text.replace("hello", "") + &chunks));
         let status = client.answer().status();
@@ -228,19 +229,19 @@
     let backend = Backend::good();
     let discovery = one(&backend);
     let gateway = Gateway::with(&discovery, Setup { sockets: 100, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let started = Instant::now();
-    let text = ask("quote").text();
+    let text = caller_request("quote").text();
     let mut usual = gateway.client();
     assert_eq!(usual.ask(&text).status(), 200);
     // More than the gateway holds, so that the first of them must go; some say half a head or half a body.
     let mut silent: Vec<_> = (0..90).map(|_| gateway.client()).collect();
-    let body = ask("book-slot").text();
+    let body = caller_request("book-slot").text();
     for (n, half) in silent.iter_mut().enumerate() {
         half.send([&text[..text.len() / 2], &body[..body.len() - 2], ""][n % 3]);
     }
-    assert_eq!(usual.ask(&ask("quote").text()).status(), 200, "it kept its connection");
-    assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200, "and others find room");
+    assert_eq!(usual.ask(&caller_request("quote").text()).status(), 200, "it kept its connection");
+    assert_eq!(gateway.client().ask(&caller_request("quote").text()).status(), 200, "and others find room");
     for (n, mut client) in silent.into_iter().enumerate() {
         assert!(n % 3 == 1 || client.closed(), "client {n}");
     }
@@ -254,14 +255,14 @@
     let wait = Mutex::new(wait);
     let backend = Backend::new(move |_, s| wait.lock().expect("kept").recv().is_ok() && ok(s, "once"));
     let gateway = Gateway::start(&one(&backend));
-    let a = ask("book-slot").text();
+    let a = caller_request("book-slot").text();
     let (mut first, mut second) = (gateway.client(), gateway.client());
     first.send(&a);
     backend.next();
     assert_eq!(second.ask(&a).status(), 400);
     go.send(()).expect("the backend waits");
     assert_eq!(first.answer().body, b"once");
-    assert!(backend.untouched());
+    assert!(backend.received_nothing());
 }
 
 // ---- Outcomes: may it have run? ----
@@ -270,10 +271,10 @@
 fn an_unsafe_request_that_may_have_run_fails_and_goes_out_once() {
     let scripts: [fn(&mut TcpStream) -> bool; 8] = [
         |_| false,
-        |s| say(s, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"),
-        |s| say(s, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+        |s| write_text(s, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"),
+        |s| write_text(s, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
         // Only with 503 or 504 does it prove anything.
-        |s| say(s, "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"),
+        |s| write_text(s, "HTTP/1.1 500 Oops\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"),
         // Cut off in the body, in the head, in a chunk; with no stated end.
         |s| last_words(s, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"),
         |s| last_words(s, "HTTP/1.1 200 OK\r\nContent-Len"),
@@ -283,25 +284,26 @@
     for (n, script) in scripts.into_iter().enumerate() {
         let backend = Backend::new(move |_, s| script(s));
         let gateway = Gateway::start(&one(&backend));
-        let answer = gateway.client().ask(&ask("book-slot").text());
+        let answer = gateway.client().ask(&caller_request("book-slot").text());
         assert_eq!((answer.status(), answer.body.len()), (502, 0), "script {n}");
         backend.next();
-        assert!(backend.untouched(), "script {n}: a second attempt");
+        assert!(backend.received_nothing(), "script {n}: a second attempt");
     }
 }
 
 #[test]
 fn a_backend_that_finds_fault_with_the_request_has_the_last_word() {
     for status in [400, 404] {
-        let backend =
-            Backend::new(move |_, s| say(s, &format!("HTTP/1.1 {status} No\r\nContent-Length: 0\r\n\r\n")));
+        let backend = Backend::new(move |_, s| {
+            write_text(s, &format!("HTTP/1.1 {status} No\r\nContent-Length: 0\r\n\r\n"))
+        });
         let gateway = Gateway::start(&one(&backend));
         let mut client = gateway.client();
         for _ in 0..3 {
-            assert_eq!(client.ask(&ask("quote").text()).status(), status);
+            assert_eq!(client.ask(&caller_request("quote").text()).status(), status);
             backend.next();
         }
-        assert!(backend.untouched(), "it may be repeated, but no other would take it");
+        assert!(backend.received_nothing(), "it may be repeated, but no other would take it");
     }
 }
 
@@ -327,27 +329,24 @@
         let spoil = Arc::new(AtomicBool::new(false));
         let (spoilt, text) = (spoil.clone(), script.clone());
         // The connection stays open, so only the answer itself tells that it is of no use.
-        let backend =
-            Backend::new(
-                move |_, s| {
-                    if spoilt.swap(false, Ordering::SeqCst) {
-                        say(s, &text)
-                    } else {
-                        ok(s, "good")
-                    }
-                },
-            );
+        let backend = Backend::new(move |_, s| {
+            if spoilt.swap(false, Ordering::SeqCst) {
+                write_text(s, &text)
+            } else {
+                ok(s, "good")
+            }
+        });
         let gateway = Gateway::start(&one(&backend));
         let mut client = gateway.client();
         let shown = &script[..script.len().min(80)];
         for _ in 0..6 {
-            assert_eq!(client.ask(&ask("quote").text()).status(), 200);
+            assert_eq!(client.ask(&caller_request("quote").text()).status(), 200);
         }
         spoil.store(true, Ordering::SeqCst);
-        let answer = client.ask(&ask("book-slot").text());
+        let answer = client.ask(&caller_request("book-slot").text());
         assert_eq!((answer.status(), answer.body.len()), (502, 0), "unsafe: {shown:?}");
         spoil.store(true, Ordering::SeqCst);
-        let answer = client.ask(&ask("quote").text());
+        let answer = client.ask(&caller_request("quote").text());
         let connections: Vec<_> = backend.requests.try_iter().map(|m| m.connection).collect();
         let safe = format!("safe: {shown:?}, on connections {connections:?}: {answer:?}");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"good"[..]), "{safe}");
@@ -362,12 +361,12 @@
     for extra in extras {
         let backend = Backend::new(move |m, s| {
             let id = m.header("request-id").unwrap_or("").to_string();
-            say(s, &(good(&id) + &extra))
+            write_text(s, &(good(&id) + &extra))
         });
         let gateway = Gateway::start(&one(&backend));
         let mut client = gateway.client();
         for n in 0..5 {
-            let a = ask("book-slot");
+            let a = caller_request("book-slot");
             assert_eq!(client.ask(&a.text()).body, a.id.as_bytes());
             assert_eq!(backend.next().connection, n, "its connection is not used again");
         }
@@ -377,7 +376,7 @@
 #[test]
 fn an_interim_answer_and_figures_out_of_range_do_no_harm() {
     let backend = Backend::new(|_, s| {
-        say(
+        write_text(
             s,
             "HTTP/1.1 103 Early Hints\r\nX: x\r\n\r\nHTTP/1.1 200 OK\r\nUsage-Percent: 1e300\r\n\
              Billed-Units: 1e300\r\nServer-Load: {\"inflight\":-1e300\r\nContent-Length: 1\r\n\r\nx",
@@ -386,7 +385,7 @@
     let gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
     for _ in 0..20 {
-        assert_eq!(client.ask(&ask("book-slot").text()).body, b"x");
+        assert_eq!(client.ask(&caller_request("book-slot").text()).body, b"x");
     }
 }
 
@@ -395,12 +394,12 @@
     let first = AtomicBool::new(true);
     let backend = Backend::new(move |_, s| {
         if first.swap(false, Ordering::SeqCst) {
-            return say(s, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+            return write_text(s, "HTTP/1.1 503 Full\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
         }
         ok(s, "x")
     });
     let gateway = Gateway::start(&one(&backend));
-    assert_eq!(gateway.client().ask(&ask("book-slot").text()).status(), 200);
+    assert_eq!(gateway.client().ask(&caller_request("book-slot").text()).status(), 200);
     let ids: Vec<_> =
         backend.requests.try_iter().map(|m| m.header("request-id").map(str::to_owned)).collect();
     assert!(ids.len() == 2 && ids[0] == ids[1], "{ids:?}");
@@ -408,16 +407,17 @@
 
 #[test]
 fn a_request_that_never_ran_anywhere_is_refused() {
-    let full =
-        Backend::new(|_, s| say(s, "HTTP/1.1 504 Over\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n"));
+    let full = Backend::new(|_, s| {
+        write_text(s, "HTTP/1.1 504 Over\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
+    });
     let gateway = Gateway::start(&one(&full));
-    let answer = gateway.client().ask(&ask("book-slot").text());
+    let answer = gateway.client().ask(&caller_request("book-slot").text());
     assert!(refused(&answer), "{answer:?}");
     assert!(full.requests.try_iter().count() <= 3, "no more attempts than the settings allow");
 
     let closed = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("an address");
     let gateway = Gateway::start(&Discovery::new(list(1, true, &[("s-1", closed, "Ready")])));
-    let answer = gateway.client().ask(&ask("book-slot").text());
+    let answer = gateway.client().ask(&caller_request("book-slot").text());
     assert!(refused(&answer), "{answer:?}");
 }
 
@@ -429,7 +429,7 @@
     let gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
     for n in 0..12 {
-        assert_eq!(client.ask(&ask("quote").text()).status(), 200, "request {n}");
+        assert_eq!(client.ask(&caller_request("quote").text()).status(), 200, "request {n}");
     }
     assert_eq!(backend.requests.try_iter().count(), 13);
 }
@@ -450,7 +450,7 @@
     });
     let gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
-    let mut a = ask("book-slot");
+    let mut a = caller_request("book-slot");
     a.timeout = "0.6";
     let answer = client.ask(&a.text());
     assert_eq!(answer.status(), 504, "it may have run");
@@ -460,7 +460,7 @@
     assert!(wait <= 0.581 && m.connection == 0, "{m:?}");
     go.send(()).expect("the backend waits");
     for _ in 0..3 {
-        let next = ask("book-slot");
+        let next = caller_request("book-slot");
         assert_eq!(client.ask(&next.text()).body, next.id.as_bytes());
     }
     let connections: Vec<usize> = backend.requests.try_iter().map(|m| m.connection).collect();
@@ -474,14 +474,14 @@
     let gateway = Gateway::start(&discovery);
     let mut client = gateway.client();
     assert_eq!(client.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
-    let mut a = ask("book-slot");
+    let mut a = caller_request("book-slot");
     a.timeout = "0.5";
     let answer = client.ask(&a.text());
     assert!(refused(&answer), "{answer:?}");
-    discovery.tell(2, list(2, false, &[("s-1", backend.address, "Ready")]));
-    discovery.called(3);
+    discovery.publish(2, list(2, false, &[("s-1", backend.address, "Ready")]));
+    discovery.wait_for_calls(3);
     assert_eq!(client.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-    assert!(backend.untouched());
+    assert!(backend.received_nothing());
 }
 
 #[test]
@@ -491,12 +491,12 @@
     let backend = Backend::new(move |_, s| wait.lock().expect("kept").recv().is_ok() && ok(s, "x"));
     let gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
-    client.send(&ask("book-slot").text());
+    client.send(&caller_request("book-slot").text());
     backend.next();
     drop(client);
     go.send(()).expect("the backend waits");
     assert_eq!(backend.ended.recv_timeout(LIMIT).expect("the gateway ends the connection"), 0);
-    assert!(backend.untouched());
+    assert!(backend.received_nothing());
 }
 
 // ---- Connections to backends ----
@@ -512,7 +512,7 @@
     let gateway = Gateway::start(&one(&backend));
     let mut client = gateway.client();
     for n in 0..5 {
-        assert_eq!(client.ask(&ask("book-slot").text()).status(), 200, "request {n}");
+        assert_eq!(client.ask(&caller_request("book-slot").text()).status(), 200, "request {n}");
         assert_eq!(backend.next().connection, n);
         closed.recv_timeout(LIMIT).expect("the backend closes");
     }
@@ -523,8 +523,8 @@
     let backend = Backend::good();
     let discovery = one(&backend);
     let gateway = Gateway::with(&discovery, Setup { keepalive_ms: 2_000, ..Setup::default() });
-    discovery.called(2);
-    assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
+    discovery.wait_for_calls(2);
+    assert_eq!(gateway.client().ask(&caller_request("quote").text()).status(), 200);
     assert_eq!(backend.ended.recv_timeout(LIMIT).expect("the gateway closes it"), 0);
 }
 
@@ -534,10 +534,10 @@
     let discovery = one(&old);
     let gateway = Gateway::start(&discovery);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&ask("quote").text()).status(), 200);
-    discovery.tell(2, list(2, false, &[("s-1", new.address, "Ready")]));
-    discovery.called(3);
-    assert_eq!(client.ask(&ask("quote").text()).status(), 200);
+    assert_eq!(client.ask(&caller_request("quote").text()).status(), 200);
+    discovery.publish(2, list(2, false, &[("s-1", new.address, "Ready")]));
+    discovery.wait_for_calls(3);
+    assert_eq!(client.ask(&caller_request("quote").text()).status(), 200);
     assert_eq!((old.requests.try_iter().count(), new.requests.try_iter().count()), (1, 1));
 }
 
@@ -550,14 +550,14 @@
     for state in ["Terminating", "Gone"] {
         let discovery = Discovery::new(list(1, true, &both));
         let gateway = Gateway::start(&discovery);
-        discovery.tell(2, list(2, false, &[("s-1", going.address, state)]));
-        discovery.called(3);
+        discovery.publish(2, list(2, false, &[("s-1", going.address, state)]));
+        discovery.wait_for_calls(3);
         let mut client = gateway.client();
         let _ = going.requests.try_iter().count();
         for _ in 0..20 {
-            assert_eq!(client.ask(&ask("book-slot").text()).status(), 200);
+            assert_eq!(client.ask(&caller_request("book-slot").text()).status(), 200);
         }
-        assert!(going.untouched(), "{state}");
+        assert!(going.received_nothing(), "{state}");
     }
 }
 
@@ -578,15 +578,15 @@
     }
     let discovery = Discovery::new(list(1, true, &[("s-1", address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup { connect_ms: 15_000, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut client = gateway.client();
-    let mut a = ask("book-slot");
+    let mut a = caller_request("book-slot");
     a.timeout = "2.5";
     client.send(&a.text());
     // The send is on its way by the time that this later request is answered.
     assert_eq!(gateway.client().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-    discovery.tell(2, list(2, false, &[("s-1", address, "Terminating")]));
-    discovery.called(3);
+    discovery.publish(2, list(2, false, &[("s-1", address, "Terminating")]));
+    discovery.wait_for_calls(3);
     drop(fill);
     let reader = std::thread::spawn(move || {
         let mut got = Vec::new();
@@ -620,13 +620,13 @@
     for garbage in ["", "{", "[]", r#"{"rev":2,"all":true}"#, r#"{"rev":2,"all":true,"targets":[{"uid":7}]}"#]
     {
         let calls = discovery.calls();
-        discovery.tell(2, garbage.to_string());
-        discovery.called(calls + 1);
-        assert_eq!(client.ask(&ask("quote").text()).status(), 200, "after {garbage:?}");
-        discovery.untell();
+        discovery.publish(2, garbage.to_string());
+        discovery.wait_for_calls(calls + 1);
+        assert_eq!(client.ask(&caller_request("quote").text()).status(), 200, "after {garbage:?}");
+        discovery.withdraw_latest();
     }
     let other = Backend::good();
-    discovery.tell(3, list(3, true, &[("s-2", other.address, "Ready")]));
+    discovery.publish(3, list(3, true, &[("s-2", other.address, "Ready")]));
     served_until_used(&mut client, &other);
 }
 
@@ -637,12 +637,12 @@
     let known = list(7, true, &[("s-1", old.address, "Ready")]);
     // There is no whole list to be had: a call for one waits for ever.
     let discovery = Discovery::never_answers();
-    discovery.tell(8, list(8, false, &[("s-1", old.address, "Gone"), ("s-2", new.address, "Ready")]));
+    discovery.publish(8, list(8, false, &[("s-1", old.address, "Gone"), ("s-2", new.address, "Ready")]));
     let setup = Setup { mode: "subscribe", known: Some(known), ..Setup::default() };
     let gateway = Gateway::with(&discovery, setup);
-    discovery.called(2);
-    assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
-    assert!(old.untouched() && !new.untouched(), "the change is in");
+    discovery.wait_for_calls(2);
+    assert_eq!(gateway.client().ask(&caller_request("quote").text()).status(), 200);
+    assert!(old.received_nothing() && !new.received_nothing(), "the change is in");
 }
 
 /// Another service answers, or it has lost its state: what it calls a change can't be applied to the list in hand.
@@ -652,12 +652,12 @@
     let discovery = Discovery::new(list(5, true, &[("s-1", held.address, "Ready")]));
     let gateway = Gateway::start(&discovery);
     let mut client = gateway.client();
-    discovery.tell(6, list(2, false, &[("s-1", held.address, "Gone"), ("s-2", wrong.address, "Ready")]));
+    discovery.publish(6, list(2, false, &[("s-1", held.address, "Gone"), ("s-2", wrong.address, "Ready")]));
     // The watch that was answered, the whole list, the watch after it.
-    discovery.called(4);
-    assert_eq!(client.ask(&ask("quote").text()).status(), 200);
-    assert!(wrong.untouched() && !held.untouched(), "the old list stands");
-    discovery.tell(7, list(7, true, &[("s-3", right.address, "Ready")]));
+    discovery.wait_for_calls(4);
+    assert_eq!(client.ask(&caller_request("quote").text()).status(), 200);
+    assert!(wrong.received_nothing() && !held.received_nothing(), "the old list stands");
+    discovery.publish(7, list(7, true, &[("s-3", right.address, "Ready")]));
     served_until_used(&mut client, &right);
 }
 
@@ -670,11 +670,11 @@
     let uids: Vec<String> = (0..60_000).map(|n| format!("other-{n}")).collect();
     let huge: Vec<_> = uids.iter().map(|uid| (uid.as_str(), backend.address, "Terminating")).collect();
     let calls = discovery.calls();
-    discovery.tell(2, list(2, true, &huge));
-    discovery.called(calls + 1);
-    discovery.untell();
+    discovery.publish(2, list(2, true, &huge));
+    discovery.wait_for_calls(calls + 1);
+    discovery.withdraw_latest();
     gateway.logged("the old list stands");
-    assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
+    assert_eq!(gateway.client().ask(&caller_request("quote").text()).status(), 200);
 }
 
 // ---- New configurations ----
@@ -689,18 +689,18 @@
         let calls = discovery.calls();
         // The waiting watch is dropped though it has nothing to tell, and the version starts anew.
         gateway.reload(&Setup::default().text(discovery));
-        discovery.called(calls + 2);
-        assert_eq!(client.ask(&ask("quote").text()).status(), 200);
+        discovery.wait_for_calls(calls + 2);
+        assert_eq!(client.ask(&caller_request("quote").text()).status(), 200);
         backend.next();
-        assert!(a.untouched() && b.untouched());
+        assert!(a.received_nothing() && b.received_nothing());
     }
     for bad in ["", "{", r#"{"listen":"127.0.0.1:0"}"#] {
         gateway.reload(bad);
         gateway.logged("refused, the old one stands");
-        assert_eq!(client.ask(&ask("quote").text()).status(), 200, "after {bad:?}");
+        assert_eq!(client.ask(&caller_request("quote").text()).status(), 200, "after {bad:?}");
     }
-    second.tell(2, list(2, false, &[("s-2", a.address, "Ready")]));
-    second.called(second.calls() + 1);
+    second.publish(2, list(2, false, &[("s-2", a.address, "Ready")]));
+    second.wait_for_calls(second.calls() + 1);
     gateway.reload(&Setup::default().text(&first));
     gateway.signal("-TERM");
     assert!(gateway.child.wait().expect("it ends").success(), "close to a SIGTERM");
@@ -739,13 +739,13 @@
     let first = Gateway::with(&silent, Setup { known: known.clone(), ..Setup::default() });
     let address = first.address;
     let mut client = first.client();
-    assert_eq!(client.ask(&ask("quote").text()).status(), 200);
+    assert_eq!(client.ask(&caller_request("quote").text()).status(), 200);
     drop(first);
     // Under the same address at once, though connections of the killed process linger.
     let again = Gateway::with(&silent, Setup { known, listen: Some(address), ..Setup::default() });
     assert_eq!(again.address, address);
     assert_eq!(again.client().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
-    assert_eq!(again.client().ask(&ask("book-slot").text()).status(), 200);
+    assert_eq!(again.client().ask(&caller_request("book-slot").text()).status(), 200);
 }
 
 #[test]
@@ -762,7 +762,7 @@
     });
     let mut gateway = Gateway::start(&one(&backend));
     let (mut busy, mut idle) = (gateway.client(), gateway.client());
-    busy.send(&ask("book-slot").text());
+    busy.send(&caller_request("book-slot").text());
     backend.next();
     assert_eq!(idle.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     gateway.signal("-TERM");
@@ -770,7 +770,7 @@
     assert!(idle.closed());
     assert_eq!(gateway.client().ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
     let mut new = gateway.client();
-    let answer = new.ask(&ask("quote").text());
+    let answer = new.ask(&caller_request("quote").text());
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     go.send(()).expect("the backend waits");
     let answer = busy.answer();
@@ -786,7 +786,7 @@
     let mut gateway = Gateway::start(&one(&backend));
     // So many that what the system holds for a client that reads nothing is full.
     let mut client = gateway.client();
-    let texts: Vec<String> = (0..200).map(|_| ask("quote").text()).collect();
+    let texts: Vec<String> = (0..200).map(|_| caller_request("quote").text()).collect();
     let mut writer = client.stream.try_clone().expect("a second handle");
     let writing = std::thread::spawn(move || drop(writer.write_all(texts.concat().as_bytes())));
     // It has stopped when no further request reaches the backend for long: then an answer is half written.
@@ -814,15 +814,15 @@
     let backend = Backend::good();
     let discovery = one(&backend);
     let gateway = Gateway::with(&discovery, Setup { sockets: 100, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut kept = Vec::new();
     for n in 0..150 {
         let mut client = gateway.client();
-        assert_eq!(client.ask(&ask("quote").text()).status(), 200, "client {n}");
+        assert_eq!(client.ask(&caller_request("quote").text()).status(), 200, "client {n}");
         kept.push(client);
     }
     assert!(kept[0].closed(), "the one idle longest made room");
-    assert_eq!(kept[149].ask(&ask("quote").text()).status(), 200);
+    assert_eq!(kept[149].ask(&caller_request("quote").text()).status(), 200);
 }
 
 #[test]
@@ -830,15 +830,15 @@
     let backend = Backend::good();
     let discovery = one(&backend);
     let gateway = Gateway::with(&discovery, Setup { ulimit: Some(40), ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut clients: Vec<_> = (0..100).map(|_| gateway.client()).collect();
     // All are connected, few are accepted; each of these gets its turn.
     for client in &mut clients[60..] {
-        client.send(&ask("quote").text());
+        client.send(&caller_request("quote").text());
     }
     for client in &mut clients[60..] {
         assert!(matches!(client.answer().status(), 200 | 429 | 502 | 503 | 504));
     }
     drop(clients);
-    assert_eq!(gateway.client().ask(&ask("quote").text()).status(), 200);
+    assert_eq!(gateway.client().ask(&caller_request("quote").text()).status(), 200);
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -9,11 +9,13 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::{ask, list, ok, say, Backend, Client, Discovery, Gateway, Message, Setup, LIMIT, NUMBER};
+use support::{
+    caller_request, list, ok, write_text, Backend, Client, Discovery, Gateway, Message, Setup, LIMIT, NUMBER,
+};
 
 fn with_operator(discovery: &Discovery) -> Gateway {
     let gateway = Gateway::with(discovery, Setup { operator: true, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     gateway
 }
 
@@ -34,7 +36,7 @@
 
 fn serve_at(address: SocketAddr, times: usize) {
     let mut client = Client::connect(address);
-    (0..times).for_each(|_| assert_eq!(client.ask(&ask("quote").text()).status(), 200));
+    (0..times).for_each(|_| assert_eq!(client.ask(&caller_request("quote").text()).status(), 200));
 }
 
 /// Four clients at once, so that one backend is not enough.
@@ -53,7 +55,7 @@
     let backend = Backend::new(|m, s| match m.header("request-timeout").is_some() {
         _ if m.start.starts_with("GET") => ok(s, "x"),
         _ if m.header("idempotency-key").is_some() => {
-            say(s, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
+            write_text(s, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
         }
         // It may have run, and must not run twice.
         _ => false,
@@ -64,11 +66,11 @@
     assert_eq!(before["calls"]["quote"]["success"], 0, "{before}");
     serve(&gateway, 5);
     let mut client = gateway.client();
-    assert_eq!(client.ask(&ask("confirm").text()).status(), 400);
-    assert_eq!(client.ask(&ask("book-slot").text()).status(), 502);
+    assert_eq!(client.ask(&caller_request("confirm").text()).status(), 400);
+    assert_eq!(client.ask(&caller_request("book-slot").text()).status(), 502);
     let (mut refused, mut served) = (0, 5);
     for _ in 0..20 {
-        let mut a = ask("quote");
+        let mut a = caller_request("quote");
         a.plan = "tight";
         match client.ask(&a.text()).status() {
             429 | 503 => refused += 1,
@@ -90,7 +92,7 @@
     let gateway = with_operator(&Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")])));
     let mut waiting: Vec<Client> = (0..7).map(|_| gateway.client()).collect();
     for client in &mut waiting {
-        client.send(&ask("quote").text());
+        client.send(&caller_request("quote").text());
         backend.next();
     }
     assert_eq!(figures(&gateway)["inflight"], 7);
@@ -162,8 +164,8 @@
         [list(2, true, &[("s-2", b.address, "Ready")]), changed, restarted].into_iter().enumerate()
     {
         let calls = discovery.calls();
-        discovery.tell(2 + n as u64, news);
-        discovery.called(calls + 1);
+        discovery.publish(2 + n as u64, news);
+        discovery.wait_for_calls(calls + 1);
         serve(&gateway, 30);
         assert!(untouched(&a), "after word {n}");
     }
@@ -187,13 +189,13 @@
         if first.swap(false, Ordering::SeqCst) {
             began.lock().expect("kept").send(()).expect("awaited");
             let _ = wait.lock().expect("kept").recv();
-            return say(s, "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
+            return write_text(s, "HTTP/1.1 503 Busy\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n");
         }
         ok(s, "again")
     });
     let gateway = with_operator(&Discovery::new(list(1, true, &[("s-1", a.address, "Ready")])));
     let mut client = gateway.client();
-    client.send(&ask("book-slot").text());
+    client.send(&caller_request("book-slot").text());
     begun.recv_timeout(LIMIT).expect("it reaches the backend");
     assert_eq!(target("enter", &gateway, "s-1"), 200);
     go.send(()).expect("the backend waits");
@@ -241,7 +243,7 @@
     let one = move |stop: Arc<AtomicBool>| {
         let (mut client, mut fresh, mut good, mut lost) = (Client::try_connect(address), true, 0, 0);
         while !stop.load(Ordering::Relaxed) {
-            let answer = client.as_mut().and_then(|c| c.try_ask(&ask("quote").text()));
+            let answer = client.as_mut().and_then(|c| c.try_ask(&caller_request("quote").text()));
             let close = |m: &Message| m.header("connection") == Some("close");
             match &answer {
                 // Beyond its quota it is refused, and that is an answer.
@@ -297,19 +299,19 @@
     let held = Held::new();
     let mut old = held.start(&discovery);
     let (mut silent, mut half, mut idle) = (old.client(), old.client(), old.client());
-    let text = ask("quote").text();
+    let text = caller_request("quote").text();
     half.send(&text[..40]);
-    assert_eq!(idle.ask(&ask("quote").text()).status(), 200);
+    assert_eq!(idle.ask(&caller_request("quote").text()).status(), 200);
     // All three have been accepted by then.
     assert_eq!(silent.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     let mut silent = old.client();
-    assert_eq!(idle.ask(&ask("quote").text()).status(), 200);
+    assert_eq!(idle.ask(&caller_request("quote").text()).status(), 200);
     old.signal("-TERM");
     assert!(idle.closed(), "who idles between requests is let go");
     half.send(&text[40..]);
     let answer = half.answer();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    silent.send(&ask("quote").text());
+    silent.send(&caller_request("quote").text());
     assert_eq!(silent.answer().status(), 200);
     assert!(old.child.wait().expect("it ends").success());
 }
@@ -348,7 +350,7 @@
     let new = Gateway::with(&silent, Setup { operator: true, inherited, ..Setup::default() });
     assert_eq!(new.call("GET /status", "").status(), 503);
     for _ in 0..50 {
-        assert_eq!(old.client().ask(&ask("quote").text()).status(), 200, "it went to the old one");
+        assert_eq!(old.client().ask(&caller_request("quote").text()).status(), 200, "it went to the old one");
     }
     drop(new);
     let next = held.start(&discovery);
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 use std::path::Path;
-use test_harness::peers::{ask, Backend, Client, Discovery};
+use test_harness::peers::{caller_request, Backend, Client, Discovery};
 use test_harness::planners::Files;
 use test_harness::program::{Program, EXAMPLE};
 
@@ -37,9 +37,10 @@
     let operator = files.add("routes.toml", file, 0o600).expect("a file");
     let config = EXAMPLE.replace("workshop", "basic");
     let program = Path::new(env!("CARGO_BIN_EXE_granitethread"));
-    let started = Program::start_as(program, &config, discovery.address, Some(&operator)).expect("it starts");
+    let started = Program::start_with_operator_file(program, &config, discovery.address, Some(&operator))
+        .expect("it starts");
     // The second call is the watch: the list is in.
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     started
 }
 
@@ -51,7 +52,7 @@
     let mut files = Files(Vec::new());
     let gateway = start(FILE, &mut files, &discovery);
     let mut client = Client::connect(gateway.address);
-    let mut say = |class, path: &str| client.ask(&ask(class).text().replace("/api?x=1", path));
+    let mut say = |class, path: &str| client.ask(&caller_request(class).text().replace("/api?x=1", path));
 
     assert_eq!(say("quote", "/v2/api/list?x=1").status(), 200);
     assert!(pricing.next().start.starts_with("GET /api/list?x=1 "), "the prefix is rewritten, the rest kept");
@@ -61,7 +62,7 @@
     assert_eq!(say("quote", "/apis").status(), 404);
     let empty = say("quote", "/empty");
     assert!(matches!(empty.status(), 429 | 503) && empty.header("retry-after").is_some(), "{empty:?}");
-    assert!(pricing.untouched() && booking.untouched());
+    assert!(pricing.received_nothing() && booking.received_nothing());
     assert_eq!(
         client.ask("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").status(),
         200,
@@ -77,8 +78,9 @@
     let operator = files.add("routes.toml", &both, 0o600).expect("a file");
     let discovery = Discovery::never_answers();
     let program = Path::new(env!("CARGO_BIN_EXE_granitethread"));
-    let error =
-        Program::start_as(program, EXAMPLE, discovery.address, Some(&operator)).err().expect("it won't do");
+    let error = Program::start_with_operator_file(program, EXAMPLE, discovery.address, Some(&operator))
+        .err()
+        .expect("it won't do");
     let check = std::process::Command::new(program).arg("check").arg(&operator).output().expect("it runs");
     let said = String::from_utf8_lossy(&check.stderr).into_owned();
     assert!(
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -8,7 +8,7 @@
 use std::sync::Mutex;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::{ask, list, say, Backend, Client, Discovery, Gateway, Setup};
+use support::{caller_request, list, write_text, Backend, Client, Discovery, Gateway, Setup};
 
 const LONG: usize = 5 << 20;
 
@@ -23,7 +23,7 @@
 fn watched(backend: &Backend) -> Gateway {
     let discovery = one(backend);
     let gateway = Gateway::with(&discovery, Setup { operator: true, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     gateway
 }
 
@@ -36,7 +36,9 @@
 
 /// A request with this for its body's head and bytes.
 fn post(framing: &str, body: &str) -> String {
-    ask("book-slot").text().replace("Content-Length: 5\r\n\r\nhello", &format!("{framing}\r\n\r\n{body}"))
+    caller_request("book-slot")
+        .text()
+        .replace("Content-Length: 5\r\n\r\nhello", &format!("{framing}\r\n\r\n{body}"))
 }
 
 /// All that comes until the connection ends.
@@ -121,7 +123,7 @@
         assert_eq!(stalled.join().expect("no panic"), 408);
     });
     assert_eq!(backend.next().body.len(), 300_000);
-    assert!(backend.untouched());
+    assert!(backend.received_nothing());
 }
 
 /// A backend that tells how much of a body it has read, and how a request ended.
@@ -155,13 +157,13 @@
     let (address, got) = reading(|s, all| {
         let whole = all.ends_with(b"the end") || all.ends_with(b"0\r\n\r\n");
         if whole {
-            say(s, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood");
+            write_text(s, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood");
         }
         !whole
     });
     let discovery = Discovery::new(list(1, true, &[("s-1", address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup { operator: true, memory_mb: 16, ..Setup::default() });
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let to = gateway.address;
     let asks: Vec<_> = (0..3)
         .map(|n| {
@@ -208,13 +210,13 @@
     {
         let (address, got) = reading(move |s, all| {
             if all.len() > 3 << 20 {
-                say(s, words);
+                write_text(s, words);
             }
             all.len() <= 3 << 20
         });
         let discovery = Discovery::new(list(1, true, &[("s-1", address, "Ready")]));
         let gateway = Gateway::with(&discovery, Setup { operator: true, ..Setup::default() });
-        discovery.called(2);
+        discovery.wait_for_calls(2);
         let mut client = gateway.client();
         client.send(&post(&format!("Content-Length: {}", 30 << 20), ""));
         let mut stream = client.stream.try_clone().expect("a second handle");
@@ -244,7 +246,7 @@
     });
     let discovery = Discovery::new(list(1, true, &[("s-1", address, "Ready")]));
     let gateway = Gateway::with(&discovery, Setup::default());
-    discovery.called(2);
+    discovery.wait_for_calls(2);
     let mut client = gateway.client();
     client.send(&post(&format!("Content-Length: {}", 30 << 20), &"x".repeat(5 << 20)));
     reached.recv_timeout(support::LIMIT).expect("it goes on as it comes");
@@ -267,11 +269,12 @@
         (format!("Connection: close\r\n\r\n{text}"), false),
     ];
     for (framing, stays) in framings {
-        let backend = Backend::new(move |_, s| say(s, &format!("HTTP/1.1 200 OK\r\n{framing}")) && stays);
+        let backend =
+            Backend::new(move |_, s| write_text(s, &format!("HTTP/1.1 200 OK\r\n{framing}")) && stays);
         let gateway = watched(&backend);
         for _ in 0..3 {
             let mut client = gateway.client();
-            client.send(&last(&ask("book-slot").text()));
+            client.send(&last(&caller_request("book-slot").text()));
             let answer = rest(&mut client);
             let head = String::from_utf8_lossy(&answer[..300]).to_ascii_lowercase();
             let body = if head.contains("transfer-encoding: chunked") {
@@ -297,13 +300,13 @@
     let (go, wait) = channel::<()>();
     let wait = Mutex::new(wait);
     let backend = Backend::new(move |_, s| {
-        say(s, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", 100_000, "a".repeat(1000)));
+        write_text(s, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", 100_000, "a".repeat(1000)));
         let _ = wait.lock().expect("kept").recv();
-        say(s, &"b".repeat(99_000))
+        write_text(s, &"b".repeat(99_000))
     });
     let gateway = watched(&backend);
     let mut client = gateway.client();
-    client.send(&last(&ask("book-slot").text()));
+    client.send(&last(&caller_request("book-slot").text()));
     let mut came = Vec::new();
     while !came.ends_with(b"aaa") {
         let mut bytes = [0; 2048];
@@ -322,12 +325,12 @@
         let backend = Backend::new(move |_, s| {
             let coded = framing.contains("chunked");
             let size = if coded { "dbba0\r\n" } else { "" };
-            say(s, &format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{size}{}", "x".repeat(200_000)));
+            write_text(s, &format!("HTTP/1.1 200 OK\r\n{framing}\r\n\r\n{size}{}", "x".repeat(200_000)));
             false
         });
         let gateway = watched(&backend);
         let mut client = gateway.client();
-        client.send(&ask("quote").text());
+        client.send(&caller_request("quote").text());
         let answer = rest(&mut client);
         assert!(
             answer.starts_with(b"HTTP/1.1 200") && answer.len() < 900_000 && unchunked(&answer).is_none()
@@ -344,13 +347,13 @@
 #[test]
 fn who_reads_slowly_is_given_no_more_than_a_bounded_part() {
     let backend = Backend::new(|_, s| {
-        say(s, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 32 << 20))
+        write_text(s, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", 32 << 20))
             && (0..512).all(|_| s.write_all(&[b'x'; 65_536]).is_ok())
     });
     let gateway = watched(&backend);
     let mut slow: Vec<Client> = (0..20).map(|_| gateway.client()).collect();
     for client in &mut slow {
-        client.send(&ask("quote").text());
+        client.send(&caller_request("quote").text());
         backend.next();
     }
     // All have begun; meanwhile others are served.
@@ -372,7 +375,7 @@
     let chunked = post("Transfer-Encoding: chunked", "5\r\nhello\r\n0\r\n\r\n");
     // Its head came behind another request, so that what stood in it is not known.
     let mut client = gateway.client();
-    client.send(&(ask("quote").text() + &chunked + &ask("quote").text()));
+    client.send(&(caller_request("quote").text() + &chunked + &caller_request("quote").text()));
     let answers = String::from_utf8_lossy(&rest(&mut client)).to_ascii_lowercase();
     assert_eq!(answers.matches("http/1.1 200").count(), 2, "{answers}");
     assert_eq!(answers.matches("connection: close").count(), 1);
@@ -382,5 +385,5 @@
     let mut answer = String::new();
     stream.read_to_string(&mut answer).expect("text");
     assert!(answer.starts_with("HTTP/1.1 411"), "{answer}");
-    assert!(backend.untouched());
+    assert!(backend.received_nothing());
 }
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -8,7 +8,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use support::{ask, list, Backend, Client, Discovery, LIMIT};
+use support::{caller_request, list, Backend, Client, Discovery, LIMIT};
 use test_harness::program::{Program, EXAMPLE};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_granitethread");
@@ -75,7 +75,7 @@
 /// So many requests of one customer with a small quota, as fast as they are answered; how many were served.
 fn burst(at: SocketAddr, times: usize) -> usize {
     let mut client = Client::connect(at);
-    let mut one = ask("quote");
+    let mut one = caller_request("quote");
     one.plan = "starter";
     (0..times).filter(|_| client.ask(&one.text()).status() == 200).count()
 }
@@ -129,7 +129,7 @@
     let second = gateway(&folder.0, &operators, "g1", &discovery);
     let after = burst(second.address, 30);
     assert!(after * 2 <= blank, "its store was empty a moment ago: {after} beside {blank}");
-    assert!(banned.untouched(), "its ban stands");
+    assert!(banned.received_nothing(), "its ban stands");
     let said = awaited_lines(&second);
     assert!(said.len() == 1 && said[0].contains("goes on with one that is"), "{said:?}");
     kept(&folder);
@@ -151,7 +151,7 @@
     let mut first = gateway(&folder.0, &operators, "g1", &discovery);
     kept(&folder);
     // Killed as soon as the drain is on the disk, long before the next second.
-    discovery.tell(2, told(2, "Terminating"));
+    discovery.publish(2, told(2, "Terminating"));
     let until = Instant::now() + LIMIT;
     let listed = |read: snapshot::Snapshot| read.sections[&Kind::List].clone().expect("a list");
     let holds = |bytes: Vec<u8>| {
@@ -166,7 +166,7 @@
     let silent = Discovery::never_answers();
     let second = gateway(&folder.0, &operators, "g1", &silent);
     assert!(burst(second.address, 3) >= 1, "it serves by what it knew");
-    assert!(drains.untouched(), "nothing new to what was told to drain");
+    assert!(drains.received_nothing(), "nothing new to what was told to drain");
     // An old one names addresses that may be another's by now.
     kept(&folder);
     drop(second);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -103,7 +103,7 @@
     pub fn start(discovery: &Discovery) -> Self {
         let gateway = Gateway::with(discovery, Setup::default());
         // The second call is the watch: the list is in.
-        discovery.called(2);
+        discovery.wait_for_calls(2);
         gateway
     }
 
--- a/tests/vast.rs
+++ b/tests/vast.rs
@@ -31,11 +31,11 @@
     fn new(me: u32, nodes: Vec<Node>) -> Rig {
         let g = Gateway::new(settings(me), u64::from(me) + 1, 100 * SEC).expect("settings in range");
         let mut rig = Rig { g, now: 100 * SEC, next: 1 };
-        rig.tell(Event::Fleet { seq: 1, scope: Scope::Cached, nodes });
+        rig.publish(Event::Fleet { seq: 1, scope: Scope::Cached, nodes });
         rig
     }
 
-    fn tell(&mut self, event: Event) -> Vec<Action> {
+    fn publish(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.g.handle(self.now, vec![event], &mut out);
         out
@@ -50,7 +50,7 @@
         let customer = format!("c{}", id % 7);
         let deadline = self.now + 4 * SEC;
         let request = Request { spread: GATEWAYS, ..Request::new(id, 0, 0, &customer, deadline, 1.0) };
-        let mut actions = self.tell(Event::Request(request));
+        let mut actions = self.publish(Event::Request(request));
         let mut went = Vec::new();
         while let Some(server) = actions.iter().find_map(|a| match a {
             Action::Send { id: sent, server, .. } if *sent == id => Some(server.clone()),
@@ -60,7 +60,7 @@
             let ending = end(&server);
             let attempt = went.len() as u32;
             went.push(server.to_string());
-            actions = self.tell(Event::AttemptEnd(AttemptEnd {
+            actions = self.publish(Event::AttemptEnd(AttemptEnd {
                 id,
                 attempt,
                 server,
@@ -157,7 +157,7 @@
 fn few_gateways_use_the_whole_fleet() {
     let mut rig = Rig::new(0, Vec::new());
     rig.g = Gateway::new(Settings { gateways: 4, ..settings(0) }, 5, 100 * SEC).expect("settings in range");
-    rig.tell(Event::Fleet { seq: 1, scope: Scope::Cached, nodes: servers(17) });
+    rig.publish(Event::Fleet { seq: 1, scope: Scope::Cached, nodes: servers(17) });
     let used: BTreeSet<String> = (0..200).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
     assert_eq!(used.len(), 17);
 }
