--- a/crates/testing/test-harness/src/bed.rs
+++ b/crates/testing/test-harness/src/bed.rs
@@ -1,9 +1,9 @@
-//! A bed for faults between processes: one relay for each process, through which all others reach it, telling senders
-//! apart; for each ordered pair silence, loss, doubling, delay (which reorders). Processes are killed, stopped, woken
-//! and started again by their own id.
+//! UDP relays that inject network faults. Each process has one relay, through which all others reach it. For each
+//! ordered pair of processes a relay can drop everything, or lose, duplicate and delay (and so reorder) datagrams.
+//! Killing, stopping and restarting processes is done by their process id, not here.
 //!
-//! For datagrams: a process sends from the address on which it listens, and that tells the relay who speaks. For streams
-//! there is [`crate::gate::Gates`], a port for each ordered pair.
+//! A process sends from the address on which it listens, so the relay knows the sender by its source address. For TCP
+//! streams see [`crate::gate::Gates`], which has a port for each ordered pair.
 
 use crate::fleet::lock;
 use std::cmp::Reverse;
@@ -14,17 +14,20 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// What befalls datagrams from one process to another.
+/// Faults of the datagrams from one process to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Link {
+    /// Drops every datagram.
     pub silent: bool,
-    /// Chances.
+    /// Probability that a datagram is lost.
     pub loss: f64,
+    /// Probability that a datagram is delivered twice.
     pub doubled: f64,
-    /// Each waits up to so long, and so some pass others.
+    /// Upper limit of the random delay of each datagram, which reorders them.
     pub delay: Duration,
 }
 
+/// Datagrams and bytes that a process has sent.
 #[derive(Default)]
 struct Counted {
     datagrams: u64,
@@ -33,30 +36,31 @@
 
 struct Network {
     links: Vec<Vec<Link>>,
-    /// Where each process listens itself.
+    /// Listening address of each process itself.
     places: Vec<SocketAddr>,
     senders: HashMap<SocketAddr, usize>,
     sent: Vec<Counted>,
     rng: fastrand::Rng,
-    /// The last that came, oldest first: when, to whom, what.
+    /// The latest datagrams, oldest first: time of arrival, receiver, bytes.
     tape: VecDeque<(Instant, usize, Vec<u8>)>,
 }
 
-/// So many datagrams are kept to be played again.
+/// Datagrams that are kept for [`Relays::replay`].
 const TAPE: usize = 20_000;
 
+/// A delayed datagram: when it is due, its number, its receiver, its bytes.
 type Late = (Instant, u64, usize, Vec<u8>);
 
-/// Datagrams that wait.
+/// Queue of delayed datagrams, with the number of the last one.
 #[derive(Default)]
 struct Waiting {
     queue: Mutex<(BinaryHeap<Reverse<Late>>, u64)>,
     news: Condvar,
 }
 
-/// Relays for so many processes.
+/// One relay for each process.
 pub struct Relays {
-    /// Where the others reach each process.
+    /// Address at which the others reach each process.
     pub advertised: Vec<SocketAddr>,
     network: Arc<Mutex<Network>>,
     over: Arc<AtomicBool>,
@@ -64,12 +68,14 @@
 }
 
 impl Relays {
+    /// Starts the relays for `processes` processes.
+    ///
     /// # Errors
-    /// One line, if there are no ports to be had.
+    /// No port can be bound. The message is one line.
     pub fn new(processes: usize, seed: u64) -> Result<Self, String> {
         let wrong = |e: std::io::Error| format!("relays: {e}");
         let mut places = Vec::new();
-        // An address of its own for each: the port that was free stays free until the process takes it.
+        // Each process has its own IP address, so that its free port stays free until the process binds it.
         let block = fastrand::Rng::new().u8(2..250);
         for n in 0..processes {
             let probe = UdpSocket::bind((format!("127.{block}.{}.{}", n / 200, n % 200 + 1).as_str(), 0));
@@ -100,12 +106,12 @@
         Ok(Relays { advertised, network, over, threads })
     }
 
-    /// Where this process listens itself.
+    /// Returns the listening address of this process itself.
     pub fn place(&self, n: usize) -> SocketAddr {
         lock(&self.network).places[n]
     }
 
-    /// Changes the links from one process to another, for all ordered pairs.
+    /// Sets the faults of every ordered pair, by sender and receiver.
     pub fn set(&self, link: impl Fn(usize, usize) -> Link) {
         let mut network = lock(&self.network);
         let all = network.links.len();
@@ -114,7 +120,8 @@
         }
     }
 
-    /// Plays again what came longer ago than that, to whomever it was for, a thousand a second. How many those were.
+    /// Sends the datagrams that arrived longer ago than `older` to their receivers again, a thousand a second, and returns
+    /// how many they were.
     pub fn replay(&self, older: Duration) -> std::io::Result<usize> {
         let socket = UdpSocket::bind("127.0.0.1:0")?;
         let tape: Vec<_> = {
@@ -123,7 +130,7 @@
             old.map(|(_, to, bytes)| (network.places[*to], bytes.clone())).collect()
         };
         for (n, (place, bytes)) in tape.iter().enumerate() {
-            // Nobody may listen there any more.
+            // The receiver may have ended.
             let _ = socket.send_to(bytes, place);
             if n % 10 == 9 {
                 thread::sleep(Duration::from_millis(10));
@@ -132,7 +139,7 @@
         Ok(tape.len())
     }
 
-    /// What this process has sent so far: datagrams and bytes.
+    /// Returns the datagrams and bytes that this process has sent so far.
     pub fn sent(&self, n: usize) -> (u64, u64) {
         let network = lock(&self.network);
         (network.sent[n].datagrams, network.sent[n].bytes)
@@ -146,11 +153,11 @@
     }
 }
 
-/// Takes what others send to this process.
+/// Receives what the others send to this process, and applies the faults.
 fn relay(to: usize, socket: &UdpSocket, network: &Mutex<Network>, waiting: &Waiting, over: &AtomicBool) {
     let mut buffer = [0; 2048];
     while !over.load(Ordering::Relaxed) {
-        // Nothing for a while, or word that an earlier one found a closed port.
+        // A timeout, or an ICMP error because an earlier datagram reached a closed port.
         let Ok((length, source)) = socket.recv_from(&mut buffer) else { continue };
         let bytes = &buffer[..length];
         let mut network = lock(network);
@@ -181,7 +188,7 @@
     }
 }
 
-/// Sends on what waits, each in its time.
+/// Forwards delayed datagrams when they are due.
 fn deliver(sockets: &[Arc<UdpSocket>], network: &Mutex<Network>, waiting: &Waiting, over: &AtomicBool) {
     let mut queue = lock(&waiting.queue);
     while !over.load(Ordering::Relaxed) {
--- a/crates/testing/test-harness/src/comeback.rs
+++ b/crates/testing/test-harness/src/comeback.rs
@@ -1,6 +1,6 @@
-//! The scenario of coming back: three fleets side by side with the same load, one with snapshots, one without, and one in
-//! which nobody is killed. Eight of twelve gateways are killed at once and start again after a second. Servers and clients
-//! count, not the gateways.
+//! Scenario of restarts with and without snapshots: three fleets side by side with the same load, one with snapshots, one
+//! without, and one in which no gateway is killed. In the first two, eight of twelve gateways are killed at once and
+//! restarted after a second. All counts are taken at servers and clients, not at the gateways.
 
 use crate::fleet::lock;
 use crate::peers::{Client, Discovery};
@@ -18,12 +18,12 @@
 pub const SCENARIO: Scenario = Scenario {
     name: "comeback",
     about:
-        "eight of twelve gateways killed at once, with snapshots, without, and nobody killed: what it costs",
+        "eight of twelve gateways killed at once, with snapshots, without, and none killed: the cost of each",
     seconds: 12,
     test_seconds: 10,
     defects: &[
-        ("nothing-kept", "the fleet with snapshots has none either"),
-        ("swapped", "every gateway finds another's snapshot"),
+        ("nothing-kept", "the fleet that should have snapshots has none"),
+        ("swapped", "every killed gateway finds the snapshot of another"),
     ],
     planted: &[],
     run,
@@ -31,16 +31,19 @@
 
 const GATEWAYS: usize = 12;
 const KILLED: usize = 8;
-/// Members that ask two and a half times their quota, and members that ask half of it.
+/// Number of customers that request two and a half times their quota, and of customers that request half of it.
 const HEAVY: u64 = 6;
 const GOOD: u64 = 6;
+/// Time between the kill and the restart.
 const AWAY: Duration = Duration::from_secs(1);
-/// Until stores are as the load has them.
+/// Warm-up until the levels of the stores reflect the load.
 const WARM: Duration = Duration::from_secs(4);
-/// So long a client keeps a connection that it does not use.
+/// Time for which a client keeps an unused connection.
 const IDLE: Duration = Duration::from_secs(1);
+/// Step between two spans that are examined for full service.
 const WINDOW: Duration = Duration::from_millis(250);
 
+/// Outcome of one request.
 #[derive(Clone, Copy)]
 struct Outcome {
     asked: Instant,
@@ -59,7 +62,7 @@
     _discovery: Discovery,
 }
 
-/// Folders that go with the run.
+/// Temporary folders, which are removed on drop.
 struct Folders(Vec<PathBuf>);
 
 impl Drop for Folders {
@@ -112,7 +115,7 @@
         Ok(Arm { gateways, folders: own, ledger, outcomes, lanes, _discovery: discovery })
     }
 
-    /// The same requests at the same moments in each arm.
+    /// Starts the load, which has the same requests at the same times in each fleet.
     fn load(&mut self, seed: u64, began: Instant, until: Instant) {
         let addresses: Vec<SocketAddr> = self.gateways.iter().map(|g| g.address).collect();
         for customer in 0..HEAVY + GOOD {
@@ -127,7 +130,8 @@
         }
     }
 
-    /// Units that ran beyond the quotas since then: each customer's quota is one store of the whole.
+    /// Returns the units that were run beyond the quotas after `since`, according to one token bucket per customer for the
+    /// whole fleet.
     fn beyond(&self, since: Instant) -> f64 {
         let mut came = lock(self.ledger.came()).clone();
         came.sort_by_key(|c| c.0);
@@ -148,6 +152,7 @@
     }
 }
 
+/// Sends one customer's requests, `rate` a second, each to a random gateway.
 fn lane(
     mut id: u64,
     rate: f64,
@@ -167,8 +172,8 @@
         let class = ["quote", "confirm", "book-slot"][(id % 3) as usize];
         let text = crate::demo::request(class, id, "workshop", &format!("{:016x}", 1 + customer(id)), 2.0)
             .replace("units=1,spread=1", &format!("units={},spread={GATEWAYS}", units(id)));
-        // Nobody listens while a gateway is away: the client asks elsewhere the next time.
-        // A connection that was idle for longer may have been closed, and what is asked on it is nobody's.
+        // Connections are refused while a gateway is down: the next request goes to another gateway.
+        // A connection that was idle for longer may have been closed, and a request on it would be lost.
         let kept =
             clients.remove(&gateway).filter(|(_, used)| used.elapsed() < IDLE).map(|(client, _)| client);
         let Some(mut client) = kept.or_else(|| Client::try_connect(addresses[gateway])) else { continue };
@@ -181,7 +186,8 @@
     }
 }
 
-/// The share of good members' requests at these gateways that were served, among those asked in this time.
+/// Returns the served share of the answered requests that customers within their quota sent to these gateways in this
+/// span.
 fn served(outcomes: &[Outcome], at: &[usize], from: Instant, to: Instant) -> Option<f64> {
     let of = |o: &&Outcome| {
         o.customer >= HEAVY && at.contains(&o.gateway) && (from..to).contains(&o.asked) && o.status.is_some()
@@ -191,7 +197,8 @@
     (all > 0).then(|| good as f64 / all as f64)
 }
 
-/// From `started` on: until the service of good members is at 95% of what it was and stays so for 2 s, in windows.
+/// Returns the time after `started`, in milliseconds, until customers within their quota get 95% of their earlier service
+/// for 2 s.
 fn full_service(
     outcomes: &[Outcome],
     at: &[usize],
@@ -256,7 +263,7 @@
         beyond.push(arm.beyond(at));
         f.set(&format!("{name}_units_beyond_quotas"), beyond[beyond.len() - 1].round());
         first.push(after / before.max(1e-9));
-        // Held by one that was killed, or asked on a connection that the kill had ended: the client's to ask again.
+        // In flight at a killed gateway, or sent on a connection that the kill had closed: the client must retry these.
         let held =
             |o: &&Outcome| killed.contains(&o.gateway) && (at - IDLE..started + IDLE).contains(&o.asked);
         unanswered += outcomes.iter().filter(|o| o.status.is_none() && !held(o)).count();
@@ -266,7 +273,7 @@
     f.none("book_slots_run_twice", twice);
     let (with, without) = (beyond[0] - beyond[2], beyond[1] - beyond[2]);
     f.set("units_beyond_by_kills", vec![with.round(), without.round()]);
-    // Of what the kills cost without: at most a third, and a request or two.
+    // At most a third of the units that the kills cost without snapshots, plus a request or two.
     f.bound(
         "part_of_the_overrun",
         with / without.max(1.0),
--- a/crates/testing/test-harness/src/crowd.rs
+++ b/crates/testing/test-harness/src/crowd.rs
@@ -1,5 +1,6 @@
-//! The scenario of a crowd: many connect and never finish a request, each true request comes on a connection of its
-//! own and some are slow to write, descriptors and memory are short, and the gateway is restarted in the middle.
+//! Scenario of a connection flood: many clients connect and never finish a request. Each complete request comes on its
+//! own connection, and some are written slowly. Descriptors and memory are scarce, and the gateway is restarted in the
+//! middle.
 
 use crate::demo::request;
 use crate::fleet::{body, good, lock, serve};
@@ -17,36 +18,39 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "crowd",
-    about: "a crowd that connects and never asks, true requests on new connections, a restart in the middle",
+    about: "a crowd that connects and never finishes a request, complete requests on new connections, a restart in the middle",
     seconds: 12,
     test_seconds: 5,
     defects: &[
-        ("silent-clients", "those who should ask say nothing either"),
-        ("killed", "the gateway is killed where it should be told to end"),
-        ("hung-gateway", "the gateway is stopped for a while: no call is answered"),
+        ("silent-clients", "the clients of complete requests send nothing either"),
+        ("killed", "the gateway is killed in place of SIGTERM"),
+        ("hung-gateway", "the gateway is suspended for a while: no operator call is answered"),
     ],
     planted: &[],
     run,
 };
 
+/// Limits in the gateway's configuration.
 const SOCKETS: usize = 140;
 const MEMORY_MB: usize = 24;
-/// More than the gateway may hold.
+/// Connections without a complete request: more than the gateway may hold.
 const CROWD: usize = 300;
 const LANES: u64 = 12;
 
+/// Requests, by outcome.
 #[derive(Default)]
 struct RequestRecord {
     served: AtomicUsize,
     refused: AtomicUsize,
-    /// Written whole and not answered.
+    /// Completely written and not answered.
     lost: AtomicUsize,
-    /// Let go while they were still being written.
+    /// Connection closed while the request was being written.
     cut: AtomicUsize,
+    /// Completely written.
     whole: AtomicUsize,
 }
 
-/// True requests, each on a connection of its own.
+/// Sends complete requests, each on its own connection.
 fn lane(n: u64, play: &Play, to: SocketAddr, over: &AtomicBool, ledger: &RequestRecord) {
     let mut rng = Rng::with_seed(play.seed.wrapping_add(n).wrapping_mul(0x2545_f491_4f6c_dd1d));
     let mut number = (n + 1) << 32;
@@ -54,7 +58,7 @@
         number += 1;
         let class = ["quote", "confirm", "book-slot"][rng.usize(0..3)];
         let text = request(class, number, "partner", &format!("{:016x}", 0xc0 + n), 2.0);
-        // Nobody listens while it restarts.
+        // Connections are refused while the gateway restarts.
         let Some(mut client) = Client::try_connect(to) else {
             thread::sleep(Duration::from_millis(10));
             continue;
@@ -65,10 +69,10 @@
             continue;
         }
         if rng.u32(0..4) == 0 {
-            // In pieces, the last of which makes it whole.
+            // Written in pieces, the last of which completes the request.
             let pause = Duration::from_millis(rng.u64(0..150));
             let pieces: Vec<&[u8]> = text.as_bytes().chunks(text.len().div_ceil(12)).collect();
-            let (last, first) = pieces.split_last().expect("it has some");
+            let (last, first) = pieces.split_last().expect("a request is not empty");
             let written = first.iter().all(|piece| {
                 let there = !ended(&client.stream) && client.stream.write_all(piece).is_ok();
                 thread::sleep(pause);
@@ -92,7 +96,7 @@
     }
 }
 
-/// Whether the other side has ended it before the request was whole: the request went nowhere.
+/// Whether the gateway has closed the connection, so that an incomplete request cannot be processed.
 fn ended(stream: &TcpStream) -> bool {
     let _ = stream.set_nonblocking(true);
     let ended = match stream.peek(&mut [0]) {
@@ -103,7 +107,7 @@
     ended
 }
 
-/// Those who never finish, the oldest replaced by a new one all the time.
+/// Opens connections that never finish a request, continuously replacing the oldest.
 fn crowd(play: &Play, to: SocketAddr, over: &AtomicBool) {
     let mut rng = Rng::with_seed(play.seed ^ 0x5eed);
     let mut all: VecDeque<TcpStream> = VecDeque::new();
@@ -174,7 +178,7 @@
     watch(Instant::now() + play.time / 2);
     over.store(true, Ordering::Relaxed);
     for one in threads {
-        one.join().map_err(|_| "a client was lost")?;
+        one.join().map_err(|_| "a client thread panicked")?;
     }
     let count = |c: &AtomicUsize| c.load(Ordering::Relaxed);
     let (served, refused, whole) = (count(&ledger.served), count(&ledger.refused), count(&ledger.whole));
--- a/crates/testing/test-harness/src/demo.rs
+++ b/crates/testing/test-harness/src/demo.rs
@@ -1,4 +1,5 @@
-//! A gateway to look at: three stand-in servers, their list, and a few members of which one floods.
+//! Demonstration of a gateway: three stand-in servers, discovery that lists them, and a few customers of which one sends
+//! far more than its quota.
 
 use crate::fleet::{body, good, lock, not_started, serve, Cores, Meter};
 use crate::peers::{list, Client, Discovery, Message};
@@ -10,19 +11,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A member workshop: its plan, its account, and how many requests a second it asks for.
+/// Customers: plan, account, and requests a second.
 const MEMBERS: [(&str, &str, f64); 6] = [
     ("starter", "00000000000000a1", 1.0),
     ("starter", "00000000000000a2", 1.5),
     ("workshop", "00000000000000b1", 3.0),
-    // Floods: its plan allows 4 a second.
+    // Sends far too much: its plan allows 4 a second.
     ("workshop", "00000000000000b2", 40.0),
     ("partner", "00000000000000c1", 12.0),
     ("partner", "00000000000000c2", 20.0),
 ];
+/// Time for which a client keeps an unused connection.
 const IDLE: Duration = Duration::from_secs(1);
+/// Time for which a server works on a request.
 const WORK: Duration = Duration::from_millis(70);
 
+/// Requests of a plan's customers, by outcome.
 #[derive(Clone, Copy, Default)]
 struct Count {
     asked: u64,
@@ -31,7 +35,7 @@
     failed: u64,
 }
 
-/// The text of a request.
+/// Returns a request as HTTP/1.1 text.
 pub fn request(class: &str, id: u64, plan: &str, account: &str, timeout: f64) -> String {
     let (method, rest) = match class {
         "quote" => ("GET", "\r\n".to_string()),
@@ -45,7 +49,7 @@
     )
 }
 
-/// The rates of the plans in the example.
+/// Returns the quota rate of each plan in the example configuration.
 fn rates() -> HashMap<String, f64> {
     let example: Value = serde_json::from_str(EXAMPLE).expect("the example is JSON");
     let plans = example["settings"]["plans"].as_array().cloned().unwrap_or_default();
@@ -53,10 +57,10 @@
     plans.iter().filter_map(rate).collect()
 }
 
-/// Runs until `stop`, printing a line for each plan and second. `ready` is told the gateway's address.
+/// Runs until `stop`, printing the counts of each plan every second.
 ///
 /// # Errors
-/// One line, if the gateway can't be built or does not come up.
+/// The gateway cannot be built or does not start. The message is one line.
 pub fn run(stop: &Arc<AtomicBool>, mut say: impl FnMut(&str)) -> Result<(), String> {
     let (meter, rates) = (Arc::new(Meter::default()), Arc::new(rates()));
     let mut servers = Vec::new();
@@ -66,7 +70,7 @@
             if !cores.work(WORK) {
                 return not_started(to);
             }
-            // A gateway tells servers nothing of accounts; the ids of this demo's members do.
+            // A gateway does not forward accounts to servers, so this demo encodes the customer in the request's id.
             let id = m.header("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
             let member = ((id >> 40) as usize).checked_sub(1).and_then(|n| MEMBERS.get(n));
             let percent = member.map(|(plan, account, _)| {
@@ -78,7 +82,7 @@
     }
     let discovery = Discovery::new(list(1, true, &servers));
     let gateway = Program::start_with_operator_listener(&locate()?, EXAMPLE, discovery.address, None)?;
-    say(&format!("a gateway listens on {} before three servers of two cores each", gateway.address));
+    say(&format!("a gateway listens on {} in front of three servers of two cores each", gateway.address));
     say("try it, or press Ctrl-C to end:");
     say(&format!(
         "  curl -i http://{}/api -H 'Request-Id: 00000000000000ff' -H 'Request-Class: quote' -H 'Plan: workshop' \
@@ -93,7 +97,7 @@
     let counts: Arc<Mutex<BTreeMap<&str, Count>>> = Arc::default();
     let mut members = Vec::new();
     for (n, (plan, account, rate)) in MEMBERS.into_iter().enumerate() {
-        // Each asks on a few connections, so that a slow answer does not slow its asking.
+        // Each customer uses a few connections, so that a slow response does not delay its other requests.
         for lane in 0..4u64 {
             let (stop, counts, address) = (stop.clone(), counts.clone(), gateway.address);
             members.push(thread::spawn(move || {
@@ -112,7 +116,7 @@
                     id += 1;
                     let class = ["quote", "quote", "confirm", "book-slot"][(id % 4) as usize];
                     let text = request(class, id, plan, account, 2.0);
-                    // A gateway lets idle clients go; one that has idled for long may be on its way out.
+                    // A gateway closes idle connections, so one that was idle for longer is not used again.
                     let kept = client.take().filter(|(_, used)| used.elapsed() < IDLE).map(|(c, _)| c);
                     let mut on = kept.or_else(|| Client::try_connect(address));
                     let status = on.as_mut().and_then(|c| c.try_ask(&text)).map(|m| m.status());
--- a/crates/testing/test-harness/src/fleet.rs
+++ b/crates/testing/test-harness/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Stand-in servers that work: so many at a time, with a waiting room, a meter of what each customer used, and
-//! a ledger of what ran.
+//! Stand-in servers: they work on a limited number of requests at a time, queue a limited number of others, and meter
+//! what each customer uses.
 
 use crate::peers::{read, write_text, Message};
 use std::collections::HashMap;
@@ -9,18 +9,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Answers a request on its connection; false closes the connection.
+/// Responds to a request on its connection, and returns false to close the connection.
 pub type Script = dyn Fn(&Message, &mut TcpStream) -> bool + Send + Sync;
 
-/// A lock whose holder died is as good as any other here.
+/// Locks a mutex, also one that is poisoned by a panic of its holder.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Serves on a port of its own, a thread to each connection, until the process ends.
+/// Starts a server on its own port, with a thread per connection, that runs until the process ends.
 ///
 /// # Errors
-/// If there is no port to be had.
+/// No port can be bound.
 pub fn serve(script: Arc<Script>) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
@@ -43,8 +43,10 @@
     Ok(address)
 }
 
+/// Metering period.
 const PERIOD: Duration = Duration::from_millis(500);
 
+/// Units that a customer used in the current period and in the one before.
 #[derive(Clone, Copy, Default)]
 struct Use {
     period: u64,
@@ -52,7 +54,7 @@
     last: f64,
 }
 
-/// What each customer used in the last finished period, over all servers.
+/// Usage of each customer over all servers, by period.
 pub struct Meter {
     started: Instant,
     used: Mutex<HashMap<String, Use>>,
@@ -65,7 +67,7 @@
 }
 
 impl Meter {
-    /// Books units; what the customer used in the last period, in units a second.
+    /// Adds units to the customer's usage, and returns its usage in the last finished period, in units a second.
     pub fn record_usage(&self, account: &str, units: f64) -> f64 {
         let period = (self.started.elapsed().as_millis() / PERIOD.as_millis()) as u64;
         let mut used = lock(&self.used);
@@ -79,9 +81,9 @@
     }
 }
 
-/// A server's cores and its waiting room.
+/// Cores of a server, and its queue for them.
 pub struct Cores {
-    /// Free cores, and how many wait.
+    /// Number of free cores, and of waiting requests.
     state: Mutex<(usize, usize)>,
     free: Condvar,
     room: usize,
@@ -92,7 +94,7 @@
         Cores { state: Mutex::new((cores, 0)), free: Condvar::new(), room }
     }
 
-    /// Works for so long in its turn. False if the waiting room is full: nothing was begun.
+    /// Waits for a core and occupies it for `time`. Returns false if the queue is full: nothing was started.
     pub fn work(&self, time: Duration) -> bool {
         let mut state = lock(&self.state);
         if state.1 >= self.room {
@@ -111,17 +113,17 @@
     }
 }
 
-/// Turned away unseen.
+/// Responds 503 with the header that says the request was not started.
 pub fn not_started(to: &mut TcpStream) -> bool {
     write_text(to, "HTTP/1.1 503 Service Unavailable\r\nNot-Started: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// The body of a good answer to this request.
+/// Returns the body of a successful response to this request.
 pub fn body(message: &Message) -> String {
     format!("for {}\n", message.header("request-id").unwrap_or("nobody"))
 }
 
-/// A good answer, with the customer's use in percent of its rate if that is known.
+/// Responds 200, with the customer's usage in percent of its rate if that is known.
 pub fn good(to: &mut TcpStream, body: &str, percent: Option<f64>) -> bool {
     let meter = percent.map_or(String::new(), |p| format!("Usage-Percent: {p:.0}\r\n"));
     write_text(
--- a/crates/testing/test-harness/src/gate.rs
+++ b/crates/testing/test-harness/src/gate.rs
@@ -1,6 +1,6 @@
-//! A lossy link: a proxy on a port of its own whose two directions can be cut and healed. What is cut is
-//! silent; nothing is reset, unless it is told to break. And such links for all ordered pairs of processes: who reaches
-//! whom through which is known, since each pair has a port of its own.
+//! TCP proxies that inject network faults. Each proxy listens on its own port, and each of its two directions can be cut
+//! and restored. A cut direction delivers nothing, and the connection is reset only by [`Gate::end_all`]. [`Gates`] has a
+//! proxy for every ordered pair of processes: each pair has its own port, so both ends of a connection are known.
 
 use crate::bed::Link;
 use std::io::{ErrorKind, Read, Write};
@@ -12,15 +12,16 @@
 
 #[derive(Default)]
 struct State {
-    /// Towards the server, and back.
+    /// Whether each direction is cut: to the server, and back.
     cut: [AtomicBool; 2],
-    /// How long what comes waits, in microseconds.
+    /// Delay of each direction, in microseconds.
     delay: [AtomicU64; 2],
-    /// Connections that began before the last break have ended.
+    /// Number of calls of `end_all`: connections of an earlier generation are closed.
     broken: AtomicU64,
     bytes: AtomicU64,
 }
 
+/// A TCP proxy in front of one server.
 #[derive(Clone)]
 pub struct Gate {
     pub address: SocketAddr,
@@ -28,8 +29,10 @@
 }
 
 impl Gate {
+    /// Starts a proxy for the server at `to`.
+    ///
     /// # Errors
-    /// If there is no port to be had.
+    /// No port can be bound.
     pub fn new(to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let gate = Gate { address: listener.local_addr()?, state: Arc::default() };
@@ -49,24 +52,24 @@
         Ok(gate)
     }
 
-    /// Cuts or heals: towards the server, and back.
+    /// Cuts or restores each direction: to the server, and back.
     pub fn cut(&self, there: bool, back: bool) {
         self.state.cut[0].store(there, Ordering::Relaxed);
         self.state.cut[1].store(back, Ordering::Relaxed);
     }
 
-    /// From now on what comes waits for so long, towards the server and back. The order stays: it is a stream.
+    /// Sets the delay of each direction: to the server, and back. The order of bytes is kept, since it is a stream.
     pub fn delay(&self, there: Duration, back: Duration) {
         self.state.delay[0].store(there.as_micros() as u64, Ordering::Relaxed);
         self.state.delay[1].store(back.as_micros() as u64, Ordering::Relaxed);
     }
 
-    /// Ends every connection that is up, whatever is under way on it.
+    /// Closes every open connection, also with data in flight.
     pub fn end_all(&self) {
         self.state.broken.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Bytes that have passed, both ways.
+    /// Returns the bytes forwarded in both directions.
     pub fn bytes(&self) -> u64 {
         self.state.bytes.load(Ordering::Relaxed)
     }
@@ -86,7 +89,7 @@
         }
         match from.read(&mut bytes) {
             Ok(n) if n > 0 => {
-                // Not read further meanwhile: what comes after waits behind it.
+                // Nothing is read during the delay: later bytes queue behind these.
                 thread::sleep(Duration::from_micros(state.delay[way].load(Ordering::Relaxed)));
                 let ended = || state.broken.load(Ordering::Relaxed) != life;
                 while state.cut[way].load(Ordering::Relaxed) && !ended() {
@@ -107,28 +110,28 @@
     }
 }
 
-/// Links for streams between processes, one for each ordered pair.
+/// TCP proxies between processes, one for each ordered pair.
 pub struct Gates {
     gates: Vec<Vec<Gate>>,
 }
 
 impl Gates {
-    /// So many processes that call those which listen there.
+    /// Starts a proxy from each of `callers` processes to each of `servers`.
     ///
     /// # Errors
-    /// If there is no port to be had.
+    /// No port can be bound.
     pub fn new(callers: usize, servers: &[SocketAddr]) -> std::io::Result<Self> {
         let row = |_| servers.iter().map(|server| Gate::new(*server)).collect::<Result<_, _>>();
         Ok(Gates { gates: (0..callers).map(row).collect::<Result<_, _>>()? })
     }
 
-    /// Where this caller reaches that server.
+    /// Returns the address at which `caller` reaches `server`.
     pub fn address(&self, caller: usize, server: usize) -> SocketAddr {
         self.gates[caller][server].address
     }
 
-    /// Changes all links: as datagrams fare from a caller to a server and back. Of what a stream knows nothing of, loss
-    /// and doubling, nothing is done: they are delays there.
+    /// Sets the faults of every pair, from caller to server and back. Loss and duplication have no effect: a TCP stream
+    /// would show them only as delay.
     pub fn set(&self, link: impl Fn(usize, usize) -> [Link; 2]) {
         for (caller, row) in self.gates.iter().enumerate() {
             for (server, gate) in row.iter().enumerate() {
@@ -139,7 +142,7 @@
         }
     }
 
-    /// Ends every connection of these pairs.
+    /// Closes every connection of the pairs that `of` selects.
     pub fn end(&self, of: impl Fn(usize, usize) -> bool) {
         for (caller, row) in self.gates.iter().enumerate() {
             row.iter().enumerate().filter(|(server, _)| of(caller, *server)).for_each(|(_, g)| g.end_all());
--- a/crates/testing/test-harness/src/gate/tests.rs
+++ b/crates/testing/test-harness/src/gate/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::time::Instant;
 
-/// Sends back what it is sent.
+/// Starts a server that echoes what it receives.
 fn echo() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -24,7 +24,7 @@
 #[test]
 fn a_link_between_two_is_no_link_of_the_others() {
     let gates = Gates::new(2, &[echo(), echo()]).expect("ports");
-    let connect = |a, b| TcpStream::connect(gates.address(a, b)).expect("it is reached");
+    let connect = |a, b| TcpStream::connect(gates.address(a, b)).expect("the proxy accepts the connection");
     let mut streams = [connect(0, 0), connect(0, 1), connect(1, 0), connect(1, 1)];
     let long = Duration::from_secs(5);
     assert!(streams.iter_mut().all(|s| call(s, long) == Some(b'x')));
@@ -37,9 +37,9 @@
     let began = Instant::now();
     assert_eq!(call(&mut streams[3], long), Some(b'x'));
     assert!(began.elapsed() >= slow);
-    assert_eq!(call(&mut streams[0], Duration::from_millis(200)), None, "nothing gets through");
+    assert_eq!(call(&mut streams[0], Duration::from_millis(200)), None, "the cut direction delivers nothing");
     assert_eq!(call(&mut streams[1], long), Some(b'x'));
-    // What was held back comes when the link is healed, and nothing was lost of it.
+    // A restored direction delivers the held bytes, and loses none.
     gates.set(|_, _| [Link::default(); 2]);
     let mut byte = [0];
     streams[0].set_read_timeout(Some(long)).expect("a limit");
@@ -47,6 +47,6 @@
     gates.end(|a, b| (a, b) == (1, 0));
     let mut rest = Vec::new();
     streams[2].set_read_timeout(Some(long)).expect("a limit");
-    assert!(streams[2].read_to_end(&mut rest).is_ok_and(|n| n == 0), "it has ended");
+    assert!(streams[2].read_to_end(&mut rest).is_ok_and(|n| n == 0), "the connection is closed");
     assert_eq!(call(&mut streams[1], long), Some(b'x'));
 }
--- a/crates/testing/test-harness/src/lib.rs
+++ b/crates/testing/test-harness/src/lib.rs
@@ -1,5 +1,5 @@
-//! Scripted neighbours, load and scenarios around the real program, all on loopback. Tests use the neighbours,
-//! `test-harness` plays the scenarios.
+//! Scripted peers, load generators and scenarios around the real programs, all on loopback. Integration tests use the
+//! scripted peers; the `test-harness` binary runs the scenarios.
 #![forbid(unsafe_code)]
 
 pub mod bed;
--- a/crates/testing/test-harness/src/local_cluster.rs
+++ b/crates/testing/test-harness/src/local_cluster.rs
@@ -1,6 +1,6 @@
-//! The whole system on loopback: three control nodes, three gateways, stand-in backends that heartbeat, an operator.
-//! One control node is killed in the middle, a configuration changes, a backend leaves; what is counted is counted at
-//! clients and backends.
+//! The whole system on loopback: three control nodes, three gateways, stand-in backends that send heartbeats, and an
+//! operator. During the run a backend drains, a control node is killed, the configuration changes and a gateway is
+//! restarted. All counts are taken at clients and backends.
 
 use crate::fleet::{lock, serve};
 use crate::peers::{Client, Message};
@@ -19,41 +19,45 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "cluster",
-    about: "the whole system: a backend leaves, a control node is killed, a gateway told to end, a configuration changed",
+    about: "the whole system: a backend drains, a control node is killed, a gateway is restarted, the configuration changes",
     seconds: 12,
     test_seconds: 7,
     defects: &[
-        ("runs-twice", "the client sends each payment once more under the same id"),
-        ("works-on", "the backend that left is asked by the client itself after its drain"),
+        ("runs-twice", "the client sends each payment a second time under the same id"),
+        ("works-on", "the client itself sends a request to the drained backend"),
     ],
     planted: &[],
     run,
 };
 
+/// Machines of the system, each with a control node and a gateway.
 pub const MACHINES: usize = 3;
 const BACKENDS: usize = 4;
 const HEARTBEAT_MS: u64 = 500;
-/// So long after its drain was acknowledged a backend must get nothing more.
+/// Time after the acknowledgement of its drain from which a backend must get no more requests.
 const DRAIN: Duration = Duration::from_millis(1500);
-/// A gateway that was told to end has so long.
+/// Time in which a gateway must end after SIGTERM.
 const GRACE: Duration = Duration::from_secs(6);
+/// API key of the tenant `members`.
 pub const KEY: &str = "2b9wu3fexd9dnn2ctnfz";
-/// The other tenant's, where there is one.
+/// API key of the tenant `guest`, where there is one.
 pub const TRIAL_TENANT: &str = "s989anu6wsjnbanfqasn";
 
-/// What all backends saw.
+/// Counts over all backends.
 #[derive(Default)]
 pub struct Seen {
-    /// Runs of payments by their id.
+    /// Number of runs of each payment, by its id.
     pub runs: Mutex<HashMap<String, u32>>,
-    /// Of so many payments one is run and not answered; 0: none.
+    /// One payment in this many is run and not answered; 0 for none.
     pub unanswered: AtomicU64,
     twice: AtomicU32,
-    /// Requests with the key, or without the tenant's name.
+    /// Requests that arrived with the API key, or without the tenant's name.
     exposed: AtomicU32,
+    /// Requests that arrived after the backend's drain.
     late: AtomicU32,
 }
 
+/// A stand-in backend.
 pub struct Backend {
     id: String,
     address: SocketAddr,
@@ -62,6 +66,7 @@
     drained: Arc<Mutex<Option<Instant>>>,
 }
 
+/// The processes of one machine.
 struct Machine {
     ip: String,
     folder: PathBuf,
@@ -72,14 +77,14 @@
 impl Drop for Machine {
     fn drop(&mut self) {
         for child in [&mut self.control_plane, &mut self.gateway] {
-            // It may have ended.
+            // It may have ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// The whole system, running.
+/// The running control nodes and gateways.
 pub struct LocalCluster {
     machines: Vec<Machine>,
     front: u16,
@@ -97,13 +102,13 @@
     }
 }
 
-/// Ports that are free on the machines' addresses too, as far as can be known beforehand.
+/// Returns four ports that are free on all the machines' addresses at the time of the call.
 fn ports(ips: &[String]) -> Result<[u16; 4], String> {
     let free = |port: u16| ips.iter().all(|ip| TcpListener::bind((ip.as_str(), port)).is_ok());
     let mut found = Vec::new();
     while found.len() < 4 {
         let any = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
-        // Gateways let each other through, and probe each other, on the two behind the internal one.
+        // The two ports after the internal one are for requests and probes between gateways.
         let behind = found.len() < 3 || free(any.port() + 1) && free(any.port() + 2);
         if any.port() < u16::MAX - 2 && free(any.port()) && behind && !found.contains(&any.port()) {
             found.push(any.port());
@@ -123,28 +128,28 @@
 }
 
 impl LocalCluster {
-    /// Starts all of it, for the first time.
+    /// Starts all processes, as an initial start.
     ///
     /// # Errors
-    /// One line, if it can't be built or started.
+    /// The programs cannot be built or started. The message is one line.
     pub fn open(seed: u64) -> Result<LocalCluster, String> {
         LocalCluster::open_with(seed, MACHINES, HEARTBEAT_MS)
     }
 
-    /// The same with so many machines, each in a zone of its own, and so long between two heartbeats of a backend.
+    /// Starts this number of machines, each in its own zone, with this heartbeat interval of the backends.
     ///
     /// # Errors
-    /// One line, if it can't be built or started.
+    /// The programs cannot be built or started. The message is one line.
     pub fn open_with(seed: u64, machines: usize, beat_ms: u64) -> Result<LocalCluster, String> {
         let (data_plane, control_plane) = locate_system()?;
-        // Tests may run beside each other: each has addresses of its own.
+        // Tests may run at the same time: each uses its own addresses.
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let net = 100 + (u64::from(std::process::id()) + NEXT.fetch_add(1, Relaxed)) % 100;
         let ips: Vec<String> = (1..=machines).map(|n| format!("127.0.{net}.{n}")).collect();
         let [front, readiness, control, inner] = ports(&ips)?;
         let folder =
             std::env::temp_dir().join(format!("granitethread-cluster-{}-{net}-{seed}", std::process::id()));
-        // As the operator's files name them.
+        // In the notation of the settings file.
         let seeds: Vec<String> = ips.iter().take(3).map(|ip| format!("\"{ip}:{control}\"")).collect();
         let seeds = seeds.join(", ");
         let zones: String = (0..machines).map(|n| format!("zone-{n} = \"r\"\n")).collect();
@@ -181,20 +186,22 @@
         Ok(cluster)
     }
 
+    /// Addresses at which gateways serve clients.
     pub fn fronts(&self) -> Vec<SocketAddr> {
         self.at(self.front)
     }
 
+    /// Addresses at which control nodes serve operators and backends.
     pub fn controls(&self) -> Vec<SocketAddr> {
         self.at(self.control)
     }
 
-    /// Where control nodes hear gateways and each other.
+    /// Addresses at which control nodes accept gateways and each other.
     pub fn inners(&self) -> Vec<SocketAddr> {
         self.at(self.inner)
     }
 
-    /// The processes of each machine: its control node, its gateway.
+    /// Process ids of each machine: its control node, its gateway.
     pub fn children(&self) -> Vec<(u32, u32)> {
         self.machines.iter().map(|m| (m.control_plane.id(), m.gateway.id())).collect()
     }
@@ -204,10 +211,10 @@
         all.collect()
     }
 
-    /// Tells a gateway to end, waits until it has, and starts it again. How long it took; none if it had to be killed.
+    /// Restarts a gateway with SIGTERM. Returns how long it took to end, or `None` if it had to be killed or failed.
     ///
     /// # Errors
-    /// One line, if that can't be done.
+    /// The signal cannot be sent, or the gateway cannot be started. The message is one line.
     pub fn roll(&mut self, n: usize) -> Result<Option<Duration>, String> {
         let machine = &mut self.machines[n];
         let began = Instant::now();
@@ -227,10 +234,10 @@
         Ok(ended)
     }
 
-    /// Stops a machine's gateway or control node where it stands, or lets it go on.
+    /// Suspends a machine's gateway or control node with SIGSTOP, or resumes it.
     ///
     /// # Errors
-    /// One line, if no signal can be sent.
+    /// The signal cannot be sent. The message is one line.
     pub fn freeze(&self, n: usize, gateway: bool, frozen: bool) -> Result<(), String> {
         let machine = &self.machines[n];
         let child = if gateway { &machine.gateway } else { &machine.control_plane };
@@ -239,10 +246,10 @@
         told.map(|_| ()).map_err(|e| format!("kill: {e}"))
     }
 
-    /// Kills a control node and starts it again, no more for the first time.
+    /// Kills a control node and starts it again, with `initialStart = false`.
     ///
     /// # Errors
-    /// One line, if that can't be done.
+    /// The process cannot be killed or started, or its settings cannot be changed. The message is one line.
     pub fn kill(&mut self, n: usize) -> Result<(), String> {
         let machine = &mut self.machines[n];
         machine
@@ -260,7 +267,8 @@
     }
 }
 
-/// Calls one after another until one gives a clear answer, as operators and backends do.
+/// Sends a request to one control node after another until one gives a conclusive response, as operators and backends
+/// do. Follows redirects; a 5xx status or a lost connection is retried at the next control node.
 pub fn call(controls: &[SocketAddr], method: &str, path: &str, body: &str, tries: usize) -> Option<Message> {
     let mut next = 0;
     let mut at = None;
@@ -343,7 +351,7 @@
     configured(base, version, prefixes, &[members])
 }
 
-/// The same with these tenants.
+/// Returns a configuration with these tenants.
 pub fn configured(base: u32, version: u32, prefixes: &[&str], tenants: &[serde_json::Value]) -> String {
     let route = |prefix: &&str| {
         json!({"name": format!("r{prefix}"), "host": "desk.example", "pathPrefix": prefix,
@@ -357,12 +365,12 @@
     .to_string()
 }
 
-/// A request of a client, as text.
+/// Returns the text of a client's request.
 fn request(path: &str, id: u64) -> String {
     request_by(KEY, path, id)
 }
 
-/// The same with another key.
+/// Returns the text of a client's request with this API key.
 pub fn request_by(key: &str, path: &str, id: u64) -> String {
     let (method, rest) = match path.contains("pay") {
         true => ("POST", "Content-Length: 5\r\n\r\nhello"),
@@ -374,6 +382,7 @@
     )
 }
 
+/// Requests of the clients, by outcome.
 #[derive(Default)]
 struct Counts {
     asked: u64,
@@ -382,7 +391,7 @@
     failed: u64,
 }
 
-/// Backends that heartbeat until they are stopped; the operator's first configuration.
+/// A cluster with its first configuration, and backends that send heartbeats until it is dropped.
 pub struct Running {
     pub cluster: LocalCluster,
     pub seen: Arc<Seen>,
@@ -404,10 +413,10 @@
     begin_with(seed, &configuration(0, 1, &["/look/", "/pay/"]))
 }
 
-/// The same with this first configuration.
+/// Starts a cluster and its backends with this first configuration, and waits until every gateway serves.
 ///
 /// # Errors
-/// One line, if the system can't be built or does not come up.
+/// The programs cannot be built or do not start. The message is one line.
 pub fn begin_with(seed: u64, first: &str) -> Result<Running, String> {
     let cluster = LocalCluster::open(seed)?;
     let controls = cluster.controls();
@@ -417,13 +426,13 @@
     let stop: Arc<AtomicBool> = Arc::default();
     let taken = call(&controls, "POST", "/-/Configuration.Replace", first, 150);
     if taken.is_none_or(|a| a.status() != 200) {
-        return Err("the first configuration was not taken".into());
+        return Err("the first configuration was not accepted".into());
     }
     let (beats, to, over) = (backends.clone(), controls, stop.clone());
     let beating = thread::spawn(move || {
         while !over.load(Relaxed) {
             for backend in lock(&beats).iter_mut().filter(|b| b.state == "ready") {
-                // One that is lost is made good by the next.
+                // The next heartbeat makes up for a lost one.
                 backend.send_heartbeat(&to, 6);
             }
             thread::sleep(Duration::from_millis(HEARTBEAT_MS / 2));
@@ -445,7 +454,7 @@
     Ok(running)
 }
 
-/// Clients that ask through all gateways in turn until `stop`; each asks again, a few times, what was refused.
+/// Starts clients that send requests to all gateways in turn until `stop`, and send a refused one up to three times.
 fn clients(
     fronts: &[SocketAddr],
     stop: &Arc<AtomicBool>,
@@ -462,7 +471,7 @@
                 let mut status = None;
                 for _ in 0..3 {
                     id += 1;
-                    // As the entry would: where nobody listens it goes to the next.
+                    // As the entry proxy would: if a connection is refused it tries the next gateway.
                     let on = |n: u64| Client::try_connect(fronts[((id + n) as usize) % fronts.len()]);
                     let ask = || (0..3).find_map(on).and_then(|mut c| c.try_ask(&request(path, id)));
                     status = ask().map(|a| a.status());
@@ -498,7 +507,7 @@
     let third = play.time / 3;
     let mut figures = Figures::default();
     thread::sleep(third);
-    // A backend leaves, and the machine that may have heard of it first dies at once.
+    // A backend drains, and the control node that may have heard of it first is killed at once.
     let (left, drained, address) = {
         let mut backends = lock(&running.backends);
         let one = &mut backends[(play.seed % BACKENDS as u64) as usize];
@@ -519,7 +528,7 @@
     let other = configuration(1, 3, &["/look/"]);
     let raced = call(&controls, "POST", "/-/Configuration.Replace", &other, 50).map_or(0, |a| a.status());
     figures.none("another on the same base, taken", usize::from(raced != 412));
-    // A gateway is told to end while all this goes on.
+    // A gateway is restarted meanwhile.
     let rolled = running.cluster.roll(((play.seed + 1) % MACHINES as u64) as usize)?;
     figures.none("gateways that did not end by themselves", usize::from(rolled.is_none()));
     figures.set("a gateway's end, ms", rolled.map_or(0, |d| d.as_millis() as u64));
@@ -557,19 +566,19 @@
     Ok(figures)
 }
 
-/// What the client itself sent past the gateways is not theirs.
+/// Returns the exposed requests, without the one that the client itself sent directly to a backend.
 fn exposed(seen: &Seen, play: &Play) -> usize {
     let count = seen.exposed.load(Relaxed) as usize;
     count.saturating_sub(usize::from(play.has("works-on")))
 }
 
-/// Runs until `stop`, printing a line each second.
+/// Runs the system until `stop`, printing a line each second.
 ///
 /// # Errors
-/// One line, if the system can't be built or does not come up.
+/// The programs cannot be built or do not start. The message is one line.
 pub fn demo(stop: &Arc<AtomicBool>, mut say: impl FnMut(&str)) -> Result<(), String> {
     let running = begin(1)?;
-    say("three control nodes and three gateways before four stand-in backends; try it, or press Ctrl-C to end:");
+    say("three control nodes and three gateways in front of four stand-in backends; try it, or press Ctrl-C to end:");
     let front = running.cluster.fronts()[0];
     say(&format!(
         "  curl -i http://{front}/look/1 -H 'Host: desk.example' -H 'Attempt-Id: 00000000000000ff' \
--- a/crates/testing/test-harness/src/main.rs
+++ b/crates/testing/test-harness/src/main.rs
@@ -1,7 +1,7 @@
-//! `test-harness`: scenarios around the real program, on loopback.
+//! `test-harness`: runs scenarios around the real programs, on loopback.
 //!
-//! Exit status: 0 if every bound held, 1 if one did not or the scenario could not be played, 2 for a command
-//! line that won't do.
+//! Exit status: 0 if every figure was within its bounds, 1 if one was not or the scenario could not be run, 2 for an
+//! invalid command line.
 #![forbid(unsafe_code)]
 
 use clap::Parser;
@@ -17,34 +17,34 @@
 struct Args {
     /// `list`, `demo`, or the name of a scenario
     name: String,
-    /// Settles every random choice of the scenario
+    /// Seed of every random choice of the scenario
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How long it plays, 1 to 600
+    /// Duration of the run in seconds, 1 to 600
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=600))]
     seconds: Option<u64>,
     /// Print the figures as one JSON object on the last line
     #[arg(long)]
     json: bool,
-    /// Have the rig's peers do this wrong: the scenario must fail
+    /// Plant this defect in the scripted peers or the program: the scenario must fail
     #[arg(long, value_name = "NAME")]
     defect: Option<String>,
-    /// Play these faults, as an earlier run printed them
+    /// Inject these faults, as printed by an earlier run
     #[arg(long, value_name = "FAULTS")]
     schedule: Option<String>,
     #[command(flatten)]
     size: Size,
-    /// Print the scenario's defects
+    /// Print the defects that can be planted in the scenario
     #[arg(long)]
     list_defects: bool,
 }
 
-/// A line that survives whoever reads it.
+/// Prints a line and ignores a closed standard output.
 fn say(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-fn wrong(what: &str) -> ExitCode {
+fn usage_error(what: &str) -> ExitCode {
     eprintln!("test-harness: {what}");
     ExitCode::from(2)
 }
@@ -55,7 +55,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let on_signal = stop.clone();
     if let Err(e) = ctrlc::set_handler(move || on_signal.store(true, Ordering::Relaxed)) {
-        return wrong(&format!("cannot listen for signals: {e}"));
+        return usage_error(&format!("cannot listen for signals: {e}"));
     }
     if let Some(seconds) = seconds {
         let stop = stop.clone();
@@ -87,7 +87,7 @@
         _ => {}
     }
     let Some(scenario) = ALL.iter().find(|s| s.name == args.name) else {
-        return wrong(&format!("no scenario is named {:?}; list prints the names", args.name));
+        return usage_error(&format!("no scenario is named {:?}; list prints the names", args.name));
     };
     if args.list_defects {
         scenario.defects.iter().for_each(|(name, what)| say(&format!("{name:20} {what}")));
@@ -99,7 +99,7 @@
     }
     if let Some(name) = &args.defect {
         if scenario.defects.iter().chain(scenario.planted).all(|(known, _)| known != name) {
-            return wrong(&format!("no defect is named {name:?}; --list-defects prints the names"));
+            return usage_error(&format!("no defect is named {name:?}; --list-defects prints the names"));
         }
     }
     let time = Duration::from_secs(args.seconds.unwrap_or(scenario.seconds));
--- a/crates/testing/test-harness/src/peers.rs
+++ b/crates/testing/test-harness/src/peers.rs
@@ -1,5 +1,5 @@
-//! Scripted neighbours of a gateway on loopback: discovery, backends, clients. Everything listens on port 0 and
-//! every wait is for an event, with a limit that only a failure reaches: then it panics, as a test wants.
+//! Scripted peers of a gateway on loopback: discovery, backends and clients. Everything listens on port 0. Every wait
+//! is for an event, with a limit that only a failure reaches: it panics then, which fails the test.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,17 +10,18 @@
 use std::thread;
 use std::time::Duration;
 
+/// Limit of every wait.
 pub const LIMIT: Duration = Duration::from_secs(20);
-/// Numbers requests and files of this process.
+/// Next number for requests and files of this process.
 pub static NUMBER: AtomicU64 = AtomicU64::new(1);
 
-/// A message as it came over the wire: request or answer.
+/// An HTTP message as received: a request or a response.
 #[derive(Debug, Clone)]
 pub struct Message {
     pub start: String,
     headers: HashMap<String, String>,
     pub body: Vec<u8>,
-    /// Which connection of the backend it came on, from 0.
+    /// Number of the backend's connection on which it arrived, from 0.
     pub connection: usize,
 }
 
@@ -34,7 +35,7 @@
     }
 }
 
-/// Reads one message; None at the end of the connection, clean or not.
+/// Reads one message. Returns `None` at the end of the connection, whether clean or not.
 pub fn read(from: &mut impl BufRead, connection: usize) -> Option<Message> {
     let mut start = String::new();
     if from.read_line(&mut start).ok()? == 0 {
@@ -55,15 +56,16 @@
     Some(Message { start: start.trim_end().to_string(), headers, body, connection })
 }
 
+/// A scripted backend.
 pub struct Backend {
     pub address: SocketAddr,
     pub requests: Receiver<Message>,
-    /// The numbers of connections that the gateway ended.
+    /// Numbers of the connections that the gateway closed.
     pub ended: Receiver<usize>,
 }
 
 impl Backend {
-    /// `script` answers a request on its connection; false closes the connection.
+    /// Starts a backend. `script` responds to a request on its connection, and returns false to close the connection.
     pub fn new(script: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -89,42 +91,47 @@
         Backend { address, requests, ended }
     }
 
-    /// Answers every request with a body that names it.
+    /// Starts a backend that responds 200 to every request, with a body that contains the request's id.
     pub fn good() -> Self {
         Backend::new(|m, s| ok(s, &format!("for {}", m.header("request-id").unwrap_or("nobody"))))
     }
 
+    /// Waits for the next request.
     pub fn next(&self) -> Message {
         self.requests.recv_timeout(LIMIT).expect("a request reaches the backend")
     }
 
+    /// Whether no request is queued. Takes one from the queue if there is.
     pub fn received_nothing(&self) -> bool {
         self.requests.try_recv().is_err()
     }
 }
 
+/// Responds 200 with this body. Returns whether it could be written.
 pub fn ok(to: &mut TcpStream, body: &str) -> bool {
     write_text(to, &format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
+/// Writes raw text. Returns whether it could be written.
 pub fn write_text(to: &mut TcpStream, text: &str) -> bool {
     to.write_all(text.as_bytes()).is_ok()
 }
 
 #[derive(Default)]
 struct SharedList {
-    /// Bodies, in order; a call for the whole list gets the latest that is one.
+    /// Revisions and bodies, in order. A call for the whole list gets the latest body that holds the whole list.
     lists: Vec<(u64, String)>,
     calls: usize,
 }
 
-/// Discovery that tells what the test says next.
+/// Discovery that serves the lists which the test publishes.
 pub struct Discovery {
     pub address: SocketAddr,
     told: Arc<(Mutex<SharedList>, Condvar)>,
 }
 
 impl Discovery {
+    /// Starts discovery with `first` as revision 1.
     pub fn new(first: String) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -140,7 +147,7 @@
         d
     }
 
-    /// Discovery that takes calls and answers none.
+    /// Starts discovery that accepts calls and answers none.
     pub fn never_answers() -> Self {
         let d = Discovery::new(String::new());
         d.withdraw_latest();
@@ -169,21 +176,23 @@
         }
     }
 
+    /// Publishes the body of a revision.
     pub fn publish(&self, rev: u64, body: String) {
         self.told.0.lock().expect("not poisoned").lists.push((rev, body));
         self.told.1.notify_all();
     }
 
-    /// Takes the latest back.
+    /// Removes the body that was published last.
     pub fn withdraw_latest(&self) {
         self.told.0.lock().expect("not poisoned").lists.pop();
     }
 
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> usize {
         self.told.0.lock().expect("not poisoned").calls
     }
 
-    /// Waits until the gateway has called so often: it has then taken in what the calls before told.
+    /// Waits until the gateway has called `times` times: it has then applied the answers to the earlier calls.
     pub fn wait_for_calls(&self, times: usize) {
         let t = self.told.0.lock().expect("not poisoned");
         let (_guard, late) =
@@ -192,6 +201,7 @@
     }
 }
 
+/// Returns the body of a revision: the whole list or a change, with the id, address and state of each target.
 pub fn list(rev: u64, all: bool, targets: &[(&str, SocketAddr, &str)]) -> String {
     let targets: Vec<String> = targets
         .iter()
@@ -204,12 +214,14 @@
     format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, targets.join(","))
 }
 
+/// A client with one connection.
 pub struct Client {
     pub stream: TcpStream,
     reader: BufReader<TcpStream>,
 }
 
 impl Client {
+    /// Connects, or panics.
     pub fn connect(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).expect("the gateway accepts");
         stream.set_read_timeout(Some(LIMIT)).expect("a limit");
@@ -217,7 +229,7 @@
         Client { stream, reader }
     }
 
-    /// The same where the gateway may be gone.
+    /// Connects, where the gateway may be gone.
     pub fn try_connect(to: SocketAddr) -> Option<Self> {
         let stream = TcpStream::connect(to).ok()?;
         stream.set_nodelay(true).ok()?;
@@ -226,36 +238,40 @@
         Some(Client { stream, reader })
     }
 
-    /// The answer, if one comes whole.
+    /// Sends a request and returns the response, if a whole one arrives.
     pub fn try_ask(&mut self, text: &str) -> Option<Message> {
         self.stream.write_all(text.as_bytes()).ok()?;
         self.try_answer()
     }
 
+    /// Sends text, or panics.
     pub fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).expect("the gateway reads");
     }
 
+    /// Waits for a whole response, or panics.
     pub fn answer(&mut self) -> Message {
         self.try_answer().expect("a whole answer")
     }
 
+    /// Returns the next response, if a whole one arrives.
     pub fn try_answer(&mut self) -> Option<Message> {
         read(&mut self.reader, 0)
     }
 
+    /// Sends a request and waits for a whole response, or panics.
     pub fn ask(&mut self, text: &str) -> Message {
         self.send(text);
         self.answer()
     }
 
-    /// Whether the gateway has closed the connection, with no further byte.
+    /// Whether the gateway closes the connection without sending another byte.
     pub fn closed(&mut self) -> bool {
         matches!(self.reader.read(&mut [0]), Ok(0))
     }
 }
 
-/// A request of each class, new with every call.
+/// A request of a caller.
 pub struct CallerRequest {
     pub class: &'static str,
     pub id: String,
@@ -263,12 +279,14 @@
     pub timeout: &'static str,
 }
 
+/// Returns a request of this class with a new id.
 pub fn caller_request(class: &'static str) -> CallerRequest {
     let id = format!("{:016x}", NUMBER.fetch_add(1, Ordering::Relaxed));
     CallerRequest { class, id, plan: "basic", timeout: "2.0" }
 }
 
 impl CallerRequest {
+    /// Returns the request as HTTP/1.1 text.
     pub fn text(&self) -> String {
         let CallerRequest { class, id, plan, timeout } = self;
         let (method, rest) = match *class {
--- a/crates/testing/test-harness/src/planners.rs
+++ b/crates/testing/test-harness/src/planners.rs
@@ -1,7 +1,7 @@
-//! The scenario of planners and forwarders: six forwarders, two planners, ten stand-in servers; members that
-//! flood at five times their quota and one that stays within it and moves; planners killed, paused and cut
-//! off at random times. The servers count, not the gateways. Six gateways without the role serve the same
-//! members beside them, for comparison, while all is calm.
+//! Scenario of planners and forwarders: six forwarders, two planners and ten stand-in servers. Some customers send five
+//! times their quota; one stays within its quota and moves between gateways. Planners are killed, suspended and cut off
+//! at random times. All counts are taken at the servers, not at the gateways. For comparison, six gateways without the
+//! role serve the same load next to them during the first half, which has no faults.
 
 use crate::fleet::{lock, serve, Meter};
 use crate::gate::Gate;
@@ -23,34 +23,38 @@
 pub const SCENARIO: Scenario = Scenario {
     name: "planners",
     about:
-        "six forwarders and two planners that are killed, paused and cut off in a flood: no ceiling passed",
+        "six forwarders and two planners that are killed, suspended and cut off during a flood: no hard limit is exceeded",
     seconds: 20,
     test_seconds: 10,
     defects: &[
-        ("guess", "the forwarders run without the role: each guesses from the meter"),
+        ("guess", "the forwarders run without the role: each estimates the usage from the meter"),
         ("no-planners", "no planner is started"),
-        ("wrong-key", "the forwarders have another key than the planners"),
-        ("whole-shares", "every forwarder is told that it is the only one, and no planner is started"),
+        ("wrong-key", "the forwarders have a different key from the planners"),
+        ("whole-shares", "every forwarder is configured as the only one, and no planner is started"),
     ],
     planted: &[],
     run,
 };
 
+/// Number of forwarders.
 pub(crate) const SEATS: usize = 6;
 const SERVERS: usize = 10;
-/// The `partner` plan of this scenario: units a second and units.
+/// Quota of the `partner` plan in this scenario: units a second, and burst in units.
 pub(crate) const QUOTA: (f64, f64) = (60.0, 90.0);
+/// Hard limit of the same plan: units a second, and burst in units.
 const HARD_LIMIT: (f64, f64) = (120.0, 150.0);
-/// The rule's slack: 10%, or one of the largest requests.
+/// Slack of the hard limit, in units: 10%, or one of the largest requests.
 const SLACK: f64 = 15.0;
 const FLOODERS: u64 = 3;
 /// The customer that stays within its quota.
 const GOOD: u64 = FLOODERS;
 
-/// What the servers know: when which units came for whom, each request counted once, and how often each ran.
+/// Requests as the servers saw them.
 #[derive(Default)]
 pub(crate) struct RequestRecord {
+    /// Time, customer and units of each request, counted once however often it ran.
     came: Mutex<Vec<(Instant, u64, f64)>>,
+    /// Number of runs of each request, by its id.
     runs: Mutex<HashMap<u64, u32>>,
 }
 
@@ -64,15 +68,17 @@
     }
 }
 
+/// Returns the customer that a request's id contains.
 pub(crate) fn customer(id: u64) -> u64 {
     id >> 48
 }
 
+/// Returns the units of a request, derived from its id.
 pub(crate) fn units(id: u64) -> f64 {
     (1 + id % 8) as f64
 }
 
-/// A fleet of servers with a ledger of its own, and its list.
+/// Starts stand-in servers with a common record, and the discovery that lists them.
 pub(crate) fn fleet() -> Result<(Arc<RequestRecord>, Discovery), String> {
     let (ledger, meter) = (Arc::<RequestRecord>::default(), Arc::new(Meter::default()));
     let mut targets = Vec::new();
@@ -101,6 +107,7 @@
     Ok((ledger, Discovery::new(list(1, true, &all))))
 }
 
+/// Responds 200 with the billed units and the customer's usage.
 fn billed(to: &mut std::net::TcpStream, units: f64, percent: f64) -> bool {
     crate::peers::write_text(
         to,
@@ -108,7 +115,7 @@
     )
 }
 
-/// The gateways' own file: the example with this scenario's plan and so many siblings.
+/// Returns a gateway's configuration: the example with this scenario's plan and [`SEATS`] siblings.
 pub(crate) fn config(me: usize) -> String {
     let mut config: serde_json::Value = serde_json::from_str(EXAMPLE).expect("the example is JSON");
     let s = &mut config["settings"];
@@ -120,10 +127,14 @@
     config.to_string()
 }
 
-/// Files that are gone with it.
+/// Temporary files, which are removed on drop.
 pub struct Files(pub Vec<PathBuf>);
 
 impl Files {
+    /// Writes a file with this mode. Its name ends with `name`.
+    ///
+    /// # Errors
+    /// The file cannot be written. The message is one line.
     pub fn add(&mut self, name: &str, text: &str, mode: u32) -> Result<PathBuf, String> {
         let number = crate::peers::NUMBER.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("test-harness-{}-{number}-{name}", std::process::id()));
@@ -145,7 +156,7 @@
     play.has("no-planners") || play.has("whole-shares")
 }
 
-/// A planner on addresses of its own, that can be killed and started again on them.
+/// A planner that can be killed and restarted on the same addresses.
 pub(crate) struct Planner {
     pub program: PathBuf,
     pub config: PathBuf,
@@ -163,7 +174,7 @@
         let until = Instant::now() + Duration::from_secs(20);
         while std::net::TcpStream::connect(self.listen).is_err() {
             if Instant::now() > until {
-                return Err("a planner does not come up".into());
+                return Err("a planner did not start".into());
             }
             thread::sleep(Duration::from_millis(10));
         }
@@ -194,7 +205,7 @@
     listener.local_addr().map_err(|e| e.to_string())
 }
 
-/// What clients saw.
+/// Requests of the clients, by outcome.
 #[derive(Clone, Copy, Default)]
 struct Seen {
     asked: usize,
@@ -202,14 +213,14 @@
     refused: usize,
     failed: usize,
     unanswered: usize,
-    /// Held by a forwarder when it was killed: the client's to ask again.
+    /// In flight at a forwarder when it was killed: the client must retry these.
     lost_with_it: usize,
 }
 
-/// When which forwarder was killed last.
+/// Time at which each forwarder was killed last.
 type Killed = Arc<Mutex<HashMap<SocketAddr, Instant>>>;
 
-/// Asks for one customer until `until`, so many a second, at the gateway that `at` names.
+/// Sends one customer's requests until `until`, `rate` a second, each to the gateway that `at` returns.
 fn lane(
     mut id: u64,
     rate: f64,
@@ -369,7 +380,7 @@
     let seats = play.has("whole-shares").then_some(1);
     let mut fleet = forwarders(&program, &mut files, &discovery, role, used_key, seats, play.seed)?;
     let plain = forwarders(&program, &mut files, &other_discovery, None, &key, None, play.seed)?;
-    // Loans are made, and the stores fill.
+    // Wait until the loans are granted and the stores are full.
     thread::sleep(Duration::from_millis(3500));
     let (begun, half) = (Instant::now(), play.time / 2);
     let (calm_until, until) = (begun + half, begun + play.time);
@@ -387,7 +398,7 @@
     let bytes_calm = bytes(&gates) - bytes_before;
     let mut rng = Rng::with_seed(play.seed);
     let mut faults = Vec::new();
-    // Each kind once before any comes again.
+    // Each kind of fault occurs once before any is repeated.
     let mut kinds = Vec::new();
     while Instant::now() + Duration::from_millis(500) < until {
         if kinds.is_empty() {
@@ -408,11 +419,12 @@
             }),
             4 => gates.iter().flatten().for_each(|g| g.cut(true, false)),
             5 => {
-                // With half its leases spent, and back within their life.
+                // Restarted with half its leases spent, and before they expire.
                 lock(&killed).insert(fleet[f].address, Instant::now() + Duration::from_millis(100));
                 fleet[f].restart()?;
             }
-            // For less than a head may take (2.2 s): what was not read by then is closed unanswered.
+            // For less than the limit for a request head (2.2 s): a connection whose head is not read by then is
+            // closed without a response.
             6 => {
                 fleet[f].signal("-STOP");
                 thread::sleep(wait.min(Duration::from_millis(1200)));
@@ -421,7 +433,7 @@
             _ => gates[rng.usize(0..SEATS)][n].cut(false, true),
         }
         thread::sleep(wait.min(until.saturating_duration_since(Instant::now())));
-        // Not everything heals each time.
+        // The links are not restored every time.
         if rng.u32(0..4) > 0 {
             gates.iter().flatten().for_each(|g| g.cut(false, false));
         }
@@ -446,7 +458,7 @@
     let share = |part: usize, all: usize| (1e4 * part as f64 / all.max(1) as f64).round() / 1e4;
     let (here, there) = (share(calm.refused, calm.asked), share(plain_calm.refused, plain_calm.asked));
     f.set("refused_with_room_guessing", there);
-    // At most a third of what guessing refuses; and where that refuses next to nothing, next to nothing.
+    // At most a third of the share that is refused without the role, or 1% if that is larger.
     f.bound("refused_with_room", here, 0.0, (there / 3.0).max(0.01));
     let runs = lock(&ledger.runs);
     f.none("book_slots_run_twice", runs.iter().filter(|(id, n)| *id % 3 == 2 && **n > 1).count());
@@ -460,7 +472,8 @@
     Ok(f)
 }
 
-/// The most by which a customer was past its ceiling, over every window: a store of the whole, full at first.
+/// Returns the most units by which a customer exceeded its hard limit over any window, according to a token bucket for
+/// the whole fleet that is full at first.
 fn overrun(came: &[(Instant, u64, f64)], who: u64) -> f64 {
     let mut all: Vec<_> = came.iter().filter(|c| c.1 == who).collect();
     all.sort_by_key(|c| c.0);
--- a/crates/testing/test-harness/src/planning_cost.rs
+++ b/crates/testing/test-harness/src/planning_cost.rs
@@ -1,5 +1,5 @@
-//! What the role costs at a working load: a forwarder with its planner, and beside it a gateway without the role,
-//! each asked the same, within the quotas.
+//! CPU cost of the forwarder's role under load: a forwarder with its planner, and next to it a gateway without the role,
+//! both with the same requests, which are within the quotas.
 
 use crate::fleet::lock;
 use crate::peers::Client;
@@ -14,7 +14,7 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "planning-cost",
-    about: "CPU per request of a forwarder beside a gateway without the role, 400 requests a second each",
+    about: "CPU per request of a forwarder and of a gateway without the role, 400 requests a second each",
     seconds: 20,
     test_seconds: 4,
     defects: &[("no-planner", "no planner is started: the forwarder serves from its own share alone")],
@@ -23,21 +23,21 @@
 };
 
 const LANES: u64 = 16;
-/// Requests a second of each lane.
+/// Requests a second on each connection.
 const RATE: f64 = 25.0;
-/// Customers in turn on each lane: so that each stays within its quota.
+/// Customers that take turns on each connection, so that each stays within its quota.
 const CUSTOMERS: u64 = 8;
-/// Shorter runs are too few clock ticks to tell a few parts in a hundred.
+/// Minimum duration of a run for a bound on the CPU cost: a shorter run has too few clock ticks to resolve a few percent.
 const JUDGED: Duration = Duration::from_secs(15);
 
-/// What came back of one gateway.
+/// Counts of one gateway's requests and of its successful responses.
 #[derive(Default)]
 struct Answers {
     asked: AtomicUsize,
     served: AtomicUsize,
 }
 
-/// Asks this gateway on one connection, for its own customers in turn.
+/// Sends requests to this gateway on one connection, for the connection's own customers in turn.
 fn lane(lane: u64, to: SocketAddr, begin: Instant, until: Instant, answers: &Answers) {
     let Some(mut client) = Client::try_connect(to) else { return };
     let pause = Duration::from_secs_f64(1.0 / RATE);
@@ -65,7 +65,7 @@
     }
 }
 
-/// How many seats' shares the planner says that it counts.
+/// Returns the number of seats whose shares are lent to the planner, as it reports them.
 fn lent(state: SocketAddr) -> usize {
     let Some(mut client) = Client::try_connect(state) else { return 0 };
     let answer = client.try_ask("GET /planner/state HTTP/1.1\r\nHost: planner\r\n\r\n");
@@ -97,7 +97,7 @@
     let forwarder =
         Program::start_with_operator_file(&program, &config(0), discovery.address, Some(&operator))?;
     let plain = Program::start_with_operator_file(&program, &config(0), other_discovery.address, None)?;
-    // The loan is made; what is granted gathers while requests come, and is judged after.
+    // Wait until the loan is granted. Grants follow once requests arrive, so the figures are taken after a warm-up.
     thread::sleep(Duration::from_millis(2500));
     let begin = Instant::now();
     let warm = begin + Duration::from_secs(2);
@@ -125,7 +125,7 @@
     let rounded = |v: f64| (1000.0 * v).round() / 1000.0;
     let mut f = Figures::default();
     f.set("asked", asked[0] - asked_before[0]);
-    // Those asked before the time and answered in it make a little more than all.
+    // Requests sent before the measured span and answered in it can make the share a little more than 1.
     f.bound("served_share", rounded(share(0)), 0.97, 1.02);
     f.bound("served_share_without_the_role", rounded(share(1)), 0.97, 1.02);
     f.bound("seats_lent", lent as f64, 1.0, 1.0);
--- a/crates/testing/test-harness/src/program.rs
+++ b/crates/testing/test-harness/src/program.rs
@@ -10,26 +10,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The example of a gateway's own file that stands in the repository.
+/// Example of a gateway's configuration file, from the repository.
 pub const EXAMPLE: &str = include_str!("../../../../deploy/gateway.example.json");
 
-/// Where the program stands: beside this one, built first when cargo started this one.
+/// Returns the path of the gateway's program, in the folder of this program. Builds it first if cargo started this
+/// program.
 ///
 /// # Errors
-/// One line, if it can't be built or is not there.
+/// The program cannot be built or does not exist. The message is one line.
 pub fn locate() -> Result<PathBuf, String> {
     let (program, build) = beside()?;
-    // A test's programs were built with it.
+    // Cargo has already built the programs that a test needs.
     if let Some(mut build) = build {
         cargo(&mut build)?;
     }
     there(program)
 }
 
-/// The same program with planted defects, in a folder of its own so that it is never taken for the other.
+/// Returns the path of the gateway's program with planted defects. It has its own target folder, so that it cannot be
+/// mistaken for the program without defects.
 ///
 /// # Errors
-/// One line, if it can't be built: that takes cargo, or an earlier run that had it.
+/// The program cannot be built, or this program was not started by cargo and no earlier run has built it. The message
+/// is one line.
 pub fn locate_with_defects() -> Result<PathBuf, String> {
     let (program, _) = beside()?;
     let folder = program.parent().unwrap_or(Path::new("."));
@@ -46,7 +49,7 @@
     if program.exists() {
         Ok(program)
     } else {
-        Err(format!("{} is not there: cargo build --release builds it", program.display()))
+        Err(format!("{} does not exist: build it with cargo build --release", program.display()))
     }
 }
 
@@ -59,10 +62,10 @@
     }
 }
 
-/// Where the whole system's programs stand, built first like the gateway's: the data plane's and the control plane's.
+/// Returns the paths of the data plane's and the control plane's program. Builds them first, like the gateway's.
 ///
 /// # Errors
-/// One line, if they can't be built or are not there.
+/// The programs cannot be built or do not exist. The message is one line.
 pub fn locate_system() -> Result<(PathBuf, PathBuf), String> {
     let (gateway, testing) = place()?;
     let folder = gateway.parent().unwrap_or(Path::new("."));
@@ -77,7 +80,7 @@
     Ok((there(data_plane)?, there(control_plane)?))
 }
 
-/// What builds it, if cargo started this program.
+/// Returns the command that builds these packages, if cargo started this program.
 fn build(release: bool, packages: &[&str]) -> Option<Command> {
     let mut build = Command::new(env::var_os("CARGO")?);
     build.args(["build", "--quiet", "--locked"]).args(packages);
@@ -88,12 +91,12 @@
     Some(build)
 }
 
-/// What builds the gateway in service.
+/// Cargo's arguments for the gateway's program.
 const GATEWAY: [&str; 4] = ["--package", "granitehub", "--bin", "granitethread"];
 
-/// Where it stands, and whether a test asks.
+/// Returns the path of the gateway's program, and whether the caller is a test.
 fn place() -> Result<(PathBuf, bool), String> {
-    let me = env::current_exe().map_err(|e| format!("where this program stands: {e}"))?;
+    let me = env::current_exe().map_err(|e| format!("the path of this program: {e}"))?;
     let mut folder = me.parent().unwrap_or(Path::new("."));
     let testing = folder.ends_with("deps");
     if testing {
@@ -102,7 +105,7 @@
     Ok((folder.join("granitethread"), testing))
 }
 
-/// Where it stands, and what builds it if that is wanted.
+/// Returns the path of the gateway's program, and the command that builds it if it has to be built.
 fn beside() -> Result<(PathBuf, Option<Command>), String> {
     let (program, testing) = place()?;
     let folder = program.parent().unwrap_or(Path::new("."));
@@ -110,7 +113,7 @@
     Ok((program, build))
 }
 
-/// What an upgrade in service hands to each process of one gateway.
+/// Listening socket and folder that the processes of one gateway share during an upgrade.
 pub struct Shared<'a> {
     pub socket: &'a TcpListener,
     pub folder: &'a Path,
@@ -120,7 +123,7 @@
 pub struct Program {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where it takes operators' calls, if it does.
+    /// Address of its operator listener, if it has one.
     pub operators: Option<SocketAddr>,
     /// Lines of its log.
     pub log: Receiver<String>,
@@ -129,18 +132,18 @@
 }
 
 impl Program {
-    /// Starts one on a port of its own with this configuration and discovery.
+    /// Starts a gateway on its own port with this configuration and discovery.
     ///
     /// # Errors
-    /// One line, if it does not come up.
+    /// It does not start. The message is one line.
     pub fn start(program: &Path, config: &str, discovery: SocketAddr) -> Result<Self, String> {
         Program::start_with_operator_file(program, config, discovery, None)
     }
 
-    /// The same with an operators' file.
+    /// Starts a gateway that also reads an operator's file.
     ///
     /// # Errors
-    /// One line, if it does not come up.
+    /// It does not start. The message is one line.
     pub fn start_with_operator_file(
         program: &Path,
         config: &str,
@@ -154,10 +157,11 @@
         Program::from(command, file)
     }
 
-    /// One that takes operators' calls too, on a port of its own, and may share its socket with another.
+    /// Starts a gateway with an operator listener on its own port, which may share its listening socket with another
+    /// process.
     ///
     /// # Errors
-    /// One line, if it does not come up.
+    /// It does not start. The message is one line.
     pub fn start_with_operator_listener(
         program: &Path,
         config: &str,
@@ -174,10 +178,11 @@
         Program::from(command, file)
     }
 
-    /// One with an operators' file that takes operators' calls too; `defect` is for what was built with them.
+    /// Starts a gateway with an operator's file and an operator listener. `defect` needs a program that was built with
+    /// planted defects.
     ///
     /// # Errors
-    /// One line, if it does not come up.
+    /// It does not start. The message is one line.
     pub fn start_member(
         program: &Path,
         config: &str,
@@ -205,7 +210,7 @@
         }
     }
 
-    /// An operator's call: its status and body, if an answer came within a second.
+    /// Sends a request to the operator listener. Returns the status and body of the response, if it arrives within 1 s.
     pub fn call(&self, start: &str, body: &str) -> Option<(u16, Vec<u8>)> {
         let text = format!("{start} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let mut client = crate::peers::Client::try_connect(self.operators?)?;
@@ -214,7 +219,7 @@
         Some((answer.status(), answer.body))
     }
 
-    /// Its open descriptors, and the most memory that it has had, in kB. None once it has ended.
+    /// Returns its number of open descriptors and its peak resident memory in kB, or `None` once it has ended.
     pub fn resource_usage(&self) -> Option<(usize, usize)> {
         let open = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).ok()?.count();
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
@@ -222,10 +227,10 @@
         Some((open, line.split_whitespace().nth(1)?.parse().ok()?))
     }
 
-    /// Kills it and starts another on the same address, with the same files.
+    /// Kills the process and starts another on the same address, with the same files.
     ///
     /// # Errors
-    /// One line, if it does not come up.
+    /// It does not start. The message is one line.
     pub fn restart(&mut self) -> Result<(), String> {
         self.kill();
         self.command.env("LB_LISTEN", self.address.to_string());
@@ -233,24 +238,25 @@
         Ok(())
     }
 
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = (self.child.kill(), self.child.wait());
     }
 
-    /// Sends it a signal, by its name with a dash.
+    /// Sends a signal, given as an option of `kill`, such as `-STOP`.
     pub fn signal(&self, name: &str) {
         let _ = Command::new("kill").args([name, &self.child.id().to_string()]).status();
     }
 
-    /// Asks it to drain and waits until it has gone.
+    /// Sends SIGTERM, which starts the drain, and waits for the end of the process.
     ///
     /// # Errors
-    /// One line, if it has not gone within `limit`.
+    /// It has not ended within `limit`. The message is one line.
     pub fn drain(&mut self, limit: Duration) -> Result<ExitStatus, String> {
         let id = self.child.id().to_string();
         let told = Command::new("kill").args(["-TERM", &id]).status();
         if !told.is_ok_and(|s| s.success()) {
-            return Err("it could not be told to end".into());
+            return Err("SIGTERM could not be sent".into());
         }
         let until = Instant::now() + limit;
         loop {
@@ -264,7 +270,7 @@
     }
 }
 
-/// What starts it, with its configuration in a file of its own.
+/// Returns the command that starts a gateway, and the file to which its configuration was written.
 fn command(program: &Path, config: &str, discovery: SocketAddr) -> Result<(Command, PathBuf), String> {
     let number = crate::peers::NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let name = format!("test-harness-{}-{number}.json", std::process::id());
@@ -285,12 +291,12 @@
 
 type Started = (Child, SocketAddr, Option<SocketAddr>, Receiver<String>);
 
-/// Starts it, and waits until it says where it listens.
+/// Starts the process, and waits until it logs its addresses.
 fn spawn(command: &mut Command) -> Result<Started, String> {
     let operated = command.get_envs().any(|(name, value)| name == "LB_OPERATOR" && value.is_some());
     let mut child =
         command.spawn().map_err(|e| format!("{}: {e}", command.get_program().to_string_lossy()))?;
-    let Some(stderr) = child.stderr.take() else { return Err("its log is lost".into()) };
+    let Some(stderr) = child.stderr.take() else { return Err("its standard error is not piped".into()) };
     let mut lines = BufReader::new(stderr).lines();
     let mut told = |before: &str| -> Result<SocketAddr, String> {
         let line = lines.next().and_then(Result::ok).unwrap_or_default();
--- a/crates/testing/test-harness/src/request_lifecycle.rs
+++ b/crates/testing/test-harness/src/request_lifecycle.rs
@@ -1,6 +1,6 @@
-//! The scenario of the request's life: servers that fail in every way, a list that drains and brings back,
-//! clients that leave, and at the end a drain of the gateway. A ledger on both sides tells what ran and what
-//! was answered.
+//! Scenario of the request lifecycle: servers that fail in every way, discovery that drains servers and restores them,
+//! clients that disconnect, and at the end a drain of the gateway. Records at servers and clients show which requests ran
+//! and which were answered.
 
 use crate::demo::request;
 use crate::fleet::{body, good, lock, not_started, serve};
@@ -18,14 +18,14 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "lives",
-    about: "servers that fail in every way, drains, clients that leave: one truthful answer each",
+    about: "servers that fail in every way, drains, clients that disconnect: one truthful response to each request",
     seconds: 10,
     test_seconds: 6,
     defects: &[
-        ("lying-refusal", "servers say that they have not started what they have run"),
-        ("foreign-answer", "servers answer with what was made for another"),
-        ("deaf-list", "the list drains a server and does not tell the gateway"),
-        ("hung-gateway", "the gateway is stopped for a while with requests in hand"),
+        ("lying-refusal", "servers report requests as not started that they have run"),
+        ("foreign-answer", "servers respond with the body of another request"),
+        ("deaf-list", "a server is drained, but discovery does not notify the gateway"),
+        ("hung-gateway", "the gateway is suspended for a while with requests in flight"),
     ],
     planted: &[],
     run,
@@ -33,31 +33,34 @@
 
 const SERVERS: usize = 3;
 const LANES: u64 = 16;
-/// The drain's grace, and what a machine under load may add to it.
+/// Grace period of the drain, plus the delay of a loaded machine.
 const GRACE: Duration = Duration::from_millis(500 + 500);
-/// What a machine under load may add to a request's time.
+/// Delay that a loaded machine may add to a request.
 const SLACK: Duration = Duration::from_millis(1000);
 
-/// What the servers know.
+/// Requests as the servers saw them.
 #[derive(Default)]
 struct RequestRecord {
-    /// How often each request has run or may have, by its id.
+    /// Number of runs or possible runs of each request, by its id.
     runs: Mutex<HashMap<String, u32>>,
-    /// Since when each server is drained.
+    /// Time at which each server was drained, if it is.
     drained: Mutex<[Option<Instant>; SERVERS]>,
+    /// Attempts that reached a drained server after the grace period.
     after_drain: AtomicUsize,
     attempts: AtomicUsize,
 }
 
-/// What became of a client's request.
+/// Outcome of a client's request.
 struct Answered {
     id: String,
     class: &'static str,
     timeout: Duration,
     took: Duration,
-    /// None if it left by itself.
+    /// Whether the client waited for the response; false if it disconnected.
     stayed: bool,
+    /// Status of the response; `None` without a response.
     status: Option<u16>,
+    /// Whether the body is that of this request's response.
     own: bool,
 }
 
@@ -91,7 +94,7 @@
                 false
             }
             29..=31 => {
-                // Far too late: the gateway has given up by then, and it must reach nobody.
+                // Later than every timeout: the gateway has given up by then, and this response must reach no client.
                 thread::sleep(Duration::from_millis(2700));
                 good(to, &body(m), None)
             }
@@ -106,7 +109,7 @@
     })
 }
 
-/// One client after another on a lane, until `until`.
+/// Runs one client after another, until `until`.
 fn lane(n: u64, play: &Play, to: SocketAddr, until: Instant) -> Vec<Answered> {
     let mut rng = Rng::with_seed(play.seed.wrapping_add(n).wrapping_mul(0x2545_f491_4f6c_dd1d));
     let (mut all, mut client) = (Vec::new(), None::<Client>);
@@ -121,14 +124,14 @@
         let mut answered =
             Answered { id, class, timeout, took: Duration::ZERO, stayed: true, status: None, own: true };
         match rng.u32(0..100) {
-            // Leaves with the request whole, at once or a little later.
+            // Disconnects after the complete request, at once or up to 40 ms later.
             0..=9 => {
                 answered.stayed = false;
                 let _ = on.stream.write_all(text.as_bytes());
                 thread::sleep(Duration::from_millis(rng.u64(0..40)));
                 let _ = on.stream.shutdown(Shutdown::Both);
             }
-            // Leaves in the middle of it.
+            // Disconnects in the middle of the request.
             10..=13 => {
                 answered.stayed = false;
                 let _ = on.stream.write_all(&text.as_bytes()[..rng.usize(1..text.len())]);
@@ -160,7 +163,7 @@
     let mut gateway = Program::start(&locate()?, EXAMPLE, discovery.address)?;
     discovery.wait_for_calls(2);
     let (until, over) = (Instant::now() + play.time, Arc::new(AtomicBool::new(false)));
-    // One server after another is drained for a while.
+    // Drain one server after another for a while.
     let changes = {
         let (ledger, discovery, over, addresses) =
             (ledger.clone(), discovery.clone(), over.clone(), addresses.clone());
@@ -201,10 +204,10 @@
     }
     let mut asked: Vec<Answered> = Vec::new();
     for lane in lanes {
-        asked.extend(lane.join().map_err(|_| "a client was lost")?);
+        asked.extend(lane.join().map_err(|_| "a client thread panicked")?);
     }
     over.store(true, Ordering::Relaxed);
-    changes.join().map_err(|_| "the list was lost")?;
+    changes.join().map_err(|_| "the discovery thread panicked")?;
     let status = gateway.drain(Duration::from_secs(20))?;
     let panicked =
         gateway.log.try_iter().filter(|l| l.contains("panicked") || l.contains("lifecycle:")).count();
--- a/crates/testing/test-harness/src/scale.rs
+++ b/crates/testing/test-harness/src/scale.rs
@@ -1,6 +1,6 @@
-//! How far a control plane goes: real control nodes and gateways on loopback, beside them hollow gateways and hollow
-//! backends, many in this process. What a control node spends is its threads' time on a processor, so that a busy
-//! machine does not count.
+//! Scale of a control plane: real control nodes and gateways on loopback, together with many hollow gateways and
+//! backends, which are simulated in this process. A control node's cost is the CPU time of its threads, so that other
+//! load on the machine does not count.
 
 mod hollow;
 mod meter;
@@ -16,37 +16,37 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "scale",
-    about: "real control nodes before hollow gateways and backends, a configuration changed again and again: what each spends",
+    about: "real control nodes with many hollow gateways and backends, and repeated configuration changes: the cost of each",
     seconds: 24,
     test_seconds: 6,
     defects: &[
-        ("deaf", "one gateway hears nothing of the last configuration"),
-        ("silent", "one backend in four never beats"),
-        ("counts-twice", "each answer to an ask for rights is counted twice"),
+        ("deaf", "one gateway ignores the last configuration"),
+        ("silent", "one backend in four sends no heartbeats"),
+        ("counts-twice", "the units of each lease grant are counted more than once"),
     ],
     planted: &[],
     run,
 };
 
-/// What is played if nothing else is said.
+/// Default sizes.
 const GATEWAYS: usize = 40;
 const BACKENDS: usize = 200;
 const ROUTES: usize = 100;
 const TENANTS: usize = 40;
 const CONTROL_NODES: usize = 3;
 const CHANGES: usize = 3;
-/// Machines with a control node and a gateway each, at the most, and hollow ones of either kind.
+/// Limits of the number of machines, and of hollow gateways and hollow backends.
 const MAX_CONTROL_NODES: usize = 28;
 const MOST: usize = 12_000;
 const HEARTBEAT_MS: u64 = 1500;
-/// The operators want a change in force everywhere within so long.
+/// Time within which operators need a change in force at every gateway.
 const IN_FORCE: Duration = Duration::from_secs(18);
-/// The whole comes up within so long, or within three times as long as it is to be played.
+/// Time in which everything must have started; three times the duration of the run, if that is shorter.
 const UP: Duration = Duration::from_secs(60);
-/// Each tenant's, a second, and its burst.
+/// Rate of each tenant, a second, and its burst.
 const RATE: usize = 146;
 
-/// How large it is.
+/// Size of a run, with the defaults applied.
 struct Size {
     gateways: usize,
     backends: usize,
@@ -83,7 +83,7 @@
     }
 
     fn configuration(&self, base: u32, version: u32) -> String {
-        // Each version moves ten routes.
+        // Each version changes ten routes.
         let moved = |n: usize| n / 10 == version as usize % self.routes.div_ceil(10);
         let prefix = |n| if moved(n) { format!("/lohu{n}/{version}/") } else { format!("/lohu{n}/") };
         let prefixes: Vec<String> = (0..self.routes).map(prefix).collect();
@@ -104,12 +104,14 @@
 fn run(play: &Play) -> Result<Figures, String> {
     let size = Size::of(play)?;
     let first = size.configuration(0, 1);
-    // Each real process holds it several times, and a control node the list of gateways for each of them.
+    // Each real process holds the configuration several times, and a control node the list of gateways for each gateway.
     let own = 16.0 * first.len() as f64 * size.control_nodes as f64;
     let wanted = (own + 20.0 * (size.gateways as f64).powi(2) * 300.0) / 1e6;
     let free = meter::free_mb();
     if wanted > 0.4 * free {
-        return Err(format!("that takes {wanted:.0} MB, and {free:.0} are free: fewer gateways, or routes"));
+        return Err(format!(
+            "this size needs {wanted:.0} MB, and {free:.0} MB are free: use fewer gateways or routes"
+        ));
     }
     let cluster = LocalCluster::open_with(play.seed, size.control_nodes, HEARTBEAT_MS)?;
     let controls = cluster.controls();
@@ -121,7 +123,7 @@
     let began = Instant::now();
     let taken = call(&controls, "POST", "/-/Configuration.Replace", &first, 150).map_or(0, |a| a.status());
     if taken != 200 {
-        return Err(format!("the first configuration was not taken: {taken}"));
+        return Err(format!("the first configuration was not accepted: {taken}"));
     }
     figures.set("the first configuration taken after, ms", began.elapsed().as_millis() as u64);
     let herd = Herd::start(play, &size, &cluster)?;
@@ -136,7 +138,7 @@
     let part = play.time / 3;
     sleep(part / 3);
     let leader = leader(&controls);
-    // Nothing happens but heartbeats, pulses, rounds and asks.
+    // Measure without changes: only heartbeats, consensus rounds and lease requests.
     let rest = measured(&mut meter, &herd, || sleep(part));
     let (share, span) = (|s: f64| s / rest.span.as_secs_f64(), rest.span.as_secs_f64());
     let cores: Vec<f64> = rest.control_nodes.iter().map(|s| round(share(*s) * 100.0, 2)).collect();
@@ -166,16 +168,16 @@
     figures.none("control nodes and gateways that ended by themselves", meter.ended());
     figures.none("versions that went back", herd.tally().backwards as usize);
     figures.set("links lost", herd.tally().lost);
-    // Lent over all gateways: what flows, the burst, and half a second that may be out.
+    // Units granted over all gateways: the rate, the burst, and half a second's units that may be outstanding.
     let most = herd.age().as_secs_f64() * RATE as f64 + 1.5 * RATE as f64;
     figures.bound("lent of one tenant, of what flows", herd.most_lent() as f64 / most, 0.0, 1.0);
-    // Patience and a heartbeat; who has not beaten for so long is over.
+    // A backend that has sent no heartbeat for the timeout and one interval has expired.
     let seen = herd.backends_seen(Duration::from_secs(8));
     figures.bound("backends that gateways know, of all", seen as f64 / size.backends as f64, 1.0, 1.0);
     Ok(figures)
 }
 
-/// A configuration after another, each on top of the one before, as soon as all have the one before.
+/// Replaces the configuration repeatedly, each time once every gateway has the previous version.
 fn changes(
     play: &Play,
     size: &Size,
@@ -238,8 +240,8 @@
     figures.set("a change: a gateway is told, B", round(told, 0));
 }
 
-/// What was spent in a while: seconds of processor time by control node and by real gateway, and what hollow ones
-/// counted.
+/// Cost during a span of time: CPU seconds by control node and by real gateway, and the counts of the hollow gateways
+/// and backends.
 struct Measured {
     span: Duration,
     control_nodes: Vec<f64>,
@@ -269,7 +271,7 @@
     (value * by).round() / by
 }
 
-/// Which of them holds leadership: the others point to it.
+/// Returns the index of the leader: it answers 400 to an invalid configuration, while the others redirect.
 fn leader(controls: &[std::net::SocketAddr]) -> usize {
     let ask = |to: &std::net::SocketAddr| {
         let text =
@@ -287,5 +289,5 @@
         .unwrap_or(0)
 }
 
-/// Shared with the tasks that play hollow ones.
+/// State that is shared with the tasks of the hollow gateways and backends.
 type Shared = Arc<hollow::GrantedUnits>;
--- a/crates/testing/test-harness/src/scale/hollow.rs
+++ b/crates/testing/test-harness/src/scale/hollow.rs
@@ -1,5 +1,6 @@
-//! Hollow gateways follow a control node, ask for rights and keep nothing but counts; hollow backends heartbeat. All of
-//! them are tasks of two threads.
+//! Hollow gateways and backends. A hollow gateway follows a control node, requests leases and keeps only counts; a
+//! hollow backend sends heartbeats. They are tasks on a few threads: one for every `A_THREAD` gateways, and one for
+//! all backends.
 
 use super::{tenant, Shared, Size, HEARTBEAT_MS};
 use crate::fleet::lock;
@@ -22,41 +23,45 @@
 use tokio::task::LocalSet;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-/// As a gateway asks: so often, of so many tenants, where it takes 150 requests a second.
+/// Interval of a gateway's lease requests, and their number of tenants, like those of a gateway that serves 150 requests
+/// a second.
 const LEASE_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
 const WANTS: usize = 15;
-/// One that has lost its control node, or hears nothing for so long, goes to the next.
+/// Delay before a gateway that has lost its control node connects to the next, and time without a message after which
+/// it gives up the connection.
 const AGAIN: Duration = Duration::from_millis(200);
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Gateways come one after the other, so far apart.
+/// Delay between the starts of two gateways.
 const APART: Duration = Duration::from_millis(3);
-/// Connections to each control node on which backends heartbeat in turn, where they do not have one each.
+/// Connections to each control node on which backends send heartbeats in turn, unless each heartbeat opens its own.
 const LINES: usize = 16;
-/// The first few gateways read all that they are told; the others what concerns configurations and rights.
+/// Number of gateways that decode every message; the others decode only configurations and lease grants.
 const WITNESSES: usize = 2;
-/// The longest message; a control node's.
+/// Maximum length of a message, as at a control node.
 const LONGEST: usize = 16 << 20;
-/// So many gateways share a thread.
+/// Gateways per thread.
 const A_THREAD: usize = 250;
 
-/// What hollow ones count.
+/// Counts of all hollow gateways and backends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
-    /// Bytes to gateways and from them.
+    /// Bytes sent to gateways, and by them.
     pub told: u64,
     pub said: u64,
     pub asks: u64,
     pub answers: u64,
     pub beats_sent: u64,
     pub beats: u64,
-    /// Both ways.
+    /// Bytes of answered heartbeats and of their responses.
     pub beat_bytes: u64,
+    /// Configurations that were older than the gateway's newest.
     pub backwards: u64,
-    /// Links of gateways that ended.
+    /// Connections of gateways that ended.
     pub lost: u64,
 }
 
 impl Tally {
+    /// Returns the difference to an earlier tally.
     pub fn since(&self, before: &Tally) -> Tally {
         Tally {
             told: self.told - before.told,
@@ -72,20 +77,23 @@
     }
 }
 
-/// One hollow gateway, as the scenario sees it.
+/// State of one hollow gateway.
 #[derive(Default)]
 struct Seen {
-    /// Its newest configuration, and when it came.
+    /// Version of its newest configuration, and when it arrived.
     version: AtomicU32,
     at: Mutex<Option<Instant>>,
+    /// Whether it has received a lease grant.
     answered: AtomicBool,
-    /// Of the first few: the backends that they know.
+    /// Backends that it knows; kept by the first `WITNESSES` gateways only.
     backends: Mutex<HashSet<String>>,
 }
 
+/// State shared by all hollow gateways and backends.
 pub struct GrantedUnits {
     tally: Mutex<Tally>,
     gateways: Vec<Seen>,
+    /// Units granted of each tenant.
     lent: Vec<AtomicU64>,
     deaf: AtomicBool,
     twice: bool,
@@ -93,7 +101,7 @@
     began: Instant,
 }
 
-/// All hollow ones, until it is dropped.
+/// All hollow gateways and backends, which run until it is dropped.
 pub struct Herd {
     book: Shared,
     backends: usize,
@@ -108,8 +116,10 @@
 }
 
 impl Herd {
+    /// Starts the hollow gateways and backends.
+    ///
     /// # Errors
-    /// One line: a thread cannot be had.
+    /// A thread's runtime cannot be created. The message is one line.
     pub fn start(play: &Play, size: &Size, cluster: &LocalCluster) -> Result<Herd, String> {
         let book = Arc::new(GrantedUnits {
             tally: Mutex::default(),
@@ -135,7 +145,7 @@
         let beating = if play.has("silent") { size.backends * 3 / 4 } else { size.backends };
         let (shared, fresh) = (book.clone(), size.fresh);
         threads.push(on_a_thread(book.clone(), move |tasks| {
-            // Each line heartbeats for its part of the backends, evenly over the time between two heartbeats.
+            // Each connection carries the heartbeats of its share of the backends, spread evenly over the heartbeat interval.
             let lines = if fresh { beating.min(512) } else { LINES * controls.len() };
             for line in 0..lines {
                 let ids: Vec<usize> = (line..beating).step_by(lines).collect();
@@ -149,25 +159,28 @@
         *lock(&self.book.tally)
     }
 
+    /// Time since the start.
     pub fn age(&self) -> Duration {
         self.book.began.elapsed()
     }
 
-    /// All gateways have a configuration and were lent something, and the first of them know all backends.
+    /// Whether all gateways have a configuration and a lease grant, and the first `WITNESSES` know all backends.
     pub fn is_up(&self) -> bool {
         self.gateways_down() == 0 && self.known() >= self.backends
     }
 
+    /// Returns the number of gateways that lack a configuration or a lease grant.
     pub fn gateways_down(&self) -> usize {
         let down = |g: &&Seen| g.version.load(Relaxed) == 0 || !g.answered.load(Relaxed);
         self.book.gateways.iter().filter(down).count()
     }
 
+    /// Returns the fewest backends that one of the first `WITNESSES` gateways knows.
     fn known(&self) -> usize {
         self.book.gateways.iter().take(WITNESSES).map(|g| lock(&g.backends).len()).min().unwrap_or(0)
     }
 
-    /// Backends that the first gateways know once that has settled, or after so long.
+    /// Waits, up to `most`, until the first `WITNESSES` gateways know as many backends as there are. Returns the fewest that one knows.
     pub fn backends_seen(&self, most: Duration) -> usize {
         let until = Instant::now() + most;
         while self.known() != self.backends && Instant::now() < until {
@@ -176,18 +189,18 @@
         self.known()
     }
 
-    /// The first gateway hears of no configuration any more.
+    /// Makes the first gateway ignore configurations from now on.
     pub fn deafen(&self) {
         self.book.deaf.store(true, Relaxed);
     }
 
-    /// The most units of one tenant that were lent.
+    /// Returns the highest number of units that were granted of one tenant.
     pub fn most_lent(&self) -> u64 {
         self.book.lent.iter().map(|n| n.load(Relaxed)).max().unwrap_or(0)
     }
 
-    /// How long after `since` each gateway had this version, the first first, of those that had it within `most`; and
-    /// the middle one of them.
+    /// Returns the sorted times after `since` at which gateways received this version, of those that did within `most`, and
+    /// the median of them.
     pub fn in_force(&self, version: u32, since: Instant, most: Duration) -> (Vec<Duration>, Duration) {
         let has = |g: &&Seen| g.version.load(Relaxed) >= version;
         while self.book.gateways.iter().filter(has).count() < self.book.gateways.len()
@@ -203,7 +216,7 @@
     }
 }
 
-/// A thread of tasks that ends with the book's word.
+/// Starts a thread that runs local tasks until the stop flag is set.
 fn on_a_thread(
     book: Shared,
     spawn: impl FnOnce(&LocalSet) + Send + 'static,
@@ -228,7 +241,7 @@
     sleep(APART * n as u32).await;
     let mut to = n % inners.len();
     loop {
-        // Whatever it was.
+        // Any error is followed by a connection to the next control node.
         let _ = follow(n, &book, inners[to], to, &mut rng).await;
         lock(&book.tally).lost += 1;
         to = (to + 1) % inners.len();
@@ -244,9 +257,10 @@
     Ok(frame.len() as u64)
 }
 
-/// What a gateway has got of a configuration: its place and version, its bytes, and how many of them.
+/// Progress of a configuration's transfer: its log index, its version, its length, and the bytes received so far.
 type Coming = Option<(u64, u32, u32, u32)>;
 
+/// Follows one control node until the connection ends.
 async fn follow(
     n: usize,
     book: &GrantedUnits,
@@ -306,7 +320,7 @@
     }
 }
 
-/// One message, and what is to be said to it.
+/// Reads one message and returns the reply to it, if there is one.
 async fn hear(
     n: usize,
     book: &GrantedUnits,
@@ -320,7 +334,7 @@
     let mut bytes = vec![0; length];
     reader.read_exact(&mut bytes).await?;
     lock(&book.tally).told += length as u64 + 4;
-    // A message is a map of its name to what it says.
+    // A message is a map from its name to its content, so the name starts at the third byte.
     let named = |name: &[u8]| bytes.get(2..).is_some_and(|b| b.starts_with(name));
     if n >= WITNESSES && !named(b"Lent") && !named(b"Configuration") {
         return Ok(None);
@@ -367,7 +381,7 @@
     Ok(None)
 }
 
-/// A gateway has all of a configuration.
+/// Records that a gateway has received a whole configuration.
 fn taken(book: &GrantedUnits, seen: &Seen, version: u32) {
     let held = seen.version.load(Relaxed);
     if version > held {
@@ -380,7 +394,7 @@
 
 // ---- Backends ----
 
-/// Beats of these backends, one after the other.
+/// Sends the heartbeats of these backends, one after the other.
 async fn beats(line: usize, ids: Vec<usize>, book: Shared, controls: Vec<SocketAddr>, fresh: bool) {
     let between = Duration::from_millis(HEARTBEAT_MS);
     let mut every = interval(between / ids.len().max(1) as u32);
@@ -397,7 +411,7 @@
                     let mut tally = lock(&book.tally);
                     (tally.beats, tally.beat_bytes) = (tally.beats + 1, tally.beat_bytes + bytes);
                 }
-                // Elsewhere, with the next.
+                // The next heartbeat goes to the next control node.
                 _ => (to, kept) = (to + 1, None),
             }
             if fresh {
@@ -407,7 +421,7 @@
     }
 }
 
-/// One heartbeat: its status, and the bytes of both ways.
+/// Sends one heartbeat. Returns the response's status, and the bytes of the request and the response.
 async fn beat(
     kept: &mut Option<TcpStream>,
     to: SocketAddr,
--- a/crates/testing/test-harness/src/scale/meter.rs
+++ b/crates/testing/test-harness/src/scale/meter.rs
@@ -1,8 +1,8 @@
-//! What processes spend and hold, as the system tells it of each.
+//! CPU time and memory of processes, from `/proc`.
 
 use std::fs;
 
-/// Control nodes and real gateways, by process.
+/// Process ids of the control nodes and the real gateways.
 pub struct Meter {
     control_nodes: Vec<u32>,
     gateways: Vec<u32>,
@@ -14,17 +14,17 @@
         Meter { control_nodes, gateways }
     }
 
-    /// Seconds on a processor so far, by control node and by gateway; a process that has ended has none.
+    /// Returns the CPU seconds so far, by control node and by gateway; 0 for a process that has ended.
     pub fn spent(&self) -> (Vec<f64>, Vec<f64>) {
         (self.control_nodes.iter().map(spent).collect(), self.gateways.iter().map(spent).collect())
     }
 
-    /// Megabytes that are resident now.
+    /// Returns the resident memory in MB, by control node and by gateway.
     pub fn resident(&self) -> (Vec<u64>, Vec<u64>) {
         self.status("VmRSS:")
     }
 
-    /// The most that ever were.
+    /// Returns the peak resident memory in MB, by control node and by gateway.
     pub fn peak(&self) -> (Vec<u64>, Vec<u64>) {
         self.status("VmHWM:")
     }
@@ -34,7 +34,7 @@
         (of(&self.control_nodes), of(&self.gateways))
     }
 
-    /// How many are not there any more.
+    /// Returns the number of processes that have ended.
     pub fn ended(&self) -> usize {
         let gone = |id: &&u32| {
             let stat = fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
@@ -44,7 +44,7 @@
     }
 }
 
-/// Of all its threads, user and system.
+/// Returns the CPU seconds of all threads of a process, user and system.
 fn spent(id: &u32) -> f64 {
     let Ok(threads) = fs::read_dir(format!("/proc/{id}/task")) else { return 0.0 };
     let one = |path: std::path::PathBuf| {
@@ -60,7 +60,7 @@
     line.split_whitespace().next().and_then(|kb| kb.parse::<u64>().ok()).unwrap_or(0) / 1024
 }
 
-/// Megabytes that the machine has to spare.
+/// Returns the available memory of the machine, in MB.
 pub fn free_mb() -> f64 {
     megabytes("/proc/meminfo", "MemAvailable:") as f64
 }
--- a/crates/testing/test-harness/src/scenario.rs
+++ b/crates/testing/test-harness/src/scenario.rs
@@ -1,23 +1,23 @@
-//! What a scenario is: a seed settles its random choices, its figures are counts and shares, and bounds on
-//! them hold or do not.
+//! Scenarios, their options and their results: a seed determines the random choices, the figures are counts and shares,
+//! and a run fails if a figure is out of its bounds.
 
 use clap::Args;
 use serde_json::{Map, Value};
 use std::time::Duration;
 
-/// How to play one.
+/// Options of one run.
 #[derive(Clone, Debug)]
 pub struct Play {
     pub seed: u64,
     pub time: Duration,
-    /// What the rig's own peers do wrong on purpose.
+    /// Name of the defect that is planted in the scripted peers or in the program.
     pub defect: Option<String>,
-    /// Faults to play instead of those that the seed draws, as an earlier run printed them.
+    /// Faults to inject in place of those drawn from the seed, as printed by an earlier run.
     pub schedule: Option<String>,
     pub size: Size,
 }
 
-/// How large a scenario is that can be played at several sizes; what is not said is the scenario's.
+/// Size of a scenario that can be run at several sizes. The scenario has a default for each field.
 #[derive(Args, Clone, Debug, Default)]
 pub struct Size {
     /// Hollow gateways
@@ -38,10 +38,10 @@
     /// Services, a backend each
     #[arg(long)]
     pub services: Option<usize>,
-    /// Changes of the configuration, one after the other
+    /// Configuration changes, one after the other
     #[arg(long)]
     pub changes: Option<usize>,
-    /// Each heartbeat comes on a connection of its own
+    /// Open a new connection for each heartbeat
     #[arg(long)]
     pub fresh: bool,
 }
@@ -52,7 +52,7 @@
     }
 }
 
-/// The figures of a run, and the bounds that did not hold.
+/// Figures of a run, and a message for each one that is out of its bounds.
 #[derive(Default)]
 pub struct Figures {
     pub figures: Map<String, Value>,
@@ -64,34 +64,34 @@
         self.figures.insert(name.into(), value.into());
     }
 
-    /// A figure that must be `least` to `most`.
+    /// Records a figure that must be between `least` and `most`, both included.
     pub fn bound(&mut self, name: &str, value: f64, least: f64, most: f64) {
         self.set(name, value);
         if !(least..=most).contains(&value) {
-            self.broken.push(format!("{name} is {value}: {least} to {most} is wanted"));
+            self.broken.push(format!("{name} is {value}, expected {least} to {most}"));
         }
     }
 
-    /// A count that must be nothing.
+    /// Records a count that must be zero.
     pub fn none(&mut self, name: &str, count: usize) {
         self.set(name, count);
         if count > 0 {
-            self.broken.push(format!("{name} is {count}: none is wanted"));
+            self.broken.push(format!("{name} is {count}, expected 0"));
         }
     }
 }
 
-/// A scenario of the rig.
+/// A scenario of the test harness.
 pub struct Scenario {
     pub name: &'static str,
     pub about: &'static str,
-    /// How long it plays if nothing else is said, in seconds.
+    /// Default duration of a run, in seconds.
     pub seconds: u64,
-    /// The same in the tests.
+    /// Duration of a run in the tests, in seconds.
     pub test_seconds: u64,
-    /// Names of defects, and what is wrong then.
+    /// Defects of the scripted peers and clients: name and description.
     pub defects: &'static [(&'static str, &'static str)],
-    /// Names of defects of the program itself, and the schedule that shows each. They take a build of their own.
+    /// Defects of the program itself: name, and a schedule of faults that exposes it. They need a separate build.
     pub planted: &'static [(&'static str, &'static str)],
     pub run: fn(&Play) -> Result<Figures, String>,
 }
--- a/crates/testing/test-harness/src/services.rs
+++ b/crates/testing/test-harness/src/services.rs
@@ -1,4 +1,5 @@
-//! Many services, a backend each, behind real gateways: each request must be answered by a backend of its route's service.
+//! Scenario of many services, with a backend each, behind real gateways: each request must be answered by a backend of
+//! its route's service.
 
 use crate::fleet::serve;
 use crate::local_cluster::{call, LocalCluster, MACHINES};
@@ -14,10 +15,11 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "services",
-    about: "many services behind real gateways: whose backend answers a request (--services N)",
+    about:
+        "many services behind real gateways: each request reaches a backend of its own service (--services N)",
     seconds: 8,
     test_seconds: 3,
-    defects: &[("crossed", "two backends beat for each other's service")],
+    defects: &[("crossed", "two backends send heartbeats for each other's service")],
     planted: &[],
     run,
 };
@@ -38,7 +40,7 @@
     .to_string()
 }
 
-/// Answers with its own service's number.
+/// Starts a backend that responds with the number of its service.
 fn backend(n: usize) -> Result<SocketAddr, String> {
     let script = move |m: &Message, to: &mut TcpStream| {
         let attempt = m.header("attempt-id").unwrap_or_default().to_string();
@@ -61,7 +63,7 @@
     let controls = cluster.controls();
     let taken = call(&controls, "POST", "/-/Configuration.Replace", &configuration(services), 150);
     if taken.is_none_or(|a| a.status() != 200) {
-        return Err("the configuration was not taken".into());
+        return Err("the configuration was not accepted".into());
     }
     let addresses: Result<Vec<SocketAddr>, String> = (0..services).map(backend).collect();
     let (addresses, stop) = (addresses?, Arc::new(AtomicBool::new(false)));
@@ -74,7 +76,7 @@
                     "nodeInfo": {"targetService": format!("svc{service}"), "configVersion": "v1", "zone": "zone-0",
                         "capacitySlots": 4},
                     "status": {"state": "ready", "callSequence": sequence, "warmupLeftMs": 0}});
-                // One that is lost is made good by the next.
+                // The next heartbeat makes up for a lost one.
                 call(&to, "POST", &format!("/-/Instances.Heartbeat/i-{n}"), &body.to_string(), 6);
                 if over.load(Relaxed) {
                     return;
@@ -95,7 +97,7 @@
         let answer = answer.filter(|a| a.status() == 200);
         answer.map(|a| String::from_utf8_lossy(&a.body).parse::<usize>().ok())
     };
-    // Until each has been heard of.
+    // Wait until every gateway knows a backend of each service.
     let up = Instant::now();
     while up.elapsed() < 3 * play.time && (0..services).any(|n| (0..fronts.len()).any(|_| ask(n).is_none())) {
         sleep(Duration::from_millis(50));
@@ -112,7 +114,7 @@
         sleep(Duration::from_millis(20));
     }
     stop.store(true, Relaxed);
-    // It ends by itself.
+    // The thread ends because `stop` is set.
     let _ = beating.join();
     let mut figures = Figures::default();
     figures.set("services", services);
--- a/crates/testing/test-harness/src/trial.rs
+++ b/crates/testing/test-harness/src/trial.rs
@@ -1,6 +1,6 @@
-//! A live expiry: a tenant on trial asks through all three gateways while its trial runs out, with a control node
-//! killed in that second, a gateway frozen over it and another control node frozen later; then it is extended, and over
-//! once more. What is counted is counted at clients and backends.
+//! Expiry of a trial under load. A tenant on trial sends requests through all three gateways while its trial expires; a
+//! control node is killed in that second, a gateway is suspended across it, and another control node is suspended later.
+//! Then the trial is extended, and expires again. All counts are taken at clients and backends.
 
 use crate::fleet::lock;
 use crate::local_cluster::{begin_with, call, configured, request_by, Running, KEY, MACHINES, TRIAL_TENANT};
@@ -16,42 +16,43 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "trial",
-    about: "a trial runs out under load: a control node killed in that second, a gateway frozen over it; extended; over again",
+    about: "a trial expires under load: a control node killed in that second, a gateway suspended across it; extended; expires again",
     seconds: 24,
     test_seconds: 18,
     defects: &[
-        ("runs-twice", "the client sends each payment once more under the same id"),
-        ("not-slowed", "the configuration names no trial"),
-        ("shut-out", "the configuration lets nobody wait"),
-        ("uneven", "the clients of one gateway come with another tenant's key"),
+        ("runs-twice", "the client sends each payment a second time under the same id"),
+        ("not-slowed", "the configuration contains no trial"),
+        ("shut-out", "the configuration allows no request to wait"),
+        ("uneven", "the clients of one gateway use another tenant's key"),
         ("answers-lost", "backends run one payment in fifty and do not answer it"),
     ],
     planted: &[],
     run,
 };
 
-/// The trial tenant's pace behind its trial, a second, and how long its requests may wait, in ms.
+/// Request rate of the tenant after its trial has expired, a second, and how long its requests may wait, in ms.
 const PACE: f64 = 20.0;
 const WAIT_MS: u64 = 1000;
-/// Clients of the trial tenant's at each gateway, each asking so often while it is served at once.
+/// Clients of the trial tenant at each gateway, and the interval of their requests while they are served at once.
 const CLIENTS: usize = 12;
 const EVERY: Duration = Duration::from_millis(250);
-/// More than so many served at one gateway within a window is full speed: in turn all three together serve six, and a
-/// few that could not wait.
+/// More than `FULL` requests served at one gateway within a window is full speed: under the throttle all three gateways
+/// together serve six, and a few that could not wait.
 const WINDOW: Duration = Duration::from_millis(300);
 const FULL: usize = 11;
 const ROUTES: [&str; 2] = ["/look/", "/pay/"];
 
-/// One request of a client, when it was answered since the beginning.
+/// Outcome of one request of a client.
 #[derive(Clone)]
 struct Seen {
     gateway: usize,
+    /// Time of the response, since the start of the scenario.
     at: Duration,
     took: Duration,
     status: Option<u16>,
-    /// Of a payment.
+    /// Id of a payment; `None` for a read.
     id: Option<String>,
-    /// It was asked of a gateway that stood still.
+    /// Whether its gateway was suspended meanwhile.
     frozen: bool,
 }
 
@@ -62,7 +63,7 @@
     (now + after).as_millis() as u64
 }
 
-/// A time as RFC 3339 words it.
+/// Formats a Unix time in milliseconds according to RFC 3339.
 fn rfc3339(ms: u64) -> String {
     humantime::format_rfc3339_millis(UNIX_EPOCH + Duration::from_millis(ms)).to_string()
 }
@@ -79,7 +80,7 @@
     vec![members, guest]
 }
 
-/// Clients of one tenant at one gateway until `stop`.
+/// Starts clients of one tenant at one gateway, which run until `stop`.
 fn clients(
     (gateway, front): (usize, SocketAddr),
     key: &'static str,
@@ -128,7 +129,7 @@
     let taken = call(&running.cluster.controls(), "POST", "/-/Configuration.Replace", &text, 150);
     match taken.map(|a| a.status()) {
         Some(200) => Ok(()),
-        other => Err(format!("the configuration {version} was not taken: {other:?}")),
+        other => Err(format!("configuration {version} was not accepted: {other:?}")),
     }
 }
 
@@ -139,7 +140,7 @@
     if play.has("answers-lost") {
         running.seen.unanswered.store(50, Relaxed);
     }
-    // A part at full speed, then it ends.
+    // One part of the time at full speed, then the trial expires.
     let began = Instant::now();
     replace(&running, 1, 2, &tenants(play, unix_ms(part)))?;
     let stop: Arc<AtomicBool> = Arc::default();
@@ -158,7 +159,7 @@
     let until = |at: Duration| sleep(at.saturating_sub(began.elapsed()));
     let (dies, sleeps) = ((play.seed % 3) as usize, ((play.seed / 3) % 3) as usize);
     let other = (dies + 1) % MACHINES;
-    // In the second of the end one control node dies, and one gateway stands still over it.
+    // In the second of the expiry one control node is killed, and one gateway is suspended across it.
     until(part - Duration::from_millis(300));
     frozen[sleeps].store(true, Relaxed);
     running.cluster.freeze(sleeps, true, true)?;
@@ -168,19 +169,19 @@
     running.cluster.freeze(sleeps, true, false)?;
     until(part + Duration::from_millis(1900));
     frozen[sleeps].store(false, Relaxed);
-    // Slowed; late in that another control node hangs for a while.
+    // The tenant is throttled; late in this part another control node is suspended for a while.
     until(part * 3);
     running.cluster.freeze(other, false, true)?;
     until(part * 3 + Duration::from_millis(400));
     running.cluster.freeze(other, false, false)?;
-    // Extended, and over again.
+    // The trial is extended, and expires again.
     until(part * 4);
     replace(&running, 2, 3, &tenants(play, unix_ms(Duration::from_secs(3600))))?;
     let extended = began.elapsed();
     until(part * 5);
     replace(&running, 3, 4, &tenants(play, unix_ms(Duration::ZERO) - 60_000))?;
     let over = began.elapsed();
-    // A gateway is told to end while requests wait there for their turn.
+    // A gateway gets SIGTERM while requests wait there for their turn.
     until(over + Duration::from_millis(1300));
     let (rolls, told) = ((sleeps + 1) % MACHINES, began.elapsed());
     frozen[rolls].store(true, Relaxed);
@@ -220,7 +221,7 @@
     Ok(figures)
 }
 
-/// What payments came to, at clients and backends.
+/// Compares the payments at clients with those at backends.
 fn ledger(running: &Running, all: &[Seen], figures: &mut Figures) {
     let runs = lock(&running.seen.runs);
     let ran = |s: &&Seen| s.id.as_ref().is_some_and(|id| runs.contains_key(id));
@@ -237,8 +238,8 @@
     figures.none("left without an answer", all.iter().filter(failed).count());
 }
 
-/// Windows in which one gateway served at full speed while another refused. One that stands still refuses nobody, and
-/// what it does when it wakes counts like any other's.
+/// Counts the windows in which one gateway served at full speed while another refused. A suspended gateway refuses
+/// nothing, and what it does after it is resumed counts like that of any other.
 fn both(all: &[Seen]) -> usize {
     let refused = all.iter().filter(|s| matches!(s.status, Some(429 | 503)));
     let beside = |r: &&Seen| {
@@ -250,13 +251,13 @@
     refused.filter(beside).count()
 }
 
-/// The pace and the waits while it is slowed.
+/// Records the rate and the waits while the tenant is throttled.
 fn paced(all: &[Seen], within: &std::ops::Range<Duration>, figures: &mut Figures) {
     let of = |g: Option<usize>| {
         let at = move |s: &&Seen| g.is_none_or(|g| s.gateway == g) && within.contains(&s.at);
         all.iter().filter(at).filter(|s| s.status == Some(200))
     };
-    // Payments go ahead of reads everywhere; reads wait alike.
+    // Payments precede reads at every gateway; reads wait equally long at all of them.
     let reads = |g| of(Some(g)).filter(|s| s.id.is_none());
     let span = within.end.saturating_sub(within.start).as_secs_f64();
     figures.bound("slowed: served a second, of the pace", of(None).count() as f64 / span / PACE, 0.75, 1.25);
@@ -285,7 +286,7 @@
     );
 }
 
-/// Served, waited for more than 100 ms, refused: by gateway and 100 ms.
+/// Records the requests by gateway and interval of 100 ms: served, served after more than 100 ms, refused.
 fn by_node(all: &[Seen], figures: &mut Figures) {
     let mut rows: BTreeMap<(usize, u64), [u32; 3]> = BTreeMap::new();
     for s in all {
--- a/crates/testing/test-harness/src/upgrade.rs
+++ b/crates/testing/test-harness/src/upgrade.rs
@@ -1,5 +1,5 @@
-//! The scenario of upgrades in service: one process after another takes over a listening socket under load, while
-//! backends are taken out by hand and put back.
+//! Scenario of upgrades in service: one process after another takes over a listening socket under load, while the
+//! operator takes backends out of service and puts them back.
 
 use crate::demo::request;
 use crate::fleet::{body, good, lock, serve};
@@ -15,14 +15,14 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "upgrade",
-    about: "processes that take over from each other under load, with bans by hand: nothing ends at the door",
+    about: "processes that take over from each other under load, with bans by the operator: no connection is lost",
     seconds: 12,
     test_seconds: 4,
     defects: &[
-        ("deaf-operator", "a backend is taken out and the gateway is not told"),
-        ("folder-lost", "the new process is given another folder, so that bans do not reach it"),
-        ("killed-at-once", "the old process is killed where it should be told to end"),
-        ("few-descriptors", "the limit that is watched is far under the one that the gateway is told"),
+        ("deaf-operator", "a backend is taken out of service, but the gateway is not notified"),
+        ("folder-lost", "the new process gets another folder, so that bans do not reach it"),
+        ("killed-at-once", "the old process is killed in place of SIGTERM"),
+        ("few-descriptors", "the checked limit is far below the one in the gateway's configuration"),
     ],
     planted: &[],
     run,
@@ -31,28 +31,31 @@
 const NAMES: [&str; 3] = ["server-1", "server-2", "server-3"];
 const LANES: u64 = 24;
 const SOCKETS: usize = 200;
-/// The drain's grace, and what a machine under load may add to it.
+/// Grace period of the drain, plus the delay of a loaded machine.
 const GRACE: Duration = Duration::from_millis(500 + 500);
+/// Time in which a new process must become ready.
 const YES: Duration = Duration::from_secs(6);
 
+/// Counts at the servers and the clients.
 #[derive(Default)]
 struct RequestRecord {
-    /// Since when each server is out.
+    /// Time at which each server was taken out of service, if it is.
     out: Mutex<[Option<Instant>; NAMES.len()]>,
+    /// Requests that reached a server out of service after the grace period.
     after_ban: AtomicUsize,
     served: AtomicUsize,
     refused: AtomicUsize,
     lost: AtomicUsize,
 }
 
-/// Asks on a kept connection for as long as it is let, as clients of the platform do.
+/// Sends requests on one connection until the gateway closes it, as clients of the platform do.
 fn lane(n: u64, to: SocketAddr, over: &AtomicBool, ledger: &RequestRecord) {
     let (mut kept, mut number) = (None::<Client>, (n + 1) << 32);
     while !over.load(Ordering::Relaxed) {
         number += 1;
         let class = ["quote", "confirm", "book-slot"][(number % 3) as usize];
         let text = request(class, number, "partner", &format!("{:016x}", 0xc0 + n), 2.0);
-        // A close may cross a request on a kept connection: it is sent once more on a new one.
+        // The gateway may close a kept connection while a request is on its way: it is sent again on a new one.
         let answer = kept.as_mut().and_then(|c| c.try_ask(&text));
         let answer = answer.or_else(|| {
             kept = Client::try_connect(to);
@@ -71,7 +74,7 @@
     }
 }
 
-/// A folder that goes with its owner.
+/// A temporary folder, which is removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -89,7 +92,7 @@
     }
 }
 
-/// A new process that says yes, and how long that took.
+/// Starts a process and waits until it is ready. Returns how long that took.
 fn start(
     program: &Path,
     discovery: SocketAddr,
@@ -101,7 +104,7 @@
     let new = Program::start_with_operator_listener(program, &config, discovery, Some(shared))?;
     while new.call("GET /status", "").is_none_or(|(status, _)| status != 200) {
         if began.elapsed() > YES {
-            return Err("the new process never says yes".into());
+            return Err("the new process did not become ready".into());
         }
         thread::sleep(Duration::from_millis(5));
     }
@@ -157,7 +160,7 @@
     let mut noes = 0;
     let mut victim = play.seed as usize % NAMES.len();
     while Instant::now() < until {
-        // Out before an upgrade, back after it: the ban has to outlive the process that was told.
+        // A server is taken out before an upgrade and put back after it: the ban must outlive the process that received it.
         let name = NAMES[victim];
         let call = |what: &str| {
             let body = format!(r#"{{"target":"{name}"}}"#);
@@ -185,9 +188,9 @@
     }
     over.store(true, Ordering::Relaxed);
     for lane in lanes {
-        lane.join().map_err(|_| "a client was lost")?;
+        lane.join().map_err(|_| "a client thread panicked")?;
     }
-    sampler.join().map_err(|_| "the sampler was lost")?;
+    sampler.join().map_err(|_| "the sampler thread panicked")?;
     let count = |c: &AtomicUsize| c.load(Ordering::Relaxed);
     let (served, refused) = (count(&ledger.served), count(&ledger.refused));
     let mut f = Figures::default();
@@ -205,7 +208,7 @@
     Ok(f)
 }
 
-/// Kept from growing stale: the example says how many descriptors a gateway has.
+/// The scenario replaces this limit in the example by text, so the example must contain it.
 #[cfg(test)]
 #[test]
 fn the_example_tells_its_descriptors() {
--- a/crates/testing/test-harness/src/view/faults.rs
+++ b/crates/testing/test-harness/src/view/faults.rs
@@ -1,17 +1,17 @@
-//! What befalls the fleet, one fault at a time: drawn from a seed, printed, and read back from what was printed.
+//! Faults of the fleet, injected one at a time: drawn from a seed, printed, and parsed from the printed form.
 
 use super::members::MEMBERS;
 use std::fmt;
 use std::str::FromStr;
 
-/// One fault of the schedule. A figure `draw` settles who is meant where several are.
+/// One fault of the schedule. `draw` is the seed that selects the members where several are concerned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     Crash(usize),
     SevenInTen {
         draw: u64,
     },
-    /// For 6 s, with a death on each side.
+    /// A partition for 6 s, with a member killed on each side.
     Halves {
         draw: u64,
     },
@@ -21,15 +21,15 @@
     Stop(usize),
     Leave(usize),
     QuickRestart(usize),
-    /// Nobody reaches one member, and it nobody.
+    /// One member is isolated from all others, in both directions.
     CutOff(usize),
-    /// A tenth of a core.
+    /// Limits a member to a tenth of a core.
     Slow(usize),
-    /// It is killed and comes back at another address.
+    /// A member is killed and restarted at another address.
     Moved(usize),
-    /// A second process with its name, while it runs.
+    /// A second process with the name of a running member.
     Twice(usize),
-    /// Old datagrams once more.
+    /// Old datagrams are sent again.
     Replay,
 }
 
@@ -82,15 +82,16 @@
     }
 }
 
-/// Reads what was printed: faults with commas between them.
+/// Parses a printed schedule: faults separated by commas.
 ///
 /// # Errors
-/// One line, for what is no fault.
+/// A part is no fault. The message is one line.
 pub fn read(text: &str) -> Result<Vec<Fault>, String> {
     text.split(',').map(|fault| fault.trim().parse()).collect()
 }
 
-/// Each kind once, in an order and at members drawn from the seed. The seeds are spared what keeps them away.
+/// Returns each kind of fault once, in an order and at members drawn from `rng`. The members 0 to 2, which are the seeds
+/// of the fleet, are not drawn as the one member of a fault.
 pub fn schedule(rng: &mut fastrand::Rng) -> Vec<Fault> {
     let mut one = || rng.usize(3..MEMBERS);
     let mut faults = vec![
--- a/crates/testing/test-harness/src/view/members.rs
+++ b/crates/testing/test-harness/src/view/members.rs
@@ -1,4 +1,4 @@
-//! Members of the fleet as real processes behind relays, and what they say of each other.
+//! Members of the fleet as real processes behind relays, and what they report of each other.
 
 use crate::bed::{Link, Relays};
 use crate::peers::Discovery;
@@ -14,21 +14,25 @@
 pub const MEMBERS: usize = 24;
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
+/// The members and the network between them.
 pub struct Members {
     pub relays: Relays,
     pub running: Vec<Option<Program>>,
-    /// Where each member is, and the one place that is free.
+    /// Index of the relay that each member uses.
     places: Vec<usize>,
+    /// Index of the one unused relay.
     spare: usize,
     pub files: Files,
-    /// The table's seeds, and each member's key.
+    /// Seeds, as written in the table `[fleet]`.
     pub seeds: String,
+    /// Key file of each member.
     pub keys: Vec<PathBuf>,
     pub program: PathBuf,
     pub defect: Option<String>,
     pub discovery: Discovery,
-    /// Who is on the other side of a cut.
+    /// Members on the other side of a partition.
     pub apart: BTreeSet<usize>,
+    /// Members that are suspended with SIGSTOP.
     pub stopped: BTreeSet<usize>,
 }
 
@@ -57,7 +61,7 @@
         }
     }
 
-    /// Starts a process under this member's name where it stands.
+    /// Starts a process with this member's name, behind its relay.
     fn process(&mut self, n: usize) -> Result<Program, String> {
         let place = self.places[n];
         let text = format!(
@@ -77,8 +81,8 @@
         Ok(())
     }
 
-    /// Starts another process of this name at the place that is free. The one before, if it still runs: it is no
-    /// member any more.
+    /// Starts another process with this name behind the unused relay. Returns the previous process, if it still runs: it is
+    /// no longer a member.
     pub fn start_elsewhere(&mut self, n: usize) -> Result<Option<Program>, String> {
         std::mem::swap(&mut self.places[n], &mut self.spare);
         let process = self.process(n)?;
@@ -96,7 +100,7 @@
         (0..MEMBERS).filter(runs).collect()
     }
 
-    /// Changes the links between members, for all ordered pairs of them.
+    /// Sets the network faults of every ordered pair of members.
     pub fn links(&self, link: impl Fn(usize, usize) -> Link) {
         let who = |place| self.places.iter().position(|p| *p == place);
         self.relays.set(|a, b| match (who(a), who(b)) {
@@ -105,18 +109,18 @@
         });
     }
 
-    /// What all members have sent so far: datagrams and bytes.
+    /// Returns the datagrams and bytes that all members have sent so far.
     pub fn sent(&self) -> (u64, u64) {
         let sent = self.places.iter().map(|p| self.relays.sent(*p));
         sent.fold((0, 0), |sum, n| (sum.0 + n.0, sum.1 + n.1))
     }
 
-    /// What this member says of the fleet.
+    /// Returns this member's status of the fleet.
     pub fn status(&self, n: usize) -> Option<Value> {
         status(self.running[n].as_ref()?)
     }
 
-    /// Whether those of one side see each other and nobody else.
+    /// Whether the members of each side of the partition see each other, and no others, as alive or suspect.
     pub fn settled(&self) -> bool {
         let awake = self.awake();
         let (here, there): (Vec<usize>, Vec<usize>) = awake.iter().partition(|n| !self.apart.contains(n));
@@ -133,7 +137,7 @@
         })
     }
 
-    /// How long until that holds; none if it does not within `most`.
+    /// Waits until the views are settled. Returns how long that took, or `None` after `most`.
     pub fn until_settled(&self, most: Duration) -> Option<Duration> {
         let began = Instant::now();
         loop {
@@ -147,14 +151,14 @@
         }
     }
 
-    /// Beliefs in a death of somebody who runs, on the same side.
+    /// Counts the cases in which a member considers a running member of the same side dead.
     pub fn wronged(&self) -> usize {
         let awake = self.awake();
         let (here, there): (Vec<usize>, Vec<usize>) = awake.iter().partition(|n| !self.apart.contains(n));
         [here, there].iter().map(|side| self.wronged_by(side, side)).sum()
     }
 
-    /// Beliefs of these in a death of those.
+    /// Counts the cases in which one of `these` considers one of `those` dead.
     pub fn wronged_by(&self, these: &[usize], those: &[usize]) -> usize {
         let names: BTreeSet<String> = those.iter().map(|n| format!("member-{n}")).collect();
         let named = |m: &Value| m["name"].as_str().is_some_and(|n| names.contains(n));
@@ -162,20 +166,20 @@
         these.iter().filter_map(|n| self.status(*n)).map(|s| wronged(&s)).sum()
     }
 
-    /// Versions of the settled view that all who run have made.
+    /// Returns the sum of the versions of the settled view over all running members.
     pub fn versions(&self) -> u64 {
         let version = |n| self.status(n).and_then(|s| s["settled"]["version"].as_u64());
         self.awake().into_iter().filter_map(version).sum()
     }
 
-    /// Datagrams that all who run have dropped.
+    /// Returns the datagrams that all running members have dropped.
     pub fn dropped(&self) -> u64 {
         let causes = |n| self.status(n).and_then(|s| s["dropped"].as_object().cloned());
         let sum = |all: serde_json::Map<String, Value>| all.values().filter_map(Value::as_u64).sum::<u64>();
         self.awake().into_iter().filter_map(causes).map(sum).sum()
     }
 
-    /// For so long this member has a tenth of a core: it runs for 10 of 100 ms.
+    /// Limits this member to a tenth of a core for this time: it runs for 10 of 100 ms.
     pub fn slow(&self, n: usize, time: Duration) -> Option<JoinHandle<()>> {
         let id = self.running[n].as_ref()?.child.id().to_string();
         Some(thread::spawn(move || {
@@ -191,13 +195,14 @@
     }
 }
 
+/// Returns a process's status of the fleet.
 pub fn status(member: &Program) -> Option<Value> {
     let (status, body) = member.call("GET /status/fleet", "")?;
     (status == 200).then_some(())?;
     serde_json::from_slice(&body).ok()
 }
 
-/// How many of the members that it tells of are such.
+/// Counts the members in a status for which `such` holds.
 pub fn count(status: &Value, such: impl Fn(&Value) -> bool) -> usize {
     status["members"].as_array().map_or(0, |all| all.iter().filter(|m| such(m)).count())
 }
--- a/crates/testing/test-harness/src/view/mod.rs
+++ b/crates/testing/test-harness/src/view/mod.rs
@@ -1,5 +1,5 @@
-//! The scenario of the fleet's view: real gateways that find each other through relays, under a schedule of faults
-//! drawn from the seed. After each fault: how long until all that can reach each other have one view.
+//! Scenario of the fleet's view: real gateways that find each other through relays, under a schedule of faults drawn
+//! from the seed. After each fault it measures how long it takes until all that can reach each other have the same view.
 
 pub mod faults;
 mod members;
@@ -17,19 +17,19 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "view",
-    about: "24 gateways that keep a view of the fleet, killed, cut off, stopped and brought back: one view each time",
+    about: "24 gateways that keep a view of the fleet, killed, cut off, stopped and restarted: each time they agree on one view",
     seconds: 120,
     test_seconds: 20,
     defects: &[
-        ("deaf-relay", "one relay never passes anything on: its process can't be reached"),
+        ("deaf-relay", "one relay forwards nothing: its process cannot be reached"),
         ("other-key", "one process has another key"),
-        ("never-healed", "a cut stays, and the rig says that it was healed"),
+        ("never-healed", "a partition stays, and the harness takes it for healed"),
     ],
     planted: PLANTED,
     run,
 };
 
-/// Defects of the program itself, and a schedule that shows each. They take a build of their own.
+/// Defects of the program itself: name, and a schedule of faults that exposes it. They need a separate build.
 pub const PLANTED: &[(&str, &str)] = &[
     ("refutation-left-out", "loss, one-direction 5 6, stop 7"),
     ("dead-never-tried", "halves 1"),
@@ -39,22 +39,23 @@
     ("leave-not-told", "leave 5"),
     ("settled-at-once", "seven-in-ten 1"),
     ("replay-taken", "replay"),
-    // No defect, but what it is beside.
+    // Not a defect: plain SWIM, for comparison.
     ("plain-swim", "loss, halves 1"),
 ];
 
-/// On top of each bound, for 24 processes and their looks on two cores.
+/// Added to each bound, since 24 processes and the polls of their status share two cores.
 const ROOM: Duration = Duration::from_millis(500);
 const KEY: &str = "the key of the rig, sixteen and more bytes\n";
-/// A member may hold so many for dead when it is isolated: those on whom it had an eye before it knew.
+/// Members that an isolated member may consider dead: those that it was probing before it noticed its isolation.
 const BURIED_ALONE: usize = 2;
-/// Versions that one wave may make at each who outlives it.
+/// Versions of the view that one wave of failures may cause at each survivor.
 const VERSIONS: f64 = 3.0;
 
-/// Times of one kind, in milliseconds, and how many had none within the bound.
+/// Convergence times after one kind of fault, in milliseconds, and how many were not within the bound.
 #[derive(Default)]
 struct Times(Vec<u64>, usize);
 
+/// State and results of a run.
 struct Run<'a> {
     members: Members,
     play: &'a Play,
@@ -63,24 +64,25 @@
     wave: Times,
     heal: Times,
     join: Times,
+    /// Cases in which a running member was considered dead.
     wronged: usize,
-    /// Deaths that a member believed in which had been stopped or isolated.
+    /// Members considered dead by a member that itself had been stopped or isolated.
     blamed: usize,
-    /// Members that were isolated, or whose name another took, and did not say so.
+    /// Members that did not report that they were isolated, or that another process had taken their name.
     unsaid: usize,
-    /// Old datagrams that came once more, and those that were dropped for it.
+    /// Number of replayed datagrams, and of those that were dropped.
     replayed: (usize, u64),
     versions: Option<f64>,
 }
 
 impl Run<'_> {
-    /// Waits for one view; what is believed wrongly meanwhile counts.
+    /// Waits until the views agree, and records the time or that it exceeded the bound.
     fn time(members: &Members, bound: u64, times: &mut Times) {
         match members.until_settled(Duration::from_millis(bound) + ROOM) {
             Some(took) => times.0.push(took.as_millis() as u64),
             None => {
                 times.1 += 1;
-                // The next fault begins from one view, if there is one.
+                // Wait again, so that the next fault begins with agreeing views if possible.
                 let _ = members.until_settled(Duration::from_secs(4));
             }
         }
@@ -109,7 +111,7 @@
                 killed.into_iter().for_each(|n| members.kill(n));
                 let before = members.versions();
                 Self::time(members, 4000, &mut self.wave);
-                // Until what has changed is a version.
+                // Wait until the changes have become a settled version.
                 thread::sleep(Duration::from_millis(2500));
                 let made = (members.versions() - before) as f64 / members.awake().len() as f64;
                 self.versions = Some(self.versions.unwrap_or(0.0).max((made * 100.0).round() / 100.0));
@@ -131,13 +133,13 @@
                 thread::sleep(Duration::from_secs(5));
                 member.signal("-CONT");
                 members.stopped.remove(&n);
-                // It must not believe what it believed.
+                // It must not consider the others dead on the strength of its own pause.
                 self.blamed += members.status(n).map_or(0, |s| count(&s, |m| m["state"] == "dead"));
                 Self::time(members, 4000, &mut self.heal);
             }
             Fault::Leave(n) => {
                 let Some(mut leaves) = members.running[n].take() else { return Ok(()) };
-                // It goes on for a while, for its clients; the others know at once.
+                // It keeps serving its clients for a while; the others must know of its leave at once.
                 leaves.signal("-TERM");
                 Self::time(members, 1000, &mut self.leave);
                 leaves.drain(Duration::from_secs(6))?;
@@ -150,7 +152,8 @@
             Fault::CutOff(n) => {
                 members.links(|a, b| Link { silent: (a == n) != (b == n), ..Link::default() });
                 thread::sleep(Duration::from_secs(8));
-                let status = members.status(n).ok_or("a member that is cut off answers its operators")?;
+                let status =
+                    members.status(n).ok_or("a member that is cut off did not answer its operator")?;
                 self.unsaid += usize::from(status["cut_off_ms"].is_null());
                 let buried = count(&status, |m| m["state"] == "dead");
                 self.blamed += if buried > BURIED_ALONE { buried } else { 0 };
@@ -161,7 +164,7 @@
                 let slow = members.slow(n, Duration::from_secs(5));
                 self.watch(Duration::from_secs(5));
                 if let Some(slow) = slow {
-                    slow.join().map_err(|_| "the one that stops and wakes it is lost")?;
+                    slow.join().map_err(|_| "the thread that suspends and resumes it panicked")?;
                 }
             }
             Fault::Moved(n) => {
@@ -172,7 +175,7 @@
             Fault::Twice(n) => {
                 let before = members.start_elsewhere(n)?;
                 Self::time(members, 2500, &mut self.join);
-                // It hears of the later at the latest when it pings somebody.
+                // It hears of the later process when it pings another member, if not before.
                 thread::sleep(Duration::from_millis(500));
                 let said = before.as_ref().and_then(members::status);
                 self.unsaid += usize::from(said.is_none_or(|s| s["superseded"] != true));
@@ -184,7 +187,7 @@
                 thread::sleep(Duration::from_millis(200));
                 self.replayed.0 += played;
                 self.replayed.1 += members.dropped() - dropped;
-                // Nothing is to settle: it is as it was.
+                // The views must be unchanged, so there is nothing to wait for.
                 self.wronged += usize::from(!members.settled());
             }
         }
@@ -198,7 +201,7 @@
         members.links(|a, b| Link { silent: apart.contains(&a) != apart.contains(&b), ..Link::default() });
         members.apart = apart;
         thread::sleep(Duration::from_secs(6));
-        // One dies on each side meanwhile.
+        // One member is killed on each side meanwhile.
         for side in [false, true] {
             let one = members.awake().into_iter().find(|n| members.apart.contains(n) == side);
             if let Some(n) = one {
@@ -212,7 +215,7 @@
         let (here, there): (Vec<usize>, Vec<usize>) =
             members.awake().iter().partition(|n| !members.apart.contains(n));
         members.apart.clear();
-        // Nobody believes the other half about its own.
+        // No member may take the other half's view of members on its own side.
         let began = Instant::now();
         while began.elapsed() < Duration::from_secs(2) && !members.settled() {
             self.wronged += members.wronged_by(&here, &here) + members.wronged_by(&there, &there);
@@ -224,7 +227,7 @@
         }
     }
 
-    /// For so long nobody who runs may be held for dead.
+    /// Counts, for this time, the cases in which a running member is considered dead.
     fn watch(&mut self, time: Duration) {
         let until = Instant::now() + time;
         while Instant::now() < until {
@@ -239,7 +242,7 @@
     }
 }
 
-/// Which schedule is asked for, if one is, and which defect of the program.
+/// Returns the schedule of faults to run in place of drawn ones, if there is one, and the defect to plant in the program.
 fn asked(play: &Play) -> Result<(Option<Vec<Fault>>, Option<String>), String> {
     let planted = play.defect.as_deref().and_then(|d| PLANTED.iter().find(|(name, _)| d == *name));
     let shown = planted.map(|(_, schedule)| *schedule);
@@ -267,7 +270,7 @@
     }
     let until = Instant::now() + play.time;
     run.bring_back()?;
-    // At rest: what each sends.
+    // Measure what each member sends without faults.
     let (before, began) = (run.members.sent(), Instant::now());
     thread::sleep(Duration::from_secs(3));
     let (after, took) = (run.members.sent(), began.elapsed().as_secs_f64() * MEMBERS as f64);
--- a/crates/testing/test-harness/tests/scenarios.rs
+++ b/crates/testing/test-harness/tests/scenarios.rs
@@ -1,29 +1,29 @@
-//! The scenarios hold with any seed, and fail with each of their defects.
+//! Every scenario stays within its bounds with each of the seeds, and fails with each of its defects.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 use std::time::Duration;
 use test_harness::scenario::{Play, Scenario, Size, ALL};
 
-/// Plays at a time in each test: they wait on the clock for most of their time.
+/// Runs at a time in each test: they wait on the clock for most of their time.
 const PARALLEL_PLAYS: usize = 2;
 
 /// Seeds with which each scenario must hold.
 const SEEDS: [u64; 2] = [1, 20_261];
 
-/// The scenario that has a test of its own.
+/// The scenario that has its own test.
 const UNSTEADY_SCENARIO: &str = "trial";
 
 fn play(scenario: &Scenario, seed: u64, defect: Option<&str>) -> Vec<String> {
     let time = Duration::from_secs(scenario.test_seconds);
     let size = Size::default();
     let play = Play { seed, time, defect: defect.map(String::from), schedule: None, size };
-    let figures = (scenario.run)(&play).expect("it can be played");
+    let figures = (scenario.run)(&play).expect("the scenario can be run");
     assert!(!figures.figures.is_empty());
     figures.broken
 }
 
-/// Runs all checks, a few at a time: what those say that fail.
+/// Runs all checks, a few at a time, and returns the messages of those that fail.
 fn failures<T: Sync>(cases: &[T], check: impl Fn(&T) -> Option<String> + Sync) -> Vec<String> {
     let (next, failed) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     let work = || {
@@ -41,7 +41,7 @@
     failed.into_inner().expect("no check panics while it holds this")
 }
 
-/// What the scenarios' plays without a defect report as broken, with the seeds that the tests use.
+/// Runs the scenarios without a defect, with each of the seeds, and returns a message for each run out of its bounds.
 fn broken_plays(scenarios: &[&Scenario]) -> Vec<String> {
     let cases: Vec<(&Scenario, u64)> =
         scenarios.iter().flat_map(|scenario| SEEDS.map(|seed| (*scenario, seed))).collect();
@@ -59,12 +59,12 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// Apart from the other scenarios, since it fails now and then: KNOWN-RED.txt, TRIAL.
+/// Separate from the other scenarios, since it fails now and then: KNOWN-RED.txt, TRIAL.
 #[test]
 fn trial_scenario_holds() {
     let scenarios: Vec<&Scenario> =
         ALL.iter().filter(|scenario| scenario.name == UNSTEADY_SCENARIO).collect();
-    assert_eq!(scenarios.len(), 1, "there is one scenario named {UNSTEADY_SCENARIO}");
+    assert_eq!(scenarios.len(), 1, "expected one scenario named {UNSTEADY_SCENARIO}");
     let failures = broken_plays(&scenarios);
     assert!(failures.is_empty(), "{failures:#?}");
 }
@@ -81,9 +81,9 @@
     assert!(failures.is_empty(), "{failures:#?}");
 }
 
-/// Defects of the program itself: `cargo test --release -p test-harness --test scenarios -- --ignored`.
+/// Needs a build with planted defects: `cargo test --release -p test-harness --test scenarios -- --ignored`.
 #[test]
-#[ignore = "a build of its own, and some three minutes"]
+#[ignore = "needs a separate build, and about three minutes"]
 fn every_defect_of_the_program_is_seen() {
     for scenario in ALL {
         for (name, _) in scenario.planted {
