--- a/crates/testing/compatibility/src/lib.rs
+++ b/crates/testing/compatibility/src/lib.rs
@@ -1,16 +1,16 @@
-//! Golden bytes: what an earlier version stored or sent, kept as hexadecimal text in `golden/`.
+//! Golden bytes: data that an earlier version stored or sent, kept as hexadecimal text in `golden/`.
 //!
-//! A renamed type, variant or field must not change any of these bytes, or a process of the version before could not
-//! read them. A test compares the bytes that are written now with the recorded ones, and reads the recorded ones back.
-//! A deliberate change of a form gets a new version and a new record beside the old one; setting the variable
-//! [`RECORD_VARIABLE`] records what is missing, and never overwrites a record.
+//! Renaming a type, variant or field must not change any of these bytes, or a process of the previous version could not
+//! read them. A test compares the bytes that are written now with the recorded ones, and decodes the recorded ones.
+//! A deliberate change of a format needs a new version and a new record next to the old one. If the variable
+//! [`RECORD_VARIABLE`] is set, missing records are added; an existing record is never overwritten.
 #![forbid(unsafe_code)]
 
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
-/// When set, records that do not exist yet are added.
+/// Environment variable that makes the tests add missing records.
 pub const RECORD_VARIABLE: &str = "GRANITETHREAD_RECORD_GOLDEN";
 
 /// The records of one file, by name.
@@ -21,7 +21,7 @@
 }
 
 impl Golden {
-    /// Opens `golden/FILE.txt`: one record a line, its name, a space, its bytes in hexadecimal digits.
+    /// Opens `golden/FILE.txt`. Each line is a record: its name, a space, and its bytes in hexadecimal digits.
     pub fn open(file: &str) -> Self {
         let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("golden").join(format!("{file}.txt"));
         let text = std::fs::read_to_string(&path).unwrap_or_default();
@@ -30,20 +30,20 @@
         Golden { path, records }
     }
 
-    /// How many records the file holds.
+    /// Returns the number of records in the file.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether the file holds no record.
+    /// Whether the file has no record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// The recorded bytes, which must equal `written`.
+    /// Asserts that the recorded bytes equal `written`, and returns them.
     ///
     /// # Panics
-    /// The bytes differ, or there is no such record and none is to be made.
+    /// The bytes differ, or the record does not exist and [`RECORD_VARIABLE`] is not set.
     pub fn assert_bytes(&mut self, name: &str, written: &[u8]) -> Vec<u8> {
         let hex = to_hex(written);
         if !self.records.contains_key(name) && std::env::var_os(RECORD_VARIABLE).is_some() {
@@ -51,19 +51,19 @@
             self.save();
         }
         let recorded = self.records.get(name).unwrap_or_else(|| panic!("no golden record named {name}"));
-        assert_eq!(hex, *recorded, "{name}: other bytes are written than before");
+        assert_eq!(hex, *recorded, "{name}: the bytes differ from the golden record");
         from_hex(recorded)
     }
 
-    /// A message of `rmp-serde`: written as before, and read back into the same bytes.
+    /// Asserts that `rmp-serde` encodes a message as recorded, and that the decoded record has the same encoding.
     ///
     /// # Panics
-    /// The bytes differ, or cannot be read back.
+    /// The bytes differ, or cannot be decoded.
     pub fn assert_message<T: Serialize + DeserializeOwned>(&mut self, name: &str, message: &T) {
         let written = rmp_serde::to_vec(message).expect("a message can be written");
         let recorded = self.assert_bytes(name, &written);
-        let read: T =
-            rmp_serde::from_slice(&recorded).unwrap_or_else(|e| panic!("{name}: not read back: {e}"));
+        let read: T = rmp_serde::from_slice(&recorded)
+            .unwrap_or_else(|e| panic!("{name}: the golden record cannot be decoded: {e}"));
         assert_eq!(rmp_serde::to_vec(&read).expect("a message can be written"), recorded, "{name}");
     }
 
--- a/crates/testing/compatibility/tests/messages.rs
+++ b/crates/testing/compatibility/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Messages between processes of the system: `rmp-serde` writes an enum's variants by name and a struct's fields by place.
+//! Messages between processes of the system: `rmp-serde` writes an enum's variants by name and a struct's fields by
+//! position.
 
 use change_log::Offset;
 use compatibility::Golden;
@@ -22,7 +23,7 @@
     [1, 2, 3].into_iter().map(|n| (format!("10.0.0.{n}"), 1000 + n)).collect()
 }
 
-fn fact(n: u64, draining: bool) -> Heartbeat {
+fn heartbeat(n: u64, draining: bool) -> Heartbeat {
     Heartbeat {
         instance: format!("i-{n}"),
         service: "orders".into(),
@@ -36,7 +37,7 @@
     }
 }
 
-fn ask() -> LeaseRequest {
+fn lease_request() -> LeaseRequest {
     LeaseRequest {
         number: 9,
         units: vec![UnitRequest {
@@ -58,14 +59,14 @@
     }
 }
 
-/// A request of a gateway that used its fallback share: one field more, which is absent while it is 0.
-fn ask_after_isolation() -> LeaseRequest {
-    let mut request = ask();
+/// A request of a gateway that used its fallback share: it has one more field, which is omitted while it is 0.
+fn lease_request_after_isolation() -> LeaseRequest {
+    let mut request = lease_request();
     request.units[0].spent_fallback = 2;
     request
 }
 
-fn lent() -> LeaseGrant {
+fn lease_grant() -> LeaseGrant {
     LeaseGrant {
         number: 9,
         coordinator: 4,
@@ -118,8 +119,8 @@
         Entry { term: 3, payload: EntryPayload::Command(vec![1, 2, 3]) },
         Entry { term: 3, payload: EntryPayload::JointConfiguration { old: members(), new: VoterSet::new() } },
     ];
-    let whole = TransferContent::Snapshot { index: 8, term: 2, voters: members() };
-    let word = TransferContent::Entry { previous: PreviousEntry { index: 8, term: 2 }, term: 3 };
+    let snapshot_content = TransferContent::Snapshot { index: 8, term: 2, voters: members() };
+    let entry_content = TransferContent::Entry { previous: PreviousEntry { index: 8, term: 2 }, term: 3 };
     let bodies = [
         (
             "request-vote",
@@ -143,11 +144,17 @@
         ("append-rejected", MessageBody::AppendRejected { round: 11, hint: 6 }),
         (
             "chunk-of-snapshot",
-            MessageBody::Chunk { content: whole, size: 5, offset: 1, bytes: vec![7; 3], round: 12 },
+            MessageBody::Chunk {
+                content: snapshot_content,
+                size: 5,
+                offset: 1,
+                bytes: vec![7; 3],
+                round: 12,
+            },
         ),
         (
             "chunk-of-entry",
-            MessageBody::Chunk { content: word, size: 5, offset: 0, bytes: vec![], round: 12 },
+            MessageBody::Chunk { content: entry_content, size: 5, offset: 0, bytes: vec![], round: 12 },
         ),
         ("chunk-received", MessageBody::ChunkReceived { index: 8, received: 4, round: 12 }),
         ("leave", MessageBody::LeaveRequest),
@@ -187,14 +194,17 @@
         ("found", ControlMessage::BootstrapChosen { voters: members() }),
         (
             "heartbeats",
-            ControlMessage::Heartbeats { changed: vec![fact(1, false)], unchanged: vec![("i-2".into(), 8)] },
+            ControlMessage::Heartbeats {
+                changed: vec![heartbeat(1, false)],
+                unchanged: vec![("i-2".into(), 8)],
+            },
         ),
         ("expired", ControlMessage::Deregistered { instance: "i-1".into() }),
         ("propose", ControlMessage::Propose { command: vec![9, 8, 7] }),
         ("contact", ControlMessage::ContactRequest { number: 5 }),
         ("contacted", ControlMessage::ContactResponse { number: 5, age_ns: 1_000, commit_index: 12 }),
-        ("ask", ControlMessage::LeaseRequest { gateway: "edge-1".into(), request: ask() }),
-        ("lent", ControlMessage::LeaseGrant { gateway: "edge-1".into(), term: 3, grant: lent() }),
+        ("ask", ControlMessage::LeaseRequest { gateway: "edge-1".into(), request: lease_request() }),
+        ("lent", ControlMessage::LeaseGrant { gateway: "edge-1".into(), term: 3, grant: lease_grant() }),
         ("unknown", ControlMessage::UnknownInstances { instances: vec!["i-9".into()] }),
     ];
     let count = messages.len();
@@ -206,52 +216,63 @@
 fn messages_of_gateways_and_to_them_keep_their_bytes() {
     let mut golden = Golden::open("gateway");
     let up = [
-        ("up-ask", GatewayMessage::LeaseRequest(ask())),
-        ("up-ask-with-spent-fallback", GatewayMessage::LeaseRequest(ask_after_isolation())),
+        ("up-ask", GatewayMessage::LeaseRequest(lease_request())),
+        ("up-ask-with-spent-fallback", GatewayMessage::LeaseRequest(lease_request_after_isolation())),
         ("up-missing", GatewayMessage::MissingGateways { missing: vec!["edge-2".into()] }),
         ("up-received", GatewayMessage::ChunkReceived { index: 6, received: 16_384 }),
         ("up-lacks", GatewayMessage::BaseMissing),
         ("up-contact", GatewayMessage::ContactNumber { number: 3 }),
     ];
     up.iter().for_each(|(name, up)| golden.assert_message(name, up));
-    let place = Offset { incarnation: 77, position: 12 };
-    let scene = FleetSnapshot {
-        backends: vec![fact(1, true), fact(2, false)],
+    let snapshot_offset = Offset { incarnation: 77, position: 12 };
+    let fleet_snapshot = FleetSnapshot {
+        backends: vec![heartbeat(1, true), heartbeat(2, false)],
         complete: true,
         draining: vec!["i-1".into()],
         gateways: vec!["edge-1".into(), "edge-2".into()],
     };
     let changes = vec![
-        FleetChange::Backend(fact(3, false)),
+        FleetChange::Backend(heartbeat(3, false)),
         FleetChange::BackendRemoved("i-4".into()),
         FleetChange::BackendDraining("i-5".into()),
         FleetChange::Gateways(vec!["edge-1".into()]),
     ];
-    let head = TransferHeader { base_index: Some(4), index: 6, version: 0x1a, digest: [3; 16], length: 2 };
-    let whole = TransferHeader { base_index: None, index: 6, version: 0x1a, digest: [3; 16], length: 2 };
-    let pulse = GatewayUpdate::Heartbeat {
+    let delta_header =
+        TransferHeader { base_index: Some(4), index: 6, version: 0x1a, digest: [3; 16], length: 2 };
+    let full_header =
+        TransferHeader { base_index: None, index: 6, version: 0x1a, digest: [3; 16], length: 2 };
+    let heartbeat_update = GatewayUpdate::Heartbeat {
         contact_number: 3,
         quorum_contact_ms: 40,
         newest_configuration: 6,
         control_nodes: vec![("10.0.0.1".into(), "otavi-hall".into())],
     };
     let down = [
-        ("down-snapshot", GatewayUpdate::Snapshot { offset: place, snapshot: Box::new(scene) }),
-        ("down-changes", GatewayUpdate::Changes { from: place, changes }),
+        (
+            "down-snapshot",
+            GatewayUpdate::Snapshot { offset: snapshot_offset, snapshot: Box::new(fleet_snapshot) },
+        ),
+        ("down-changes", GatewayUpdate::Changes { from: snapshot_offset, changes }),
         (
             "down-first-chunk",
-            GatewayUpdate::ConfigurationChunk(ConfigurationChunk { header: Some(head), bytes: vec![1, 2] }),
+            GatewayUpdate::ConfigurationChunk(ConfigurationChunk {
+                header: Some(delta_header),
+                bytes: vec![1, 2],
+            }),
         ),
         (
             "down-whole-chunk",
-            GatewayUpdate::ConfigurationChunk(ConfigurationChunk { header: Some(whole), bytes: vec![1, 2] }),
+            GatewayUpdate::ConfigurationChunk(ConfigurationChunk {
+                header: Some(full_header),
+                bytes: vec![1, 2],
+            }),
         ),
         (
             "down-chunk",
             GatewayUpdate::ConfigurationChunk(ConfigurationChunk { header: None, bytes: vec![1, 2] }),
         ),
-        ("down-heartbeat", pulse),
-        ("down-lent", GatewayUpdate::LeaseGrant(lent())),
+        ("down-heartbeat", heartbeat_update),
+        ("down-lent", GatewayUpdate::LeaseGrant(lease_grant())),
     ];
     down.iter().for_each(|(name, down)| golden.assert_message(name, down));
     assert_eq!(golden.len(), up.len() + down.len());
@@ -289,20 +310,20 @@
     };
     let answers = [
         status,
-        QueryAnswer::Backends(vec![(fact(1, false), true)]),
+        QueryAnswer::Backends(vec![(heartbeat(1, false), true)]),
         QueryAnswer::Gateways(vec![("edge-1".into(), true, vec!["edge-2".into()])]),
         QueryAnswer::Configuration(Some("{}".into())),
         QueryAnswer::Trials(vec![trial]),
     ];
     for (n, answer) in answers.into_iter().enumerate() {
-        let told = QueryResponse {
+        let response = QueryResponse {
             node: "10.0.0.1".into(),
             zone: "otavi-hall".into(),
             quorum_contact_ms: Some(40),
             answer,
         };
-        golden.assert_message(&format!("answer-{n}"), &told);
-        json.assert_bytes(&format!("answer-{n}"), &serde_json::to_vec(&told).expect("JSON"));
+        golden.assert_message(&format!("answer-{n}"), &response);
+        json.assert_bytes(&format!("answer-{n}"), &serde_json::to_vec(&response).expect("JSON"));
     }
     assert_eq!(golden.len(), 10);
 }
--- a/crates/testing/compatibility/tests/service.rs
+++ b/crates/testing/compatibility/tests/service.rs
@@ -1,5 +1,5 @@
-//! What the program in service stores and sends: datagrams of the fleet's membership, the wire between planners and
-//! forwarders, a gateway's snapshot, the operators' file.
+//! Stored and sent data of the gateway in service: membership datagrams, the protocol between planners and forwarders,
+//! a gateway's snapshot, and the operator's file.
 
 use compatibility::Golden;
 use membership::wire::{Datagram, Message, Piggyback, BUCKETS};
@@ -30,16 +30,22 @@
     let keys = Keys::new(vec![KEY.to_vec()]).expect("a key");
     let address = "127.0.0.1:7102".parse().expect("an address");
     let states = [State::Alive, State::Suspect, State::Dead, State::Left];
-    let rumours: Vec<Record> = states.into_iter().map(|s| record(s, Role::Planner)).collect();
-    let rider = Piggyback { digest: 5, health: 1, updates: rumours[..2].to_vec() };
+    let all_states: Vec<Record> = states.into_iter().map(|s| record(s, Role::Planner)).collect();
+    let piggyback_with_updates = Piggyback { digest: 5, health: 1, updates: all_states[..2].to_vec() };
     let own = record(State::Alive, Role::Gateway);
     let messages = [
-        ("ping", Message::Ping { probe: 1, generation: 2, address, piggyback: rider.clone() }),
-        ("ack", Message::Ack { probe: 1, piggyback: rider.clone() }),
-        ("help", Message::PingRequest { probe: 1, target: "g2".into(), piggyback: rider.clone() }),
-        ("nack", Message::Nack { probe: 1, piggyback: rider }),
+        (
+            "ping",
+            Message::Ping { probe: 1, generation: 2, address, piggyback: piggyback_with_updates.clone() },
+        ),
+        ("ack", Message::Ack { probe: 1, piggyback: piggyback_with_updates.clone() }),
+        (
+            "help",
+            Message::PingRequest { probe: 1, target: "g2".into(), piggyback: piggyback_with_updates.clone() },
+        ),
+        ("nack", Message::Nack { probe: 1, piggyback: piggyback_with_updates }),
         ("differs", Message::DigestMismatch { buckets: [9; BUCKETS] }),
-        ("records", Message::Records { echo: 4, records: rumours }),
+        ("records", Message::Records { echo: 4, records: all_states }),
         ("hello", Message::Hello { record: own.clone(), padding: vec![0; 8] }),
         ("cookie", Message::Cookie { cookie: [6; 16], address }),
         ("join", Message::Join { record: own, cookie: [6; 16], echo: 4 }),
@@ -140,7 +146,7 @@
 fn the_operators_file_is_understood_as_before() {
     let mut golden = Golden::open("operator");
     let text = include_str!("../golden/operator.toml");
-    let operator = operator::read(text).expect("a sound file");
+    let operator = operator::read(text).expect("a valid file");
     assert_eq!(operator.pools.len(), 2);
     assert_eq!(operator.routes.len(), 2);
     assert!(operator.planner.is_none() && operator.forwarder.is_some());
--- a/crates/testing/test-harness/src/crowd.rs
+++ b/crates/testing/test-harness/src/crowd.rs
@@ -1,6 +1,6 @@
-//! Scenario of a connection flood: many clients connect and never finish a request. Each complete request comes on its
-//! own connection, and some are written slowly. Descriptors and memory are scarce, and the gateway is restarted in the
-//! middle.
+//! Scenario of a connection flood: many clients connect and never finish a request. Each complete request comes on
+//! its own connection, and some are written slowly. Descriptors and memory are scarce, and the gateway is restarted
+//! in the middle.
 
 use crate::demo::request;
 use crate::fleet::{body, good, lock, serve};
@@ -26,7 +26,7 @@
         ("killed", "the gateway is killed in place of SIGTERM"),
         ("hung-gateway", "the gateway is suspended for a while: no operator call is answered"),
     ],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
@@ -34,7 +34,7 @@
 const SOCKETS: usize = 140;
 const MEMORY_MB: usize = 24;
 /// Connections without a complete request: more than the gateway may hold.
-const CROWD: usize = 300;
+const MAX_INCOMPLETE: usize = 300;
 const LANES: u64 = 12;
 
 /// Requests, by outcome.
@@ -51,10 +51,10 @@
 }
 
 /// Sends complete requests, each on its own connection.
-fn lane(n: u64, play: &Play, to: SocketAddr, over: &AtomicBool, ledger: &RequestRecord) {
+fn run_client(n: u64, play: &Play, to: SocketAddr, stop: &AtomicBool, ledger: &RequestRecord) {
     let mut rng = Rng::with_seed(play.seed.wrapping_add(n).wrapping_mul(0x2545_f491_4f6c_dd1d));
     let mut number = (n + 1) << 32;
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         number += 1;
         let class = ["quote", "confirm", "book-slot"][rng.usize(0..3)];
         let text = request(class, number, "partner", &format!("{:016x}", 0xc0 + n), 2.0);
@@ -74,11 +74,11 @@
             let pieces: Vec<&[u8]> = text.as_bytes().chunks(text.len().div_ceil(12)).collect();
             let (last, first) = pieces.split_last().expect("a request is not empty");
             let written = first.iter().all(|piece| {
-                let there = !ended(&client.stream) && client.stream.write_all(piece).is_ok();
+                let there = !is_closed(&client.stream) && client.stream.write_all(piece).is_ok();
                 thread::sleep(pause);
                 there
             });
-            if !written || ended(&client.stream) || client.stream.write_all(last).is_err() {
+            if !written || is_closed(&client.stream) || client.stream.write_all(last).is_err() {
                 ledger.cut.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
@@ -97,27 +97,27 @@
 }
 
 /// Whether the gateway has closed the connection, so that an incomplete request cannot be processed.
-fn ended(stream: &TcpStream) -> bool {
+fn is_closed(stream: &TcpStream) -> bool {
     let _ = stream.set_nonblocking(true);
-    let ended = match stream.peek(&mut [0]) {
+    let is_closed = match stream.peek(&mut [0]) {
         Ok(n) => n == 0,
         Err(e) => e.kind() != std::io::ErrorKind::WouldBlock,
     };
     let _ = stream.set_nonblocking(false);
-    ended
+    is_closed
 }
 
 /// Opens connections that never finish a request, continuously replacing the oldest.
-fn crowd(play: &Play, to: SocketAddr, over: &AtomicBool) {
+fn open_incomplete(play: &Play, to: SocketAddr, stop: &AtomicBool) {
     let mut rng = Rng::with_seed(play.seed ^ 0x5eed);
     let mut all: VecDeque<TcpStream> = VecDeque::new();
-    let half = request("quote", 1, "partner", "00000000000000c0", 2.0);
-    while !over.load(Ordering::Relaxed) {
+    let incomplete = request("quote", 1, "partner", "00000000000000c0", 2.0);
+    while !stop.load(Ordering::Relaxed) {
         if let Ok(mut stream) = TcpStream::connect(to) {
-            let _ = stream.write_all(&half.as_bytes()[..rng.usize(0..half.len() - 2)]);
+            let _ = stream.write_all(&incomplete.as_bytes()[..rng.usize(0..incomplete.len() - 2)]);
             all.push_back(stream);
         }
-        if all.len() > CROWD {
+        if all.len() > MAX_INCOMPLETE {
             all.pop_front();
         }
         thread::sleep(Duration::from_millis(10));
@@ -139,15 +139,15 @@
     let gateway = Program::start_with_operator_listener(&locate()?, &config, discovery.address, None)?;
     discovery.wait_for_calls(2);
     let (to, gateway) = (gateway.address, Arc::new(Mutex::new(gateway)));
-    let (over, ledger) = (Arc::new(AtomicBool::new(false)), Arc::<RequestRecord>::default());
+    let (stop, ledger) = (Arc::new(AtomicBool::new(false)), Arc::<RequestRecord>::default());
     let mut threads = Vec::new();
     {
-        let (play, over) = (play.clone(), over.clone());
-        threads.push(thread::spawn(move || crowd(&play, to, &over)));
+        let (play, stop) = (play.clone(), stop.clone());
+        threads.push(thread::spawn(move || open_incomplete(&play, to, &stop)));
     }
     for n in 0..LANES {
-        let (play, over, ledger) = (play.clone(), over.clone(), ledger.clone());
-        threads.push(thread::spawn(move || lane(n, &play, to, &over, &ledger)));
+        let (play, stop, ledger) = (play.clone(), stop.clone(), ledger.clone());
+        threads.push(thread::spawn(move || run_client(n, &play, to, &stop, &ledger)));
     }
     let (mut open, mut memory, mut late, mut calls, mut unclean) = (0, 0, 0, 0, 0);
     let mut watch = |until: Instant| {
@@ -176,7 +176,7 @@
     one.restart()?;
     drop(one);
     watch(Instant::now() + play.time / 2);
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     for one in threads {
         one.join().map_err(|_| "a client thread panicked")?;
     }
@@ -186,11 +186,11 @@
     f.set("asked_whole", whole);
     f.set("refused", refused);
     f.bound("served_share", served as f64 / whole.max(1) as f64, 0.5, 1.0);
-    f.none("lost", count(&ledger.lost));
+    f.expect_zero("lost", count(&ledger.lost));
     f.bound("cut_share", count(&ledger.cut) as f64 / (whole + count(&ledger.cut)).max(1) as f64, 0.0, 0.1);
     f.bound("calls", f64::from(calls), 10.0, f64::INFINITY);
-    f.none("calls_late_or_unanswered", late);
-    f.none("unclean_ends", unclean);
+    f.expect_zero("calls_late_or_unanswered", late);
+    f.expect_zero("unclean_ends", unclean);
     f.bound("descriptors", open as f64, 1.0, SOCKETS as f64);
     f.bound("memory_kb", memory as f64, 1.0, (MEMORY_MB << 10) as f64);
     Ok(f)
--- a/crates/testing/test-harness/src/demo.rs
+++ b/crates/testing/test-harness/src/demo.rs
@@ -1,5 +1,5 @@
-//! Demonstration of a gateway: three stand-in servers, discovery that lists them, and a few customers of which one sends
-//! far more than its quota.
+//! Demonstration of a gateway: three stand-in servers, discovery that lists them, and a few customers of which one
+//! sends far more than its quota.
 
 use crate::fleet::{body, good, lock, not_started, serve, Cores, Meter};
 use crate::peers::{list, Client, Discovery, Message};
@@ -22,13 +22,13 @@
     ("partner", "00000000000000c2", 20.0),
 ];
 /// Time for which a client keeps an unused connection.
-const IDLE: Duration = Duration::from_secs(1);
+const MAX_IDLE: Duration = Duration::from_secs(1);
 /// Time for which a server works on a request.
-const WORK: Duration = Duration::from_millis(70);
+const WORK_TIME: Duration = Duration::from_millis(70);
 
 /// Requests of a plan's customers, by outcome.
 #[derive(Clone, Copy, Default)]
-struct Count {
+struct RequestCounts {
     asked: u64,
     served: u64,
     refused: u64,
@@ -67,7 +67,7 @@
     for name in ["server-1", "server-2", "server-3"] {
         let (cores, meter, rates) = (Cores::new(2, 16), meter.clone(), rates.clone());
         let answer = move |m: &Message, to: &mut _| {
-            if !cores.work(WORK) {
+            if !cores.work(WORK_TIME) {
                 return not_started(to);
             }
             // A gateway does not forward accounts to servers, so this demo encodes the customer in the request's id.
@@ -94,7 +94,7 @@
         let body = r#"{"target":"server-1"}"#;
         say(&format!("  curl -d '{body}' http://{operators}/maintenance/enter    # and exit to put it back"));
     }
-    let counts: Arc<Mutex<BTreeMap<&str, Count>>> = Arc::default();
+    let counts: Arc<Mutex<BTreeMap<&str, RequestCounts>>> = Arc::default();
     let mut members = Vec::new();
     for (n, (plan, account, rate)) in MEMBERS.into_iter().enumerate() {
         // Each customer uses a few connections, so that a slow response does not delay its other requests.
@@ -117,7 +117,7 @@
                     let class = ["quote", "quote", "confirm", "book-slot"][(id % 4) as usize];
                     let text = request(class, id, plan, account, 2.0);
                     // A gateway closes idle connections, so one that was idle for longer is not used again.
-                    let kept = client.take().filter(|(_, used)| used.elapsed() < IDLE).map(|(c, _)| c);
+                    let kept = client.take().filter(|(_, used)| used.elapsed() < MAX_IDLE).map(|(c, _)| c);
                     let mut on = kept.or_else(|| Client::try_connect(address));
                     let status = on.as_mut().and_then(|c| c.try_ask(&text)).map(|m| m.status());
                     client = on.filter(|_| status.is_some()).map(|c| (c, Instant::now()));
@@ -142,7 +142,7 @@
         second += 1;
         let seen = std::mem::take(&mut *lock(&counts));
         let line = seen.iter().map(|(plan, c)| {
-            let Count { asked, served, refused, failed } = c;
+            let RequestCounts { asked, served, refused, failed } = c;
             format!("{plan}: {asked} asked, {served} served, {refused} refused, {failed} failed")
         });
         say(&format!("{second:4} s  {}", line.collect::<Vec<_>>().join(" | ")));
--- a/crates/testing/test-harness/src/fleet.rs
+++ b/crates/testing/test-harness/src/fleet.rs
@@ -30,8 +30,8 @@
             let script = script.clone();
             thread::spawn(move || {
                 let _ = stream.set_nodelay(true);
-                let Ok(half) = stream.try_clone() else { return };
-                let mut reader = BufReader::new(half);
+                let Ok(read_half) = stream.try_clone() else { return };
+                let mut reader = BufReader::new(read_half);
                 while let Some(message) = read(&mut reader, number) {
                     if !script(&message, &mut stream) {
                         return;
@@ -48,16 +48,16 @@
 
 /// Units that a customer used in the current period and in the one before.
 #[derive(Clone, Copy, Default)]
-struct Use {
+struct Usage {
     period: u64,
-    now: f64,
-    last: f64,
+    current: f64,
+    previous: f64,
 }
 
 /// Usage of each customer over all servers, by period.
 pub struct Meter {
     started: Instant,
-    used: Mutex<HashMap<String, Use>>,
+    used: Mutex<HashMap<String, Usage>>,
 }
 
 impl Default for Meter {
@@ -71,13 +71,13 @@
     pub fn record_usage(&self, account: &str, units: f64) -> f64 {
         let period = (self.started.elapsed().as_millis() / PERIOD.as_millis()) as u64;
         let mut used = lock(&self.used);
-        let u = used.entry(account.to_string()).or_default();
-        if u.period != period {
-            u.last = if u.period + 1 == period { u.now } else { 0.0 };
-            (u.now, u.period) = (0.0, period);
+        let usage = used.entry(account.to_string()).or_default();
+        if usage.period != period {
+            usage.previous = if usage.period + 1 == period { usage.current } else { 0.0 };
+            (usage.current, usage.period) = (0.0, period);
         }
-        u.now += units;
-        u.last / PERIOD.as_secs_f64()
+        usage.current += units;
+        usage.previous / PERIOD.as_secs_f64()
     }
 }
 
@@ -86,18 +86,18 @@
     /// Number of free cores, and of waiting requests.
     state: Mutex<(usize, usize)>,
     free: Condvar,
-    room: usize,
+    queue_limit: usize,
 }
 
 impl Cores {
-    pub fn new(cores: usize, room: usize) -> Self {
-        Cores { state: Mutex::new((cores, 0)), free: Condvar::new(), room }
+    pub fn new(cores: usize, queue_limit: usize) -> Self {
+        Cores { state: Mutex::new((cores, 0)), free: Condvar::new(), queue_limit }
     }
 
     /// Waits for a core and occupies it for `time`. Returns false if the queue is full: nothing was started.
     pub fn work(&self, time: Duration) -> bool {
         let mut state = lock(&self.state);
-        if state.1 >= self.room {
+        if state.1 >= self.queue_limit {
             return false;
         }
         state.1 += 1;
--- a/crates/testing/test-harness/src/lib.rs
+++ b/crates/testing/test-harness/src/lib.rs
@@ -2,12 +2,10 @@
 //! scripted peers; the `test-harness` binary runs the scenarios.
 #![forbid(unsafe_code)]
 
-pub mod bed;
 pub mod comeback;
 pub mod crowd;
 pub mod demo;
 pub mod fleet;
-pub mod gate;
 pub mod local_cluster;
 pub mod peers;
 pub mod planners;
@@ -17,6 +15,8 @@
 pub mod scale;
 pub mod scenario;
 pub mod services;
+pub mod tcp_proxy;
 pub mod trial;
+pub mod udp_relay;
 pub mod upgrade;
 pub mod view;
--- a/crates/testing/test-harness/src/local_cluster.rs
+++ b/crates/testing/test-harness/src/local_cluster.rs
@@ -26,7 +26,7 @@
         ("runs-twice", "the client sends each payment a second time under the same id"),
         ("works-on", "the client itself sends a request to the drained backend"),
     ],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
@@ -35,26 +35,26 @@
 const BACKENDS: usize = 4;
 const HEARTBEAT_MS: u64 = 500;
 /// Time after the acknowledgement of its drain from which a backend must get no more requests.
-const DRAIN: Duration = Duration::from_millis(1500);
+const DRAIN_GRACE: Duration = Duration::from_millis(1500);
 /// Time in which a gateway must end after SIGTERM.
-const GRACE: Duration = Duration::from_secs(6);
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(6);
 /// API key of the tenant `members`.
 pub const KEY: &str = "2b9wu3fexd9dnn2ctnfz";
 /// API key of the tenant `guest`, where there is one.
-pub const TRIAL_TENANT: &str = "s989anu6wsjnbanfqasn";
+pub const TRIAL_KEY: &str = "s989anu6wsjnbanfqasn";
 
 /// Counts over all backends.
 #[derive(Default)]
-pub struct Seen {
+pub struct BackendCounts {
     /// Number of runs of each payment, by its id.
     pub runs: Mutex<HashMap<String, u32>>,
     /// One payment in this many is run and not answered; 0 for none.
     pub unanswered: AtomicU64,
     twice: AtomicU32,
     /// Requests that arrived with the API key, or without the tenant's name.
-    exposed: AtomicU32,
+    exposed_requests: AtomicU32,
     /// Requests that arrived after the backend's drain.
-    late: AtomicU32,
+    after_drain: AtomicU32,
 }
 
 /// A stand-in backend.
@@ -89,7 +89,7 @@
     machines: Vec<Machine>,
     front: u16,
     control: u16,
-    inner: u16,
+    internal: u16,
     control_plane_program: PathBuf,
     data_plane_program: PathBuf,
     folder: PathBuf,
@@ -107,11 +107,16 @@
     let free = |port: u16| ips.iter().all(|ip| TcpListener::bind((ip.as_str(), port)).is_ok());
     let mut found = Vec::new();
     while found.len() < 4 {
-        let any = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
+        let candidate =
+            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
         // The two ports after the internal one are for requests and probes between gateways.
-        let behind = found.len() < 3 || free(any.port() + 1) && free(any.port() + 2);
-        if any.port() < u16::MAX - 2 && free(any.port()) && behind && !found.contains(&any.port()) {
-            found.push(any.port());
+        let following_free = found.len() < 3 || free(candidate.port() + 1) && free(candidate.port() + 2);
+        if candidate.port() < u16::MAX - 2
+            && free(candidate.port())
+            && following_free
+            && !found.contains(&candidate.port())
+        {
+            found.push(candidate.port());
         }
     }
     Ok([found[0], found[1], found[2], found[3]])
@@ -140,15 +145,15 @@
     ///
     /// # Errors
     /// The programs cannot be built or started. The message is one line.
-    pub fn open_with(seed: u64, machines: usize, beat_ms: u64) -> Result<LocalCluster, String> {
+    pub fn open_with(seed: u64, machines: usize, heartbeat_ms: u64) -> Result<LocalCluster, String> {
         let (data_plane, control_plane) = locate_system()?;
         // Tests may run at the same time: each uses its own addresses.
         static NEXT: AtomicU64 = AtomicU64::new(0);
-        let net = 100 + (u64::from(std::process::id()) + NEXT.fetch_add(1, Relaxed)) % 100;
-        let ips: Vec<String> = (1..=machines).map(|n| format!("127.0.{net}.{n}")).collect();
-        let [front, readiness, control, inner] = ports(&ips)?;
-        let folder =
-            std::env::temp_dir().join(format!("granitethread-cluster-{}-{net}-{seed}", std::process::id()));
+        let subnet = 100 + (u64::from(std::process::id()) + NEXT.fetch_add(1, Relaxed)) % 100;
+        let ips: Vec<String> = (1..=machines).map(|n| format!("127.0.{subnet}.{n}")).collect();
+        let [front, readiness, control, internal] = ports(&ips)?;
+        let folder = std::env::temp_dir()
+            .join(format!("granitethread-cluster-{}-{subnet}-{seed}", std::process::id()));
         // In the notation of the settings file.
         let seeds: Vec<String> = ips.iter().take(3).map(|ip| format!("\"{ip}:{control}\"")).collect();
         let seeds = seeds.join(", ");
@@ -157,7 +162,7 @@
             machines: Vec::new(),
             front,
             control,
-            inner,
+            internal,
             control_plane_program: control_plane,
             data_plane_program: data_plane,
             folder,
@@ -165,13 +170,13 @@
         for (n, ip) in ips.into_iter().enumerate() {
             let folder = cluster.folder.join(n.to_string());
             std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-            let (data, last) = (folder.join("data"), inner + 2);
+            let (data, last) = (folder.join("data"), internal + 2);
             let text = format!(
                 "[ownIdentity]\nnodeName = \"edge-{n}\"\nipAddress = \"{ip}\"\nzone = \"zone-{n}\"\n\
-                 initialStart = true\ndataDirectory = {:?}\n[networkTerms]\ninternalPortRange = [{inner}, {last}]\n\
+                 initialStart = true\ndataDirectory = {:?}\n[networkTerms]\ninternalPortRange = [{internal}, {last}]\n\
                  seedNodes = [{seeds}]\n[networkTerms.listenAddresses]\nfrontHttp1 = \"{ip}:{front}\"\n\
                  readiness = \"{ip}:{readiness}\"\ncontrolPlane = \"{ip}:{control}\"\n[networkTerms.zones]\n\
-                 {zones}[platformTerms]\nheartbeatIntervalMs = {beat_ms}\n",
+                 {zones}[platformTerms]\nheartbeatIntervalMs = {heartbeat_ms}\n",
                 data.display().to_string()
             );
             let settings = folder.join("settings.toml");
@@ -188,17 +193,17 @@
 
     /// Addresses at which gateways serve clients.
     pub fn fronts(&self) -> Vec<SocketAddr> {
-        self.at(self.front)
+        self.addresses(self.front)
     }
 
     /// Addresses at which control nodes serve operators and backends.
     pub fn controls(&self) -> Vec<SocketAddr> {
-        self.at(self.control)
+        self.addresses(self.control)
     }
 
     /// Addresses at which control nodes accept gateways and each other.
-    pub fn inners(&self) -> Vec<SocketAddr> {
-        self.at(self.inner)
+    pub fn internal_addresses(&self) -> Vec<SocketAddr> {
+        self.addresses(self.internal)
     }
 
     /// Process ids of each machine: its control node, its gateway.
@@ -206,7 +211,7 @@
         self.machines.iter().map(|m| (m.control_plane.id(), m.gateway.id())).collect()
     }
 
-    fn at(&self, port: u16) -> Vec<SocketAddr> {
+    fn addresses(&self, port: u16) -> Vec<SocketAddr> {
         let all = self.machines.iter().filter_map(|m| format!("{}:{port}", m.ip).parse().ok());
         all.collect()
     }
@@ -215,15 +220,15 @@
     ///
     /// # Errors
     /// The signal cannot be sent, or the gateway cannot be started. The message is one line.
-    pub fn roll(&mut self, n: usize) -> Result<Option<Duration>, String> {
+    pub fn restart_gateway(&mut self, n: usize) -> Result<Option<Duration>, String> {
         let machine = &mut self.machines[n];
         let began = Instant::now();
-        let told = Command::new("kill").args(["-TERM", &machine.gateway.id().to_string()]).status();
-        told.map_err(|e| format!("kill: {e}"))?;
+        let kill_status = Command::new("kill").args(["-TERM", &machine.gateway.id().to_string()]).status();
+        kill_status.map_err(|e| format!("kill: {e}"))?;
         let ended = loop {
             match machine.gateway.try_wait() {
                 Ok(Some(status)) if status.success() => break Some(began.elapsed()),
-                Ok(None) if began.elapsed() < GRACE => thread::sleep(Duration::from_millis(20)),
+                Ok(None) if began.elapsed() < SHUTDOWN_GRACE => thread::sleep(Duration::from_millis(20)),
                 _ => break None,
             }
         };
@@ -238,19 +243,19 @@
     ///
     /// # Errors
     /// The signal cannot be sent. The message is one line.
-    pub fn freeze(&self, n: usize, gateway: bool, frozen: bool) -> Result<(), String> {
+    pub fn set_suspended(&self, n: usize, gateway: bool, suspended: bool) -> Result<(), String> {
         let machine = &self.machines[n];
         let child = if gateway { &machine.gateway } else { &machine.control_plane };
-        let signal = if frozen { "-STOP" } else { "-CONT" };
-        let told = Command::new("kill").args([signal, &child.id().to_string()]).status();
-        told.map(|_| ()).map_err(|e| format!("kill: {e}"))
+        let signal = if suspended { "-STOP" } else { "-CONT" };
+        let kill_status = Command::new("kill").args([signal, &child.id().to_string()]).status();
+        kill_status.map(|_| ()).map_err(|e| format!("kill: {e}"))
     }
 
     /// Kills a control node and starts it again, with `initialStart = false`.
     ///
     /// # Errors
     /// The process cannot be killed or started, or its settings cannot be changed. The message is one line.
-    pub fn kill(&mut self, n: usize) -> Result<(), String> {
+    pub fn restart_control_node(&mut self, n: usize) -> Result<(), String> {
         let machine = &mut self.machines[n];
         machine
             .control_plane
@@ -306,19 +311,19 @@
     }
 }
 
-fn backend(n: usize, seen: &Arc<Seen>) -> Result<Backend, String> {
+fn backend(n: usize, seen: &Arc<BackendCounts>) -> Result<Backend, String> {
     let drained: Arc<Mutex<Option<Instant>>> = Arc::default();
-    let (id, over, seen) = (format!("i-{n}"), drained.clone(), seen.clone());
-    let me = id.clone();
+    let (id, drained_since, seen) = (format!("i-{n}"), drained.clone(), seen.clone());
+    let own_id = id.clone();
     let script = move |m: &Message, to: &mut TcpStream| {
-        if m.header("target-instance") != Some(&me) {
+        if m.header("target-instance") != Some(&own_id) {
             return to.write_all(b"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n").is_ok();
         }
-        if lock(&over).is_some_and(|at| at.elapsed() > DRAIN) {
-            seen.late.fetch_add(1, Relaxed);
+        if lock(&drained_since).is_some_and(|at| at.elapsed() > DRAIN_GRACE) {
+            seen.after_drain.fetch_add(1, Relaxed);
         }
         if m.header("credential").is_some() || !matches!(m.header("tenant-name"), Some("members" | "guest")) {
-            seen.exposed.fetch_add(1, Relaxed);
+            seen.exposed_requests.fetch_add(1, Relaxed);
         }
         let attempt = m.header("attempt-id").unwrap_or_default().to_string();
         if m.start.starts_with("POST") {
@@ -328,13 +333,13 @@
             if *count > 1 {
                 seen.twice.fetch_add(1, Relaxed);
             }
-            let lost = seen.unanswered.load(Relaxed);
-            if lost > 0 && (runs.len() as u64).is_multiple_of(lost) {
+            let unanswered_interval = seen.unanswered.load(Relaxed);
+            if unanswered_interval > 0 && (runs.len() as u64).is_multiple_of(unanswered_interval) {
                 return false;
             }
         }
         thread::sleep(Duration::from_millis(15));
-        let body = format!("by {me}\n");
+        let body = format!("by {own_id}\n");
         let answer = format!(
             "HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\nServer-Seal: stand-in\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -348,11 +353,16 @@
 fn configuration(base: u32, version: u32, prefixes: &[&str]) -> String {
     let members =
         json!({"name": "members", "apiKeys": [KEY], "priority": 1, "ratePerS": 400, "burstSize": 400});
-    configured(base, version, prefixes, &[members])
+    configuration_with_tenants(base, version, prefixes, &[members])
 }
 
 /// Returns a configuration with these tenants.
-pub fn configured(base: u32, version: u32, prefixes: &[&str], tenants: &[serde_json::Value]) -> String {
+pub fn configuration_with_tenants(
+    base: u32,
+    version: u32,
+    prefixes: &[&str],
+    tenants: &[serde_json::Value],
+) -> String {
     let route = |prefix: &&str| {
         json!({"name": format!("r{prefix}"), "host": "desk.example", "pathPrefix": prefix,
             "routeKind": if prefix.contains("pay") { "unsafe" } else { "safe" }, "timeoutMs": 2000,
@@ -392,35 +402,35 @@
 }
 
 /// A cluster with its first configuration, and backends that send heartbeats until it is dropped.
-pub struct Running {
+pub struct RunningCluster {
     pub cluster: LocalCluster,
-    pub seen: Arc<Seen>,
+    pub seen: Arc<BackendCounts>,
     backends: Arc<Mutex<Vec<Backend>>>,
     stop: Arc<AtomicBool>,
-    beating: Option<thread::JoinHandle<()>>,
+    heartbeat_thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Drop for Running {
+impl Drop for RunningCluster {
     fn drop(&mut self) {
         self.stop.store(true, Relaxed);
-        if let Some(thread) = self.beating.take() {
+        if let Some(thread) = self.heartbeat_thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn begin(seed: u64) -> Result<Running, String> {
-    begin_with(seed, &configuration(0, 1, &["/look/", "/pay/"]))
+fn start_cluster(seed: u64) -> Result<RunningCluster, String> {
+    start_cluster_with(seed, &configuration(0, 1, &["/look/", "/pay/"]))
 }
 
 /// Starts a cluster and its backends with this first configuration, and waits until every gateway serves.
 ///
 /// # Errors
 /// The programs cannot be built or do not start. The message is one line.
-pub fn begin_with(seed: u64, first: &str) -> Result<Running, String> {
+pub fn start_cluster_with(seed: u64, first: &str) -> Result<RunningCluster, String> {
     let cluster = LocalCluster::open(seed)?;
     let controls = cluster.controls();
-    let seen: Arc<Seen> = Arc::default();
+    let seen: Arc<BackendCounts> = Arc::default();
     let all: Result<Vec<Backend>, String> = (0..BACKENDS).map(|n| backend(n, &seen)).collect();
     let backends = Arc::new(Mutex::new(all?));
     let stop: Arc<AtomicBool> = Arc::default();
@@ -428,17 +438,17 @@
     if taken.is_none_or(|a| a.status() != 200) {
         return Err("the first configuration was not accepted".into());
     }
-    let (beats, to, over) = (backends.clone(), controls, stop.clone());
-    let beating = thread::spawn(move || {
-        while !over.load(Relaxed) {
-            for backend in lock(&beats).iter_mut().filter(|b| b.state == "ready") {
+    let (heartbeat_backends, to, stop_flag) = (backends.clone(), controls, stop.clone());
+    let heartbeat_thread = thread::spawn(move || {
+        while !stop_flag.load(Relaxed) {
+            for backend in lock(&heartbeat_backends).iter_mut().filter(|b| b.state == "ready") {
                 // The next heartbeat makes up for a lost one.
                 backend.send_heartbeat(&to, 6);
             }
             thread::sleep(Duration::from_millis(HEARTBEAT_MS / 2));
         }
     });
-    let running = Running { cluster, seen, backends, stop, beating: Some(beating) };
+    let running = RunningCluster { cluster, seen, backends, stop, heartbeat_thread: Some(heartbeat_thread) };
     let until = Instant::now() + Duration::from_secs(15);
     for (n, front) in running.cluster.fronts().into_iter().enumerate() {
         let serves = || {
@@ -500,7 +510,7 @@
 }
 
 fn run(play: &Play) -> Result<Figures, String> {
-    let mut running = begin(play.seed)?;
+    let mut running = start_cluster(play.seed)?;
     let controls = running.cluster.controls();
     let stop: Arc<AtomicBool> = Arc::default();
     let (counts, threads) = clients(&running.cluster.fronts(), &stop, play.has("runs-twice"));
@@ -514,52 +524,53 @@
         one.state = "draining";
         let acknowledged = one.send_heartbeat(&controls, 40);
         *lock(&one.drained) = acknowledged.then(Instant::now);
-        figures.none("drains not acknowledged", usize::from(!acknowledged));
+        figures.expect_zero("drains not acknowledged", usize::from(!acknowledged));
         (one.id.clone(), one.drained.clone(), one.address)
     };
-    running.cluster.kill((play.seed % MACHINES as u64) as usize)?;
+    running.cluster.restart_control_node((play.seed % MACHINES as u64) as usize)?;
     let began = Instant::now();
     let second = configuration(1, 2, &["/look/", "/pay/", "/new/"]);
     let taken = call(&controls, "POST", "/-/Configuration.Replace", &second, 150).map_or(0, |a| a.status());
-    figures.none("changes not taken", usize::from(taken != 200));
+    figures.expect_zero("changes not taken", usize::from(taken != 200));
     figures.set("a change past a killed control node, ms", began.elapsed().as_millis() as u64);
     let again = call(&controls, "POST", "/-/Configuration.Replace", &second, 50).map_or(0, |a| a.status());
-    figures.none("the same change once more, not taken", usize::from(again != 200));
+    figures.expect_zero("the same change once more, not taken", usize::from(again != 200));
     let other = configuration(1, 3, &["/look/"]);
-    let raced = call(&controls, "POST", "/-/Configuration.Replace", &other, 50).map_or(0, |a| a.status());
-    figures.none("another on the same base, taken", usize::from(raced != 412));
+    let conflicting =
+        call(&controls, "POST", "/-/Configuration.Replace", &other, 50).map_or(0, |a| a.status());
+    figures.expect_zero("another on the same base, taken", usize::from(conflicting != 412));
     // A gateway is restarted meanwhile.
-    let rolled = running.cluster.roll(((play.seed + 1) % MACHINES as u64) as usize)?;
-    figures.none("gateways that did not end by themselves", usize::from(rolled.is_none()));
+    let rolled = running.cluster.restart_gateway(((play.seed + 1) % MACHINES as u64) as usize)?;
+    figures.expect_zero("gateways that did not end by themselves", usize::from(rolled.is_none()));
     figures.set("a gateway's end, ms", rolled.map_or(0, |d| d.as_millis() as u64));
     thread::sleep(third);
     if play.has("works-on") {
-        thread::sleep(DRAIN);
+        thread::sleep(DRAIN_GRACE);
         let text =
             request("/look/1", 7).replace("Credential", &format!("Target-Instance: {left}\r\nCredential"));
         Client::try_connect(address).and_then(|mut c| c.try_ask(&text));
     }
     let fronts = running.cluster.fronts();
-    let news = fronts.iter().filter(|front| {
+    let lacking = fronts.iter().filter(|front| {
         let answer = Client::try_connect(**front).and_then(|mut c| c.try_ask(&request("/new/1", 0xbeef)));
         answer.is_none_or(|a| a.status() != 200)
     });
-    figures.none("gateways without the new route", news.count());
+    figures.expect_zero("gateways without the new route", lacking.count());
     thread::sleep(third);
     stop.store(true, Relaxed);
     threads.into_iter().for_each(|t| drop(t.join()));
     let read = call(&controls, "GET", "/-/Configuration.Read", "", 50);
     let same = read.is_some_and(|a| a.body == second.as_bytes());
-    figures.none("configurations read back that differ", usize::from(!same));
+    figures.expect_zero("configurations read back that differ", usize::from(!same));
     let counts = lock(&counts);
     figures.set("asked", counts.asked);
     figures.set("refused", counts.refused);
-    figures.none("left without an answer", counts.failed as usize);
+    figures.expect_zero("left without an answer", counts.failed as usize);
     figures.bound("served", counts.served as f64 / counts.asked.max(1) as f64, 0.95, 1.0);
     let seen = &running.seen;
-    figures.none("payments that ran twice", seen.twice.load(Relaxed) as usize);
-    figures.none("requests with the key, or without the tenant's name", exposed(seen, play));
-    figures.none("requests to who had left", seen.late.load(Relaxed) as usize);
+    figures.expect_zero("payments that ran twice", seen.twice.load(Relaxed) as usize);
+    figures.expect_zero("requests with the key, or without the tenant's name", exposed_requests(seen, play));
+    figures.expect_zero("requests to who had left", seen.after_drain.load(Relaxed) as usize);
     figures.set("left", lock(&drained).is_some());
     let ids: HashSet<String> = lock(&running.backends).iter().map(|b| b.id.clone()).collect();
     figures.set("backends", ids.len());
@@ -567,8 +578,8 @@
 }
 
 /// Returns the exposed requests, without the one that the client itself sent directly to a backend.
-fn exposed(seen: &Seen, play: &Play) -> usize {
-    let count = seen.exposed.load(Relaxed) as usize;
+fn exposed_requests(seen: &BackendCounts, play: &Play) -> usize {
+    let count = seen.exposed_requests.load(Relaxed) as usize;
     count.saturating_sub(usize::from(play.has("works-on")))
 }
 
@@ -577,7 +588,7 @@
 /// # Errors
 /// The programs cannot be built or do not start. The message is one line.
 pub fn demo(stop: &Arc<AtomicBool>, mut say: impl FnMut(&str)) -> Result<(), String> {
-    let running = begin(1)?;
+    let running = start_cluster(1)?;
     say("three control nodes and three gateways in front of four stand-in backends; try it, or press Ctrl-C to end:");
     let front = running.cluster.fronts()[0];
     say(&format!(
@@ -585,9 +596,9 @@
          -H 'Remaining-Time: 2000' -H 'Credential: {KEY}'"
     ));
     say(&format!("  curl -iL http://{}/-/Configuration.Read", running.cluster.controls()[0]));
-    let inner = running.cluster.inners()[0];
+    let internal = running.cluster.internal_addresses()[0];
     say(&format!(
-        "  cargo run --release -q -p granitethread-ctl -- -a {inner} -c status    # or backends, gateways, configuration"
+        "  cargo run --release -q -p granitethread-ctl -- -a {internal} -c status    # or backends, gateways, configuration"
     ));
     let (counts, threads) = clients(&running.cluster.fronts(), stop, false);
     let mut second = 0;
--- a/crates/testing/test-harness/src/main.rs
+++ b/crates/testing/test-harness/src/main.rs
@@ -40,7 +40,7 @@
 }
 
 /// Prints a line and ignores a closed standard output.
-fn say(line: &str) {
+fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
@@ -64,7 +64,7 @@
             stop.store(true, Ordering::Relaxed);
         });
     }
-    match demo(&stop, say) {
+    match demo(&stop, print_line) {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
             eprintln!("test-harness: {what}");
@@ -77,9 +77,9 @@
     let args = Args::parse();
     match args.name.as_str() {
         "list" => {
-            say("demo         a gateway to look at, until Ctrl-C");
-            say("system       the whole system to look at, until Ctrl-C");
-            ALL.iter().for_each(|s| say(&format!("{:12} {}", s.name, s.about)));
+            print_line("demo         a demonstration gateway, until Ctrl-C");
+            print_line("system       a demonstration of the whole system, until Ctrl-C");
+            ALL.iter().for_each(|s| print_line(&format!("{:12} {}", s.name, s.about)));
             return ExitCode::SUCCESS;
         }
         "demo" => return demo(test_harness::demo::run, args.seconds),
@@ -90,15 +90,15 @@
         return usage_error(&format!("no scenario is named {:?}; list prints the names", args.name));
     };
     if args.list_defects {
-        scenario.defects.iter().for_each(|(name, what)| say(&format!("{name:20} {what}")));
+        scenario.defects.iter().for_each(|(name, what)| print_line(&format!("{name:20} {what}")));
         scenario
-            .planted
+            .program_defects
             .iter()
-            .for_each(|(name, by)| say(&format!("{name:20} in the program; shown by {by}")));
+            .for_each(|(name, by)| print_line(&format!("{name:20} in the program; shown by {by}")));
         return ExitCode::SUCCESS;
     }
     if let Some(name) = &args.defect {
-        if scenario.defects.iter().chain(scenario.planted).all(|(known, _)| known != name) {
+        if scenario.defects.iter().chain(scenario.program_defects).all(|(known, _)| known != name) {
             return usage_error(&format!("no defect is named {name:?}; --list-defects prints the names"));
         }
     }
@@ -111,15 +111,15 @@
             return ExitCode::FAILURE;
         }
     };
-    figures.figures.iter().for_each(|(name, value)| say(&format!("{name:28} {value}")));
-    figures.broken.iter().for_each(|what| say(&format!("BROKEN: {what}")));
-    let ok = figures.broken.is_empty();
+    figures.values.iter().for_each(|(name, value)| print_line(&format!("{name:28} {value}")));
+    figures.violations.iter().for_each(|what| print_line(&format!("BROKEN: {what}")));
+    let ok = figures.violations.is_empty();
     if args.json {
-        let mut all = figures.figures;
+        let mut all = figures.values;
         all.insert("scenario".into(), scenario.name.into());
         all.insert("seed".into(), args.seed.into());
         all.insert("ok".into(), ok.into());
-        say(&serde_json::Value::Object(all).to_string());
+        print_line(&serde_json::Value::Object(all).to_string());
     }
     if ok {
         ExitCode::SUCCESS
--- a/crates/testing/test-harness/src/peers.rs
+++ b/crates/testing/test-harness/src/peers.rs
@@ -69,22 +69,22 @@
     pub fn new(script: impl Fn(&Message, &mut TcpStream) -> bool + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let ((seen, requests), (end, ended)) = (channel(), channel());
+        let ((request_sender, requests), (end_sender, ended)) = (channel(), channel());
         let script = Arc::new(script);
         thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
                 let Ok(mut stream) = stream else { return };
-                let (seen, end, script): (Sender<Message>, Sender<usize>, _) =
-                    (seen.clone(), end.clone(), script.clone());
+                let (request_sender, end_sender, script): (Sender<Message>, Sender<usize>, _) =
+                    (request_sender.clone(), end_sender.clone(), script.clone());
                 thread::spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
                     while let Some(message) = read(&mut reader, number) {
-                        let _ = seen.send(message.clone());
+                        let _ = request_sender.send(message.clone());
                         if !script(&message, &mut stream) {
                             return;
                         }
                     }
-                    let _ = end.send(number);
+                    let _ = end_sender.send(number);
                 });
             }
         });
@@ -118,7 +118,7 @@
 }
 
 #[derive(Default)]
-struct SharedList {
+struct PublishedLists {
     /// Revisions and bodies, in order. A call for the whole list gets the latest body that holds the whole list.
     lists: Vec<(u64, String)>,
     calls: usize,
@@ -127,7 +127,7 @@
 /// Discovery that serves the lists which the test publishes.
 pub struct Discovery {
     pub address: SocketAddr,
-    told: Arc<(Mutex<SharedList>, Condvar)>,
+    published: Arc<(Mutex<PublishedLists>, Condvar)>,
 }
 
 impl Discovery {
@@ -135,69 +135,72 @@
     pub fn new(first: String) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let told = Arc::new((Mutex::new(SharedList::default()), Condvar::new()));
-        let d = Discovery { address, told: told.clone() };
-        d.publish(1, first);
+        let published = Arc::new((Mutex::new(PublishedLists::default()), Condvar::new()));
+        let discovery = Discovery { address, published: published.clone() };
+        discovery.publish(1, first);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (Ok(stream), told) = (stream, told.clone()) else { return };
-                thread::spawn(move || Discovery::serve(stream, &told));
+                let (Ok(stream), published) = (stream, published.clone()) else { return };
+                thread::spawn(move || Discovery::serve(stream, &published));
             }
         });
-        d
+        discovery
     }
 
     /// Starts discovery that accepts calls and answers none.
     pub fn never_answers() -> Self {
-        let d = Discovery::new(String::new());
-        d.withdraw_latest();
-        d
+        let discovery = Discovery::new(String::new());
+        discovery.withdraw_latest();
+        discovery
     }
 
-    fn serve(mut stream: TcpStream, told: &(Mutex<SharedList>, Condvar)) {
+    fn serve(mut stream: TcpStream, published: &(Mutex<PublishedLists>, Condvar)) {
         let mut reader = BufReader::new(stream.try_clone().expect("a second handle"));
         while let Some(call) = read(&mut reader, 0) {
             let since = call.start.split("since=").nth(1).and_then(|s| s.split('&').next()?.parse().ok());
-            let mut t = told.0.lock().expect("not poisoned");
-            t.calls += 1;
-            told.1.notify_all();
+            let mut state = published.0.lock().expect("not poisoned");
+            state.calls += 1;
+            published.1.notify_all();
             let body = loop {
                 let newer = match since {
-                    None => t.lists.iter().rev().find(|l| l.1.contains(r#""all":true"#)),
-                    Some(since) => t.lists.iter().find(|l| l.0 > since),
+                    None => state.lists.iter().rev().find(|l| l.1.contains(r#""all":true"#)),
+                    Some(since) => state.lists.iter().find(|l| l.0 > since),
                 };
                 if let Some((_, body)) = newer {
                     break body.clone();
                 }
-                t = told.1.wait(t).expect("not poisoned");
+                state = published.1.wait(state).expect("not poisoned");
             };
-            drop(t);
+            drop(state);
             ok(&mut stream, &body);
         }
     }
 
     /// Publishes the body of a revision.
     pub fn publish(&self, rev: u64, body: String) {
-        self.told.0.lock().expect("not poisoned").lists.push((rev, body));
-        self.told.1.notify_all();
+        self.published.0.lock().expect("not poisoned").lists.push((rev, body));
+        self.published.1.notify_all();
     }
 
     /// Removes the body that was published last.
     pub fn withdraw_latest(&self) {
-        self.told.0.lock().expect("not poisoned").lists.pop();
+        self.published.0.lock().expect("not poisoned").lists.pop();
     }
 
     /// Returns the number of calls so far.
     pub fn calls(&self) -> usize {
-        self.told.0.lock().expect("not poisoned").calls
+        self.published.0.lock().expect("not poisoned").calls
     }
 
     /// Waits until the gateway has called `times` times: it has then applied the answers to the earlier calls.
     pub fn wait_for_calls(&self, times: usize) {
-        let t = self.told.0.lock().expect("not poisoned");
-        let (_guard, late) =
-            self.told.1.wait_timeout_while(t, LIMIT, |t| t.calls < times).expect("not poisoned");
-        assert!(!late.timed_out(), "discovery is called {times} times");
+        let state = self.published.0.lock().expect("not poisoned");
+        let (_guard, wait) = self
+            .published
+            .1
+            .wait_timeout_while(state, LIMIT, |state| state.calls < times)
+            .expect("not poisoned");
+        assert!(!wait.timed_out(), "discovery is called {times} times");
     }
 }
 
@@ -289,7 +292,7 @@
     /// Returns the request as HTTP/1.1 text.
     pub fn text(&self) -> String {
         let CallerRequest { class, id, plan, timeout } = self;
-        let (method, rest) = match *class {
+        let (method, remainder) = match *class {
             "quote" => ("GET", "\r\n".to_string()),
             "confirm" => ("POST", "Idempotency-Key: k-1\r\nContent-Length: 5\r\n\r\nhello".to_string()),
             _ => ("POST", "Content-Length: 5\r\n\r\nhello".to_string()),
@@ -297,7 +300,7 @@
         format!(
             "{method} /api?x=1 HTTP/1.1\r\nHost: origin.svc\r\nRequest-Id: {id}\r\nRequest-Class: {class}\r\n\
              Plan: {plan}\r\nAccount: 00000000b4d65521\r\nRequest-Timeout: {timeout}\r\n\
-             Quota-Info: units=1,spread=1,first=0\r\n{rest}"
+             Quota-Info: units=1,spread=1,first=0\r\n{remainder}"
         )
     }
 }
--- a/crates/testing/test-harness/src/planners.rs
+++ b/crates/testing/test-harness/src/planners.rs
@@ -1,13 +1,13 @@
-//! Scenario of planners and forwarders: six forwarders, two planners and ten stand-in servers. Some customers send five
-//! times their quota; one stays within its quota and moves between gateways. Planners are killed, suspended and cut off
-//! at random times. All counts are taken at the servers, not at the gateways. For comparison, six gateways without the
-//! role serve the same load next to them during the first half, which has no faults.
+//! Scenario of planners and forwarders: six forwarders, two planners and ten stand-in servers. Some customers send
+//! five times their quota; one stays within its quota and moves between gateways. Planners are killed, suspended and
+//! cut off at random times. All counts are taken at the servers, not at the gateways. For comparison, six gateways
+//! without the role serve the same load next to them during the first half, which has no faults.
 
 use crate::fleet::{lock, serve, Meter};
-use crate::gate::Gate;
 use crate::peers::{list, Client, Discovery, Message};
 use crate::program::{locate, Program, EXAMPLE};
 use crate::scenario::{Figures, Play, Scenario};
+use crate::tcp_proxy::TcpProxy;
 use fastrand::Rng;
 use std::collections::HashMap;
 use std::io::Write as _;
@@ -32,7 +32,7 @@
         ("wrong-key", "the forwarders have a different key from the planners"),
         ("whole-shares", "every forwarder is configured as the only one, and no planner is started"),
     ],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
@@ -53,14 +53,14 @@
 #[derive(Default)]
 pub(crate) struct RequestRecord {
     /// Time, customer and units of each request, counted once however often it ran.
-    came: Mutex<Vec<(Instant, u64, f64)>>,
+    arrivals: Mutex<Vec<(Instant, u64, f64)>>,
     /// Number of runs of each request, by its id.
     runs: Mutex<HashMap<u64, u32>>,
 }
 
 impl RequestRecord {
-    pub(crate) fn came(&self) -> &Mutex<Vec<(Instant, u64, f64)>> {
-        &self.came
+    pub(crate) fn arrivals(&self) -> &Mutex<Vec<(Instant, u64, f64)>> {
+        &self.arrivals
     }
 
     pub(crate) fn runs(&self) -> &Mutex<HashMap<u64, u32>> {
@@ -79,7 +79,7 @@
 }
 
 /// Starts stand-in servers with a common record, and the discovery that lists them.
-pub(crate) fn fleet() -> Result<(Arc<RequestRecord>, Discovery), String> {
+pub(crate) fn start_servers() -> Result<(Arc<RequestRecord>, Discovery), String> {
     let (ledger, meter) = (Arc::<RequestRecord>::default(), Arc::new(Meter::default()));
     let mut targets = Vec::new();
     for n in 0..SERVERS {
@@ -94,7 +94,7 @@
             };
             let mut used = 0.0;
             if runs == 1 {
-                lock(&ledger.came).push((Instant::now(), customer(id), units(id)));
+                lock(&ledger.arrivals).push((Instant::now(), customer(id), units(id)));
                 used = units(id);
             }
             let percent = 100.0 * meter.record_usage(&customer(id).to_string(), used) / QUOTA.0;
@@ -152,7 +152,7 @@
     }
 }
 
-fn no_planners(play: &Play) -> bool {
+fn without_planners(play: &Play) -> bool {
     play.has("no-planners") || play.has("whole-shares")
 }
 
@@ -207,26 +207,26 @@
 
 /// Requests of the clients, by outcome.
 #[derive(Clone, Copy, Default)]
-struct Seen {
+struct ClientCounts {
     asked: usize,
     served: usize,
     refused: usize,
     failed: usize,
     unanswered: usize,
     /// In flight at a forwarder when it was killed: the client must retry these.
-    lost_with_it: usize,
+    lost_at_kill: usize,
 }
 
 /// Time at which each forwarder was killed last.
-type Killed = Arc<Mutex<HashMap<SocketAddr, Instant>>>;
+type KillTimes = Arc<Mutex<HashMap<SocketAddr, Instant>>>;
 
 /// Sends one customer's requests until `until`, `rate` a second, each to the gateway that `at` returns.
-fn lane(
+fn run_client(
     mut id: u64,
     rate: f64,
     until: Instant,
-    calm: Option<(Instant, Arc<Mutex<Seen>>)>,
-    (all, killed): (&Mutex<Seen>, &Killed),
+    calm: Option<(Instant, Arc<Mutex<ClientCounts>>)>,
+    (all, killed): (&Mutex<ClientCounts>, &KillTimes),
     at: impl Fn(&mut Rng) -> SocketAddr,
 ) {
     let mut rng = Rng::with_seed(id);
@@ -250,13 +250,13 @@
         if status.is_some() {
             clients.insert(to, (client, Instant::now()));
         }
-        let count = |seen: &mut Seen| {
+        let count = |seen: &mut ClientCounts| {
             seen.asked += 1;
             match status {
                 Some(200) => seen.served += 1,
                 Some(429 | 503) => seen.refused += 1,
                 Some(_) => seen.failed += 1,
-                None if lost => seen.lost_with_it += 1,
+                None if lost => seen.lost_at_kill += 1,
                 None => seen.unanswered += 1,
             }
         };
@@ -277,11 +277,11 @@
 }
 
 /// The lanes, what all of them saw, and what the good customer saw while all was calm.
-type Load = (Vec<thread::JoinHandle<()>>, Arc<Mutex<Seen>>, Arc<Mutex<Seen>>);
+type Load = (Vec<thread::JoinHandle<()>>, Arc<Mutex<ClientCounts>>, Arc<Mutex<ClientCounts>>);
 
 /// Starts the load on these gateways: every customer through all of them.
-fn load(gateways: &[SocketAddr], seed: u64, calm_until: Instant, until: Instant, killed: &Killed) -> Load {
-    let (all, calm) = (Arc::<Mutex<Seen>>::default(), Arc::<Mutex<Seen>>::default());
+fn load(gateways: &[SocketAddr], seed: u64, calm_until: Instant, until: Instant, killed: &KillTimes) -> Load {
+    let (all, calm) = (Arc::<Mutex<ClientCounts>>::default(), Arc::<Mutex<ClientCounts>>::default());
     let mut lanes = Vec::new();
     let started = Instant::now();
     for customer in 0..=FLOODERS {
@@ -304,28 +304,28 @@
                         gateways[rng.usize(0..gateways.len())]
                     }
                 };
-                lane(id, rate / count as f64, until, calm, (&all, &killed), at);
+                run_client(id, rate / count as f64, until, calm, (&all, &killed), at);
             }));
         }
     }
     (lanes, all, calm)
 }
 
-fn forwarders(
+fn start_forwarders(
     program: &Path,
     files: &mut Files,
     discovery: &Discovery,
-    gates: Option<&[Vec<Gate>]>,
+    proxies: Option<&[Vec<TcpProxy>]>,
     key: &Path,
     seats: Option<usize>,
     seed: u64,
 ) -> Result<Vec<Program>, String> {
     let mut started = Vec::new();
     for n in 0..SEATS {
-        let operator = match gates {
+        let operator = match proxies {
             None => None,
-            Some(gates) => {
-                let planners: Vec<String> = gates[n].iter().map(|g| format!("\"{}\"", g.address)).collect();
+            Some(proxies) => {
+                let planners: Vec<String> = proxies[n].iter().map(|g| format!("\"{}\"", g.address)).collect();
                 let (seats, seat) = (seats.unwrap_or(SEATS), if seats.is_some() { 0 } else { n });
                 // In the middle of a roll-out: some speak the earlier version.
                 let version = if (n as u64 + seed).is_multiple_of(3) { 1 } else { 2 };
@@ -363,39 +363,39 @@
         let operator = files.add("planner.toml", &text, 0o600)?;
         let (program, config) = (program.clone(), own_file.clone());
         let mut planner = Planner { program, config, operator, listen, child: None };
-        if !no_planners(play) {
+        if !without_planners(play) {
             planner.start()?;
         }
         planners.push(planner);
     }
-    let mut gates = Vec::new();
+    let mut proxies = Vec::new();
     for _ in 0..SEATS {
-        let to = |p: &Planner| Gate::new(p.listen).map_err(|e| e.to_string());
-        gates.push(planners.iter().map(to).collect::<Result<Vec<_>, _>>()?);
+        let to = |p: &Planner| TcpProxy::new(p.listen).map_err(|e| e.to_string());
+        proxies.push(planners.iter().map(to).collect::<Result<Vec<_>, _>>()?);
     }
-    let (ledger, discovery) = fleet()?;
-    let (_, other_discovery) = fleet()?;
-    let role = if play.has("guess") { None } else { Some(gates.as_slice()) };
+    let (ledger, discovery) = start_servers()?;
+    let (_, other_discovery) = start_servers()?;
+    let role = if play.has("guess") { None } else { Some(proxies.as_slice()) };
     let used_key = if play.has("wrong-key") { &other } else { &key };
     let seats = play.has("whole-shares").then_some(1);
-    let mut fleet = forwarders(&program, &mut files, &discovery, role, used_key, seats, play.seed)?;
-    let plain = forwarders(&program, &mut files, &other_discovery, None, &key, None, play.seed)?;
+    let mut fleet = start_forwarders(&program, &mut files, &discovery, role, used_key, seats, play.seed)?;
+    let plain = start_forwarders(&program, &mut files, &other_discovery, None, &key, None, play.seed)?;
     // Wait until the loans are granted and the stores are full.
     thread::sleep(Duration::from_millis(3500));
-    let (begun, half) = (Instant::now(), play.time / 2);
-    let (calm_until, until) = (begun + half, begun + play.time);
+    let (started_at, half) = (Instant::now(), play.time / 2);
+    let (calm_until, until) = (started_at + half, started_at + play.time);
     let addresses = |all: &[Program]| all.iter().map(|p| p.address).collect::<Vec<_>>();
     let cpu = |all: &[Program]| all.iter().map(|p| ticks(p.child.id())).sum::<u64>();
     let (cpu_fleet, cpu_plain) = (cpu(&fleet), cpu(&plain));
-    let bytes = |gates: &[Vec<Gate>]| gates.iter().flatten().map(Gate::bytes).sum::<u64>();
-    let bytes_before = bytes(&gates);
-    let killed = Killed::default();
+    let bytes = |proxies: &[Vec<TcpProxy>]| proxies.iter().flatten().map(TcpProxy::bytes).sum::<u64>();
+    let bytes_before = bytes(&proxies);
+    let killed = KillTimes::default();
     let (lanes, seen, calm) = load(&addresses(&fleet), play.seed, calm_until, until, &killed);
     let (plain_lanes, _, plain_calm) =
-        load(&addresses(&plain), play.seed, calm_until, calm_until, &Killed::default());
+        load(&addresses(&plain), play.seed, calm_until, calm_until, &KillTimes::default());
     plain_lanes.into_iter().for_each(|l| drop(l.join()));
     let (cpu_fleet, cpu_plain) = (cpu(&fleet) - cpu_fleet, cpu(&plain) - cpu_plain);
-    let bytes_calm = bytes(&gates) - bytes_before;
+    let bytes_calm = bytes(&proxies) - bytes_before;
     let mut rng = Rng::with_seed(play.seed);
     let mut faults = Vec::new();
     // Each kind of fault occurs once before any is repeated.
@@ -410,14 +410,16 @@
         let (n, f) = (rng.usize(0..2), rng.usize(0..SEATS));
         let wait = Duration::from_millis(rng.u64(300..3000));
         match fault {
-            _ if no_planners(play) => {}
+            _ if without_planners(play) => {}
             0 => planners[n].kill(),
             1 => planners.iter_mut().for_each(Planner::kill),
             2 => planners[n].signal("-STOP"),
-            3 => gates.iter().enumerate().for_each(|(f, g)| {
-                g.iter().enumerate().for_each(|(p, gate)| gate.cut((f < 3) != (p == 0), (f < 3) != (p == 0)));
+            3 => proxies.iter().enumerate().for_each(|(f, g)| {
+                g.iter()
+                    .enumerate()
+                    .for_each(|(p, proxy)| proxy.cut((f < 3) != (p == 0), (f < 3) != (p == 0)));
             }),
-            4 => gates.iter().flatten().for_each(|g| g.cut(true, false)),
+            4 => proxies.iter().flatten().for_each(|g| g.cut(true, false)),
             5 => {
                 // Restarted with half its leases spent, and before they expire.
                 lock(&killed).insert(fleet[f].address, Instant::now() + Duration::from_millis(100));
@@ -430,16 +432,16 @@
                 thread::sleep(wait.min(Duration::from_millis(1200)));
                 fleet[f].signal("-CONT");
             }
-            _ => gates[rng.usize(0..SEATS)][n].cut(false, true),
+            _ => proxies[rng.usize(0..SEATS)][n].cut(false, true),
         }
         thread::sleep(wait.min(until.saturating_duration_since(Instant::now())));
         // The links are not restored every time.
         if rng.u32(0..4) > 0 {
-            gates.iter().flatten().for_each(|g| g.cut(false, false));
+            proxies.iter().flatten().for_each(|g| g.cut(false, false));
         }
         for planner in &mut planners {
             planner.signal("-CONT");
-            if planner.child.is_none() && !no_planners(play) {
+            if planner.child.is_none() && !without_planners(play) {
                 planner.start()?;
             }
         }
@@ -451,9 +453,9 @@
     let (seen, calm, plain_calm) = (*lock(&seen), *lock(&calm), *lock(&plain_calm));
     let mut f = Figures::default();
     f.set("faults", faults.len());
-    let came = lock(&ledger.came);
+    let arrivals = lock(&ledger.arrivals);
     for who in 0..=FLOODERS {
-        f.bound(&format!("overrun_units_customer_{who}"), overrun(&came, who), 0.0, SLACK);
+        f.bound(&format!("overrun_units_customer_{who}"), overrun(&arrivals, who), 0.0, SLACK);
     }
     let share = |part: usize, all: usize| (1e4 * part as f64 / all.max(1) as f64).round() / 1e4;
     let (here, there) = (share(calm.refused, calm.asked), share(plain_calm.refused, plain_calm.asked));
@@ -461,9 +463,9 @@
     // At most a third of the share that is refused without the role, or 1% if that is larger.
     f.bound("refused_with_room", here, 0.0, (there / 3.0).max(0.01));
     let runs = lock(&ledger.runs);
-    f.none("book_slots_run_twice", runs.iter().filter(|(id, n)| *id % 3 == 2 && **n > 1).count());
-    f.none("unanswered", seen.unanswered);
-    f.set("lost_with_a_killed_forwarder", seen.lost_with_it);
+    f.expect_zero("book_slots_run_twice", runs.iter().filter(|(id, n)| *id % 3 == 2 && **n > 1).count());
+    f.expect_zero("unanswered", seen.unanswered);
+    f.set("lost_with_a_killed_forwarder", seen.lost_at_kill);
     f.set("asked", seen.asked);
     f.set("served_share", share(seen.served, seen.asked));
     f.set("failed_share", share(seen.failed, seen.asked));
@@ -472,10 +474,10 @@
     Ok(f)
 }
 
-/// Returns the most units by which a customer exceeded its hard limit over any window, according to a token bucket for
-/// the whole fleet that is full at first.
-fn overrun(came: &[(Instant, u64, f64)], who: u64) -> f64 {
-    let mut all: Vec<_> = came.iter().filter(|c| c.1 == who).collect();
+/// Returns the most units by which a customer exceeded its hard limit over any window, according to a token bucket
+/// for the whole fleet that is full at first.
+fn overrun(arrivals: &[(Instant, u64, f64)], who: u64) -> f64 {
+    let mut all: Vec<_> = arrivals.iter().filter(|c| c.1 == who).collect();
     all.sort_by_key(|c| c.0);
     let (mut level, mut least, mut last) = (HARD_LIMIT.1, HARD_LIMIT.1, all.first().map(|c| c.0));
     for (at, _, units) in all {
--- a/crates/testing/test-harness/src/planning_cost.rs
+++ b/crates/testing/test-harness/src/planning_cost.rs
@@ -1,9 +1,9 @@
-//! CPU cost of the forwarder's role under load: a forwarder with its planner, and next to it a gateway without the role,
-//! both with the same requests, which are within the quotas.
+//! CPU cost of the forwarder's role under load: a forwarder with its planner, and next to it a gateway without the
+//! role, both with the same requests, which are within the quotas.
 
 use crate::fleet::lock;
 use crate::peers::Client;
-use crate::planners::{config, customer, fleet, free_port, ticks, units, Files, Planner, SEATS};
+use crate::planners::{config, customer, free_port, start_servers, ticks, units, Files, Planner, SEATS};
 use crate::program::{locate, Program};
 use crate::scenario::{Figures, Play, Scenario};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     seconds: 20,
     test_seconds: 4,
     defects: &[("no-planner", "no planner is started: the forwarder serves from its own share alone")],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
@@ -27,27 +27,28 @@
 const RATE: f64 = 25.0;
 /// Customers that take turns on each connection, so that each stays within its quota.
 const CUSTOMERS: u64 = 8;
-/// Minimum duration of a run for a bound on the CPU cost: a shorter run has too few clock ticks to resolve a few percent.
-const JUDGED: Duration = Duration::from_secs(15);
+/// Minimum duration of a run for a bound on the CPU cost: a shorter run has too few clock ticks to resolve a few
+/// percent.
+const MIN_JUDGED_DURATION: Duration = Duration::from_secs(15);
 
 /// Counts of one gateway's requests and of its successful responses.
 #[derive(Default)]
-struct Answers {
+struct RequestCounts {
     asked: AtomicUsize,
     served: AtomicUsize,
 }
 
 /// Sends requests to this gateway on one connection, for the connection's own customers in turn.
-fn lane(lane: u64, to: SocketAddr, begin: Instant, until: Instant, answers: &Answers) {
+fn run_client(connection: u64, to: SocketAddr, started: Instant, until: Instant, answers: &RequestCounts) {
     let Some(mut client) = Client::try_connect(to) else { return };
     let pause = Duration::from_secs_f64(1.0 / RATE);
-    let mut next = begin + pause.mul_f64(lane as f64 / LANES as f64);
+    let mut next = started + pause.mul_f64(connection as f64 / LANES as f64);
     let mut number = 0;
     while next < until {
         thread::sleep(next.saturating_duration_since(Instant::now()));
         next += pause;
         number += 1;
-        let id = ((lane * CUSTOMERS + number % CUSTOMERS) << 48) | (number << 3);
+        let id = ((connection * CUSTOMERS + number % CUSTOMERS) << 48) | (number << 3);
         let class = ["quote", "confirm", "book-slot"][(number % 3) as usize];
         let text = crate::demo::request(class, id, "partner", &format!("{:016x}", 1 + customer(id)), 2.0)
             .replace("units=1,spread=1", &format!("units={},spread={SEATS}", units(id)));
@@ -66,7 +67,7 @@
 }
 
 /// Returns the number of seats whose shares are lent to the planner, as it reports them.
-fn lent(state: SocketAddr) -> usize {
+fn lent_seats(state: SocketAddr) -> usize {
     let Some(mut client) = Client::try_connect(state) else { return 0 };
     let answer = client.try_ask("GET /planner/state HTTP/1.1\r\nHost: planner\r\n\r\n");
     let state: Option<serde_json::Value> = answer.and_then(|m| serde_json::from_slice(&m.body).ok());
@@ -92,33 +93,34 @@
         "[allowances]\nseats = 1\n[forwarder]\nseat = 0\nplanners = [\"{listen}\"]\nkey_file = \"{key}\"\n"
     );
     let operator = files.add("forwarder.toml", &text, 0o600)?;
-    let (_ledger, discovery) = fleet()?;
-    let (_other_ledger, other_discovery) = fleet()?;
+    let (_ledger, discovery) = start_servers()?;
+    let (_other_ledger, other_discovery) = start_servers()?;
     let forwarder =
         Program::start_with_operator_file(&program, &config(0), discovery.address, Some(&operator))?;
     let plain = Program::start_with_operator_file(&program, &config(0), other_discovery.address, None)?;
     // Wait until the loan is granted. Grants follow once requests arrive, so the figures are taken after a warm-up.
     thread::sleep(Duration::from_millis(2500));
-    let begin = Instant::now();
-    let warm = begin + Duration::from_secs(2);
-    let until = warm + play.time;
+    let started = Instant::now();
+    let warm_at = started + Duration::from_secs(2);
+    let until = warm_at + play.time;
     let gateways = [&forwarder, &plain];
-    let answers: [Arc<Answers>; 2] = Default::default();
+    let answers: [Arc<RequestCounts>; 2] = Default::default();
     let lanes = Mutex::new(Vec::new());
     for (gateway, answers) in gateways.iter().zip(&answers) {
         for n in 0..LANES {
             let (to, answers, first) = (gateway.address, answers.clone(), n + (play.seed % 64) * LANES);
-            lock(&lanes).push(thread::spawn(move || lane(first, to, begin, until, &answers)));
+            lock(&lanes).push(thread::spawn(move || run_client(first, to, started, until, &answers)));
         }
     }
-    thread::sleep(warm.saturating_duration_since(Instant::now()));
-    let count =
-        |what: fn(&Answers) -> &AtomicUsize| answers.each_ref().map(|a| what(a).load(Ordering::Relaxed));
+    thread::sleep(warm_at.saturating_duration_since(Instant::now()));
+    let count = |what: fn(&RequestCounts) -> &AtomicUsize| {
+        answers.each_ref().map(|a| what(a).load(Ordering::Relaxed))
+    };
     let cpu = || gateways.map(|g| ticks(g.child.id()));
     let (cpu_before, asked_before, served_before) = (cpu(), count(|a| &a.asked), count(|a| &a.served));
     thread::sleep(until.saturating_duration_since(Instant::now()));
     let (cpu_after, asked, served) = (cpu(), count(|a| &a.asked), count(|a| &a.served));
-    let lent = lent(state);
+    let lent_seats = lent_seats(state);
     lanes.into_inner().into_iter().flatten().for_each(|l| drop(l.join()));
     let per = |n: usize| (cpu_after[n] - cpu_before[n]) as f64 / (served[n] - served_before[n]).max(1) as f64;
     let share = |n: usize| (served[n] - served_before[n]) as f64 / (asked[n] - asked_before[n]).max(1) as f64;
@@ -128,8 +130,8 @@
     // Requests sent before the measured span and answered in it can make the share a little more than 1.
     f.bound("served_share", rounded(share(0)), 0.97, 1.02);
     f.bound("served_share_without_the_role", rounded(share(1)), 0.97, 1.02);
-    f.bound("seats_lent", lent as f64, 1.0, 1.0);
-    let most = if play.time >= JUDGED { 1.05 } else { f64::INFINITY };
-    f.bound("cpu_beside_no_role", rounded(per(0) / per(1)), 0.0, most);
+    f.bound("seats_lent", lent_seats as f64, 1.0, 1.0);
+    let max_cpu_ratio = if play.time >= MIN_JUDGED_DURATION { 1.05 } else { f64::INFINITY };
+    f.bound("cpu_beside_no_role", rounded(per(0) / per(1)), 0.0, max_cpu_ratio);
     Ok(f)
 }
--- a/crates/testing/test-harness/src/program.rs
+++ b/crates/testing/test-harness/src/program.rs
@@ -19,12 +19,12 @@
 /// # Errors
 /// The program cannot be built or does not exist. The message is one line.
 pub fn locate() -> Result<PathBuf, String> {
-    let (program, build) = beside()?;
+    let (program, build) = program_and_build()?;
     // Cargo has already built the programs that a test needs.
     if let Some(mut build) = build {
-        cargo(&mut build)?;
+        run_cargo(&mut build)?;
     }
-    there(program)
+    require_existing(program)
 }
 
 /// Returns the path of the gateway's program with planted defects. It has its own target folder, so that it cannot be
@@ -34,18 +34,18 @@
 /// The program cannot be built, or this program was not started by cargo and no earlier run has built it. The message
 /// is one line.
 pub fn locate_with_defects() -> Result<PathBuf, String> {
-    let (program, _) = beside()?;
+    let (program, _) = program_and_build()?;
     let folder = program.parent().unwrap_or(Path::new("."));
     let profile = folder.file_name().unwrap_or_default();
     let target = folder.parent().unwrap_or(folder).join("defects");
-    if let Some(mut build) = build(profile == "release", &GATEWAY) {
+    if let Some(mut build) = build(profile == "release", &GATEWAY_BUILD_ARGUMENTS) {
         build.args(["--features", "defects", "--target-dir"]).arg(&target);
-        cargo(&mut build)?;
+        run_cargo(&mut build)?;
     }
-    there(target.join(profile).join("granitethread"))
+    require_existing(target.join(profile).join("granitethread"))
 }
 
-fn there(program: PathBuf) -> Result<PathBuf, String> {
+fn require_existing(program: PathBuf) -> Result<PathBuf, String> {
     if program.exists() {
         Ok(program)
     } else {
@@ -53,7 +53,7 @@
     }
 }
 
-fn cargo(build: &mut Command) -> Result<(), String> {
+fn run_cargo(build: &mut Command) -> Result<(), String> {
     let status = build.status().map_err(|e| format!("cargo: {e}"))?;
     if status.success() {
         Ok(())
@@ -67,17 +67,17 @@
 /// # Errors
 /// The programs cannot be built or do not exist. The message is one line.
 pub fn locate_system() -> Result<(PathBuf, PathBuf), String> {
-    let (gateway, testing) = place()?;
+    let (gateway, is_test) = program_path()?;
     let folder = gateway.parent().unwrap_or(Path::new("."));
-    let both = [folder.join("granitethread-data-plane"), folder.join("granitethread-control-plane")];
+    let programs = [folder.join("granitethread-data-plane"), folder.join("granitethread-control-plane")];
     let packages = &["--package", "data-plane", "--package", "control-plane"];
-    if !testing || !both.iter().all(|p| p.exists()) {
+    if !is_test || !programs.iter().all(|p| p.exists()) {
         if let Some(mut build) = build(folder.ends_with("release"), packages) {
-            cargo(&mut build)?;
+            run_cargo(&mut build)?;
         }
     }
-    let [data_plane, control_plane] = both;
-    Ok((there(data_plane)?, there(control_plane)?))
+    let [data_plane, control_plane] = programs;
+    Ok((require_existing(data_plane)?, require_existing(control_plane)?))
 }
 
 /// Returns the command that builds these packages, if cargo started this program.
@@ -92,29 +92,30 @@
 }
 
 /// Cargo's arguments for the gateway's program.
-const GATEWAY: [&str; 4] = ["--package", "granitehub", "--bin", "granitethread"];
+const GATEWAY_BUILD_ARGUMENTS: [&str; 4] = ["--package", "granitehub", "--bin", "granitethread"];
 
 /// Returns the path of the gateway's program, and whether the caller is a test.
-fn place() -> Result<(PathBuf, bool), String> {
-    let me = env::current_exe().map_err(|e| format!("the path of this program: {e}"))?;
-    let mut folder = me.parent().unwrap_or(Path::new("."));
-    let testing = folder.ends_with("deps");
-    if testing {
+fn program_path() -> Result<(PathBuf, bool), String> {
+    let current_program = env::current_exe().map_err(|e| format!("the path of this program: {e}"))?;
+    let mut folder = current_program.parent().unwrap_or(Path::new("."));
+    let is_test = folder.ends_with("deps");
+    if is_test {
         folder = folder.parent().unwrap_or(folder);
     }
-    Ok((folder.join("granitethread"), testing))
+    Ok((folder.join("granitethread"), is_test))
 }
 
 /// Returns the path of the gateway's program, and the command that builds it if it has to be built.
-fn beside() -> Result<(PathBuf, Option<Command>), String> {
-    let (program, testing) = place()?;
+fn program_and_build() -> Result<(PathBuf, Option<Command>), String> {
+    let (program, is_test) = program_path()?;
     let folder = program.parent().unwrap_or(Path::new("."));
-    let build = build(folder.ends_with("release"), &GATEWAY).filter(|_| !testing || !program.exists());
+    let build = build(folder.ends_with("release"), &GATEWAY_BUILD_ARGUMENTS)
+        .filter(|_| !is_test || !program.exists());
     Ok((program, build))
 }
 
 /// Listening socket and folder that the processes of one gateway share during an upgrade.
-pub struct Shared<'a> {
+pub struct SharedListener<'a> {
     pub socket: &'a TcpListener,
     pub folder: &'a Path,
 }
@@ -154,7 +155,7 @@
         if let Some(operator) = operator {
             command.env("GRANITETHREAD_OPERATOR", operator);
         }
-        Program::from(command, file)
+        Program::spawn_from(command, file)
     }
 
     /// Starts a gateway with an operator listener on its own port, which may share its listening socket with another
@@ -166,7 +167,7 @@
         program: &Path,
         config: &str,
         discovery: SocketAddr,
-        shared: Option<&Shared<'_>>,
+        shared: Option<&SharedListener<'_>>,
     ) -> Result<Self, String> {
         let (mut command, file) = command(program, config, discovery)?;
         command.env("LB_OPERATOR", "127.0.0.1:0");
@@ -175,11 +176,11 @@
             command.env("LB_INHERITED_FD", "0").env("TMPDIR", shared.folder);
             command.stdin(Stdio::from(OwnedFd::from(socket)));
         }
-        Program::from(command, file)
+        Program::spawn_from(command, file)
     }
 
-    /// Starts a gateway with an operator's file and an operator listener. `defect` needs a program that was built with
-    /// planted defects.
+    /// Starts a gateway with an operator's file and an operator listener. `defect` needs a program that was built
+    /// with planted defects.
     ///
     /// # Errors
     /// It does not start. The message is one line.
@@ -195,22 +196,23 @@
         if let Some(defect) = defect {
             command.env("GRANITETHREAD_DEFECT", defect);
         }
-        Program::from(command, file)
+        Program::spawn_from(command, file)
     }
 
-    fn from(mut command: Command, config: PathBuf) -> Result<Self, String> {
+    fn spawn_from(mut command: Command, config: PathBuf) -> Result<Self, String> {
         match spawn(&mut command) {
             Ok((child, address, operators, log)) => {
                 Ok(Program { child, address, operators, log, config, command })
             }
-            Err(what) => {
+            Err(error) => {
                 let _ = std::fs::remove_file(&config);
-                Err(what)
+                Err(error)
             }
         }
     }
 
-    /// Sends a request to the operator listener. Returns the status and body of the response, if it arrives within 1 s.
+    /// Sends a request to the operator listener. Returns the status and body of the response, if it arrives within 1
+    /// s.
     pub fn call(&self, start: &str, body: &str) -> Option<(u16, Vec<u8>)> {
         let text = format!("{start} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let mut client = crate::peers::Client::try_connect(self.operators?)?;
@@ -254,8 +256,8 @@
     /// It has not ended within `limit`. The message is one line.
     pub fn drain(&mut self, limit: Duration) -> Result<ExitStatus, String> {
         let id = self.child.id().to_string();
-        let told = Command::new("kill").args(["-TERM", &id]).status();
-        if !told.is_ok_and(|s| s.success()) {
+        let signalled = Command::new("kill").args(["-TERM", &id]).status();
+        if !signalled.is_ok_and(|s| s.success()) {
             return Err("SIGTERM could not be sent".into());
         }
         let until = Instant::now() + limit;
@@ -289,27 +291,29 @@
     Ok((command, file))
 }
 
-type Started = (Child, SocketAddr, Option<SocketAddr>, Receiver<String>);
+type SpawnedProgram = (Child, SocketAddr, Option<SocketAddr>, Receiver<String>);
 
 /// Starts the process, and waits until it logs its addresses.
-fn spawn(command: &mut Command) -> Result<Started, String> {
-    let operated = command.get_envs().any(|(name, value)| name == "LB_OPERATOR" && value.is_some());
+fn spawn(command: &mut Command) -> Result<SpawnedProgram, String> {
+    let has_operator_listener =
+        command.get_envs().any(|(name, value)| name == "LB_OPERATOR" && value.is_some());
     let mut child =
         command.spawn().map_err(|e| format!("{}: {e}", command.get_program().to_string_lossy()))?;
     let Some(stderr) = child.stderr.take() else { return Err("its standard error is not piped".into()) };
     let mut lines = BufReader::new(stderr).lines();
-    let mut told = |before: &str| -> Result<SocketAddr, String> {
+    let mut read_address = |before: &str| -> Result<SocketAddr, String> {
         let line = lines.next().and_then(Result::ok).unwrap_or_default();
         let address = line.strip_prefix(before).and_then(|a| a.parse().ok());
         address.ok_or_else(|| format!("it did not start: {line}"))
     };
-    let address = told("listening on ");
-    let operators = if operated { told("operators' calls on ").map(Some) } else { Ok(None) };
+    let address = read_address("listening on ");
+    let operators =
+        if has_operator_listener { read_address("operators' calls on ").map(Some) } else { Ok(None) };
     let (address, operators) = match (address, operators) {
         (Ok(address), Ok(operators)) => (address, operators),
-        (Err(what), _) | (_, Err(what)) => {
+        (Err(error), _) | (_, Err(error)) => {
             let _ = (child.kill(), child.wait());
-            return Err(what);
+            return Err(error);
         }
     };
     let (line, log) = channel();
--- a/crates/testing/test-harness/src/request_lifecycle.rs
+++ b/crates/testing/test-harness/src/request_lifecycle.rs
@@ -1,6 +1,6 @@
-//! Scenario of the request lifecycle: servers that fail in every way, discovery that drains servers and restores them,
-//! clients that disconnect, and at the end a drain of the gateway. Records at servers and clients show which requests ran
-//! and which were answered.
+//! Scenario of the request lifecycle: servers that fail in every way, discovery that drains servers and restores
+//! them, clients that disconnect, and at the end a drain of the gateway. Records at servers and clients show which
+//! requests ran and which were answered.
 
 use crate::demo::request;
 use crate::fleet::{body, good, lock, not_started, serve};
@@ -27,16 +27,16 @@
         ("deaf-list", "a server is drained, but discovery does not notify the gateway"),
         ("hung-gateway", "the gateway is suspended for a while with requests in flight"),
     ],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
 const SERVERS: usize = 3;
 const LANES: u64 = 16;
 /// Grace period of the drain, plus the delay of a loaded machine.
-const GRACE: Duration = Duration::from_millis(500 + 500);
+const DRAIN_GRACE: Duration = Duration::from_millis(500 + 500);
 /// Delay that a loaded machine may add to a request.
-const SLACK: Duration = Duration::from_millis(1000);
+const RESPONSE_SLACK: Duration = Duration::from_millis(1000);
 
 /// Requests as the servers saw them.
 #[derive(Default)]
@@ -51,17 +51,17 @@
 }
 
 /// Outcome of a client's request.
-struct Answered {
+struct RequestOutcome {
     id: String,
     class: &'static str,
     timeout: Duration,
     took: Duration,
     /// Whether the client waited for the response; false if it disconnected.
-    stayed: bool,
+    waited: bool,
     /// Status of the response; `None` without a response.
     status: Option<u16>,
     /// Whether the body is that of this request's response.
-    own: bool,
+    is_own: bool,
 }
 
 fn script(n: usize, ledger: &Arc<RequestRecord>, play: &Play) -> Arc<crate::fleet::Script> {
@@ -70,22 +70,22 @@
     let last = Mutex::new(String::from("for nobody\n"));
     Arc::new(move |m: &Message, to: &mut _| {
         ledger.attempts.fetch_add(1, Ordering::Relaxed);
-        if lock(&ledger.drained)[n].is_some_and(|since| since.elapsed() > GRACE) {
+        if lock(&ledger.drained)[n].is_some_and(|since| since.elapsed() > DRAIN_GRACE) {
             ledger.after_drain.fetch_add(1, Ordering::Relaxed);
         }
         let id = m.header("request-id").unwrap_or_default().to_string();
         let nth = tries.fetch_add(1, Ordering::Relaxed) as u64;
         let mut rng = Rng::with_seed(play.seed ^ (n as u64) << 48 ^ nth.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let ran = || *lock(&ledger.runs).entry(id.clone()).or_default() += 1;
-        let fate = rng.u32(0..100);
-        if fate < 8 {
+        let outcome = rng.u32(0..100);
+        if outcome < 8 {
             if play.has("lying-refusal") {
                 ran();
             }
             return not_started(to);
         }
         ran();
-        match fate {
+        match outcome {
             8..=15 => write_text(to, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"),
             16..=21 => false,
             22..=25 => write_text(to, "HTTP/1.1 200 OK\r\nContent-Length: nine\r\n\r\n"),
@@ -100,17 +100,17 @@
             }
             _ => {
                 thread::sleep(Duration::from_millis(rng.u64(0..50)));
-                let own = body(m);
-                let other = std::mem::replace(&mut *lock(&last), own.clone());
-                let text = if play.has("foreign-answer") && fate > 95 { other } else { own };
-                good(to, &text, None) && fate > 35
+                let own_body = body(m);
+                let other = std::mem::replace(&mut *lock(&last), own_body.clone());
+                let text = if play.has("foreign-answer") && outcome > 95 { other } else { own_body };
+                good(to, &text, None) && outcome > 35
             }
         }
     })
 }
 
 /// Runs one client after another, until `until`.
-fn lane(n: u64, play: &Play, to: SocketAddr, until: Instant) -> Vec<Answered> {
+fn run_client(n: u64, play: &Play, to: SocketAddr, until: Instant) -> Vec<RequestOutcome> {
     let mut rng = Rng::with_seed(play.seed.wrapping_add(n).wrapping_mul(0x2545_f491_4f6c_dd1d));
     let (mut all, mut client) = (Vec::new(), None::<Client>);
     let mut number = (n + 1) << 32;
@@ -121,27 +121,35 @@
         let text = request(class, number, "partner", &format!("{:016x}", 0xc0 + n), timeout.as_secs_f64());
         let Some(mut on) = client.take().or_else(|| Client::try_connect(to)) else { continue };
         let (started, id) = (Instant::now(), format!("{number:016x}"));
-        let mut answered =
-            Answered { id, class, timeout, took: Duration::ZERO, stayed: true, status: None, own: true };
+        let mut answered = RequestOutcome {
+            id,
+            class,
+            timeout,
+            took: Duration::ZERO,
+            waited: true,
+            status: None,
+            is_own: true,
+        };
         match rng.u32(0..100) {
             // Disconnects after the complete request, at once or up to 40 ms later.
             0..=9 => {
-                answered.stayed = false;
+                answered.waited = false;
                 let _ = on.stream.write_all(text.as_bytes());
                 thread::sleep(Duration::from_millis(rng.u64(0..40)));
                 let _ = on.stream.shutdown(Shutdown::Both);
             }
             // Disconnects in the middle of the request.
             10..=13 => {
-                answered.stayed = false;
+                answered.waited = false;
                 let _ = on.stream.write_all(&text.as_bytes()[..rng.usize(1..text.len())]);
             }
             _ => {
                 let answer = on.try_ask(&text);
                 answered.took = started.elapsed();
                 answered.status = answer.as_ref().map(Message::status);
-                let own = format!("for {}\n", answered.id);
-                answered.own = answer.as_ref().is_none_or(|a| a.status() != 200 || a.body == own.as_bytes());
+                let own_body = format!("for {}\n", answered.id);
+                answered.is_own =
+                    answer.as_ref().is_none_or(|a| a.status() != 200 || a.body == own_body.as_bytes());
                 let closing = answer.as_ref().is_some_and(|a| a.header("connection") == Some("close"));
                 client = answer.filter(|_| !closing).map(|_| on);
             }
@@ -162,11 +170,11 @@
     let discovery = Arc::new(Discovery::new(list(1, true, &all)));
     let mut gateway = Program::start(&locate()?, EXAMPLE, discovery.address)?;
     discovery.wait_for_calls(2);
-    let (until, over) = (Instant::now() + play.time, Arc::new(AtomicBool::new(false)));
+    let (until, stop) = (Instant::now() + play.time, Arc::new(AtomicBool::new(false)));
     // Drain one server after another for a while.
     let changes = {
-        let (ledger, discovery, over, addresses) =
-            (ledger.clone(), discovery.clone(), over.clone(), addresses.clone());
+        let (ledger, discovery, stop, addresses) =
+            (ledger.clone(), discovery.clone(), stop.clone(), addresses.clone());
         let deaf = play.has("deaf-list");
         thread::spawn(move || {
             let mut rev = 1;
@@ -179,7 +187,7 @@
                     lock(&ledger.drained)[n] = (state == "Terminating").then(Instant::now);
                     let next = Instant::now() + Duration::from_millis(1800);
                     while Instant::now() < next {
-                        if over.load(Ordering::Relaxed) {
+                        if stop.load(Ordering::Relaxed) {
                             return;
                         }
                         thread::sleep(Duration::from_millis(20));
@@ -191,7 +199,7 @@
     let lanes: Vec<_> = (0..LANES)
         .map(|n| {
             let (play, to) = (play.clone(), gateway.address);
-            thread::spawn(move || lane(n, &play, to, until))
+            thread::spawn(move || run_client(n, &play, to, until))
         })
         .collect();
     if play.has("hung-gateway") {
@@ -202,11 +210,11 @@
             thread::sleep(Duration::from_millis(wait));
         }
     }
-    let mut asked: Vec<Answered> = Vec::new();
-    for lane in lanes {
-        asked.extend(lane.join().map_err(|_| "a client thread panicked")?);
+    let mut asked: Vec<RequestOutcome> = Vec::new();
+    for client in lanes {
+        asked.extend(client.join().map_err(|_| "a client thread panicked")?);
     }
-    over.store(true, Ordering::Relaxed);
+    stop.store(true, Ordering::Relaxed);
     changes.join().map_err(|_| "the discovery thread panicked")?;
     let status = gateway.drain(Duration::from_secs(20))?;
     let panicked =
@@ -214,37 +222,40 @@
     Ok(figures(&ledger, &asked, status.success(), panicked))
 }
 
-fn figures(ledger: &RequestRecord, asked: &[Answered], clean: bool, panicked: usize) -> Figures {
+fn figures(ledger: &RequestRecord, asked: &[RequestOutcome], clean: bool, panicked: usize) -> Figures {
     let runs = lock(&ledger.runs);
-    let ran = |a: &Answered| runs.get(&a.id).copied().unwrap_or(0);
-    let stayed = || asked.iter().filter(|a| a.stayed);
-    let status = |wanted: &[u16]| stayed().filter(|a| a.status.is_some_and(|s| wanted.contains(&s))).count();
+    let ran = |a: &RequestOutcome| runs.get(&a.id).copied().unwrap_or(0);
+    let waited = || asked.iter().filter(|a| a.waited);
+    let status = |wanted: &[u16]| waited().filter(|a| a.status.is_some_and(|s| wanted.contains(&s))).count();
     let (served, refused, failed) = (status(&[200]), status(&[429, 503]), status(&[502, 504]));
-    let share = |n: usize| (1000.0 * n as f64 / stayed().count().max(1) as f64).round() / 1000.0;
+    let share = |n: usize| (1000.0 * n as f64 / waited().count().max(1) as f64).round() / 1000.0;
     let mut f = Figures::default();
     f.set("asked", asked.len());
-    f.set("left", asked.len() - stayed().count());
+    f.set("left", asked.len() - waited().count());
     f.bound("served_share", share(served), 0.5, 1.0);
     f.set("refused_share", share(refused));
     f.set("failed_share", share(failed));
     let attempts = ledger.attempts.load(Ordering::Relaxed);
     f.set("attempts_per_request", (100.0 * attempts as f64 / asked.len().max(1) as f64).round() / 100.0);
-    f.none("unanswered", stayed().filter(|a| a.status.is_none()).count());
-    f.none(
+    f.expect_zero("unanswered", waited().filter(|a| a.status.is_none()).count());
+    f.expect_zero(
         "other_answers",
-        stayed().count()
+        waited().count()
             - status(&[200, 429, 502, 503, 504])
-            - stayed().filter(|a| a.status.is_none()).count(),
+            - waited().filter(|a| a.status.is_none()).count(),
     );
-    f.none("answered_late", stayed().filter(|a| a.took > a.timeout + SLACK).count());
-    f.none("answers_made_for_another", asked.iter().filter(|a| !a.own).count());
-    f.none("book_slots_run_twice", asked.iter().filter(|a| a.class == "book-slot" && ran(a) > 1).count());
-    f.none(
+    f.expect_zero("answered_late", waited().filter(|a| a.took > a.timeout + RESPONSE_SLACK).count());
+    f.expect_zero("answers_made_for_another", asked.iter().filter(|a| !a.is_own).count());
+    f.expect_zero(
+        "book_slots_run_twice",
+        asked.iter().filter(|a| a.class == "book-slot" && ran(a) > 1).count(),
+    );
+    f.expect_zero(
         "refused_though_run",
-        stayed().filter(|a| matches!(a.status, Some(429 | 503)) && ran(a) > 0).count(),
+        waited().filter(|a| matches!(a.status, Some(429 | 503)) && ran(a) > 0).count(),
     );
-    f.none("sent_after_drain", ledger.after_drain.load(Ordering::Relaxed));
-    f.none("machine_errors", panicked);
-    f.none("unclean_ends", usize::from(!clean));
+    f.expect_zero("sent_after_drain", ledger.after_drain.load(Ordering::Relaxed));
+    f.expect_zero("machine_errors", panicked);
+    f.expect_zero("unclean_ends", usize::from(!clean));
     f
 }
--- a/crates/testing/test-harness/src/scale.rs
+++ b/crates/testing/test-harness/src/scale.rs
@@ -5,9 +5,9 @@
 mod hollow;
 mod meter;
 
-use crate::local_cluster::{call, configured, LocalCluster};
+use crate::local_cluster::{call, configuration_with_tenants, LocalCluster};
 use crate::scenario::{Figures, Play, Scenario};
-use hollow::{Herd, Tally};
+use hollow::{HollowFleet, Tally};
 use meter::Meter;
 use serde_json::{json, Value};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
         ("silent", "one backend in four sends no heartbeats"),
         ("counts-twice", "the units of each lease grant are counted more than once"),
     ],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
@@ -37,14 +37,14 @@
 const CHANGES: usize = 3;
 /// Limits of the number of machines, and of hollow gateways and hollow backends.
 const MAX_CONTROL_NODES: usize = 28;
-const MOST: usize = 12_000;
+const MAX_HOLLOW: usize = 12_000;
 const HEARTBEAT_MS: u64 = 1500;
 /// Time within which operators need a change in force at every gateway.
-const IN_FORCE: Duration = Duration::from_secs(18);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(18);
 /// Time in which everything must have started; three times the duration of the run, if that is shorter.
-const UP: Duration = Duration::from_secs(60);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(60);
 /// Rate of each tenant, a second, and its burst.
-const RATE: usize = 146;
+const TENANT_RATE: usize = 146;
 
 /// Size of a run, with the defaults applied.
 struct Size {
@@ -69,16 +69,16 @@
             changes: s.changes.unwrap_or(CHANGES),
             fresh: s.fresh,
         };
-        let few = |n: usize, most: usize, what: &str| match (1..=most).contains(&n) {
+        let check_range = |n: usize, max: usize, what: &str| match (1..=max).contains(&n) {
             true => Ok(()),
-            false => Err(format!("{n} {what}: 1 to {most}")),
+            false => Err(format!("{n} {what}: 1 to {max}")),
         };
-        few(size.gateways, MOST, "gateways")?;
-        few(size.backends, MOST, "backends")?;
-        few(size.routes, 20_000, "routes")?;
-        few(size.tenants, 50_000, "tenants")?;
-        few(size.control_nodes, MAX_CONTROL_NODES, "control-nodes")?;
-        few(size.changes, 200, "changes")?;
+        check_range(size.gateways, MAX_HOLLOW, "gateways")?;
+        check_range(size.backends, MAX_HOLLOW, "backends")?;
+        check_range(size.routes, 20_000, "routes")?;
+        check_range(size.tenants, 50_000, "tenants")?;
+        check_range(size.control_nodes, MAX_CONTROL_NODES, "control-nodes")?;
+        check_range(size.changes, 200, "changes")?;
         Ok(size)
     }
 
@@ -90,10 +90,10 @@
         let prefixes: Vec<&str> = prefixes.iter().map(String::as_str).collect();
         let tenant = |n| {
             json!({"name": tenant(n), "apiKeys": [format!("{n:05}9wu3fexd9dnn2ctn")], "priority": 1,
-                "ratePerS": RATE, "burstSize": RATE})
+                "ratePerS": TENANT_RATE, "burstSize": TENANT_RATE})
         };
         let tenants: Vec<Value> = (0..self.tenants).map(tenant).collect();
-        configured(base, version, &prefixes, &tenants)
+        configuration_with_tenants(base, version, &prefixes, &tenants)
     }
 }
 
@@ -104,13 +104,14 @@
 fn run(play: &Play) -> Result<Figures, String> {
     let size = Size::of(play)?;
     let first = size.configuration(0, 1);
-    // Each real process holds the configuration several times, and a control node the list of gateways for each gateway.
-    let own = 16.0 * first.len() as f64 * size.control_nodes as f64;
-    let wanted = (own + 20.0 * (size.gateways as f64).powi(2) * 300.0) / 1e6;
-    let free = meter::free_mb();
-    if wanted > 0.4 * free {
+    // Each real process holds the configuration several times, and a control node the list of gateways for each
+    // gateway.
+    let real_process_bytes = 16.0 * first.len() as f64 * size.control_nodes as f64;
+    let needed_mb = (real_process_bytes + 20.0 * (size.gateways as f64).powi(2) * 300.0) / 1e6;
+    let available_mb = meter::free_mb();
+    if needed_mb > 0.4 * available_mb {
         return Err(format!(
-            "this size needs {wanted:.0} MB, and {free:.0} MB are free: use fewer gateways or routes"
+            "this size needs {needed_mb:.0} MB, and {available_mb:.0} MB are free: use fewer gateways or routes"
         ));
     }
     let cluster = LocalCluster::open_with(play.seed, size.control_nodes, HEARTBEAT_MS)?;
@@ -126,38 +127,47 @@
         return Err(format!("the first configuration was not accepted: {taken}"));
     }
     figures.set("the first configuration taken after, ms", began.elapsed().as_millis() as u64);
-    let herd = Herd::start(play, &size, &cluster)?;
+    let hollow_fleet = HollowFleet::start(play, &size, &cluster)?;
     let up = Instant::now();
-    while !herd.is_up() && up.elapsed() < UP.min(3 * play.time) {
+    while !hollow_fleet.is_up() && up.elapsed() < STARTUP_TIMEOUT.min(3 * play.time) {
         sleep(Duration::from_millis(20));
     }
     figures.set("all up after, ms", up.elapsed().as_millis() as u64);
-    figures.none("gateways that did not come up", herd.gateways_down());
-    let coming = herd.tally();
-    figures.set("a gateway while it comes up, B", coming.told / size.gateways as u64);
+    figures.expect_zero("gateways that did not come up", hollow_fleet.gateways_down());
+    let startup_tally = hollow_fleet.tally();
+    figures.set("a gateway while it comes up, B", startup_tally.bytes_to_gateways / size.gateways as u64);
     let part = play.time / 3;
     sleep(part / 3);
     let leader = leader(&controls);
-    // Measure without changes: only heartbeats, consensus rounds and lease requests.
-    let rest = measured(&mut meter, &herd, || sleep(part));
-    let (share, span) = (|s: f64| s / rest.span.as_secs_f64(), rest.span.as_secs_f64());
-    let cores: Vec<f64> = rest.control_nodes.iter().map(|s| round(share(*s) * 100.0, 2)).collect();
+    // Measure without changes: only heartbeats of backends and to gateways, consensus rounds and lease requests.
+    let baseline = measure(&mut meter, &hollow_fleet, || sleep(part));
+    let (share, span) = (|s: f64| s / baseline.span.as_secs_f64(), baseline.span.as_secs_f64());
+    let cores: Vec<f64> = baseline.control_nodes.iter().map(|s| round(share(*s) * 100.0, 2)).collect();
     figures.set("the leader's place", leader);
     figures.set("at rest: processor by control node, % of a core", cores.clone());
-    figures.set("at rest: processor by real gateway, % of a core", shares(&rest.gateways, span));
-    figures.set("at rest: asks answered a second", round(share(rest.tally.answers as f64), 1));
-    figures.set("at rest: beats answered a second", round(share(rest.tally.beats as f64), 1));
+    figures.set("at rest: processor by real gateway, % of a core", shares(&baseline.gateways, span));
+    figures.set("at rest: asks answered a second", round(share(baseline.tally.lease_grants as f64), 1));
+    figures
+        .set("at rest: beats answered a second", round(share(baseline.tally.heartbeats_answered as f64), 1));
     let all = size.gateways as f64;
-    figures.set("at rest: a gateway is told, B/s", round(share(rest.tally.told as f64) / all, 1));
-    figures.set("at rest: a gateway says, B/s", round(share(rest.tally.said as f64) / all, 1));
-    let beaten = rest.tally.beat_bytes as f64 / rest.tally.beats.max(1) as f64;
-    figures.set("at rest: a beat and its answer, B", round(beaten, 0));
-    let asked = rest.tally.asks.max(1) as f64;
-    figures.bound("at rest: asks answered, of asked", rest.tally.answers as f64 / asked, 0.97, 1.05);
-    let beats = rest.tally.beats as f64 / rest.tally.beats_sent.max(1) as f64;
-    figures.bound("at rest: beats answered with 200, of sent", beats, 0.97, 1.05);
+    figures.set(
+        "at rest: a gateway is told, B/s",
+        round(share(baseline.tally.bytes_to_gateways as f64) / all, 1),
+    );
+    figures.set(
+        "at rest: a gateway says, B/s",
+        round(share(baseline.tally.bytes_from_gateways as f64) / all, 1),
+    );
+    let bytes_per_heartbeat =
+        baseline.tally.heartbeat_bytes as f64 / baseline.tally.heartbeats_answered.max(1) as f64;
+    figures.set("at rest: a beat and its answer, B", round(bytes_per_heartbeat, 0));
+    let asked = baseline.tally.lease_requests.max(1) as f64;
+    figures.bound("at rest: asks answered, of asked", baseline.tally.lease_grants as f64 / asked, 0.97, 1.05);
+    let heartbeats_answered =
+        baseline.tally.heartbeats_answered as f64 / baseline.tally.heartbeats_sent.max(1) as f64;
+    figures.bound("at rest: beats answered with 200, of sent", heartbeats_answered, 0.97, 1.05);
     figures.set("memory by control node at rest, MB", meter.resident().0);
-    changes(play, &size, (&controls, leader, &rest), &mut meter, &herd, &mut figures);
+    changes(play, &size, (&controls, leader, &baseline), &mut meter, &hollow_fleet, &mut figures);
     figures.set("the leader's place at the end", self::leader(&controls));
     let (control_nodes, gateways) = meter.resident();
     figures.set("memory by control node at the end, MB", control_nodes);
@@ -165,14 +175,14 @@
     let (control_nodes, gateways) = meter.peak();
     figures.set("memory by control node at the peak, MB", control_nodes);
     figures.set("memory by real gateway at the peak, MB", gateways);
-    figures.none("control nodes and gateways that ended by themselves", meter.ended());
-    figures.none("versions that went back", herd.tally().backwards as usize);
-    figures.set("links lost", herd.tally().lost);
+    figures.expect_zero("control nodes and gateways that ended by themselves", meter.ended());
+    figures.expect_zero("versions that went back", hollow_fleet.tally().version_regressions as usize);
+    figures.set("links lost", hollow_fleet.tally().lost_connections);
     // Units granted over all gateways: the rate, the burst, and half a second's units that may be outstanding.
-    let most = herd.age().as_secs_f64() * RATE as f64 + 1.5 * RATE as f64;
-    figures.bound("lent of one tenant, of what flows", herd.most_lent() as f64 / most, 0.0, 1.0);
+    let max = hollow_fleet.age().as_secs_f64() * TENANT_RATE as f64 + 1.5 * TENANT_RATE as f64;
+    figures.bound("lent of one tenant, of what flows", hollow_fleet.max_granted() as f64 / max, 0.0, 1.0);
     // A backend that has sent no heartbeat for the timeout and one interval has expired.
-    let seen = herd.backends_seen(Duration::from_secs(8));
+    let seen = hollow_fleet.backends_seen(Duration::from_secs(8));
     figures.bound("backends that gateways know, of all", seen as f64 / size.backends as f64, 1.0, 1.0);
     Ok(figures)
 }
@@ -181,18 +191,18 @@
 fn changes(
     play: &Play,
     size: &Size,
-    (controls, leader, rest): (&[std::net::SocketAddr], usize, &Measured),
+    (controls, leader, baseline): (&[std::net::SocketAddr], usize, &Measured),
     meter: &mut Meter,
-    herd: &Herd,
+    hollow_fleet: &HollowFleet,
     figures: &mut Figures,
 ) {
     let (mut taken, mut last, mut half) = (Vec::new(), Vec::new(), Vec::new());
-    let mut lacking = 0;
+    let mut missing = 0;
     let count = size.changes as u32;
-    let changed = measured(meter, herd, || {
+    let changed = measure(meter, hollow_fleet, || {
         for version in 2..2 + count {
             if play.has("deaf") && version == 1 + count {
-                herd.deafen();
+                hollow_fleet.ignore_configurations();
             }
             let text = size.configuration(version - 1, version);
             let asked = Instant::now();
@@ -200,44 +210,45 @@
                 call(controls, "POST", "/-/Configuration.Replace", &text, 150).map_or(0, |a| a.status());
             let acknowledged = Instant::now();
             if status != 200 {
-                lacking += size.gateways;
+                missing += size.gateways;
                 return;
             }
             taken.push((acknowledged - asked).as_millis() as u64);
-            let (all, some) = herd.in_force(version, acknowledged, IN_FORCE.min(play.time));
-            lacking += size.gateways - all.len();
+            let (all, some) = hollow_fleet.in_force(version, acknowledged, IN_FORCE_TIMEOUT.min(play.time));
+            missing += size.gateways - all.len();
             half.push(some.as_millis() as u64);
-            last.push(all.last().copied().unwrap_or(IN_FORCE).as_millis() as u64);
-            if lacking > 0 {
+            last.push(all.last().copied().unwrap_or(IN_FORCE_TIMEOUT).as_millis() as u64);
+            if missing > 0 {
                 return;
             }
         }
     });
     let span = changed.span.as_secs_f64();
     figures.set("changes", taken.len());
-    figures.none("gateways that lack a change that was acknowledged", lacking);
+    figures.expect_zero("gateways that lack a change that was acknowledged", missing);
     figures.set("a change acknowledged after, ms", taken.clone());
     figures.set("half of the gateways have it after, ms", half);
     figures.set("the last has it after, ms", last);
     let count = taken.len().max(1) as f64;
-    let more = |n: usize| {
-        let idle = rest.control_nodes[n] / rest.span.as_secs_f64() * span;
+    let cpu_ms_per_change = |n: usize| {
+        let idle = baseline.control_nodes[n] / baseline.span.as_secs_f64() * span;
         round((changed.control_nodes[n] - idle).max(0.0) * 1e3 / count, 1)
     };
-    figures.set("a change: the leader's processor, ms", more(leader));
-    let others: Vec<f64> = (0..size.control_nodes).filter(|n| *n != leader).map(more).collect();
+    figures.set("a change: the leader's processor, ms", cpu_ms_per_change(leader));
+    let others: Vec<f64> = (0..size.control_nodes).filter(|n| *n != leader).map(cpu_ms_per_change).collect();
     figures.set("a change: the other control nodes' processor, ms", others);
-    let real = |n: usize| {
-        let idle = rest.gateways[n] / rest.span.as_secs_f64() * span;
+    let gateway_cpu_ms_per_change = |n: usize| {
+        let idle = baseline.gateways[n] / baseline.span.as_secs_f64() * span;
         round((changed.gateways[n] - idle).max(0.0) * 1e3 / count, 1)
     };
     figures.set(
         "a change: a real gateway's processor, ms",
-        (0..size.control_nodes).map(real).collect::<Vec<_>>(),
+        (0..size.control_nodes).map(gateway_cpu_ms_per_change).collect::<Vec<_>>(),
     );
-    let idle = rest.tally.told as f64 / rest.span.as_secs_f64() * span;
-    let told = (changed.tally.told as f64 - idle).max(0.0) / count / size.gateways as f64;
-    figures.set("a change: a gateway is told, B", round(told, 0));
+    let idle = baseline.tally.bytes_to_gateways as f64 / baseline.span.as_secs_f64() * span;
+    let bytes_per_gateway =
+        (changed.tally.bytes_to_gateways as f64 - idle).max(0.0) / count / size.gateways as f64;
+    figures.set("a change: a gateway is told, B", round(bytes_per_gateway, 0));
 }
 
 /// Cost during a span of time: CPU seconds by control node and by real gateway, and the counts of the hollow gateways
@@ -249,16 +260,16 @@
     tally: Tally,
 }
 
-fn measured(meter: &mut Meter, herd: &Herd, act: impl FnOnce()) -> Measured {
-    let (began, before, counted) = (Instant::now(), meter.spent(), herd.tally());
+fn measure(meter: &mut Meter, hollow_fleet: &HollowFleet, act: impl FnOnce()) -> Measured {
+    let (began, before, counted) = (Instant::now(), meter.spent(), hollow_fleet.tally());
     act();
     let (span, after) = (began.elapsed(), meter.spent());
-    let less = |a: Vec<f64>, b: Vec<f64>| a.into_iter().zip(b).map(|(a, b)| (a - b).max(0.0)).collect();
+    let difference = |a: Vec<f64>, b: Vec<f64>| a.into_iter().zip(b).map(|(a, b)| (a - b).max(0.0)).collect();
     Measured {
         span,
-        control_nodes: less(after.0, before.0),
-        gateways: less(after.1, before.1),
-        tally: herd.tally().since(&counted),
+        control_nodes: difference(after.0, before.0),
+        gateways: difference(after.1, before.1),
+        tally: hollow_fleet.tally().since(&counted),
     }
 }
 
@@ -267,8 +278,8 @@
 }
 
 fn round(value: f64, digits: i32) -> f64 {
-    let by = 10f64.powi(digits);
-    (value * by).round() / by
+    let factor = 10f64.powi(digits);
+    (value * factor).round() / factor
 }
 
 /// Returns the index of the leader: it answers 400 to an invalid configuration, while the others redirect.
@@ -290,4 +301,4 @@
 }
 
 /// State that is shared with the tasks of the hollow gateways and backends.
-type Shared = Arc<hollow::GrantedUnits>;
+type SharedState = Arc<hollow::HollowState>;
--- a/crates/testing/test-harness/src/scale/hollow.rs
+++ b/crates/testing/test-harness/src/scale/hollow.rs
@@ -1,8 +1,8 @@
 //! Hollow gateways and backends. A hollow gateway follows a control node, requests leases and keeps only counts; a
-//! hollow backend sends heartbeats. They are tasks on a few threads: one for every `A_THREAD` gateways, and one for
-//! all backends.
+//! hollow backend sends heartbeats. They are tasks on a few threads: one for every `GATEWAYS_PER_THREAD` gateways,
+//! and one for all backends.
 
-use super::{tenant, Shared, Size, HEARTBEAT_MS};
+use super::{tenant, SharedState, Size, HEARTBEAT_MS};
 use crate::fleet::lock;
 use crate::local_cluster::LocalCluster;
 use crate::scenario::Play;
@@ -23,63 +23,63 @@
 use tokio::task::LocalSet;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-/// Interval of a gateway's lease requests, and their number of tenants, like those of a gateway that serves 150 requests
-/// a second.
+/// Interval of a gateway's lease requests, and their number of tenants, like those of a gateway that serves 150
+/// requests a second.
 const LEASE_REQUEST_INTERVAL: Duration = Duration::from_millis(100);
-const WANTS: usize = 15;
+const TENANTS_PER_REQUEST: usize = 15;
 /// Delay before a gateway that has lost its control node connects to the next, and time without a message after which
 /// it gives up the connection.
-const AGAIN: Duration = Duration::from_millis(200);
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Delay between the starts of two gateways.
-const APART: Duration = Duration::from_millis(3);
+const START_INTERVAL: Duration = Duration::from_millis(3);
 /// Connections to each control node on which backends send heartbeats in turn, unless each heartbeat opens its own.
-const LINES: usize = 16;
+const CONNECTIONS_PER_CONTROL_NODE: usize = 16;
 /// Number of gateways that decode every message; the others decode only configurations and lease grants.
 const WITNESSES: usize = 2;
 /// Maximum length of a message, as at a control node.
-const LONGEST: usize = 16 << 20;
+const MAX_MESSAGE_BYTES: usize = 16 << 20;
 /// Gateways per thread.
-const A_THREAD: usize = 250;
+const GATEWAYS_PER_THREAD: usize = 250;
 
 /// Counts of all hollow gateways and backends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     /// Bytes sent to gateways, and by them.
-    pub told: u64,
-    pub said: u64,
-    pub asks: u64,
-    pub answers: u64,
-    pub beats_sent: u64,
-    pub beats: u64,
+    pub bytes_to_gateways: u64,
+    pub bytes_from_gateways: u64,
+    pub lease_requests: u64,
+    pub lease_grants: u64,
+    pub heartbeats_sent: u64,
+    pub heartbeats_answered: u64,
     /// Bytes of answered heartbeats and of their responses.
-    pub beat_bytes: u64,
+    pub heartbeat_bytes: u64,
     /// Configurations that were older than the gateway's newest.
-    pub backwards: u64,
+    pub version_regressions: u64,
     /// Connections of gateways that ended.
-    pub lost: u64,
+    pub lost_connections: u64,
 }
 
 impl Tally {
     /// Returns the difference to an earlier tally.
     pub fn since(&self, before: &Tally) -> Tally {
         Tally {
-            told: self.told - before.told,
-            said: self.said - before.said,
-            asks: self.asks - before.asks,
-            answers: self.answers - before.answers,
-            beats_sent: self.beats_sent - before.beats_sent,
-            beats: self.beats - before.beats,
-            beat_bytes: self.beat_bytes - before.beat_bytes,
-            backwards: self.backwards - before.backwards,
-            lost: self.lost - before.lost,
+            bytes_to_gateways: self.bytes_to_gateways - before.bytes_to_gateways,
+            bytes_from_gateways: self.bytes_from_gateways - before.bytes_from_gateways,
+            lease_requests: self.lease_requests - before.lease_requests,
+            lease_grants: self.lease_grants - before.lease_grants,
+            heartbeats_sent: self.heartbeats_sent - before.heartbeats_sent,
+            heartbeats_answered: self.heartbeats_answered - before.heartbeats_answered,
+            heartbeat_bytes: self.heartbeat_bytes - before.heartbeat_bytes,
+            version_regressions: self.version_regressions - before.version_regressions,
+            lost_connections: self.lost_connections - before.lost_connections,
         }
     }
 }
 
 /// State of one hollow gateway.
 #[derive(Default)]
-struct Seen {
+struct GatewayState {
     /// Version of its newest configuration, and when it arrived.
     version: AtomicU32,
     at: Mutex<Option<Instant>>,
@@ -90,78 +90,80 @@
 }
 
 /// State shared by all hollow gateways and backends.
-pub struct GrantedUnits {
+pub struct HollowState {
     tally: Mutex<Tally>,
-    gateways: Vec<Seen>,
+    gateways: Vec<GatewayState>,
     /// Units granted of each tenant.
-    lent: Vec<AtomicU64>,
-    deaf: AtomicBool,
-    twice: bool,
+    granted: Vec<AtomicU64>,
+    ignores_configurations: AtomicBool,
+    counts_twice: bool,
     stop: AtomicBool,
     began: Instant,
 }
 
 /// All hollow gateways and backends, which run until it is dropped.
-pub struct Herd {
-    book: Shared,
+pub struct HollowFleet {
+    state: SharedState,
     backends: usize,
     threads: Vec<JoinHandle<()>>,
 }
 
-impl Drop for Herd {
+impl Drop for HollowFleet {
     fn drop(&mut self) {
-        self.book.stop.store(true, Relaxed);
+        self.state.stop.store(true, Relaxed);
         self.threads.drain(..).for_each(|t| drop(t.join()));
     }
 }
 
-impl Herd {
+impl HollowFleet {
     /// Starts the hollow gateways and backends.
     ///
     /// # Errors
     /// A thread's runtime cannot be created. The message is one line.
-    pub fn start(play: &Play, size: &Size, cluster: &LocalCluster) -> Result<Herd, String> {
-        let book = Arc::new(GrantedUnits {
+    pub fn start(play: &Play, size: &Size, cluster: &LocalCluster) -> Result<HollowFleet, String> {
+        let state = Arc::new(HollowState {
             tally: Mutex::default(),
-            gateways: (0..size.gateways).map(|_| Seen::default()).collect(),
-            lent: (0..size.tenants).map(|_| AtomicU64::new(0)).collect(),
-            deaf: AtomicBool::new(false),
-            twice: play.has("counts-twice"),
+            gateways: (0..size.gateways).map(|_| GatewayState::default()).collect(),
+            granted: (0..size.tenants).map(|_| AtomicU64::new(0)).collect(),
+            ignores_configurations: AtomicBool::new(false),
+            counts_twice: play.has("counts-twice"),
             stop: AtomicBool::new(false),
             began: Instant::now(),
         });
-        let (inners, controls) = (cluster.inners(), cluster.controls());
-        let (seed, shared, count) = (play.seed, book.clone(), size.gateways);
+        let (control_nodes, controls) = (cluster.internal_addresses(), cluster.controls());
+        let (seed, shared, count) = (play.seed, state.clone(), size.gateways);
         let mut threads = Vec::new();
-        for first in (0..count).step_by(A_THREAD) {
-            let (shared, inners) = (shared.clone(), inners.clone());
-            threads.push(on_a_thread(book.clone(), move |tasks| {
-                for n in first..count.min(first + A_THREAD) {
+        for first in (0..count).step_by(GATEWAYS_PER_THREAD) {
+            let (shared, control_nodes) = (shared.clone(), control_nodes.clone());
+            threads.push(spawn_local_tasks(state.clone(), move |tasks| {
+                for n in first..count.min(first + GATEWAYS_PER_THREAD) {
                     let rng = fastrand::Rng::with_seed(seed ^ (n as u64) << 20);
-                    tasks.spawn_local(gateway(n, shared.clone(), inners.clone(), rng));
+                    tasks.spawn_local(gateway(n, shared.clone(), control_nodes.clone(), rng));
                 }
             })?);
         }
-        let beating = if play.has("silent") { size.backends * 3 / 4 } else { size.backends };
-        let (shared, fresh) = (book.clone(), size.fresh);
-        threads.push(on_a_thread(book.clone(), move |tasks| {
-            // Each connection carries the heartbeats of its share of the backends, spread evenly over the heartbeat interval.
-            let lines = if fresh { beating.min(512) } else { LINES * controls.len() };
+        let active_backends = if play.has("silent") { size.backends * 3 / 4 } else { size.backends };
+        let (shared, fresh) = (state.clone(), size.fresh);
+        threads.push(spawn_local_tasks(state.clone(), move |tasks| {
+            // Each connection carries the heartbeats of its share of the backends, spread evenly over the heartbeat
+            // interval.
+            let lines =
+                if fresh { active_backends.min(512) } else { CONNECTIONS_PER_CONTROL_NODE * controls.len() };
             for line in 0..lines {
-                let ids: Vec<usize> = (line..beating).step_by(lines).collect();
-                tasks.spawn_local(beats(line, ids, shared.clone(), controls.clone(), fresh));
+                let ids: Vec<usize> = (line..active_backends).step_by(lines).collect();
+                tasks.spawn_local(send_heartbeats(line, ids, shared.clone(), controls.clone(), fresh));
             }
         })?);
-        Ok(Herd { book, backends: size.backends, threads })
+        Ok(HollowFleet { state, backends: size.backends, threads })
     }
 
     pub fn tally(&self) -> Tally {
-        *lock(&self.book.tally)
+        *lock(&self.state.tally)
     }
 
     /// Time since the start.
     pub fn age(&self) -> Duration {
-        self.book.began.elapsed()
+        self.state.began.elapsed()
     }
 
     /// Whether all gateways have a configuration and a lease grant, and the first `WITNESSES` know all backends.
@@ -171,16 +173,17 @@
 
     /// Returns the number of gateways that lack a configuration or a lease grant.
     pub fn gateways_down(&self) -> usize {
-        let down = |g: &&Seen| g.version.load(Relaxed) == 0 || !g.answered.load(Relaxed);
-        self.book.gateways.iter().filter(down).count()
+        let down = |g: &&GatewayState| g.version.load(Relaxed) == 0 || !g.answered.load(Relaxed);
+        self.state.gateways.iter().filter(down).count()
     }
 
     /// Returns the fewest backends that one of the first `WITNESSES` gateways knows.
     fn known(&self) -> usize {
-        self.book.gateways.iter().take(WITNESSES).map(|g| lock(&g.backends).len()).min().unwrap_or(0)
+        self.state.gateways.iter().take(WITNESSES).map(|g| lock(&g.backends).len()).min().unwrap_or(0)
     }
 
-    /// Waits, up to `most`, until the first `WITNESSES` gateways know as many backends as there are. Returns the fewest that one knows.
+    /// Waits, up to `most`, until the first `WITNESSES` gateways know as many backends as there are. Returns the
+    /// fewest that one knows.
     pub fn backends_seen(&self, most: Duration) -> usize {
         let until = Instant::now() + most;
         while self.known() != self.backends && Instant::now() < until {
@@ -190,35 +193,35 @@
     }
 
     /// Makes the first gateway ignore configurations from now on.
-    pub fn deafen(&self) {
-        self.book.deaf.store(true, Relaxed);
+    pub fn ignore_configurations(&self) {
+        self.state.ignores_configurations.store(true, Relaxed);
     }
 
     /// Returns the highest number of units that were granted of one tenant.
-    pub fn most_lent(&self) -> u64 {
-        self.book.lent.iter().map(|n| n.load(Relaxed)).max().unwrap_or(0)
+    pub fn max_granted(&self) -> u64 {
+        self.state.granted.iter().map(|n| n.load(Relaxed)).max().unwrap_or(0)
     }
 
-    /// Returns the sorted times after `since` at which gateways received this version, of those that did within `most`, and
-    /// the median of them.
+    /// Returns the sorted times after `since` at which gateways received this version, of those that did within
+    /// `most`, and the median of them.
     pub fn in_force(&self, version: u32, since: Instant, most: Duration) -> (Vec<Duration>, Duration) {
-        let has = |g: &&Seen| g.version.load(Relaxed) >= version;
-        while self.book.gateways.iter().filter(has).count() < self.book.gateways.len()
+        let has = |g: &&GatewayState| g.version.load(Relaxed) >= version;
+        while self.state.gateways.iter().filter(has).count() < self.state.gateways.len()
             && since.elapsed() < most
         {
             thread::sleep(Duration::from_millis(5));
         }
-        let at = |g: &Seen| Some((*lock(&g.at))?.saturating_duration_since(since));
-        let mut all: Vec<Duration> = self.book.gateways.iter().filter(has).filter_map(at).collect();
+        let at = |g: &GatewayState| Some((*lock(&g.at))?.saturating_duration_since(since));
+        let mut all: Vec<Duration> = self.state.gateways.iter().filter(has).filter_map(at).collect();
         all.sort_unstable();
-        let half = all.get(all.len() / 2).copied().unwrap_or(most);
-        (all, half)
+        let median = all.get(all.len() / 2).copied().unwrap_or(most);
+        (all, median)
     }
 }
 
 /// Starts a thread that runs local tasks until the stop flag is set.
-fn on_a_thread(
-    book: Shared,
+fn spawn_local_tasks(
+    state: SharedState,
     spawn: impl FnOnce(&LocalSet) + Send + 'static,
 ) -> Result<JoinHandle<()>, String> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -226,26 +229,26 @@
     Ok(thread::spawn(move || {
         let tasks = LocalSet::new();
         spawn(&tasks);
-        let over = async move {
-            while !book.stop.load(Relaxed) {
+        let until_stopped = async move {
+            while !state.stop.load(Relaxed) {
                 sleep(Duration::from_millis(50)).await;
             }
         };
-        tasks.block_on(&runtime, over);
+        tasks.block_on(&runtime, until_stopped);
     }))
 }
 
 // ---- Gateways ----
 
-async fn gateway(n: usize, book: Shared, inners: Vec<SocketAddr>, mut rng: fastrand::Rng) {
-    sleep(APART * n as u32).await;
-    let mut to = n % inners.len();
+async fn gateway(n: usize, state: SharedState, control_nodes: Vec<SocketAddr>, mut rng: fastrand::Rng) {
+    sleep(START_INTERVAL * n as u32).await;
+    let mut to = n % control_nodes.len();
     loop {
         // Any error is followed by a connection to the next control node.
-        let _ = follow(n, &book, inners[to], to, &mut rng).await;
-        lock(&book.tally).lost += 1;
-        to = (to + 1) % inners.len();
-        sleep(AGAIN).await;
+        let _ = follow(n, &state, control_nodes[to], to, &mut rng).await;
+        lock(&state.tally).lost_connections += 1;
+        to = (to + 1) % control_nodes.len();
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
@@ -258,12 +261,12 @@
 }
 
 /// Progress of a configuration's transfer: its log index, its version, its length, and the bytes received so far.
-type Coming = Option<(u64, u32, u32, u32)>;
+type ConfigurationProgress = Option<(u64, u32, u32, u32)>;
 
 /// Follows one control node until the connection ends.
 async fn follow(
     n: usize,
-    book: &GrantedUnits,
+    state: &HollowState,
     to: SocketAddr,
     zone: usize,
     rng: &mut fastrand::Rng,
@@ -272,7 +275,7 @@
     stream.set_nodelay(true)?;
     let (mut reader, mut writer) = stream.into_split();
     let (name, zone) = (format!("hollow-{n}"), format!("zone-{zone}"));
-    let said = write(
+    let written = write(
         &mut writer,
         &Greeting::Gateway {
             format: MESSAGE_FORMAT,
@@ -284,71 +287,73 @@
         },
     )
     .await?;
-    lock(&book.tally).said += said;
-    let (sender, mut more) = mpsc::unbounded_channel::<GatewayMessage>();
-    let says = async {
-        let mut every = interval(LEASE_REQUEST_INTERVAL);
-        every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    lock(&state.tally).bytes_from_gateways += written;
+    let (sender, mut replies) = mpsc::unbounded_channel::<GatewayMessage>();
+    let send_loop = async {
+        let mut ticker = interval(LEASE_REQUEST_INTERVAL);
+        ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut number = 0;
         loop {
-            let up = tokio::select! {
-                up = more.recv() => up.ok_or(io::ErrorKind::BrokenPipe)?,
-                _ = every.tick() => {
+            let message = tokio::select! {
+                message = replies.recv() => message.ok_or(io::ErrorKind::BrokenPipe)?,
+                _ = ticker.tick() => {
                     number += 1;
-                    lock(&book.tally).asks += 1;
-                    let tenant = |_| tenant(rng.usize(0..book.lent.len()));
+                    lock(&state.tally).lease_requests += 1;
+                    let tenant = |_| tenant(rng.usize(0..state.granted.len()));
                     let want = |tenant| UnitRequest { tenant, units: 1, arrivals: 1, returned: 0, spent_fallback: 0 };
-                    let units = (0..WANTS).map(tenant).map(want).collect();
+                    let units = (0..TENANTS_PER_REQUEST).map(tenant).map(want).collect();
                     GatewayMessage::LeaseRequest(LeaseRequest { number, units, turns: Vec::new() })
                 }
             };
-            let said = write(&mut writer, &up).await?;
-            lock(&book.tally).said += said;
+            let written = write(&mut writer, &message).await?;
+            lock(&state.tally).bytes_from_gateways += written;
         }
     };
-    let hears = async {
-        let mut coming = None;
+    let receive_loop = async {
+        let mut progress = None;
         loop {
-            let heard = timeout(SILENCE_TIMEOUT, hear(n, book, &mut reader, &mut coming)).await;
-            let up = heard.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
-            up.into_iter().for_each(|up| drop(sender.send(up)));
+            let outcome =
+                timeout(SILENCE_TIMEOUT, receive_message(n, state, &mut reader, &mut progress)).await;
+            let reply = outcome.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
+            reply.into_iter().for_each(|reply| drop(sender.send(reply)));
         }
     };
     tokio::select! {
-        ended = says => ended,
-        ended = hears => ended,
+        ended = send_loop => ended,
+        ended = receive_loop => ended,
     }
 }
 
 /// Reads one message and returns the reply to it, if there is one.
-async fn hear(
+async fn receive_message(
     n: usize,
-    book: &GrantedUnits,
+    state: &HollowState,
     reader: &mut OwnedReadHalf,
-    coming: &mut Coming,
+    progress: &mut ConfigurationProgress,
 ) -> io::Result<Option<GatewayMessage>> {
     let length = reader.read_u32().await? as usize;
-    if length > LONGEST {
+    if length > MAX_MESSAGE_BYTES {
         return Err(io::ErrorKind::InvalidData.into());
     }
     let mut bytes = vec![0; length];
     reader.read_exact(&mut bytes).await?;
-    lock(&book.tally).told += length as u64 + 4;
+    lock(&state.tally).bytes_to_gateways += length as u64 + 4;
     // A message is a map from its name to its content, so the name starts at the third byte.
     let named = |name: &[u8]| bytes.get(2..).is_some_and(|b| b.starts_with(name));
     if n >= WITNESSES && !named(b"Lent") && !named(b"Configuration") {
         return Ok(None);
     }
-    let seen = &book.gateways[n];
+    let gateway_state = &state.gateways[n];
     match rmp_serde::from_slice(&bytes).map_err(io::Error::other)? {
-        GatewayUpdate::Snapshot { snapshot: scene, .. } => {
-            *lock(&seen.backends) = scene.backends.into_iter().map(|f| f.instance).collect();
+        GatewayUpdate::Snapshot { snapshot: fleet_snapshot, .. } => {
+            *lock(&gateway_state.backends) =
+                fleet_snapshot.backends.into_iter().map(|f| f.instance).collect();
         }
         GatewayUpdate::Changes { changes, .. } => {
-            let mut known = lock(&seen.backends);
+            let mut known = lock(&gateway_state.backends);
             for change in changes {
                 match change {
-                    FleetChange::Backend(fact) => drop(known.insert(fact.instance)),
+                    FleetChange::Backend(heartbeat) => drop(known.insert(heartbeat.instance)),
                     FleetChange::BackendRemoved(id) => drop(known.remove(&id)),
                     _ => {}
                 }
@@ -357,23 +362,23 @@
         GatewayUpdate::Heartbeat { .. } => {}
         GatewayUpdate::ConfigurationChunk(part) => {
             if let Some(head) = part.header {
-                *coming = Some((head.index, head.version, head.length, 0));
+                *progress = Some((head.index, head.version, head.length, 0));
             }
-            let Some((place, version, length, got)) = coming else { return Ok(None) };
-            *got += part.bytes.len() as u32;
-            if *got >= *length && !(n == 0 && book.deaf.load(Relaxed)) {
-                taken(book, seen, *version);
+            let Some((place, version, length, received_bytes)) = progress else { return Ok(None) };
+            *received_bytes += part.bytes.len() as u32;
+            if *received_bytes >= *length && !(n == 0 && state.ignores_configurations.load(Relaxed)) {
+                record_configuration(state, gateway_state, *version);
             }
-            return Ok(Some(GatewayMessage::ChunkReceived { index: *place, received: *got }));
+            return Ok(Some(GatewayMessage::ChunkReceived { index: *place, received: *received_bytes }));
         }
-        GatewayUpdate::LeaseGrant(lent) => {
-            seen.answered.store(true, Relaxed);
-            lock(&book.tally).answers += 1;
-            let times = if book.twice { 4 } else { 1 };
-            for loan in lent.units {
-                let place = loan.tenant.strip_prefix("huka").and_then(|n| n.parse::<usize>().ok());
-                if let Some(units) = place.and_then(|n| book.lent.get(n)) {
-                    units.fetch_add(times * u64::from(loan.units), Relaxed);
+        GatewayUpdate::LeaseGrant(granted) => {
+            gateway_state.answered.store(true, Relaxed);
+            lock(&state.tally).lease_grants += 1;
+            let times = if state.counts_twice { 4 } else { 1 };
+            for grant in granted.units {
+                let place = grant.tenant.strip_prefix("huka").and_then(|n| n.parse::<usize>().ok());
+                if let Some(units) = place.and_then(|n| state.granted.get(n)) {
+                    units.fetch_add(times * u64::from(grant.units), Relaxed);
                 }
             }
         }
@@ -382,34 +387,42 @@
 }
 
 /// Records that a gateway has received a whole configuration.
-fn taken(book: &GrantedUnits, seen: &Seen, version: u32) {
-    let held = seen.version.load(Relaxed);
-    if version > held {
-        *lock(&seen.at) = Some(Instant::now());
-        seen.version.store(version, Relaxed);
-    } else if version < held {
-        lock(&book.tally).backwards += 1;
+fn record_configuration(state: &HollowState, gateway_state: &GatewayState, version: u32) {
+    let newest = gateway_state.version.load(Relaxed);
+    if version > newest {
+        *lock(&gateway_state.at) = Some(Instant::now());
+        gateway_state.version.store(version, Relaxed);
+    } else if version < newest {
+        lock(&state.tally).version_regressions += 1;
     }
 }
 
 // ---- Backends ----
 
 /// Sends the heartbeats of these backends, one after the other.
-async fn beats(line: usize, ids: Vec<usize>, book: Shared, controls: Vec<SocketAddr>, fresh: bool) {
+async fn send_heartbeats(
+    line: usize,
+    ids: Vec<usize>,
+    state: SharedState,
+    controls: Vec<SocketAddr>,
+    fresh: bool,
+) {
     let between = Duration::from_millis(HEARTBEAT_MS);
-    let mut every = interval(between / ids.len().max(1) as u32);
-    every.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut ticker = interval(between / ids.len().max(1) as u32);
+    ticker.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (mut to, mut kept) = (line, None);
     for sequence in 1u64.. {
         for n in &ids {
-            every.tick().await;
+            ticker.tick().await;
             let address = controls[to % controls.len()];
-            lock(&book.tally).beats_sent += 1;
-            let beaten = timeout(Duration::from_secs(1), beat(&mut kept, address, *n, sequence)).await;
-            match beaten {
+            lock(&state.tally).heartbeats_sent += 1;
+            let outcome =
+                timeout(Duration::from_secs(1), send_heartbeat(&mut kept, address, *n, sequence)).await;
+            match outcome {
                 Ok(Ok((200, bytes))) => {
-                    let mut tally = lock(&book.tally);
-                    (tally.beats, tally.beat_bytes) = (tally.beats + 1, tally.beat_bytes + bytes);
+                    let mut tally = lock(&state.tally);
+                    (tally.heartbeats_answered, tally.heartbeat_bytes) =
+                        (tally.heartbeats_answered + 1, tally.heartbeat_bytes + bytes);
                 }
                 // The next heartbeat goes to the next control node.
                 _ => (to, kept) = (to + 1, None),
@@ -422,7 +435,7 @@
 }
 
 /// Sends one heartbeat. Returns the response's status, and the bytes of the request and the response.
-async fn beat(
+async fn send_heartbeat(
     kept: &mut Option<TcpStream>,
     to: SocketAddr,
     n: usize,
--- a/crates/testing/test-harness/src/scenario.rs
+++ b/crates/testing/test-harness/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios, their options and their results: a seed determines the random choices, the figures are counts and shares,
-//! and a run fails if a figure is out of its bounds.
+//! Scenarios, their options and their results: a seed determines the random choices, the figures are counts and
+//! shares, and a run fails if a figure is out of its bounds.
 
 use clap::Args;
 use serde_json::{Map, Value};
@@ -55,28 +55,28 @@
 /// Figures of a run, and a message for each one that is out of its bounds.
 #[derive(Default)]
 pub struct Figures {
-    pub figures: Map<String, Value>,
-    pub broken: Vec<String>,
+    pub values: Map<String, Value>,
+    pub violations: Vec<String>,
 }
 
 impl Figures {
     pub fn set(&mut self, name: &str, value: impl Into<Value>) {
-        self.figures.insert(name.into(), value.into());
+        self.values.insert(name.into(), value.into());
     }
 
-    /// Records a figure that must be between `least` and `most`, both included.
-    pub fn bound(&mut self, name: &str, value: f64, least: f64, most: f64) {
+    /// Records a figure that must be between `min` and `max`, both included.
+    pub fn bound(&mut self, name: &str, value: f64, min: f64, max: f64) {
         self.set(name, value);
-        if !(least..=most).contains(&value) {
-            self.broken.push(format!("{name} is {value}, expected {least} to {most}"));
+        if !(min..=max).contains(&value) {
+            self.violations.push(format!("{name} is {value}, expected {min} to {max}"));
         }
     }
 
     /// Records a count that must be zero.
-    pub fn none(&mut self, name: &str, count: usize) {
+    pub fn expect_zero(&mut self, name: &str, count: usize) {
         self.set(name, count);
         if count > 0 {
-            self.broken.push(format!("{name} is {count}, expected 0"));
+            self.violations.push(format!("{name} is {count}, expected 0"));
         }
     }
 }
@@ -92,7 +92,7 @@
     /// Defects of the scripted peers and clients: name and description.
     pub defects: &'static [(&'static str, &'static str)],
     /// Defects of the program itself: name, and a schedule of faults that exposes it. They need a separate build.
-    pub planted: &'static [(&'static str, &'static str)],
+    pub program_defects: &'static [(&'static str, &'static str)],
     pub run: fn(&Play) -> Result<Figures, String>,
 }
 
--- a/crates/testing/test-harness/src/services.rs
+++ b/crates/testing/test-harness/src/services.rs
@@ -1,5 +1,5 @@
-//! Scenario of many services, with a backend each, behind real gateways: each request must be answered by a backend of
-//! its route's service.
+//! Scenario of many services, with a backend each, behind real gateways: each request must be answered by a backend
+//! of its route's service.
 
 use crate::fleet::serve;
 use crate::local_cluster::{call, LocalCluster, MACHINES};
@@ -20,7 +20,7 @@
     seconds: 8,
     test_seconds: 3,
     defects: &[("crossed", "two backends send heartbeats for each other's service")],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
@@ -67,8 +67,8 @@
     }
     let addresses: Result<Vec<SocketAddr>, String> = (0..services).map(backend).collect();
     let (addresses, stop) = (addresses?, Arc::new(AtomicBool::new(false)));
-    let (to, over, crossed) = (controls.clone(), stop.clone(), play.has("crossed"));
-    let beating = spawn(move || {
+    let (to, stop_flag, crossed) = (controls.clone(), stop.clone(), play.has("crossed"));
+    let heartbeat_thread = spawn(move || {
         for sequence in 1u64.. {
             for (n, address) in addresses.iter().enumerate() {
                 let service = if crossed && n < 2 { 1 - n } else { n };
@@ -78,14 +78,14 @@
                     "status": {"state": "ready", "callSequence": sequence, "warmupLeftMs": 0}});
                 // The next heartbeat makes up for a lost one.
                 call(&to, "POST", &format!("/-/Instances.Heartbeat/i-{n}"), &body.to_string(), 6);
-                if over.load(Relaxed) {
+                if stop_flag.load(Relaxed) {
                     return;
                 }
             }
             sleep(Duration::from_millis(HEARTBEAT_MS / 4));
         }
     });
-    let (mut right, mut wrong, mut failed, mut id) = (0u32, 0usize, 0u32, 0u64);
+    let (mut correct, mut crossed_count, mut failed, mut id) = (0u32, 0usize, 0u32, 0u64);
     let fronts = cluster.fronts();
     let mut ask = |n: usize| {
         id += 1;
@@ -106,8 +106,8 @@
     while began.elapsed() < play.time {
         for n in 0..services {
             match ask(n) {
-                Some(by) if by == Some(n) => right += 1,
-                Some(_) => wrong += 1,
+                Some(by) if by == Some(n) => correct += 1,
+                Some(_) => crossed_count += 1,
                 None => failed += 1,
             }
         }
@@ -115,12 +115,12 @@
     }
     stop.store(true, Relaxed);
     // The thread ends because `stop` is set.
-    let _ = beating.join();
+    let _ = heartbeat_thread.join();
     let mut figures = Figures::default();
     figures.set("services", services);
-    figures.set("answered by the right service", right);
-    figures.none("answered by a backend of another service", wrong);
-    let all = (right + failed + wrong as u32).max(1);
+    figures.set("answered by the right service", correct);
+    figures.expect_zero("answered by a backend of another service", crossed_count);
+    let all = (correct + failed + crossed_count as u32).max(1);
     figures.bound("left without an answer, of all", f64::from(failed) / f64::from(all), 0.0, 0.05);
     Ok(figures)
 }
--- a/crates/testing/test-harness/src/gate/tests.rs
+++ b/crates/testing/test-harness/src/tcp_proxy/tests.rs
@@ -22,31 +22,31 @@
 }
 
 #[test]
-fn a_link_between_two_is_no_link_of_the_others() {
-    let gates = Gates::new(2, &[echo(), echo()]).expect("ports");
-    let connect = |a, b| TcpStream::connect(gates.address(a, b)).expect("the proxy accepts the connection");
+fn faults_affect_only_the_selected_pair() {
+    let proxies = TcpProxies::new(2, &[echo(), echo()]).expect("ports");
+    let connect = |a, b| TcpStream::connect(proxies.address(a, b)).expect("the proxy accepts the connection");
     let mut streams = [connect(0, 0), connect(0, 1), connect(1, 0), connect(1, 1)];
     let long = Duration::from_secs(5);
     assert!(streams.iter_mut().all(|s| call(s, long) == Some(b'x')));
     let slow = Duration::from_millis(60);
-    gates.set(|a, b| match (a, b) {
+    proxies.set(|a, b| match (a, b) {
         (0, 0) => [Link { silent: true, ..Link::default() }, Link::default()],
         (1, 1) => [Link::default(), Link { delay: slow, ..Link::default() }],
         _ => [Link::default(); 2],
     });
-    let began = Instant::now();
+    let started = Instant::now();
     assert_eq!(call(&mut streams[3], long), Some(b'x'));
-    assert!(began.elapsed() >= slow);
+    assert!(started.elapsed() >= slow);
     assert_eq!(call(&mut streams[0], Duration::from_millis(200)), None, "the cut direction delivers nothing");
     assert_eq!(call(&mut streams[1], long), Some(b'x'));
     // A restored direction delivers the held bytes, and loses none.
-    gates.set(|_, _| [Link::default(); 2]);
+    proxies.set(|_, _| [Link::default(); 2]);
     let mut byte = [0];
     streams[0].set_read_timeout(Some(long)).expect("a limit");
     assert!(streams[0].read_exact(&mut byte).is_ok());
-    gates.end(|a, b| (a, b) == (1, 0));
-    let mut rest = Vec::new();
+    proxies.close(|a, b| (a, b) == (1, 0));
+    let mut remaining_bytes = Vec::new();
     streams[2].set_read_timeout(Some(long)).expect("a limit");
-    assert!(streams[2].read_to_end(&mut rest).is_ok_and(|n| n == 0), "the connection is closed");
+    assert!(streams[2].read_to_end(&mut remaining_bytes).is_ok_and(|n| n == 0), "the connection is closed");
     assert_eq!(call(&mut streams[1], long), Some(b'x'));
 }
--- a/crates/testing/test-harness/src/trial.rs
+++ b/crates/testing/test-harness/src/trial.rs
@@ -1,9 +1,12 @@
-//! Expiry of a trial under load. A tenant on trial sends requests through all three gateways while its trial expires; a
-//! control node is killed in that second, a gateway is suspended across it, and another control node is suspended later.
-//! Then the trial is extended, and expires again. All counts are taken at clients and backends.
+//! Expiry of a trial under load. A tenant on trial sends requests through all three gateways while its trial expires;
+//! a control node is killed in that second, a gateway is suspended across it, and another control node is suspended
+//! later. Then the trial is extended, and expires again. All counts are taken at clients and backends.
 
 use crate::fleet::lock;
-use crate::local_cluster::{begin_with, call, configured, request_by, Running, KEY, MACHINES, TRIAL_TENANT};
+use crate::local_cluster::{
+    call, configuration_with_tenants, request_by, start_cluster_with, RunningCluster, KEY, MACHINES,
+    TRIAL_KEY,
+};
 use crate::peers::Client;
 use crate::scenario::{Figures, Play, Scenario};
 use serde_json::{json, Value};
@@ -26,25 +29,25 @@
         ("uneven", "the clients of one gateway use another tenant's key"),
         ("answers-lost", "backends run one payment in fifty and do not answer it"),
     ],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
 /// Request rate of the tenant after its trial has expired, a second, and how long its requests may wait, in ms.
-const PACE: f64 = 20.0;
-const WAIT_MS: u64 = 1000;
+const EXPIRED_RATE: f64 = 20.0;
+const MAX_WAIT_MS: u64 = 1000;
 /// Clients of the trial tenant at each gateway, and the interval of their requests while they are served at once.
 const CLIENTS: usize = 12;
-const EVERY: Duration = Duration::from_millis(250);
-/// More than `FULL` requests served at one gateway within a window is full speed: under the throttle all three gateways
-/// together serve six, and a few that could not wait.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(250);
+/// More than `FULL_SPEED_THRESHOLD` requests served at one gateway within a window is full speed: under the throttle
+/// all three gateways together serve six, and a few that could not wait.
 const WINDOW: Duration = Duration::from_millis(300);
-const FULL: usize = 11;
+const FULL_SPEED_THRESHOLD: usize = 11;
 const ROUTES: [&str; 2] = ["/look/", "/pay/"];
 
 /// Outcome of one request of a client.
 #[derive(Clone)]
-struct Seen {
+struct Outcome {
     gateway: usize,
     /// Time of the response, since the start of the scenario.
     at: Duration,
@@ -56,7 +59,7 @@
     frozen: bool,
 }
 
-type RequestRecords = Arc<Mutex<Vec<Seen>>>;
+type Outcomes = Arc<Mutex<Vec<Outcome>>>;
 
 fn unix_ms(after: Duration) -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -72,10 +75,10 @@
     let members =
         json!({"name": "members", "apiKeys": [KEY], "priority": 1, "ratePerS": 400, "burstSize": 400});
     let mut guest =
-        json!({"name": "guest", "apiKeys": [TRIAL_TENANT], "priority": 1, "ratePerS": 300, "burstSize": 300});
+        json!({"name": "guest", "apiKeys": [TRIAL_KEY], "priority": 1, "ratePerS": 300, "burstSize": 300});
     if !play.has("not-slowed") {
-        let wait = if play.has("shut-out") { 0 } else { WAIT_MS };
-        guest["trial"] = json!({"endsAt": rfc3339(ends), "pacePerS": PACE, "waitMs": wait});
+        let wait = if play.has("shut-out") { 0 } else { MAX_WAIT_MS };
+        guest["trial"] = json!({"endsAt": rfc3339(ends), "pacePerS": EXPIRED_RATE, "waitMs": wait});
     }
     vec![members, guest]
 }
@@ -87,13 +90,13 @@
     count: usize,
     (began, frozen, stop): (Instant, Arc<AtomicBool>, Arc<AtomicBool>),
     twice: bool,
-) -> (RequestRecords, Vec<JoinHandle<()>>) {
-    let book: RequestRecords = Arc::default();
+) -> (Outcomes, Vec<JoinHandle<()>>) {
+    let outcomes: Outcomes = Arc::default();
     let threads = (0..count).map(|n| {
-        let (book, frozen, stop) = (book.clone(), frozen.clone(), stop.clone());
+        let (outcomes, frozen, stop) = (outcomes.clone(), frozen.clone(), stop.clone());
         thread::spawn(move || {
             let mut id = (((gateway + count * MACHINES) * 100 + n + 1) as u64) << 32;
-            sleep(EVERY.mul_f64(n as f64 / count as f64));
+            sleep(REQUEST_INTERVAL.mul_f64(n as f64 / count as f64));
             while !stop.load(Relaxed) {
                 id += 1;
                 let pays = id.is_multiple_of(10);
@@ -107,7 +110,7 @@
                 }
                 let status = answer.as_ref().map(|a| a.status());
                 let after = answer.as_ref().and_then(|a| a.header("retry-after")?.parse::<f64>().ok());
-                lock(&book).push(Seen {
+                lock(&outcomes).push(Outcome {
                     gateway,
                     at: began.elapsed(),
                     took: asked.elapsed(),
@@ -115,17 +118,17 @@
                     id: pays.then(|| format!("{id:016x}")),
                     frozen: was_frozen || frozen.load(Relaxed),
                 });
-                let rest = EVERY.saturating_sub(asked.elapsed());
-                sleep(rest.max(Duration::from_secs_f64(after.unwrap_or(0.0).clamp(0.0, 1.0))));
+                let remaining = REQUEST_INTERVAL.saturating_sub(asked.elapsed());
+                sleep(remaining.max(Duration::from_secs_f64(after.unwrap_or(0.0).clamp(0.0, 1.0))));
             }
         })
     });
     let threads = threads.collect();
-    (book, threads)
+    (outcomes, threads)
 }
 
-fn replace(running: &Running, base: u32, version: u32, tenants: &[Value]) -> Result<(), String> {
-    let text = configured(base, version, &ROUTES, tenants);
+fn replace(running: &RunningCluster, base: u32, version: u32, tenants: &[Value]) -> Result<(), String> {
+    let text = configuration_with_tenants(base, version, &ROUTES, tenants);
     let taken = call(&running.cluster.controls(), "POST", "/-/Configuration.Replace", &text, 150);
     match taken.map(|a| a.status()) {
         Some(200) => Ok(()),
@@ -135,8 +138,8 @@
 
 fn run(play: &Play) -> Result<Figures, String> {
     let part = play.time / 6;
-    let first = configured(0, 1, &ROUTES, &tenants(play, unix_ms(Duration::from_secs(3600))));
-    let mut running = begin_with(play.seed, &first)?;
+    let first = configuration_with_tenants(0, 1, &ROUTES, &tenants(play, unix_ms(Duration::from_secs(3600))));
+    let mut running = start_cluster_with(play.seed, &first)?;
     if play.has("answers-lost") {
         running.seen.unanswered.store(50, Relaxed);
     }
@@ -145,62 +148,67 @@
     replace(&running, 1, 2, &tenants(play, unix_ms(part)))?;
     let stop: Arc<AtomicBool> = Arc::default();
     let frozen: Vec<Arc<AtomicBool>> = (0..MACHINES).map(|_| Arc::default()).collect();
-    let (mut books, mut members, mut threads) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut trial_outcomes, mut members, mut threads) = (Vec::new(), Vec::new(), Vec::new());
     for (n, front) in running.cluster.fronts().into_iter().enumerate() {
-        let key = if play.has("uneven") && n == 0 { KEY } else { TRIAL_TENANT };
+        let key = if play.has("uneven") && n == 0 { KEY } else { TRIAL_KEY };
         let ends = || (began, frozen[n].clone(), stop.clone());
-        let (book, more) = clients((n, front), key, CLIENTS, ends(), play.has("runs-twice"));
-        books.push(book);
+        let (outcomes, more) = clients((n, front), key, CLIENTS, ends(), play.has("runs-twice"));
+        trial_outcomes.push(outcomes);
         threads.extend(more);
-        let (book, more) = clients((n, front), KEY, 2, ends(), false);
-        members.push(book);
+        let (outcomes, more) = clients((n, front), KEY, 2, ends(), false);
+        members.push(outcomes);
         threads.extend(more);
     }
     let until = |at: Duration| sleep(at.saturating_sub(began.elapsed()));
-    let (dies, sleeps) = ((play.seed % 3) as usize, ((play.seed / 3) % 3) as usize);
-    let other = (dies + 1) % MACHINES;
+    let (killed_node, suspended_gateway) = ((play.seed % 3) as usize, ((play.seed / 3) % 3) as usize);
+    let other = (killed_node + 1) % MACHINES;
     // In the second of the expiry one control node is killed, and one gateway is suspended across it.
     until(part - Duration::from_millis(300));
-    frozen[sleeps].store(true, Relaxed);
-    running.cluster.freeze(sleeps, true, true)?;
+    frozen[suspended_gateway].store(true, Relaxed);
+    running.cluster.set_suspended(suspended_gateway, true, true)?;
     until(part - Duration::from_millis(play.seed % 200));
-    running.cluster.kill(dies)?;
+    running.cluster.restart_control_node(killed_node)?;
     until(part + Duration::from_millis(900));
-    running.cluster.freeze(sleeps, true, false)?;
+    running.cluster.set_suspended(suspended_gateway, true, false)?;
     until(part + Duration::from_millis(1900));
-    frozen[sleeps].store(false, Relaxed);
+    frozen[suspended_gateway].store(false, Relaxed);
     // The tenant is throttled; late in this part another control node is suspended for a while.
     until(part * 3);
-    running.cluster.freeze(other, false, true)?;
+    running.cluster.set_suspended(other, false, true)?;
     until(part * 3 + Duration::from_millis(400));
-    running.cluster.freeze(other, false, false)?;
+    running.cluster.set_suspended(other, false, false)?;
     // The trial is extended, and expires again.
     until(part * 4);
     replace(&running, 2, 3, &tenants(play, unix_ms(Duration::from_secs(3600))))?;
     let extended = began.elapsed();
     until(part * 5);
     replace(&running, 3, 4, &tenants(play, unix_ms(Duration::ZERO) - 60_000))?;
-    let over = began.elapsed();
+    let second_expiry = began.elapsed();
     // A gateway gets SIGTERM while requests wait there for their turn.
-    until(over + Duration::from_millis(1300));
-    let (rolls, told) = ((sleeps + 1) % MACHINES, began.elapsed());
-    frozen[rolls].store(true, Relaxed);
-    let rolled = running.cluster.roll(rolls)?;
+    until(second_expiry + Duration::from_millis(1300));
+    let (restarted_gateway, signalled_at) = ((suspended_gateway + 1) % MACHINES, began.elapsed());
+    frozen[restarted_gateway].store(true, Relaxed);
+    let shutdown_time = running.cluster.restart_gateway(restarted_gateway)?;
     until(part * 6);
     stop.store(true, Relaxed);
     threads.into_iter().for_each(|t| drop(t.join()));
-    let all: Vec<Seen> = books.iter().flat_map(|b| lock(b).clone()).collect();
-    let members: Vec<Seen> = members.iter().flat_map(|b| lock(b).clone()).collect();
+    let all: Vec<Outcome> = trial_outcomes.iter().flat_map(|b| lock(b).clone()).collect();
+    let members: Vec<Outcome> = members.iter().flat_map(|b| lock(b).clone()).collect();
     let mut figures = Figures::default();
-    let left = |s: &&Seen| s.gateway == rolls && s.at - s.took < told && s.at > told && s.status.is_none();
-    figures.none("left without an answer by a gateway told to end", all.iter().filter(left).count());
-    figures.none("gateways that did not end by themselves", usize::from(rolled.is_none()));
-    figures.set("a gateway's end, ms", rolled.map_or(0, |d| d.as_millis() as u64));
-    ledger(&running, &all, &mut figures);
-    figures.none("windows with one gateway at full speed and another refusing", both(&all));
-    let settled = part + Duration::from_millis(2400)..part * 3;
-    let again = extended + Duration::from_millis(1200)..over;
-    paced(&all, &settled, &mut figures);
+    let left = |s: &&Outcome| {
+        s.gateway == restarted_gateway
+            && s.at - s.took < signalled_at
+            && s.at > signalled_at
+            && s.status.is_none()
+    };
+    figures.expect_zero("left without an answer by a gateway told to end", all.iter().filter(left).count());
+    figures.expect_zero("gateways that did not end by themselves", usize::from(shutdown_time.is_none()));
+    figures.set("a gateway's end, ms", shutdown_time.map_or(0, |d| d.as_millis() as u64));
+    check_payments(&running, &all, &mut figures);
+    figures.expect_zero("windows with one gateway at full speed and another refusing", mixed_windows(&all));
+    let throttled = part + Duration::from_millis(2400)..part * 3;
+    let again = extended + Duration::from_millis(1200)..second_expiry;
+    check_throttled(&all, &throttled, &mut figures);
     let served = |within: &std::ops::Range<Duration>| {
         let of = all.iter().filter(|s| within.contains(&s.at) && s.status == Some(200));
         of.count() as f64 / (within.end.saturating_sub(within.start)).as_secs_f64()
@@ -208,61 +216,67 @@
     let before = Duration::from_millis(500)..part - Duration::from_millis(400);
     figures.set("served a second before the end", served(&before));
     figures.bound("served a second once extended, of before", served(&again) / served(&before), 0.8, 1.3);
-    let last = over + Duration::from_millis(600)..told;
-    figures.bound("served a second once over again, of the pace", served(&last) / PACE, 0.4, 2.5);
+    let last = second_expiry + Duration::from_millis(600)..signalled_at;
+    figures.bound("served a second once over again, of the pace", served(&last) / EXPIRED_RATE, 0.4, 2.5);
     let wait = |within: &std::ops::Range<Duration>| {
         let of = members.iter().filter(|s| within.contains(&s.at) && s.status == Some(200) && !s.frozen);
         let took: Vec<f64> = of.map(|s| s.took.as_secs_f64() * 1e3).collect();
         took.iter().sum::<f64>() / took.len().max(1) as f64
     };
     figures.set("another tenant's mean wait before, ms", wait(&before));
-    figures.bound("another tenant's mean wait longer by, ms", wait(&settled) - wait(&before), -1e3, 20.0);
-    by_node(&all, &mut figures);
+    figures.bound("another tenant's mean wait longer by, ms", wait(&throttled) - wait(&before), -1e3, 20.0);
+    record_by_gateway(&all, &mut figures);
     Ok(figures)
 }
 
 /// Compares the payments at clients with those at backends.
-fn ledger(running: &Running, all: &[Seen], figures: &mut Figures) {
+fn check_payments(running: &RunningCluster, all: &[Outcome], figures: &mut Figures) {
     let runs = lock(&running.seen.runs);
-    let ran = |s: &&Seen| s.id.as_ref().is_some_and(|id| runs.contains_key(id));
+    let ran = |s: &&Outcome| s.id.as_ref().is_some_and(|id| runs.contains_key(id));
     let payments = || all.iter().filter(|s| s.id.is_some());
     figures.set("payments", payments().count());
-    figures.none("payments doubled", runs.values().filter(|n| **n > 1).count());
-    let refused = |s: &&Seen| matches!(s.status, Some(429 | 503));
-    figures.none("refused payments that ran", payments().filter(refused).filter(ran).count());
+    figures.expect_zero("payments doubled", runs.values().filter(|n| **n > 1).count());
+    let refused = |s: &&Outcome| matches!(s.status, Some(429 | 503));
+    figures.expect_zero("refused payments that ran", payments().filter(refused).filter(ran).count());
     let confirmed = payments().filter(|s| s.status == Some(200));
-    figures.none("confirmed payments that did not run", confirmed.filter(|s| !ran(s)).count());
+    figures.expect_zero("confirmed payments that did not run", confirmed.filter(|s| !ran(s)).count());
     let lost = payments().filter(|s| !matches!(s.status, Some(200 | 429 | 503)) && !s.frozen).filter(ran);
-    figures.none("payments that ran and were not confirmed", lost.count());
-    let failed = |s: &&Seen| !matches!(s.status, Some(200 | 429 | 503)) && !s.frozen;
-    figures.none("left without an answer", all.iter().filter(failed).count());
+    figures.expect_zero("payments that ran and were not confirmed", lost.count());
+    let failed = |s: &&Outcome| !matches!(s.status, Some(200 | 429 | 503)) && !s.frozen;
+    figures.expect_zero("left without an answer", all.iter().filter(failed).count());
 }
 
 /// Counts the windows in which one gateway served at full speed while another refused. A suspended gateway refuses
 /// nothing, and what it does after it is resumed counts like that of any other.
-fn both(all: &[Seen]) -> usize {
+fn mixed_windows(all: &[Outcome]) -> usize {
     let refused = all.iter().filter(|s| matches!(s.status, Some(429 | 503)));
-    let beside = |r: &&Seen| {
+    let mixes = |r: &&Outcome| {
         let mut served = [0; MACHINES];
-        let near = all.iter().filter(|s| s.status == Some(200) && s.at <= r.at && s.at + WINDOW > r.at);
-        near.for_each(|s| served[s.gateway] += 1);
-        (0..MACHINES).any(|g| g != r.gateway && served[g] > FULL)
+        let served_in_window =
+            all.iter().filter(|s| s.status == Some(200) && s.at <= r.at && s.at + WINDOW > r.at);
+        served_in_window.for_each(|s| served[s.gateway] += 1);
+        (0..MACHINES).any(|g| g != r.gateway && served[g] > FULL_SPEED_THRESHOLD)
     };
-    refused.filter(beside).count()
+    refused.filter(mixes).count()
 }
 
 /// Records the rate and the waits while the tenant is throttled.
-fn paced(all: &[Seen], within: &std::ops::Range<Duration>, figures: &mut Figures) {
+fn check_throttled(all: &[Outcome], within: &std::ops::Range<Duration>, figures: &mut Figures) {
     let of = |g: Option<usize>| {
-        let at = move |s: &&Seen| g.is_none_or(|g| s.gateway == g) && within.contains(&s.at);
+        let at = move |s: &&Outcome| g.is_none_or(|g| s.gateway == g) && within.contains(&s.at);
         all.iter().filter(at).filter(|s| s.status == Some(200))
     };
     // Payments precede reads at every gateway; reads wait equally long at all of them.
     let reads = |g| of(Some(g)).filter(|s| s.id.is_none());
     let span = within.end.saturating_sub(within.start).as_secs_f64();
-    figures.bound("slowed: served a second, of the pace", of(None).count() as f64 / span / PACE, 0.75, 1.25);
+    figures.bound(
+        "slowed: served a second, of the pace",
+        of(None).count() as f64 / span / EXPIRED_RATE,
+        0.75,
+        1.25,
+    );
     let refused = all.iter().filter(|s| within.contains(&s.at) && matches!(s.status, Some(429 | 503)));
-    let early = refused.clone().filter(|s| s.took < Duration::from_millis(WAIT_MS / 2)).count();
+    let early = refused.clone().filter(|s| s.took < Duration::from_millis(MAX_WAIT_MS / 2)).count();
     let refused = refused.count();
     figures.set("slowed: refused", refused);
     figures.bound("slowed: refused at once, of all refused", early as f64 / refused.max(1) as f64, 0.9, 1.0);
@@ -275,19 +289,23 @@
     let (least, most) = waits.iter().fold((f64::MAX, 0f64), |s, w| (s.0.min(*w), s.1.max(*w)));
     figures.set("slowed: mean waits by gateway, ms", waits.clone());
     figures.bound("slowed: mean wait, ms", waits.iter().sum::<f64>() / MACHINES as f64, 200.0, 1200.0);
-    let alike = most - least < 100.0;
-    let paid: Vec<f64> = of(None).filter(|s| s.id.is_some()).map(|s| s.took.as_secs_f64() * 1e3).collect();
-    figures.set("slowed: mean wait of payments, ms", paid.iter().sum::<f64>() / paid.len().max(1) as f64);
+    let nearly_equal = most - least < 100.0;
+    let payment_waits: Vec<f64> =
+        of(None).filter(|s| s.id.is_some()).map(|s| s.took.as_secs_f64() * 1e3).collect();
+    figures.set(
+        "slowed: mean wait of payments, ms",
+        payment_waits.iter().sum::<f64>() / payment_waits.len().max(1) as f64,
+    );
     figures.bound(
         "slowed: the longest mean wait, of the shortest",
-        if alike { 1.0 } else { most / least },
+        if nearly_equal { 1.0 } else { most / least },
         1.0,
         1.5,
     );
 }
 
 /// Records the requests by gateway and interval of 100 ms: served, served after more than 100 ms, refused.
-fn by_node(all: &[Seen], figures: &mut Figures) {
+fn record_by_gateway(all: &[Outcome], figures: &mut Figures) {
     let mut rows: BTreeMap<(usize, u64), [u32; 3]> = BTreeMap::new();
     for s in all {
         let row = rows.entry((s.gateway, s.at.as_millis() as u64 / 100)).or_default();
--- a/crates/testing/test-harness/src/upgrade.rs
+++ b/crates/testing/test-harness/src/upgrade.rs
@@ -4,7 +4,7 @@
 use crate::demo::request;
 use crate::fleet::{body, good, lock, serve};
 use crate::peers::{list, Client, Discovery, Message};
-use crate::program::{locate, Program, Shared, EXAMPLE};
+use crate::program::{locate, Program, SharedListener, EXAMPLE};
 use crate::scenario::{Figures, Play, Scenario};
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -24,7 +24,7 @@
         ("killed-at-once", "the old process is killed in place of SIGTERM"),
         ("few-descriptors", "the checked limit is far below the one in the gateway's configuration"),
     ],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
@@ -32,15 +32,15 @@
 const LANES: u64 = 24;
 const SOCKETS: usize = 200;
 /// Grace period of the drain, plus the delay of a loaded machine.
-const GRACE: Duration = Duration::from_millis(500 + 500);
+const DRAIN_GRACE: Duration = Duration::from_millis(500 + 500);
 /// Time in which a new process must become ready.
-const YES: Duration = Duration::from_secs(6);
+const READY_TIMEOUT: Duration = Duration::from_secs(6);
 
 /// Counts at the servers and the clients.
 #[derive(Default)]
 struct RequestRecord {
     /// Time at which each server was taken out of service, if it is.
-    out: Mutex<[Option<Instant>; NAMES.len()]>,
+    out_since: Mutex<[Option<Instant>; NAMES.len()]>,
     /// Requests that reached a server out of service after the grace period.
     after_ban: AtomicUsize,
     served: AtomicUsize,
@@ -49,9 +49,9 @@
 }
 
 /// Sends requests on one connection until the gateway closes it, as clients of the platform do.
-fn lane(n: u64, to: SocketAddr, over: &AtomicBool, ledger: &RequestRecord) {
+fn run_client(n: u64, to: SocketAddr, stop: &AtomicBool, ledger: &RequestRecord) {
     let (mut kept, mut number) = (None::<Client>, (n + 1) << 32);
-    while !over.load(Ordering::Relaxed) {
+    while !stop.load(Ordering::Relaxed) {
         number += 1;
         let class = ["quote", "confirm", "book-slot"][(number % 3) as usize];
         let text = request(class, number, "partner", &format!("{:016x}", 0xc0 + n), 2.0);
@@ -96,14 +96,14 @@
 fn start(
     program: &Path,
     discovery: SocketAddr,
-    shared: &Shared<'_>,
+    shared: &SharedListener<'_>,
     gateways: &Mutex<Vec<Program>>,
 ) -> Result<Duration, String> {
     let began = Instant::now();
     let config = EXAMPLE.replace(r#""sockets": 1024"#, &format!(r#""sockets": {SOCKETS}"#));
     let new = Program::start_with_operator_listener(program, &config, discovery, Some(shared))?;
     while new.call("GET /status", "").is_none_or(|(status, _)| status != 200) {
-        if began.elapsed() > YES {
+        if began.elapsed() > READY_TIMEOUT {
             return Err("the new process did not become ready".into());
         }
         thread::sleep(Duration::from_millis(5));
@@ -118,7 +118,7 @@
     for (n, name) in NAMES.into_iter().enumerate() {
         let ledger = ledger.clone();
         let script = move |m: &Message, to: &mut _| {
-            if lock(&ledger.out)[n].is_some_and(|since| since.elapsed() > GRACE) {
+            if lock(&ledger.out_since)[n].is_some_and(|since| since.elapsed() > DRAIN_GRACE) {
                 ledger.after_ban.fetch_add(1, Ordering::Relaxed);
             }
             thread::sleep(Duration::from_millis(2));
@@ -132,35 +132,36 @@
     let to = socket.local_addr().map_err(|e| e.to_string())?;
     let (folder, other) = (Folder::new()?, Folder::new()?);
     let gateways = Arc::new(Mutex::new(Vec::new()));
-    let first = Shared { socket: &socket, folder: &folder.0 };
+    let first = SharedListener { socket: &socket, folder: &folder.0 };
     let lost = if play.has("folder-lost") { &other.0 } else { &folder.0 };
-    let next = Shared { socket: &socket, folder: lost };
+    let next = SharedListener { socket: &socket, folder: lost };
     start(&program, discovery.address, &first, &gateways)?;
-    let over = Arc::new(AtomicBool::new(false));
-    let most = Arc::new(AtomicUsize::new(0));
+    let stop = Arc::new(AtomicBool::new(false));
+    let max_descriptors = Arc::new(AtomicUsize::new(0));
     let sampler = {
-        let (gateways, over, most) = (gateways.clone(), over.clone(), most.clone());
+        let (gateways, stop, max_descriptors) = (gateways.clone(), stop.clone(), max_descriptors.clone());
         thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !stop.load(Ordering::Relaxed) {
                 let held: usize =
                     lock(&gateways).iter().filter_map(Program::resource_usage).map(|h| h.0).sum();
-                most.fetch_max(held, Ordering::Relaxed);
+                max_descriptors.fetch_max(held, Ordering::Relaxed);
                 thread::sleep(Duration::from_millis(10));
             }
         })
     };
     let lanes: Vec<_> = (0..LANES)
         .map(|n| {
-            let (over, ledger) = (over.clone(), ledger.clone());
-            thread::spawn(move || lane(n, to, &over, &ledger))
+            let (stop, ledger) = (stop.clone(), ledger.clone());
+            thread::spawn(move || run_client(n, to, &stop, &ledger))
         })
         .collect();
     let until = Instant::now() + play.time;
     let (mut upgrades, mut unclean, mut took_over, mut slowest) = (0, 0, 0, Duration::ZERO);
-    let mut noes = 0;
+    let mut failed_calls = 0;
     let mut victim = play.seed as usize % NAMES.len();
     while Instant::now() < until {
-        // A server is taken out before an upgrade and put back after it: the ban must outlive the process that received it.
+        // A server is taken out before an upgrade and put back after it: the ban must outlive the process that
+        // received it.
         let name = NAMES[victim];
         let call = |what: &str| {
             let body = format!(r#"{{"target":"{name}"}}"#);
@@ -168,8 +169,8 @@
             let answer = last.last().and_then(|g| g.call(&format!("POST /maintenance/{what}"), &body));
             answer.is_some_and(|(status, _)| status == 200)
         };
-        noes += usize::from(!play.has("deaf-operator") && !call("enter"));
-        lock(&ledger.out)[victim] = Some(Instant::now());
+        failed_calls += usize::from(!play.has("deaf-operator") && !call("enter"));
+        lock(&ledger.out_since)[victim] = Some(Instant::now());
         slowest = slowest.max(start(&program, discovery.address, &next, &gateways)?);
         let mut old = lock(&gateways).remove(0);
         if play.has("killed-at-once") {
@@ -178,17 +179,17 @@
             unclean += usize::from(!old.drain(Duration::from_secs(5))?.success());
         }
         upgrades += 1;
-        thread::sleep(GRACE + Duration::from_millis(300));
+        thread::sleep(DRAIN_GRACE + Duration::from_millis(300));
         let last = lock(&gateways);
         took_over += last.last().map_or(0, |g| g.log.try_iter().filter(|l| l.contains("took over")).count());
         drop(last);
-        lock(&ledger.out)[victim] = None;
-        noes += usize::from(!call("exit"));
+        lock(&ledger.out_since)[victim] = None;
+        failed_calls += usize::from(!call("exit"));
         victim = (victim + 1) % NAMES.len();
     }
-    over.store(true, Ordering::Relaxed);
-    for lane in lanes {
-        lane.join().map_err(|_| "a client thread panicked")?;
+    stop.store(true, Ordering::Relaxed);
+    for client in lanes {
+        client.join().map_err(|_| "a client thread panicked")?;
     }
     sampler.join().map_err(|_| "the sampler thread panicked")?;
     let count = |c: &AtomicUsize| c.load(Ordering::Relaxed);
@@ -197,14 +198,14 @@
     f.bound("upgrades", upgrades as f64, 2.0, f64::INFINITY);
     f.set("served", served);
     f.bound("refused_share", refused as f64 / (served + refused).max(1) as f64, 0.0, 0.9);
-    f.none("ended_at_the_door_or_lost", count(&ledger.lost));
-    f.none("sent_while_out_by_hand", count(&ledger.after_ban));
-    f.none("calls_answered_no", noes);
-    f.none("unclean_ends", unclean);
-    f.none("not_taken_over", upgrades - took_over.min(upgrades));
-    f.bound("slowest_yes_ms", slowest.as_millis() as f64, 0.0, YES.as_millis() as f64);
+    f.expect_zero("ended_at_the_door_or_lost", count(&ledger.lost));
+    f.expect_zero("sent_while_out_by_hand", count(&ledger.after_ban));
+    f.expect_zero("calls_answered_no", failed_calls);
+    f.expect_zero("unclean_ends", unclean);
+    f.expect_zero("not_taken_over", upgrades - took_over.min(upgrades));
+    f.bound("slowest_yes_ms", slowest.as_millis() as f64, 0.0, READY_TIMEOUT.as_millis() as f64);
     let limit = if play.has("few-descriptors") { 20 } else { SOCKETS };
-    f.bound("descriptors_at_once", count(&most) as f64, 1.0, limit as f64);
+    f.bound("descriptors_at_once", count(&max_descriptors) as f64, 1.0, limit as f64);
     Ok(f)
 }
 
--- a/crates/testing/test-harness/src/view/faults.rs
+++ b/crates/testing/test-harness/src/view/faults.rs
@@ -57,12 +57,12 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let wrong = || format!("{text:?} is no fault of the view");
-        let mut words = text.split_whitespace();
-        let name = words.next().unwrap_or_default();
-        let figures: Result<Vec<u64>, _> = words.map(str::parse).collect();
-        let figures = figures.map_err(|_| wrong())?;
-        let member = |n: u64| usize::try_from(n).ok().filter(|n| *n < MEMBERS).ok_or_else(wrong);
+        let parse_error = || format!("{text:?} is no fault of the view");
+        let mut parts = text.split_whitespace();
+        let name = parts.next().unwrap_or_default();
+        let figures: Result<Vec<u64>, _> = parts.map(str::parse).collect();
+        let figures = figures.map_err(|_| parse_error())?;
+        let member = |n: u64| usize::try_from(n).ok().filter(|n| *n < MEMBERS).ok_or_else(parse_error);
         Ok(match (name, figures[..].as_ref()) {
             ("crash", [n]) => Fault::Crash(member(*n)?),
             ("seven-in-ten", [draw]) => Fault::SevenInTen { draw: *draw },
@@ -77,7 +77,7 @@
             ("moved", [n]) => Fault::Moved(member(*n)?),
             ("twice", [n]) => Fault::Twice(member(*n)?),
             ("replay", []) => Fault::Replay,
-            _ => return Err(wrong()),
+            _ => return Err(parse_error()),
         })
     }
 }
@@ -90,21 +90,21 @@
     text.split(',').map(|fault| fault.trim().parse()).collect()
 }
 
-/// Returns each kind of fault once, in an order and at members drawn from `rng`. The members 0 to 2, which are the seeds
-/// of the fleet, are not drawn as the one member of a fault.
+/// Returns each kind of fault once, in an order and at members drawn from `rng`. The members 0 to 2, which are the
+/// seeds of the fleet, are not drawn as the one member of a fault.
 pub fn schedule(rng: &mut fastrand::Rng) -> Vec<Fault> {
-    let mut one = || rng.usize(3..MEMBERS);
+    let mut draw_member = || rng.usize(3..MEMBERS);
     let mut faults = vec![
-        Fault::Crash(one()),
-        Fault::OneDirection(one(), one()),
+        Fault::Crash(draw_member()),
+        Fault::OneDirection(draw_member(), draw_member()),
         Fault::Loss,
-        Fault::Stop(one()),
-        Fault::Leave(one()),
-        Fault::QuickRestart(one()),
-        Fault::CutOff(one()),
-        Fault::Slow(one()),
-        Fault::Moved(one()),
-        Fault::Twice(one()),
+        Fault::Stop(draw_member()),
+        Fault::Leave(draw_member()),
+        Fault::QuickRestart(draw_member()),
+        Fault::CutOff(draw_member()),
+        Fault::Slow(draw_member()),
+        Fault::Moved(draw_member()),
+        Fault::Twice(draw_member()),
         Fault::Replay,
     ];
     faults.push(Fault::SevenInTen { draw: rng.u64(..) });
--- a/crates/testing/test-harness/src/view/members.rs
+++ b/crates/testing/test-harness/src/view/members.rs
@@ -1,9 +1,9 @@
 //! Members of the fleet as real processes behind relays, and what they report of each other.
 
-use crate::bed::{Link, Relays};
 use crate::peers::Discovery;
 use crate::planners::Files;
 use crate::program::{Program, EXAMPLE};
+use crate::udp_relay::{Link, Relays};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -12,16 +12,16 @@
 use std::time::{Duration, Instant};
 
 pub const MEMBERS: usize = 24;
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The members and the network between them.
 pub struct Members {
     pub relays: Relays,
     pub running: Vec<Option<Program>>,
     /// Index of the relay that each member uses.
-    places: Vec<usize>,
+    relay_indices: Vec<usize>,
     /// Index of the one unused relay.
-    spare: usize,
+    spare_relay: usize,
     pub files: Files,
     /// Seeds, as written in the table `[fleet]`.
     pub seeds: String,
@@ -31,7 +31,7 @@
     pub defect: Option<String>,
     pub discovery: Discovery,
     /// Members on the other side of a partition.
-    pub apart: BTreeSet<usize>,
+    pub partitioned: BTreeSet<usize>,
     /// Members that are suspended with SIGSTOP.
     pub stopped: BTreeSet<usize>,
 }
@@ -48,25 +48,25 @@
         Members {
             relays,
             running: (0..MEMBERS).map(|_| None).collect(),
-            places: (0..MEMBERS).collect(),
-            spare: MEMBERS,
+            relay_indices: (0..MEMBERS).collect(),
+            spare_relay: MEMBERS,
             files,
             seeds: seeds.join(", "),
             keys,
             program,
             defect,
             discovery,
-            apart: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             stopped: BTreeSet::new(),
         }
     }
 
     /// Starts a process with this member's name, behind its relay.
-    fn process(&mut self, n: usize) -> Result<Program, String> {
-        let place = self.places[n];
+    fn spawn_member(&mut self, n: usize) -> Result<Program, String> {
+        let place = self.relay_indices[n];
         let text = format!(
             "[fleet]\nname = \"member-{n}\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = \"{}\"\n",
-            self.relays.place(place),
+            self.relays.listen_address(place),
             self.relays.advertised[place],
             self.seeds,
             self.keys[n].display()
@@ -77,15 +77,15 @@
     }
 
     pub fn start(&mut self, n: usize) -> Result<(), String> {
-        self.running[n] = Some(self.process(n)?);
+        self.running[n] = Some(self.spawn_member(n)?);
         Ok(())
     }
 
-    /// Starts another process with this name behind the unused relay. Returns the previous process, if it still runs: it is
-    /// no longer a member.
+    /// Starts another process with this name behind the unused relay. Returns the previous process, if it still runs:
+    /// it is no longer a member.
     pub fn start_elsewhere(&mut self, n: usize) -> Result<Option<Program>, String> {
-        std::mem::swap(&mut self.places[n], &mut self.spare);
-        let process = self.process(n)?;
+        std::mem::swap(&mut self.relay_indices[n], &mut self.spare_relay);
+        let process = self.spawn_member(n)?;
         Ok(self.running[n].replace(process))
     }
 
@@ -95,14 +95,14 @@
         }
     }
 
-    pub fn awake(&self) -> Vec<usize> {
+    pub fn active(&self) -> Vec<usize> {
         let runs = |n: &usize| self.running[*n].is_some() && !self.stopped.contains(n);
         (0..MEMBERS).filter(runs).collect()
     }
 
     /// Sets the network faults of every ordered pair of members.
     pub fn links(&self, link: impl Fn(usize, usize) -> Link) {
-        let who = |place| self.places.iter().position(|p| *p == place);
+        let who = |place| self.relay_indices.iter().position(|p| *p == place);
         self.relays.set(|a, b| match (who(a), who(b)) {
             (Some(a), Some(b)) => link(a, b),
             _ => Link::default(),
@@ -111,7 +111,7 @@
 
     /// Returns the datagrams and bytes that all members have sent so far.
     pub fn sent(&self) -> (u64, u64) {
-        let sent = self.places.iter().map(|p| self.relays.sent(*p));
+        let sent = self.relay_indices.iter().map(|p| self.relays.sent(*p));
         sent.fold((0, 0), |sum, n| (sum.0 + n.0, sum.1 + n.1))
     }
 
@@ -122,8 +122,9 @@
 
     /// Whether the members of each side of the partition see each other, and no others, as alive or suspect.
     pub fn settled(&self) -> bool {
-        let awake = self.awake();
-        let (here, there): (Vec<usize>, Vec<usize>) = awake.iter().partition(|n| !self.apart.contains(n));
+        let active = self.active();
+        let (here, there): (Vec<usize>, Vec<usize>) =
+            active.iter().partition(|n| !self.partitioned.contains(n));
         [here, there].iter().all(|side| {
             let digests: Option<BTreeSet<String>> = side
                 .iter()
@@ -147,36 +148,37 @@
             if began.elapsed() > most {
                 return None;
             }
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
     /// Counts the cases in which a member considers a running member of the same side dead.
-    pub fn wronged(&self) -> usize {
-        let awake = self.awake();
-        let (here, there): (Vec<usize>, Vec<usize>) = awake.iter().partition(|n| !self.apart.contains(n));
-        [here, there].iter().map(|side| self.wronged_by(side, side)).sum()
+    pub fn false_deaths(&self) -> usize {
+        let active = self.active();
+        let (here, there): (Vec<usize>, Vec<usize>) =
+            active.iter().partition(|n| !self.partitioned.contains(n));
+        [here, there].iter().map(|side| self.false_deaths_between(side, side)).sum()
     }
 
     /// Counts the cases in which one of `these` considers one of `those` dead.
-    pub fn wronged_by(&self, these: &[usize], those: &[usize]) -> usize {
+    pub fn false_deaths_between(&self, these: &[usize], those: &[usize]) -> usize {
         let names: BTreeSet<String> = those.iter().map(|n| format!("member-{n}")).collect();
         let named = |m: &Value| m["name"].as_str().is_some_and(|n| names.contains(n));
-        let wronged = |s: &Value| count(s, |m| m["state"] == "dead" && named(m));
-        these.iter().filter_map(|n| self.status(*n)).map(|s| wronged(&s)).sum()
+        let false_deaths = |s: &Value| count(s, |m| m["state"] == "dead" && named(m));
+        these.iter().filter_map(|n| self.status(*n)).map(|s| false_deaths(&s)).sum()
     }
 
     /// Returns the sum of the versions of the settled view over all running members.
     pub fn versions(&self) -> u64 {
         let version = |n| self.status(n).and_then(|s| s["settled"]["version"].as_u64());
-        self.awake().into_iter().filter_map(version).sum()
+        self.active().into_iter().filter_map(version).sum()
     }
 
     /// Returns the datagrams that all running members have dropped.
     pub fn dropped(&self) -> u64 {
         let causes = |n| self.status(n).and_then(|s| s["dropped"].as_object().cloned());
         let sum = |all: serde_json::Map<String, Value>| all.values().filter_map(Value::as_u64).sum::<u64>();
-        self.awake().into_iter().filter_map(causes).map(sum).sum()
+        self.active().into_iter().filter_map(causes).map(sum).sum()
     }
 
     /// Limits this member to a tenth of a core for this time: it runs for 10 of 100 ms.
@@ -202,7 +204,7 @@
     serde_json::from_slice(&body).ok()
 }
 
-/// Counts the members in a status for which `such` holds.
-pub fn count(status: &Value, such: impl Fn(&Value) -> bool) -> usize {
-    status["members"].as_array().map_or(0, |all| all.iter().filter(|m| such(m)).count())
+/// Counts the members in a status for which `predicate` holds.
+pub fn count(status: &Value, predicate: impl Fn(&Value) -> bool) -> usize {
+    status["members"].as_array().map_or(0, |all| all.iter().filter(|m| predicate(m)).count())
 }
