--- a/crates/testing/test-harness/src/comeback.rs
+++ b/crates/testing/test-harness/src/comeback.rs
@@ -56,9 +56,9 @@
 struct TestFleet {
     gateways: Vec<Program>,
     folders: Vec<PathBuf>,
-    ledger: Arc<RequestRecord>,
+    record: Arc<RequestRecord>,
     outcomes: Arc<Mutex<Vec<Outcome>>>,
-    lanes: Vec<JoinHandle<()>>,
+    client_threads: Vec<JoinHandle<()>>,
     _discovery: Discovery,
 }
 
@@ -89,7 +89,7 @@
         files: &mut Files,
         folders: &mut Folders,
     ) -> Result<Self, String> {
-        let (ledger, discovery) = start_servers()?;
+        let (record, discovery) = start_servers()?;
         let (mut gateways, mut own) = (Vec::new(), Vec::new());
         for n in 0..GATEWAYS {
             let operator = if has_snapshots {
@@ -111,8 +111,8 @@
                 operator.as_deref(),
             )?);
         }
-        let (outcomes, lanes) = Default::default();
-        Ok(TestFleet { gateways, folders: own, ledger, outcomes, lanes, _discovery: discovery })
+        let (outcomes, client_threads) = Default::default();
+        Ok(TestFleet { gateways, folders: own, record, outcomes, client_threads, _discovery: discovery })
     }
 
     /// Starts the load, which has the same requests at the same times in each fleet.
@@ -120,12 +120,12 @@
         let addresses: Vec<SocketAddr> = self.gateways.iter().map(|g| g.address).collect();
         for customer in 0..OVER_QUOTA_CUSTOMERS + WITHIN_QUOTA_CUSTOMERS {
             let times = if customer < OVER_QUOTA_CUSTOMERS { 2.5 } else { 0.5 };
-            let lanes = if customer < OVER_QUOTA_CUSTOMERS { 4 } else { 2 };
-            let rate = times * QUOTA.0 / 4.5 / lanes as f64;
-            for n in 0..lanes {
+            let client_threads = if customer < OVER_QUOTA_CUSTOMERS { 4 } else { 2 };
+            let rate = times * QUOTA.0 / 4.5 / client_threads as f64;
+            for n in 0..client_threads {
                 let id = (customer << 48) | (n << 40) | ((seed & 0xff) << 32);
                 let (addresses, outcomes) = (addresses.clone(), self.outcomes.clone());
-                self.lanes
+                self.client_threads
                     .push(thread::spawn(move || run_client(id, rate, (began, until), &addresses, &outcomes)));
             }
         }
@@ -134,7 +134,7 @@
     /// Returns the units that were run beyond the quotas after `since`, according to one token bucket per customer
     /// for the whole fleet.
     fn units_over_quota(&self, since: Instant) -> f64 {
-        let mut arrivals = lock(self.ledger.arrivals()).clone();
+        let mut arrivals = lock(self.record.arrivals()).clone();
         arrivals.sort_by_key(|c| c.0);
         let mut stores: HashMap<u64, (f64, Option<Instant>)> = HashMap::new();
         let mut units_over_quota = 0.0;
@@ -255,7 +255,7 @@
     let mut f = Figures::default();
     let (mut units_over_quota, mut first, mut unanswered, mut twice) = (Vec::new(), Vec::new(), 0, 0);
     for (name, fleet) in ["with", "without", "calm"].iter().zip(&mut fleets) {
-        fleet.lanes.drain(..).for_each(|client| drop(client.join()));
+        fleet.client_threads.drain(..).for_each(|client| drop(client.join()));
         let outcomes = lock(&fleet.outcomes).clone();
         let before = served(&outcomes, &killed, at - Duration::from_secs(2), at).unwrap_or(0.0);
         let after = served(&outcomes, &killed, started, started + Duration::from_secs(2)).unwrap_or(0.0);
@@ -273,7 +273,7 @@
             killed.contains(&o.gateway) && (at - MAX_IDLE..started + MAX_IDLE).contains(&o.asked)
         };
         unanswered += outcomes.iter().filter(|o| o.status.is_none() && !held(o)).count();
-        twice += lock(fleet.ledger.runs()).iter().filter(|(id, n)| *id % 3 == 2 && **n > 1).count();
+        twice += lock(fleet.record.runs()).iter().filter(|(id, n)| *id % 3 == 2 && **n > 1).count();
     }
     f.expect_zero("unanswered", unanswered);
     f.expect_zero("book_slots_run_twice", twice);
--- a/crates/testing/test-harness/src/crowd.rs
+++ b/crates/testing/test-harness/src/crowd.rs
@@ -35,7 +35,7 @@
 const MEMORY_MB: usize = 24;
 /// Connections without a complete request: more than the gateway may hold.
 const MAX_INCOMPLETE: usize = 300;
-const LANES: u64 = 12;
+const CLIENTS: u64 = 12;
 
 /// Requests, by outcome.
 #[derive(Default)]
@@ -51,7 +51,7 @@
 }
 
 /// Sends complete requests, each on its own connection.
-fn run_client(n: u64, play: &Play, to: SocketAddr, stop: &AtomicBool, ledger: &RequestRecord) {
+fn run_client(n: u64, play: &Play, to: SocketAddr, stop: &AtomicBool, record: &RequestRecord) {
     let mut rng = Rng::with_seed(play.seed.wrapping_add(n).wrapping_mul(0x2545_f491_4f6c_dd1d));
     let mut number = (n + 1) << 32;
     while !stop.load(Ordering::Relaxed) {
@@ -65,7 +65,7 @@
         };
         if play.has("silent-clients") {
             thread::sleep(Duration::from_millis(200));
-            ledger.cut.fetch_add(1, Ordering::Relaxed);
+            record.cut.fetch_add(1, Ordering::Relaxed);
             continue;
         }
         if rng.u32(0..4) == 0 {
@@ -79,18 +79,18 @@
                 there
             });
             if !written || is_closed(&client.stream) || client.stream.write_all(last).is_err() {
-                ledger.cut.fetch_add(1, Ordering::Relaxed);
+                record.cut.fetch_add(1, Ordering::Relaxed);
                 continue;
             }
         } else if client.stream.write_all(text.as_bytes()).is_err() {
-            ledger.cut.fetch_add(1, Ordering::Relaxed);
+            record.cut.fetch_add(1, Ordering::Relaxed);
             continue;
         }
-        ledger.whole.fetch_add(1, Ordering::Relaxed);
+        record.whole.fetch_add(1, Ordering::Relaxed);
         let count = match client.try_ask("").as_ref().map(Message::status) {
-            Some(200) => &ledger.served,
-            Some(429 | 503) => &ledger.refused,
-            _ => &ledger.lost,
+            Some(200) => &record.served,
+            Some(429 | 503) => &record.refused,
+            _ => &record.lost,
         };
         count.fetch_add(1, Ordering::Relaxed);
     }
@@ -139,15 +139,15 @@
     let gateway = Program::start_with_operator_listener(&locate()?, &config, discovery.address, None)?;
     discovery.wait_for_calls(2);
     let (to, gateway) = (gateway.address, Arc::new(Mutex::new(gateway)));
-    let (stop, ledger) = (Arc::new(AtomicBool::new(false)), Arc::<RequestRecord>::default());
+    let (stop, record) = (Arc::new(AtomicBool::new(false)), Arc::<RequestRecord>::default());
     let mut threads = Vec::new();
     {
         let (play, stop) = (play.clone(), stop.clone());
         threads.push(thread::spawn(move || open_incomplete(&play, to, &stop)));
     }
-    for n in 0..LANES {
-        let (play, stop, ledger) = (play.clone(), stop.clone(), ledger.clone());
-        threads.push(thread::spawn(move || run_client(n, &play, to, &stop, &ledger)));
+    for n in 0..CLIENTS {
+        let (play, stop, record) = (play.clone(), stop.clone(), record.clone());
+        threads.push(thread::spawn(move || run_client(n, &play, to, &stop, &record)));
     }
     let (mut open, mut memory, mut late, mut calls, mut unclean) = (0, 0, 0, 0, 0);
     let mut watch = |until: Instant| {
@@ -181,13 +181,13 @@
         one.join().map_err(|_| "a client thread panicked")?;
     }
     let count = |c: &AtomicUsize| c.load(Ordering::Relaxed);
-    let (served, refused, whole) = (count(&ledger.served), count(&ledger.refused), count(&ledger.whole));
+    let (served, refused, whole) = (count(&record.served), count(&record.refused), count(&record.whole));
     let mut f = Figures::default();
     f.set("asked_whole", whole);
     f.set("refused", refused);
     f.bound("served_share", served as f64 / whole.max(1) as f64, 0.5, 1.0);
-    f.expect_zero("lost", count(&ledger.lost));
-    f.bound("cut_share", count(&ledger.cut) as f64 / (whole + count(&ledger.cut)).max(1) as f64, 0.0, 0.1);
+    f.expect_zero("lost", count(&record.lost));
+    f.bound("cut_share", count(&record.cut) as f64 / (whole + count(&record.cut)).max(1) as f64, 0.0, 0.1);
     f.bound("calls", f64::from(calls), 10.0, f64::INFINITY);
     f.expect_zero("calls_late_or_unanswered", late);
     f.expect_zero("unclean_ends", unclean);
--- a/crates/testing/test-harness/src/fleet.rs
+++ b/crates/testing/test-harness/src/fleet.rs
@@ -90,6 +90,7 @@
 }
 
 impl Cores {
+    /// Creates free cores, and a queue for at most `queue_limit` requests.
     pub fn new(cores: usize, queue_limit: usize) -> Self {
         Cores { state: Mutex::new((cores, 0)), free: Condvar::new(), queue_limit }
     }
--- a/crates/testing/test-harness/src/peers.rs
+++ b/crates/testing/test-harness/src/peers.rs
@@ -26,10 +26,12 @@
 }
 
 impl Message {
+    /// Returns a header's value, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).map(String::as_str)
     }
 
+    /// Returns the status of a response, or panics.
     pub fn status(&self) -> u16 {
         self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status line")
     }
--- a/crates/testing/test-harness/src/planners.rs
+++ b/crates/testing/test-harness/src/planners.rs
@@ -45,9 +45,9 @@
 const HARD_LIMIT: (f64, f64) = (120.0, 150.0);
 /// Slack of the hard limit, in units: 10%, or one of the largest requests.
 const SLACK: f64 = 15.0;
-const FLOODERS: u64 = 3;
+const OVER_QUOTA_CUSTOMERS: u64 = 3;
 /// The customer that stays within its quota.
-const GOOD: u64 = FLOODERS;
+const WITHIN_QUOTA_CUSTOMER: u64 = OVER_QUOTA_CUSTOMERS;
 
 /// Requests as the servers saw them.
 #[derive(Default)]
@@ -80,21 +80,21 @@
 
 /// Starts stand-in servers with a common record, and the discovery that lists them.
 pub(crate) fn start_servers() -> Result<(Arc<RequestRecord>, Discovery), String> {
-    let (ledger, meter) = (Arc::<RequestRecord>::default(), Arc::new(Meter::default()));
+    let (record, meter) = (Arc::<RequestRecord>::default(), Arc::new(Meter::default()));
     let mut targets = Vec::new();
     for n in 0..SERVERS {
-        let (ledger, meter) = (ledger.clone(), meter.clone());
+        let (record, meter) = (record.clone(), meter.clone());
         let script = move |m: &Message, to: &mut _| {
             let id = m.header("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
             let runs = {
-                let mut runs = lock(&ledger.runs);
+                let mut runs = lock(&record.runs);
                 let n = runs.entry(id).or_default();
                 *n += 1;
                 *n
             };
             let mut used = 0.0;
             if runs == 1 {
-                lock(&ledger.arrivals).push((Instant::now(), customer(id), units(id)));
+                lock(&record.arrivals).push((Instant::now(), customer(id), units(id)));
                 used = units(id);
             }
             let percent = 100.0 * meter.record_usage(&customer(id).to_string(), used) / QUOTA.0;
@@ -104,7 +104,7 @@
         targets.push((format!("server-{n:02}"), serve(Arc::new(script)).map_err(|e| e.to_string())?));
     }
     let all: Vec<_> = targets.iter().map(|(n, a)| (n.as_str(), *a, "Ready")).collect();
-    Ok((ledger, Discovery::new(list(1, true, &all))))
+    Ok((record, Discovery::new(list(1, true, &all))))
 }
 
 /// Responds 200 with the billed units and the customer's usage.
@@ -166,6 +166,7 @@
 }
 
 impl Planner {
+    /// Starts the planner and waits until it accepts connections.
     pub fn start(&mut self) -> Result<(), String> {
         let mut command = Command::new(&self.program);
         command.env("LB_CONFIG", &self.config).env("GRANITETHREAD_OPERATOR", &self.operator);
@@ -200,6 +201,7 @@
     }
 }
 
+/// Returns a loopback address whose port is free at the time of the call.
 pub(crate) fn free_port() -> Result<SocketAddr, String> {
     let listener = TcpListener::bind("127.0.0.1:0").map_err(|e| e.to_string())?;
     listener.local_addr().map_err(|e| e.to_string())
@@ -220,14 +222,14 @@
 /// Time at which each forwarder was killed last.
 type KillTimes = Arc<Mutex<HashMap<SocketAddr, Instant>>>;
 
-/// Sends one customer's requests until `until`, `rate` a second, each to the gateway that `at` returns.
+/// Sends one customer's requests until `until`, `rate` a second, each to the gateway that `choose_gateway` returns.
 fn run_client(
     mut id: u64,
     rate: f64,
     until: Instant,
     calm: Option<(Instant, Arc<Mutex<ClientCounts>>)>,
     (all, killed): (&Mutex<ClientCounts>, &KillTimes),
-    at: impl Fn(&mut Rng) -> SocketAddr,
+    choose_gateway: impl Fn(&mut Rng) -> SocketAddr,
 ) {
     let mut rng = Rng::with_seed(id);
     let mut clients: HashMap<SocketAddr, (Client, Instant)> = HashMap::new();
@@ -237,7 +239,7 @@
         thread::sleep(next.saturating_duration_since(Instant::now()));
         next += pause;
         id += 1 + rng.u64(0..8);
-        let (to, class) = (at(&mut rng), ["quote", "confirm", "book-slot"][(id % 3) as usize]);
+        let (to, class) = (choose_gateway(&mut rng), ["quote", "confirm", "book-slot"][(id % 3) as usize]);
         let text = crate::demo::request(class, id, "partner", &format!("{:016x}", 1 + customer(id)), 2.0)
             .replace("units=1,spread=1", &format!("units={},spread={SEATS}", units(id)));
         let kept = clients.remove(&to).filter(|(_, used)| used.elapsed() < Duration::from_secs(1));
@@ -268,7 +270,7 @@
     }
 }
 
-/// CPU time that a process has used, in clock ticks.
+/// Returns the CPU time of a process, in clock ticks.
 pub(crate) fn ticks(id: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).unwrap_or_default();
     let after = stat.rsplit(')').next().unwrap_or_default();
@@ -276,41 +278,47 @@
     field(11) + field(12)
 }
 
-/// The lanes, what all of them saw, and what the good customer saw while all was calm.
+/// Threads of the clients, the counts of all of them, and the counts of the customer within its quota before the
+/// faults begin.
 type Load = (Vec<thread::JoinHandle<()>>, Arc<Mutex<ClientCounts>>, Arc<Mutex<ClientCounts>>);
 
-/// Starts the load on these gateways: every customer through all of them.
+/// Starts the load on these gateways: every customer uses all of them.
 fn load(gateways: &[SocketAddr], seed: u64, calm_until: Instant, until: Instant, killed: &KillTimes) -> Load {
     let (all, calm) = (Arc::<Mutex<ClientCounts>>::default(), Arc::<Mutex<ClientCounts>>::default());
-    let mut lanes = Vec::new();
+    let mut client_threads = Vec::new();
     let started = Instant::now();
-    for customer in 0..=FLOODERS {
-        // Five times the quota in requests of 4.5 units; the good one asks 0.6 of it.
-        let (rate, count) =
-            if customer == GOOD { (0.6 * QUOTA.0 / 4.5, 4) } else { (5.0 * QUOTA.0 / 4.5, 12) };
+    for customer in 0..=OVER_QUOTA_CUSTOMERS {
+        // Five times the quota, in requests of 4.5 units on average; the customer within its quota requests 0.6 of
+        // it.
+        let (rate, count) = if customer == WITHIN_QUOTA_CUSTOMER {
+            (0.6 * QUOTA.0 / 4.5, 4)
+        } else {
+            (5.0 * QUOTA.0 / 4.5, 12)
+        };
         for n in 0..count {
             let gateways = gateways.to_vec();
             let (all, killed) = (all.clone(), killed.clone());
-            // What the good one is refused counts once the stores have filled.
-            let calm = (customer == GOOD).then(|| (calm_until, calm.clone()));
+            // Refusals of the customer within its quota are counted once the stores are full.
+            let calm = (customer == WITHIN_QUOTA_CUSTOMER).then(|| (calm_until, calm.clone()));
             let id = (customer << 48) | (n << 40) | ((seed & 0xff) << 32);
-            lanes.push(thread::spawn(move || {
-                let at = move |rng: &mut Rng| {
-                    // 89% at one gateway, another every 3 s.
+            client_threads.push(thread::spawn(move || {
+                let choose_gateway = move |rng: &mut Rng| {
+                    // 89% of the requests go to one gateway, which changes every 3 s.
                     let home = (started.elapsed().as_secs() / 3 + seed) as usize % gateways.len();
-                    if customer == GOOD && rng.f64() < 0.89 {
+                    if customer == WITHIN_QUOTA_CUSTOMER && rng.f64() < 0.89 {
                         gateways[home]
                     } else {
                         gateways[rng.usize(0..gateways.len())]
                     }
                 };
-                run_client(id, rate / count as f64, until, calm, (&all, &killed), at);
+                run_client(id, rate / count as f64, until, calm, (&all, &killed), choose_gateway);
             }));
         }
     }
-    (lanes, all, calm)
+    (client_threads, all, calm)
 }
 
+/// Starts the gateways: as forwarders that reach the planners through `proxies`, or without the role.
 fn start_forwarders(
     program: &Path,
     files: &mut Files,
@@ -327,7 +335,7 @@
             Some(proxies) => {
                 let planners: Vec<String> = proxies[n].iter().map(|g| format!("\"{}\"", g.address)).collect();
                 let (seats, seat) = (seats.unwrap_or(SEATS), if seats.is_some() { 0 } else { n });
-                // In the middle of a roll-out: some speak the earlier version.
+                // As in the middle of an upgrade: some forwarders use the previous protocol version.
                 let version = if (n as u64 + seed).is_multiple_of(3) { 1 } else { 2 };
                 let text = format!(
                     "[allowances]\nseats = {seats}\nversion = {version}\n[forwarder]\nseat = {seat}\nplanners = [{}]\nkey_file = \"{}\"\n",
@@ -373,7 +381,7 @@
         let to = |p: &Planner| TcpProxy::new(p.listen).map_err(|e| e.to_string());
         proxies.push(planners.iter().map(to).collect::<Result<Vec<_>, _>>()?);
     }
-    let (ledger, discovery) = start_servers()?;
+    let (record, discovery) = start_servers()?;
     let (_, other_discovery) = start_servers()?;
     let role = if play.has("guess") { None } else { Some(proxies.as_slice()) };
     let used_key = if play.has("wrong-key") { &other } else { &key };
@@ -390,10 +398,10 @@
     let bytes = |proxies: &[Vec<TcpProxy>]| proxies.iter().flatten().map(TcpProxy::bytes).sum::<u64>();
     let bytes_before = bytes(&proxies);
     let killed = KillTimes::default();
-    let (lanes, seen, calm) = load(&addresses(&fleet), play.seed, calm_until, until, &killed);
-    let (plain_lanes, _, plain_calm) =
+    let (client_threads, seen, calm) = load(&addresses(&fleet), play.seed, calm_until, until, &killed);
+    let (plain_threads, _, plain_calm) =
         load(&addresses(&plain), play.seed, calm_until, calm_until, &KillTimes::default());
-    plain_lanes.into_iter().for_each(|l| drop(l.join()));
+    plain_threads.into_iter().for_each(|thread| drop(thread.join()));
     let (cpu_fleet, cpu_plain) = (cpu(&fleet) - cpu_fleet, cpu(&plain) - cpu_plain);
     let bytes_calm = bytes(&proxies) - bytes_before;
     let mut rng = Rng::with_seed(play.seed);
@@ -449,12 +457,12 @@
             Duration::from_millis(rng.u64(0..1500)).min(until.saturating_duration_since(Instant::now())),
         );
     }
-    lanes.into_iter().for_each(|l| drop(l.join()));
+    client_threads.into_iter().for_each(|thread| drop(thread.join()));
     let (seen, calm, plain_calm) = (*lock(&seen), *lock(&calm), *lock(&plain_calm));
     let mut f = Figures::default();
     f.set("faults", faults.len());
-    let arrivals = lock(&ledger.arrivals);
-    for who in 0..=FLOODERS {
+    let arrivals = lock(&record.arrivals);
+    for who in 0..=OVER_QUOTA_CUSTOMERS {
         f.bound(&format!("overrun_units_customer_{who}"), overrun(&arrivals, who), 0.0, SLACK);
     }
     let share = |part: usize, all: usize| (1e4 * part as f64 / all.max(1) as f64).round() / 1e4;
@@ -462,7 +470,7 @@
     f.set("refused_with_room_guessing", there);
     // At most a third of the share that is refused without the role, or 1% if that is larger.
     f.bound("refused_with_room", here, 0.0, (there / 3.0).max(0.01));
-    let runs = lock(&ledger.runs);
+    let runs = lock(&record.runs);
     f.expect_zero("book_slots_run_twice", runs.iter().filter(|(id, n)| *id % 3 == 2 && **n > 1).count());
     f.expect_zero("unanswered", seen.unanswered);
     f.set("lost_with_a_killed_forwarder", seen.lost_at_kill);
--- a/crates/testing/test-harness/src/planning_cost.rs
+++ b/crates/testing/test-harness/src/planning_cost.rs
@@ -22,7 +22,7 @@
     run,
 };
 
-const LANES: u64 = 16;
+const CONNECTIONS: u64 = 16;
 /// Requests a second on each connection.
 const RATE: f64 = 25.0;
 /// Customers that take turns on each connection, so that each stays within its quota.
@@ -42,7 +42,7 @@
 fn run_client(connection: u64, to: SocketAddr, started: Instant, until: Instant, answers: &RequestCounts) {
     let Some(mut client) = Client::try_connect(to) else { return };
     let pause = Duration::from_secs_f64(1.0 / RATE);
-    let mut next = started + pause.mul_f64(connection as f64 / LANES as f64);
+    let mut next = started + pause.mul_f64(connection as f64 / CONNECTIONS as f64);
     let mut number = 0;
     while next < until {
         thread::sleep(next.saturating_duration_since(Instant::now()));
@@ -93,8 +93,8 @@
         "[allowances]\nseats = 1\n[forwarder]\nseat = 0\nplanners = [\"{listen}\"]\nkey_file = \"{key}\"\n"
     );
     let operator = files.add("forwarder.toml", &text, 0o600)?;
-    let (_ledger, discovery) = start_servers()?;
-    let (_other_ledger, other_discovery) = start_servers()?;
+    let (_record, discovery) = start_servers()?;
+    let (_other_record, other_discovery) = start_servers()?;
     let forwarder =
         Program::start_with_operator_file(&program, &config(0), discovery.address, Some(&operator))?;
     let plain = Program::start_with_operator_file(&program, &config(0), other_discovery.address, None)?;
@@ -105,11 +105,12 @@
     let until = warm_at + play.time;
     let gateways = [&forwarder, &plain];
     let answers: [Arc<RequestCounts>; 2] = Default::default();
-    let lanes = Mutex::new(Vec::new());
+    let client_threads = Mutex::new(Vec::new());
     for (gateway, answers) in gateways.iter().zip(&answers) {
-        for n in 0..LANES {
-            let (to, answers, first) = (gateway.address, answers.clone(), n + (play.seed % 64) * LANES);
-            lock(&lanes).push(thread::spawn(move || run_client(first, to, started, until, &answers)));
+        for n in 0..CONNECTIONS {
+            let (to, answers, first) = (gateway.address, answers.clone(), n + (play.seed % 64) * CONNECTIONS);
+            lock(&client_threads)
+                .push(thread::spawn(move || run_client(first, to, started, until, &answers)));
         }
     }
     thread::sleep(warm_at.saturating_duration_since(Instant::now()));
@@ -121,7 +122,7 @@
     thread::sleep(until.saturating_duration_since(Instant::now()));
     let (cpu_after, asked, served) = (cpu(), count(|a| &a.asked), count(|a| &a.served));
     let lent_seats = lent_seats(state);
-    lanes.into_inner().into_iter().flatten().for_each(|l| drop(l.join()));
+    client_threads.into_inner().into_iter().flatten().for_each(|l| drop(l.join()));
     let per = |n: usize| (cpu_after[n] - cpu_before[n]) as f64 / (served[n] - served_before[n]).max(1) as f64;
     let share = |n: usize| (served[n] - served_before[n]) as f64 / (asked[n] - asked_before[n]).max(1) as f64;
     let rounded = |v: f64| (1000.0 * v).round() / 1000.0;
--- a/crates/testing/test-harness/src/request_lifecycle.rs
+++ b/crates/testing/test-harness/src/request_lifecycle.rs
@@ -32,7 +32,7 @@
 };
 
 const SERVERS: usize = 3;
-const LANES: u64 = 16;
+const CLIENTS: u64 = 16;
 /// Grace period of the drain, plus the delay of a loaded machine.
 const DRAIN_GRACE: Duration = Duration::from_millis(500 + 500);
 /// Delay that a loaded machine may add to a request.
@@ -64,19 +64,19 @@
     is_own: bool,
 }
 
-fn script(n: usize, ledger: &Arc<RequestRecord>, play: &Play) -> Arc<crate::fleet::Script> {
-    let (ledger, play) = (ledger.clone(), play.clone());
+fn script(n: usize, record: &Arc<RequestRecord>, play: &Play) -> Arc<crate::fleet::Script> {
+    let (record, play) = (record.clone(), play.clone());
     let tries = AtomicUsize::new(0);
     let last = Mutex::new(String::from("for nobody\n"));
     Arc::new(move |m: &Message, to: &mut _| {
-        ledger.attempts.fetch_add(1, Ordering::Relaxed);
-        if lock(&ledger.drained)[n].is_some_and(|since| since.elapsed() > DRAIN_GRACE) {
-            ledger.after_drain.fetch_add(1, Ordering::Relaxed);
+        record.attempts.fetch_add(1, Ordering::Relaxed);
+        if lock(&record.drained)[n].is_some_and(|since| since.elapsed() > DRAIN_GRACE) {
+            record.after_drain.fetch_add(1, Ordering::Relaxed);
         }
         let id = m.header("request-id").unwrap_or_default().to_string();
         let nth = tries.fetch_add(1, Ordering::Relaxed) as u64;
         let mut rng = Rng::with_seed(play.seed ^ (n as u64) << 48 ^ nth.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        let ran = || *lock(&ledger.runs).entry(id.clone()).or_default() += 1;
+        let ran = || *lock(&record.runs).entry(id.clone()).or_default() += 1;
         let outcome = rng.u32(0..100);
         if outcome < 8 {
             if play.has("lying-refusal") {
@@ -160,10 +160,10 @@
 }
 
 fn run(play: &Play) -> Result<Figures, String> {
-    let ledger = Arc::<RequestRecord>::default();
+    let record = Arc::<RequestRecord>::default();
     let mut addresses = Vec::new();
     for n in 0..SERVERS {
-        addresses.push(serve(script(n, &ledger, play)).map_err(|e| e.to_string())?);
+        addresses.push(serve(script(n, &record, play)).map_err(|e| e.to_string())?);
     }
     let names = ["server-1", "server-2", "server-3"];
     let all: Vec<_> = (0..SERVERS).map(|n| (names[n], addresses[n], "Ready")).collect();
@@ -173,8 +173,8 @@
     let (until, stop) = (Instant::now() + play.time, Arc::new(AtomicBool::new(false)));
     // Drain one server after another for a while.
     let changes = {
-        let (ledger, discovery, stop, addresses) =
-            (ledger.clone(), discovery.clone(), stop.clone(), addresses.clone());
+        let (record, discovery, stop, addresses) =
+            (record.clone(), discovery.clone(), stop.clone(), addresses.clone());
         let deaf = play.has("deaf-list");
         thread::spawn(move || {
             let mut rev = 1;
@@ -184,7 +184,7 @@
                     if !deaf {
                         discovery.publish(rev, list(rev, false, &[(names[n], addresses[n], state)]));
                     }
-                    lock(&ledger.drained)[n] = (state == "Terminating").then(Instant::now);
+                    lock(&record.drained)[n] = (state == "Terminating").then(Instant::now);
                     let next = Instant::now() + Duration::from_millis(1800);
                     while Instant::now() < next {
                         if stop.load(Ordering::Relaxed) {
@@ -196,7 +196,7 @@
             }
         })
     };
-    let lanes: Vec<_> = (0..LANES)
+    let client_threads: Vec<_> = (0..CLIENTS)
         .map(|n| {
             let (play, to) = (play.clone(), gateway.address);
             thread::spawn(move || run_client(n, &play, to, until))
@@ -211,7 +211,7 @@
         }
     }
     let mut asked: Vec<RequestOutcome> = Vec::new();
-    for client in lanes {
+    for client in client_threads {
         asked.extend(client.join().map_err(|_| "a client thread panicked")?);
     }
     stop.store(true, Ordering::Relaxed);
@@ -219,11 +219,11 @@
     let status = gateway.drain(Duration::from_secs(20))?;
     let panicked =
         gateway.log.try_iter().filter(|l| l.contains("panicked") || l.contains("lifecycle:")).count();
-    Ok(figures(&ledger, &asked, status.success(), panicked))
+    Ok(figures(&record, &asked, status.success(), panicked))
 }
 
-fn figures(ledger: &RequestRecord, asked: &[RequestOutcome], clean: bool, panicked: usize) -> Figures {
-    let runs = lock(&ledger.runs);
+fn figures(record: &RequestRecord, asked: &[RequestOutcome], clean: bool, panicked: usize) -> Figures {
+    let runs = lock(&record.runs);
     let ran = |a: &RequestOutcome| runs.get(&a.id).copied().unwrap_or(0);
     let waited = || asked.iter().filter(|a| a.waited);
     let status = |wanted: &[u16]| waited().filter(|a| a.status.is_some_and(|s| wanted.contains(&s))).count();
@@ -235,7 +235,7 @@
     f.bound("served_share", share(served), 0.5, 1.0);
     f.set("refused_share", share(refused));
     f.set("failed_share", share(failed));
-    let attempts = ledger.attempts.load(Ordering::Relaxed);
+    let attempts = record.attempts.load(Ordering::Relaxed);
     f.set("attempts_per_request", (100.0 * attempts as f64 / asked.len().max(1) as f64).round() / 100.0);
     f.expect_zero("unanswered", waited().filter(|a| a.status.is_none()).count());
     f.expect_zero(
@@ -254,7 +254,7 @@
         "refused_though_run",
         waited().filter(|a| matches!(a.status, Some(429 | 503)) && ran(a) > 0).count(),
     );
-    f.expect_zero("sent_after_drain", ledger.after_drain.load(Ordering::Relaxed));
+    f.expect_zero("sent_after_drain", record.after_drain.load(Ordering::Relaxed));
     f.expect_zero("machine_errors", panicked);
     f.expect_zero("unclean_ends", usize::from(!clean));
     f
--- a/crates/testing/test-harness/src/scale.rs
+++ b/crates/testing/test-harness/src/scale.rs
@@ -139,7 +139,8 @@
     let part = play.time / 3;
     sleep(part / 3);
     let leader = leader(&controls);
-    // Measure without changes: only heartbeats of backends and to gateways, consensus rounds and lease requests.
+    // Measure without changes: only heartbeats (of backends, and of control nodes to gateways), consensus rounds and
+    // lease requests.
     let baseline = measure(&mut meter, &hollow_fleet, || sleep(part));
     let (share, span) = (|s: f64| s / baseline.span.as_secs_f64(), baseline.span.as_secs_f64());
     let cores: Vec<f64> = baseline.control_nodes.iter().map(|s| round(share(*s) * 100.0, 2)).collect();
--- a/crates/testing/test-harness/src/scenario.rs
+++ b/crates/testing/test-harness/src/scenario.rs
@@ -47,6 +47,7 @@
 }
 
 impl Play {
+    /// Whether this defect is planted.
     pub fn has(&self, defect: &str) -> bool {
         self.defect.as_deref() == Some(defect)
     }
@@ -60,6 +61,7 @@
 }
 
 impl Figures {
+    /// Records a figure.
     pub fn set(&mut self, name: &str, value: impl Into<Value>) {
         self.values.insert(name.into(), value.into());
     }
@@ -96,6 +98,7 @@
     pub run: fn(&Play) -> Result<Figures, String>,
 }
 
+/// All scenarios, in the order in which `list` prints them.
 pub const ALL: &[Scenario] = &[
     crate::request_lifecycle::SCENARIO,
     crate::upgrade::SCENARIO,
--- a/crates/testing/test-harness/src/trial.rs
+++ b/crates/testing/test-harness/src/trial.rs
@@ -56,7 +56,7 @@
     /// Id of a payment; `None` for a read.
     id: Option<String>,
     /// Whether its gateway was suspended meanwhile.
-    frozen: bool,
+    suspended: bool,
 }
 
 type Outcomes = Arc<Mutex<Vec<Outcome>>>;
@@ -88,24 +88,24 @@
     (gateway, front): (usize, SocketAddr),
     key: &'static str,
     count: usize,
-    (began, frozen, stop): (Instant, Arc<AtomicBool>, Arc<AtomicBool>),
+    (began, suspended, stop): (Instant, Arc<AtomicBool>, Arc<AtomicBool>),
     twice: bool,
 ) -> (Outcomes, Vec<JoinHandle<()>>) {
     let outcomes: Outcomes = Arc::default();
     let threads = (0..count).map(|n| {
-        let (outcomes, frozen, stop) = (outcomes.clone(), frozen.clone(), stop.clone());
+        let (outcomes, suspended, stop) = (outcomes.clone(), suspended.clone(), stop.clone());
         thread::spawn(move || {
             let mut id = (((gateway + count * MACHINES) * 100 + n + 1) as u64) << 32;
             sleep(REQUEST_INTERVAL.mul_f64(n as f64 / count as f64));
             while !stop.load(Relaxed) {
                 id += 1;
-                let pays = id.is_multiple_of(10);
-                let text = request_by(key, if pays { "/pay/1" } else { "/look/1" }, id);
+                let is_payment = id.is_multiple_of(10);
+                let text = request_by(key, if is_payment { "/pay/1" } else { "/look/1" }, id);
                 let asked = Instant::now();
-                let was_frozen = frozen.load(Relaxed);
+                let was_suspended = suspended.load(Relaxed);
                 let ask = || Client::try_connect(front).and_then(|mut c| c.try_ask(&text));
                 let answer = ask();
-                if twice && pays {
+                if twice && is_payment {
                     ask();
                 }
                 let status = answer.as_ref().map(|a| a.status());
@@ -115,8 +115,8 @@
                     at: began.elapsed(),
                     took: asked.elapsed(),
                     status,
-                    id: pays.then(|| format!("{id:016x}")),
-                    frozen: was_frozen || frozen.load(Relaxed),
+                    id: is_payment.then(|| format!("{id:016x}")),
+                    suspended: was_suspended || suspended.load(Relaxed),
                 });
                 let remaining = REQUEST_INTERVAL.saturating_sub(asked.elapsed());
                 sleep(remaining.max(Duration::from_secs_f64(after.unwrap_or(0.0).clamp(0.0, 1.0))));
@@ -147,11 +147,11 @@
     let began = Instant::now();
     replace(&running, 1, 2, &tenants(play, unix_ms(part)))?;
     let stop: Arc<AtomicBool> = Arc::default();
-    let frozen: Vec<Arc<AtomicBool>> = (0..MACHINES).map(|_| Arc::default()).collect();
+    let suspended: Vec<Arc<AtomicBool>> = (0..MACHINES).map(|_| Arc::default()).collect();
     let (mut trial_outcomes, mut members, mut threads) = (Vec::new(), Vec::new(), Vec::new());
     for (n, front) in running.cluster.fronts().into_iter().enumerate() {
         let key = if play.has("uneven") && n == 0 { KEY } else { TRIAL_KEY };
-        let ends = || (began, frozen[n].clone(), stop.clone());
+        let ends = || (began, suspended[n].clone(), stop.clone());
         let (outcomes, more) = clients((n, front), key, CLIENTS, ends(), play.has("runs-twice"));
         trial_outcomes.push(outcomes);
         threads.extend(more);
@@ -164,14 +164,14 @@
     let other = (killed_node + 1) % MACHINES;
     // In the second of the expiry one control node is killed, and one gateway is suspended across it.
     until(part - Duration::from_millis(300));
-    frozen[suspended_gateway].store(true, Relaxed);
+    suspended[suspended_gateway].store(true, Relaxed);
     running.cluster.set_suspended(suspended_gateway, true, true)?;
     until(part - Duration::from_millis(play.seed % 200));
     running.cluster.restart_control_node(killed_node)?;
     until(part + Duration::from_millis(900));
     running.cluster.set_suspended(suspended_gateway, true, false)?;
     until(part + Duration::from_millis(1900));
-    frozen[suspended_gateway].store(false, Relaxed);
+    suspended[suspended_gateway].store(false, Relaxed);
     // The tenant is throttled; late in this part another control node is suspended for a while.
     until(part * 3);
     running.cluster.set_suspended(other, false, true)?;
@@ -187,7 +187,7 @@
     // A gateway gets SIGTERM while requests wait there for their turn.
     until(second_expiry + Duration::from_millis(1300));
     let (restarted_gateway, signalled_at) = ((suspended_gateway + 1) % MACHINES, began.elapsed());
-    frozen[restarted_gateway].store(true, Relaxed);
+    suspended[restarted_gateway].store(true, Relaxed);
     let shutdown_time = running.cluster.restart_gateway(restarted_gateway)?;
     until(part * 6);
     stop.store(true, Relaxed);
@@ -207,7 +207,7 @@
     check_payments(&running, &all, &mut figures);
     figures.expect_zero("windows with one gateway at full speed and another refusing", mixed_windows(&all));
     let throttled = part + Duration::from_millis(2400)..part * 3;
-    let again = extended + Duration::from_millis(1200)..second_expiry;
+    let after_extension = extended + Duration::from_millis(1200)..second_expiry;
     check_throttled(&all, &throttled, &mut figures);
     let served = |within: &std::ops::Range<Duration>| {
         let of = all.iter().filter(|s| within.contains(&s.at) && s.status == Some(200));
@@ -215,11 +215,21 @@
     };
     let before = Duration::from_millis(500)..part - Duration::from_millis(400);
     figures.set("served a second before the end", served(&before));
-    figures.bound("served a second once extended, of before", served(&again) / served(&before), 0.8, 1.3);
-    let last = second_expiry + Duration::from_millis(600)..signalled_at;
-    figures.bound("served a second once over again, of the pace", served(&last) / EXPIRED_RATE, 0.4, 2.5);
+    figures.bound(
+        "served a second once extended, of before",
+        served(&after_extension) / served(&before),
+        0.8,
+        1.3,
+    );
+    let after_second_expiry = second_expiry + Duration::from_millis(600)..signalled_at;
+    figures.bound(
+        "served a second once over again, of the pace",
+        served(&after_second_expiry) / EXPIRED_RATE,
+        0.4,
+        2.5,
+    );
     let wait = |within: &std::ops::Range<Duration>| {
-        let of = members.iter().filter(|s| within.contains(&s.at) && s.status == Some(200) && !s.frozen);
+        let of = members.iter().filter(|s| within.contains(&s.at) && s.status == Some(200) && !s.suspended);
         let took: Vec<f64> = of.map(|s| s.took.as_secs_f64() * 1e3).collect();
         took.iter().sum::<f64>() / took.len().max(1) as f64
     };
@@ -240,9 +250,9 @@
     figures.expect_zero("refused payments that ran", payments().filter(refused).filter(ran).count());
     let confirmed = payments().filter(|s| s.status == Some(200));
     figures.expect_zero("confirmed payments that did not run", confirmed.filter(|s| !ran(s)).count());
-    let lost = payments().filter(|s| !matches!(s.status, Some(200 | 429 | 503)) && !s.frozen).filter(ran);
+    let lost = payments().filter(|s| !matches!(s.status, Some(200 | 429 | 503)) && !s.suspended).filter(ran);
     figures.expect_zero("payments that ran and were not confirmed", lost.count());
-    let failed = |s: &&Outcome| !matches!(s.status, Some(200 | 429 | 503)) && !s.frozen;
+    let failed = |s: &&Outcome| !matches!(s.status, Some(200 | 429 | 503)) && !s.suspended;
     figures.expect_zero("left without an answer", all.iter().filter(failed).count());
 }
 
--- a/crates/testing/test-harness/src/upgrade.rs
+++ b/crates/testing/test-harness/src/upgrade.rs
@@ -29,7 +29,7 @@
 };
 
 const NAMES: [&str; 3] = ["server-1", "server-2", "server-3"];
-const LANES: u64 = 24;
+const CLIENTS: u64 = 24;
 const SOCKETS: usize = 200;
 /// Grace period of the drain, plus the delay of a loaded machine.
 const DRAIN_GRACE: Duration = Duration::from_millis(500 + 500);
@@ -49,7 +49,7 @@
 }
 
 /// Sends requests on one connection until the gateway closes it, as clients of the platform do.
-fn run_client(n: u64, to: SocketAddr, stop: &AtomicBool, ledger: &RequestRecord) {
+fn run_client(n: u64, to: SocketAddr, stop: &AtomicBool, record: &RequestRecord) {
     let (mut kept, mut number) = (None::<Client>, (n + 1) << 32);
     while !stop.load(Ordering::Relaxed) {
         number += 1;
@@ -62,9 +62,9 @@
             kept.as_mut().and_then(|c| c.try_ask(&text))
         });
         let count = match answer.as_ref().map(Message::status) {
-            Some(200) => &ledger.served,
-            Some(429 | 503) => &ledger.refused,
-            _ => &ledger.lost,
+            Some(200) => &record.served,
+            Some(429 | 503) => &record.refused,
+            _ => &record.lost,
         };
         count.fetch_add(1, Ordering::Relaxed);
         if answer.is_none_or(|a| a.header("connection") == Some("close")) {
@@ -113,13 +113,13 @@
 }
 
 fn run(play: &Play) -> Result<Figures, String> {
-    let ledger = Arc::<RequestRecord>::default();
+    let record = Arc::<RequestRecord>::default();
     let mut servers = Vec::new();
     for (n, name) in NAMES.into_iter().enumerate() {
-        let ledger = ledger.clone();
+        let record = record.clone();
         let script = move |m: &Message, to: &mut _| {
-            if lock(&ledger.out_since)[n].is_some_and(|since| since.elapsed() > DRAIN_GRACE) {
-                ledger.after_ban.fetch_add(1, Ordering::Relaxed);
+            if lock(&record.out_since)[n].is_some_and(|since| since.elapsed() > DRAIN_GRACE) {
+                record.after_ban.fetch_add(1, Ordering::Relaxed);
             }
             thread::sleep(Duration::from_millis(2));
             good(to, &body(m), None)
@@ -149,10 +149,10 @@
             }
         })
     };
-    let lanes: Vec<_> = (0..LANES)
+    let client_threads: Vec<_> = (0..CLIENTS)
         .map(|n| {
-            let (stop, ledger) = (stop.clone(), ledger.clone());
-            thread::spawn(move || run_client(n, to, &stop, &ledger))
+            let (stop, record) = (stop.clone(), record.clone());
+            thread::spawn(move || run_client(n, to, &stop, &record))
         })
         .collect();
     let until = Instant::now() + play.time;
@@ -170,7 +170,7 @@
             answer.is_some_and(|(status, _)| status == 200)
         };
         failed_calls += usize::from(!play.has("deaf-operator") && !call("enter"));
-        lock(&ledger.out_since)[victim] = Some(Instant::now());
+        lock(&record.out_since)[victim] = Some(Instant::now());
         slowest = slowest.max(start(&program, discovery.address, &next, &gateways)?);
         let mut old = lock(&gateways).remove(0);
         if play.has("killed-at-once") {
@@ -183,23 +183,23 @@
         let last = lock(&gateways);
         took_over += last.last().map_or(0, |g| g.log.try_iter().filter(|l| l.contains("took over")).count());
         drop(last);
-        lock(&ledger.out_since)[victim] = None;
+        lock(&record.out_since)[victim] = None;
         failed_calls += usize::from(!call("exit"));
         victim = (victim + 1) % NAMES.len();
     }
     stop.store(true, Ordering::Relaxed);
-    for client in lanes {
+    for client in client_threads {
         client.join().map_err(|_| "a client thread panicked")?;
     }
     sampler.join().map_err(|_| "the sampler thread panicked")?;
     let count = |c: &AtomicUsize| c.load(Ordering::Relaxed);
-    let (served, refused) = (count(&ledger.served), count(&ledger.refused));
+    let (served, refused) = (count(&record.served), count(&record.refused));
     let mut f = Figures::default();
     f.bound("upgrades", upgrades as f64, 2.0, f64::INFINITY);
     f.set("served", served);
     f.bound("refused_share", refused as f64 / (served + refused).max(1) as f64, 0.0, 0.9);
-    f.expect_zero("ended_at_the_door_or_lost", count(&ledger.lost));
-    f.expect_zero("sent_while_out_by_hand", count(&ledger.after_ban));
+    f.expect_zero("ended_at_the_door_or_lost", count(&record.lost));
+    f.expect_zero("sent_while_out_by_hand", count(&record.after_ban));
     f.expect_zero("calls_answered_no", failed_calls);
     f.expect_zero("unclean_ends", unclean);
     f.expect_zero("not_taken_over", upgrades - took_over.min(upgrades));
--- a/crates/testing/test-harness/src/view/members.rs
+++ b/crates/testing/test-harness/src/view/members.rs
@@ -63,11 +63,11 @@
 
     /// Starts a process with this member's name, behind its relay.
     fn spawn_member(&mut self, n: usize) -> Result<Program, String> {
-        let place = self.relay_indices[n];
+        let relay = self.relay_indices[n];
         let text = format!(
             "[fleet]\nname = \"member-{n}\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = \"{}\"\n",
-            self.relays.listen_address(place),
-            self.relays.advertised[place],
+            self.relays.listen_address(relay),
+            self.relays.advertised[relay],
             self.seeds,
             self.keys[n].display()
         );
@@ -76,6 +76,7 @@
         Program::start_member(&self.program, EXAMPLE, discovery, &file, self.defect.as_deref())
     }
 
+    /// Starts a member.
     pub fn start(&mut self, n: usize) -> Result<(), String> {
         self.running[n] = Some(self.spawn_member(n)?);
         Ok(())
@@ -89,12 +90,14 @@
         Ok(self.running[n].replace(process))
     }
 
+    /// Kills a member, if it runs.
     pub fn kill(&mut self, n: usize) {
         if let Some(mut member) = self.running[n].take() {
             member.kill();
         }
     }
 
+    /// Returns the members that run and are not suspended.
     pub fn active(&self) -> Vec<usize> {
         let runs = |n: &usize| self.running[*n].is_some() && !self.stopped.contains(n);
         (0..MEMBERS).filter(runs).collect()
@@ -102,8 +105,8 @@
 
     /// Sets the network faults of every ordered pair of members.
     pub fn links(&self, link: impl Fn(usize, usize) -> Link) {
-        let who = |place| self.relay_indices.iter().position(|p| *p == place);
-        self.relays.set(|a, b| match (who(a), who(b)) {
+        let member_behind = |relay| self.relay_indices.iter().position(|p| *p == relay);
+        self.relays.set(|a, b| match (member_behind(a), member_behind(b)) {
             (Some(a), Some(b)) => link(a, b),
             _ => Link::default(),
         });
--- a/crates/testing/test-harness/src/view/mod.rs
+++ b/crates/testing/test-harness/src/view/mod.rs
@@ -89,6 +89,7 @@
         }
     }
 
+    /// Starts the members that do not run, and waits until they have joined.
     fn restart_missing(&mut self) -> Result<(), String> {
         let gone: Vec<usize> = (0..MEMBERS).filter(|n| self.members.running[*n].is_none()).collect();
         if gone.is_empty() {
@@ -99,6 +100,7 @@
         Ok(())
     }
 
+    /// Injects one fault, measures its effects, and restores the links and the members.
     fn inject(&mut self, fault: Fault) -> Result<(), String> {
         let members = &mut self.members;
         match fault {
@@ -197,6 +199,7 @@
         self.restart_missing()
     }
 
+    /// Partitions the members into halves for 6 s, kills one on each side, and heals the partition.
     fn partition_halves(&mut self, rng: &mut fastrand::Rng) {
         let members = &mut self.members;
         let partitioned: BTreeSet<usize> = rng.choose_multiple(0..MEMBERS, MEMBERS / 2).into_iter().collect();
