--- a/crates/testing/test-harness/src/services.rs
+++ b/crates/testing/test-harness/src/services.rs
@@ -1,4 +1,5 @@
-//! Many services, a backend each, behind real gateways: each request must be answered by a backend of its route's service.
+//! Scenario of many services, with a backend each, behind real gateways: each request must be answered by a backend
+//! of its route's service.
 
 use crate::fleet::serve;
 use crate::local_cluster::{call, LocalCluster, MACHINES};
@@ -14,11 +15,12 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "services",
-    about: "many services behind real gateways: whose backend answers a request (--services N)",
+    about:
+        "many services behind real gateways: each request reaches a backend of its own service (--services N)",
     seconds: 8,
     test_seconds: 3,
-    defects: &[("crossed", "two backends beat for each other's service")],
-    planted: &[],
+    defects: &[("crossed", "two backends send heartbeats for each other's service")],
+    program_defects: &[],
     run,
 };
 
@@ -38,7 +40,7 @@
     .to_string()
 }
 
-/// Answers with its own service's number.
+/// Starts a backend that responds with the number of its service.
 fn backend(n: usize) -> Result<SocketAddr, String> {
     let script = move |m: &Message, to: &mut TcpStream| {
         let attempt = m.header("attempt-id").unwrap_or_default().to_string();
@@ -61,12 +63,12 @@
     let controls = cluster.controls();
     let taken = call(&controls, "POST", "/-/Configuration.Replace", &configuration(services), 150);
     if taken.is_none_or(|a| a.status() != 200) {
-        return Err("the configuration was not taken".into());
+        return Err("the configuration was not accepted".into());
     }
     let addresses: Result<Vec<SocketAddr>, String> = (0..services).map(backend).collect();
     let (addresses, stop) = (addresses?, Arc::new(AtomicBool::new(false)));
-    let (to, over, crossed) = (controls.clone(), stop.clone(), play.has("crossed"));
-    let beating = spawn(move || {
+    let (to, stop_flag, crossed) = (controls.clone(), stop.clone(), play.has("crossed"));
+    let heartbeat_thread = spawn(move || {
         for sequence in 1u64.. {
             for (n, address) in addresses.iter().enumerate() {
                 let service = if crossed && n < 2 { 1 - n } else { n };
@@ -74,16 +76,16 @@
                     "nodeInfo": {"targetService": format!("svc{service}"), "configVersion": "v1", "zone": "zone-0",
                         "capacitySlots": 4},
                     "status": {"state": "ready", "callSequence": sequence, "warmupLeftMs": 0}});
-                // One that is lost is made good by the next.
+                // The next heartbeat makes up for a lost one.
                 call(&to, "POST", &format!("/-/Instances.Heartbeat/i-{n}"), &body.to_string(), 6);
-                if over.load(Relaxed) {
+                if stop_flag.load(Relaxed) {
                     return;
                 }
             }
             sleep(Duration::from_millis(HEARTBEAT_MS / 4));
         }
     });
-    let (mut right, mut wrong, mut failed, mut id) = (0u32, 0usize, 0u32, 0u64);
+    let (mut correct, mut crossed_count, mut failed, mut id) = (0u32, 0usize, 0u32, 0u64);
     let fronts = cluster.fronts();
     let mut ask = |n: usize| {
         id += 1;
@@ -95,7 +97,7 @@
         let answer = answer.filter(|a| a.status() == 200);
         answer.map(|a| String::from_utf8_lossy(&a.body).parse::<usize>().ok())
     };
-    // Until each has been heard of.
+    // Wait until every gateway knows a backend of each service.
     let up = Instant::now();
     while up.elapsed() < 3 * play.time && (0..services).any(|n| (0..fronts.len()).any(|_| ask(n).is_none())) {
         sleep(Duration::from_millis(50));
@@ -104,21 +106,21 @@
     while began.elapsed() < play.time {
         for n in 0..services {
             match ask(n) {
-                Some(by) if by == Some(n) => right += 1,
-                Some(_) => wrong += 1,
+                Some(by) if by == Some(n) => correct += 1,
+                Some(_) => crossed_count += 1,
                 None => failed += 1,
             }
         }
         sleep(Duration::from_millis(20));
     }
     stop.store(true, Relaxed);
-    // It ends by itself.
-    let _ = beating.join();
+    // The thread ends because `stop` is set.
+    let _ = heartbeat_thread.join();
     let mut figures = Figures::default();
     figures.set("services", services);
-    figures.set("answered by the right service", right);
-    figures.none("answered by a backend of another service", wrong);
-    let all = (right + failed + wrong as u32).max(1);
+    figures.set("answered by the right service", correct);
+    figures.expect_zero("answered by a backend of another service", crossed_count);
+    let all = (correct + failed + crossed_count as u32).max(1);
     figures.bound("left without an answer, of all", f64::from(failed) / f64::from(all), 0.0, 0.05);
     Ok(figures)
 }
--- a/crates/testing/test-harness/src/view/members.rs
+++ b/crates/testing/test-harness/src/view/members.rs
@@ -1,9 +1,9 @@
-//! Members of the fleet as real processes behind relays, and what they say of each other.
+//! Members of the fleet as real processes behind relays, and what they report of each other.
 
-use crate::bed::{Link, Relays};
 use crate::peers::Discovery;
 use crate::planners::Files;
 use crate::program::{Program, EXAMPLE};
+use crate::udp_relay::{Link, Relays};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -12,23 +12,27 @@
 use std::time::{Duration, Instant};
 
 pub const MEMBERS: usize = 24;
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
+/// The members and the network between them.
 pub struct Members {
     pub relays: Relays,
     pub running: Vec<Option<Program>>,
-    /// Where each member is, and the one place that is free.
-    places: Vec<usize>,
-    spare: usize,
+    /// Index of the relay that each member uses.
+    relay_indices: Vec<usize>,
+    /// Index of the one unused relay.
+    spare_relay: usize,
     pub files: Files,
-    /// The table's seeds, and each member's key.
+    /// Seeds, as written in the table `[fleet]`.
     pub seeds: String,
+    /// Key file of each member.
     pub keys: Vec<PathBuf>,
     pub program: PathBuf,
     pub defect: Option<String>,
     pub discovery: Discovery,
-    /// Who is on the other side of a cut.
-    pub apart: BTreeSet<usize>,
+    /// Members on the other side of a partition.
+    pub partitioned: BTreeSet<usize>,
+    /// Members that are suspended with SIGSTOP.
     pub stopped: BTreeSet<usize>,
 }
 
@@ -44,26 +48,26 @@
         Members {
             relays,
             running: (0..MEMBERS).map(|_| None).collect(),
-            places: (0..MEMBERS).collect(),
-            spare: MEMBERS,
+            relay_indices: (0..MEMBERS).collect(),
+            spare_relay: MEMBERS,
             files,
             seeds: seeds.join(", "),
             keys,
             program,
             defect,
             discovery,
-            apart: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             stopped: BTreeSet::new(),
         }
     }
 
-    /// Starts a process under this member's name where it stands.
-    fn process(&mut self, n: usize) -> Result<Program, String> {
-        let place = self.places[n];
+    /// Starts a process with this member's name, behind its relay.
+    fn spawn_member(&mut self, n: usize) -> Result<Program, String> {
+        let relay = self.relay_indices[n];
         let text = format!(
             "[fleet]\nname = \"member-{n}\"\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\nkey_file = \"{}\"\n",
-            self.relays.place(place),
-            self.relays.advertised[place],
+            self.relays.listen_address(relay),
+            self.relays.advertised[relay],
             self.seeds,
             self.keys[n].display()
         );
@@ -72,54 +76,58 @@
         Program::start_member(&self.program, EXAMPLE, discovery, &file, self.defect.as_deref())
     }
 
+    /// Starts a member.
     pub fn start(&mut self, n: usize) -> Result<(), String> {
-        self.running[n] = Some(self.process(n)?);
+        self.running[n] = Some(self.spawn_member(n)?);
         Ok(())
     }
 
-    /// Starts another process of this name at the place that is free. The one before, if it still runs: it is no
-    /// member any more.
+    /// Starts another process with this name behind the unused relay. Returns the previous process, if it still runs:
+    /// it is no longer a member.
     pub fn start_elsewhere(&mut self, n: usize) -> Result<Option<Program>, String> {
-        std::mem::swap(&mut self.places[n], &mut self.spare);
-        let process = self.process(n)?;
+        std::mem::swap(&mut self.relay_indices[n], &mut self.spare_relay);
+        let process = self.spawn_member(n)?;
         Ok(self.running[n].replace(process))
     }
 
+    /// Kills a member, if it runs.
     pub fn kill(&mut self, n: usize) {
         if let Some(mut member) = self.running[n].take() {
             member.kill();
         }
     }
 
-    pub fn awake(&self) -> Vec<usize> {
+    /// Returns the members that run and are not suspended.
+    pub fn active(&self) -> Vec<usize> {
         let runs = |n: &usize| self.running[*n].is_some() && !self.stopped.contains(n);
         (0..MEMBERS).filter(runs).collect()
     }
 
-    /// Changes the links between members, for all ordered pairs of them.
+    /// Sets the network faults of every ordered pair of members.
     pub fn links(&self, link: impl Fn(usize, usize) -> Link) {
-        let who = |place| self.places.iter().position(|p| *p == place);
-        self.relays.set(|a, b| match (who(a), who(b)) {
+        let member_behind = |relay| self.relay_indices.iter().position(|p| *p == relay);
+        self.relays.set(|a, b| match (member_behind(a), member_behind(b)) {
             (Some(a), Some(b)) => link(a, b),
             _ => Link::default(),
         });
     }
 
-    /// What all members have sent so far: datagrams and bytes.
+    /// Returns the datagrams and bytes that all members have sent so far.
     pub fn sent(&self) -> (u64, u64) {
-        let sent = self.places.iter().map(|p| self.relays.sent(*p));
+        let sent = self.relay_indices.iter().map(|p| self.relays.sent(*p));
         sent.fold((0, 0), |sum, n| (sum.0 + n.0, sum.1 + n.1))
     }
 
-    /// What this member says of the fleet.
+    /// Returns this member's status of the fleet.
     pub fn status(&self, n: usize) -> Option<Value> {
         status(self.running[n].as_ref()?)
     }
 
-    /// Whether those of one side see each other and nobody else.
+    /// Whether the members of each side of the partition see each other, and no others, as alive or suspect.
     pub fn settled(&self) -> bool {
-        let awake = self.awake();
-        let (here, there): (Vec<usize>, Vec<usize>) = awake.iter().partition(|n| !self.apart.contains(n));
+        let active = self.active();
+        let (here, there): (Vec<usize>, Vec<usize>) =
+            active.iter().partition(|n| !self.partitioned.contains(n));
         [here, there].iter().all(|side| {
             let digests: Option<BTreeSet<String>> = side
                 .iter()
@@ -133,7 +141,7 @@
         })
     }
 
-    /// How long until that holds; none if it does not within `most`.
+    /// Waits until the views are settled. Returns how long that took, or `None` after `most`.
     pub fn until_settled(&self, most: Duration) -> Option<Duration> {
         let began = Instant::now();
         loop {
@@ -143,39 +151,40 @@
             if began.elapsed() > most {
                 return None;
             }
-            thread::sleep(LOOK_EVERY);
+            thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Beliefs in a death of somebody who runs, on the same side.
-    pub fn wronged(&self) -> usize {
-        let awake = self.awake();
-        let (here, there): (Vec<usize>, Vec<usize>) = awake.iter().partition(|n| !self.apart.contains(n));
-        [here, there].iter().map(|side| self.wronged_by(side, side)).sum()
+    /// Counts the cases in which a member considers a running member of the same side dead.
+    pub fn false_deaths(&self) -> usize {
+        let active = self.active();
+        let (here, there): (Vec<usize>, Vec<usize>) =
+            active.iter().partition(|n| !self.partitioned.contains(n));
+        [here, there].iter().map(|side| self.false_deaths_between(side, side)).sum()
     }
 
-    /// Beliefs of these in a death of those.
-    pub fn wronged_by(&self, these: &[usize], those: &[usize]) -> usize {
+    /// Counts the cases in which one of `these` considers one of `those` dead.
+    pub fn false_deaths_between(&self, these: &[usize], those: &[usize]) -> usize {
         let names: BTreeSet<String> = those.iter().map(|n| format!("member-{n}")).collect();
         let named = |m: &Value| m["name"].as_str().is_some_and(|n| names.contains(n));
-        let wronged = |s: &Value| count(s, |m| m["state"] == "dead" && named(m));
-        these.iter().filter_map(|n| self.status(*n)).map(|s| wronged(&s)).sum()
+        let false_deaths = |s: &Value| count(s, |m| m["state"] == "dead" && named(m));
+        these.iter().filter_map(|n| self.status(*n)).map(|s| false_deaths(&s)).sum()
     }
 
-    /// Versions of the settled view that all who run have made.
+    /// Returns the sum of the versions of the settled view over all running members.
     pub fn versions(&self) -> u64 {
         let version = |n| self.status(n).and_then(|s| s["settled"]["version"].as_u64());
-        self.awake().into_iter().filter_map(version).sum()
+        self.active().into_iter().filter_map(version).sum()
     }
 
-    /// Datagrams that all who run have dropped.
+    /// Returns the datagrams that all running members have dropped.
     pub fn dropped(&self) -> u64 {
         let causes = |n| self.status(n).and_then(|s| s["dropped"].as_object().cloned());
         let sum = |all: serde_json::Map<String, Value>| all.values().filter_map(Value::as_u64).sum::<u64>();
-        self.awake().into_iter().filter_map(causes).map(sum).sum()
+        self.active().into_iter().filter_map(causes).map(sum).sum()
     }
 
-    /// For so long this member has a tenth of a core: it runs for 10 of 100 ms.
+    /// Limits this member to a tenth of a core for this time: it runs for 10 of 100 ms.
     pub fn slow(&self, n: usize, time: Duration) -> Option<JoinHandle<()>> {
         let id = self.running[n].as_ref()?.child.id().to_string();
         Some(thread::spawn(move || {
@@ -191,13 +200,14 @@
     }
 }
 
+/// Returns a process's status of the fleet.
 pub fn status(member: &Program) -> Option<Value> {
     let (status, body) = member.call("GET /status/fleet", "")?;
     (status == 200).then_some(())?;
     serde_json::from_slice(&body).ok()
 }
 
-/// How many of the members that it tells of are such.
-pub fn count(status: &Value, such: impl Fn(&Value) -> bool) -> usize {
-    status["members"].as_array().map_or(0, |all| all.iter().filter(|m| such(m)).count())
+/// Counts the members in a status for which `predicate` holds.
+pub fn count(status: &Value, predicate: impl Fn(&Value) -> bool) -> usize {
+    status["members"].as_array().map_or(0, |all| all.iter().filter(|m| predicate(m)).count())
 }
