--- a/crates/testing/model-check/src/clients.rs
+++ b/crates/testing/model-check/src/clients.rs
@@ -1,6 +1,6 @@
-//! The world round a client's connection: a client that may say half a head, pipeline, stop in a body, not
-//! read, or leave; SIGTERM in every state; and the budget that wants its place.
-//! `lifecycle::Connection` itself is what is explored.
+//! Model of a client connection: a client that may send an incomplete head, pipeline, stop within a body, not read, or
+//! disconnect; SIGTERM and a handover in every state; and eviction by the connection limit.
+//! The checker runs `lifecycle::connection::Connection` itself.
 
 use lifecycle::connection::{
     eviction_candidate, Close, Command, Connection, Input, Timeouts, EVICTION_GRACE, UNREAD_ANSWER_TIMEOUT,
@@ -15,35 +15,37 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    life: Connection,
+    connection: Connection,
     now: u64,
-    // What the client has sent: whole heads, whether half of the next, whole bodies.
-    heads: u8,
-    half: bool,
-    /// Whether the latest head began behind another request: the machine is told of it once that is over.
-    behind: bool,
-    head_at: u64,
-    bodies: u8,
-    // What the gateway has: heads read, requests taken, answers known, answers written, answers that said close.
-    read: u8,
-    taken: u8,
-    answered: u8,
-    written: u8,
-    said_close: bool,
-    answered_at: u64,
-    /// Whether a request that was taken awaits its answer's last byte.
-    owed: bool,
-    drains: u8,
-    draining: bool,
-    handing_over: bool,
-    /// Whether hyper has been told to end the connection behind its answer.
-    finishing: bool,
-    /// Whether the last answer was begun after the drain.
-    answer_after_drain: bool,
+    // Sent by the client: complete heads, whether the next head is incomplete, complete bodies.
+    heads_sent: u8,
+    head_incomplete: bool,
+    /// Whether the latest head started before the previous request was finished. The connection only learns of it once
+    /// that request has ended.
+    is_pipelined: bool,
+    head_started_at: u64,
+    bodies_sent: u8,
+    // State of the gateway: heads read, requests accepted, answers known, answers written, whether an answer announced
+    // the close.
+    heads_read: u8,
+    accepted: u8,
+    answers_known: u8,
+    answers_written: u8,
+    close_announced: bool,
+    last_answer_at: u64,
+    /// Whether an accepted request's answer is not completely written yet.
+    answer_unfinished: bool,
+    drain_count: u8,
+    is_draining: bool,
+    is_handing_over: bool,
+    /// Whether hyper was told to close the connection after the answer.
+    is_closing: bool,
+    /// Whether the last answer started after a drain or handover.
+    last_answer_after_drain: bool,
     pub ended: Option<End>,
-    /// Whether its place was asked for and not given.
-    no_room: bool,
-    wrong: bool,
+    /// Whether the connection was selected for eviction and not closed.
+    eviction_failed: bool,
+    unexpected_error: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -51,121 +53,123 @@
     ByClient,
     Drained,
     HandedOver,
-    ForRoom,
+    Evicted,
     Finished,
     TimedOut,
-    /// The gateway ended it with something owed.
+    /// The gateway closed it before an accepted request was answered completely.
     Cut,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happens {
-    HalfHead,
+pub enum ModelAction {
+    PartialHead,
     RestOfHead,
     Body,
     ReadHead,
-    Take,
-    Unsound,
+    Accept,
+    Malformed,
     Answer,
     Written,
     Sigterm,
     Handover,
-    Room,
+    Evict,
     HeadTimeOut,
     Leave,
     Wait,
 }
 
-type Holds = fn(&Clients, &State) -> bool;
+type Predicate = fn(&Clients, &State) -> bool;
 
-/// Name, words, and whether it holds.
-pub const RULES: &[(&str, &str, Holds)] = &[
+/// The rules: name, description, and the predicate that must hold in every state.
+pub const RULES: &[(&str, &str, Predicate)] = &[
     (
         "no answer cut",
-        "The gateway ends no connection on which a request was taken and its answer is not wholly written, unless the client has not read it for long.",
+        "The gateway closes no connection with an accepted request whose answer is not completely written, unless the client has not read it for long.",
         |_, s| s.ended != Some(End::Cut),
     ),
     (
         "answers in order, one each",
-        "Every head that was read gets one answer, before the next is read.",
-        |_, s| s.answered <= s.read && s.read <= s.answered + 1 && s.written <= s.answered,
+        "Every head that is read gets one answer before the next head is read.",
+        |_, s| s.answers_known <= s.heads_read && s.heads_read <= s.answers_known + 1 && s.answers_written <= s.answers_known,
     ),
     (
         "the last answer says so",
-        "An answer begun after the drain says that the connection closes.",
-        |_, s| !s.answer_after_drain || s.said_close,
+        "An answer that starts after the drain announces that the connection closes.",
+        |_, s| !s.last_answer_after_drain || s.close_announced,
     ),
     (
         "a drain ends",
-        "Once a drain was told and nothing is owed, the connection is ended; no half head is waited for.",
+        "Once a drain has started and no answer is pending, the connection is closed, even if a head is incomplete.",
         |_, s| {
-            let owes = s.owed || s.read > s.answered || s.answered > s.written;
-            !s.draining || owes || s.ended.is_some()
+            let answer_pending = s.answer_unfinished || s.heads_read > s.answers_known || s.answers_known > s.answers_written;
+            !s.is_draining || answer_pending || s.ended.is_some()
         },
     ),
     (
         "a handover lets ask",
-        "A handover ends only who has had an answer and has begun nothing since, but behind another request.",
+        "A handover closes only a connection that has had a request and has no further head in progress, except one that started before the previous request ended.",
         |_, s| {
-            let idle = !s.half && s.heads == s.read;
-            s.ended != Some(End::HandedOver) || s.taken > 0 && (idle || s.behind)
+            let idle = !s.head_incomplete && s.heads_sent == s.heads_read;
+            s.ended != Some(End::HandedOver) || s.accepted > 0 && (idle || s.is_pipelined)
         },
     ),
     (
         "a head has its time",
-        "Nobody is let go for silence while a head is coming that has had less than 2 s, but for a first or behind another.",
+        "No connection times out while a head that started less than 2 s ago is arriving, except for the first head and heads behind another request.",
         |_, s| {
-            let may = !s.half || s.behind || s.answered == 0;
-            s.ended != Some(End::TimedOut) || may || s.now >= s.head_at + 2_000_000_000
+            let allowed = !s.head_incomplete || s.is_pipelined || s.answers_known == 0;
+            s.ended != Some(End::TimedOut) || allowed || s.now >= s.head_started_at + 2_000_000_000
         },
     ),
     (
         "who has just begun is left alone",
-        "Room is not made by who is writing its first head and has just sent a byte of it.",
+        "A connection is not evicted while its first head is arriving and a byte of it came within the grace period.",
         |_, s| {
-            let may = !s.half || s.behind || s.taken > 0 || s.read > s.answered;
-            s.ended != Some(End::ForRoom) || may || s.now >= s.head_at + EVICTION_GRACE
+            let allowed = !s.head_incomplete || s.is_pipelined || s.accepted > 0 || s.heads_read > s.answers_known;
+            s.ended != Some(End::Evicted) || allowed || s.now >= s.head_started_at + EVICTION_GRACE
         },
     ),
     (
         "who is spared makes room",
-        "A connection that is picked to make room owes nothing, or does not read, and is ended at once.",
-        |_, s| !s.no_room,
+        "A connection selected for eviction has no answer pending, or its client does not read, and is closed at once.",
+        |_, s| !s.eviction_failed,
     ),
     (
         "what happens has a meaning",
-        "Nothing that client, drain and budget can do is an error to the machine.",
-        |_, s| !s.wrong,
+        "No input that a client, a drain or the connection limit can cause is an error of the connection's state machine.",
+        |_, s| !s.unexpected_error,
     ),
 ];
 
 impl State {
     fn handle(&mut self, input: Input) -> Command {
-        let order = self.life.handle(self.now, input);
-        self.wrong |= order.is_err();
-        order.unwrap_or(Command::None)
+        let command = self.connection.handle(self.now, input);
+        self.unexpected_error |= command.is_err();
+        command.unwrap_or(Command::None)
     }
 
-    fn close(&mut self, why: Close) {
-        match self.handle(Input::Close(why)) {
+    fn close(&mut self, reason: Close) {
+        match self.handle(Input::Close(reason)) {
             Command::Shut => {
-                self.end(match why {
+                self.end(match reason {
                     Close::Drain => End::Drained,
                     Close::Handover => End::HandedOver,
-                    Close::Evict => End::ForRoom,
+                    Close::Evict => End::Evicted,
                 });
             }
-            Command::Finish => self.finishing = true,
+            Command::Finish => self.is_closing = true,
             Command::None | Command::Answer { .. } => {}
         }
     }
 
     fn end(&mut self, end: End) {
-        // Who has had the answer to read for so long is owed no more.
-        let stuck = end == End::ForRoom
-            && self.read == self.answered
-            && self.now >= self.answered_at + UNREAD_ANSWER_TIMEOUT;
-        let cut = matches!(end, End::Drained | End::HandedOver | End::ForRoom) && self.owed && !stuck;
+        // A client that has not read its answer for this long may be disconnected.
+        let client_stalled = end == End::Evicted
+            && self.heads_read == self.answers_known
+            && self.now >= self.last_answer_at + UNREAD_ANSWER_TIMEOUT;
+        let cut = matches!(end, End::Drained | End::HandedOver | End::Evicted)
+            && self.answer_unfinished
+            && !client_stalled;
         self.ended = Some(if cut { End::Cut } else { end });
         self.handle(Input::Disconnected);
     }
@@ -173,72 +177,76 @@
 
 impl Model for Clients {
     type State = State;
-    type Action = Happens;
+    type Action = ModelAction;
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            life: Connection::new(0, Timeouts::default()),
+            connection: Connection::new(0, Timeouts::default()),
             now: 0,
-            heads: 0,
-            half: false,
-            behind: false,
-            head_at: 0,
-            bodies: 0,
-            read: 0,
-            taken: 0,
-            answered: 0,
-            written: 0,
-            said_close: false,
-            answered_at: 0,
-            owed: false,
-            drains: 0,
-            draining: false,
-            handing_over: false,
-            finishing: false,
-            answer_after_drain: false,
+            heads_sent: 0,
+            head_incomplete: false,
+            is_pipelined: false,
+            head_started_at: 0,
+            bodies_sent: 0,
+            heads_read: 0,
+            accepted: 0,
+            answers_known: 0,
+            answers_written: 0,
+            close_announced: false,
+            last_answer_at: 0,
+            answer_unfinished: false,
+            drain_count: 0,
+            is_draining: false,
+            is_handing_over: false,
+            is_closing: false,
+            last_answer_after_drain: false,
             ended: None,
-            no_room: false,
-            wrong: false,
+            eviction_failed: false,
+            unexpected_error: false,
         }]
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Happens>) {
-        use Happens::*;
+    fn actions(&self, s: &State, actions: &mut Vec<ModelAction>) {
+        use ModelAction::*;
         if s.ended.is_some() {
             return;
         }
-        if s.heads < self.requests {
-            actions.push(if s.half { RestOfHead } else { HalfHead });
+        if s.heads_sent < self.requests {
+            actions.push(if s.head_incomplete { RestOfHead } else { PartialHead });
         }
-        if s.bodies < s.heads {
+        if s.bodies_sent < s.heads_sent {
             actions.push(Body);
         }
-        // Whole and read in its turn: the one before is answered, and nothing says that it was the last.
-        if s.heads > s.read && s.read == s.answered && !s.finishing && !s.said_close {
+        // The head is complete, the previous request is answered, and no answer has announced the close.
+        if s.heads_sent > s.heads_read
+            && s.heads_read == s.answers_known
+            && !s.is_closing
+            && !s.close_announced
+        {
             actions.push(ReadHead);
         }
-        if s.read > s.answered {
-            if s.taken < s.read {
-                if s.bodies >= s.read {
-                    actions.push(Take);
+        if s.heads_read > s.answers_known {
+            if s.accepted < s.heads_read {
+                if s.bodies_sent >= s.heads_read {
+                    actions.push(Accept);
                 }
-                // Unsound, or its body stops.
-                actions.push(Unsound);
+                // Malformed, or its body stops.
+                actions.push(Malformed);
             } else {
                 actions.push(Answer);
             }
         }
-        if s.answered > s.written {
+        if s.answers_known > s.answers_written {
             actions.push(Written);
         }
-        if s.drains < 2 {
+        if s.drain_count < 2 {
             actions.push(Sigterm);
             actions.push(Handover);
         }
-        if eviction_candidate([((), &s.life)].into_iter(), s.now).is_some_and(|(_, wait)| wait == 0) {
-            actions.push(Room);
+        if eviction_candidate([((), &s.connection)].into_iter(), s.now).is_some_and(|(_, wait)| wait == 0) {
+            actions.push(Evict);
         }
-        if s.life.read_deadline().is_some_and(|at| at <= s.now) {
+        if s.connection.read_deadline().is_some_and(|deadline| deadline <= s.now) {
             actions.push(HeadTimeOut);
         }
         actions.push(Leave);
@@ -247,70 +255,70 @@
         }
     }
 
-    fn next_state(&self, last: &State, action: Happens) -> Option<State> {
+    fn next_state(&self, last: &State, action: ModelAction) -> Option<State> {
         let mut s = last.clone();
         match action {
-            Happens::HalfHead => {
-                s.half = true;
-                s.behind |= s.heads > s.written;
-                s.head_at = s.now;
+            ModelAction::PartialHead => {
+                s.head_incomplete = true;
+                s.is_pipelined |= s.heads_sent > s.answers_written;
+                s.head_started_at = s.now;
                 s.handle(Input::Bytes);
             }
-            Happens::RestOfHead => {
-                s.behind &= s.heads > s.written;
-                s.half = false;
-                s.heads += 1;
+            ModelAction::RestOfHead => {
+                s.is_pipelined &= s.heads_sent > s.answers_written;
+                s.head_incomplete = false;
+                s.heads_sent += 1;
                 s.handle(Input::Bytes);
             }
-            Happens::Body => {
-                s.bodies += 1;
-                // One that comes behind its answer is taken for the next head's first bytes.
-                s.behind |= s.read == s.written;
+            ModelAction::Body => {
+                s.bodies_sent += 1;
+                // A body that arrives after its answer counts as the first bytes of the next head.
+                s.is_pipelined |= s.heads_read == s.answers_written;
                 s.handle(Input::Bytes);
             }
-            Happens::ReadHead => {
-                s.read += 1;
+            ModelAction::ReadHead => {
+                s.heads_read += 1;
                 s.handle(Input::Head);
             }
-            Happens::Take => {
-                s.taken += 1;
-                s.owed = true;
+            ModelAction::Accept => {
+                s.accepted += 1;
+                s.answer_unfinished = true;
                 s.handle(Input::Accepted);
             }
-            Happens::Unsound | Happens::Answer => {
-                // An unsound one is answered too, but nothing was taken.
-                s.taken = s.read;
-                s.answered += 1;
-                s.answered_at = s.now;
-                s.answer_after_drain = s.draining || s.handing_over;
+            ModelAction::Malformed | ModelAction::Answer => {
+                // A malformed request is answered as well, but was not accepted.
+                s.accepted = s.heads_read;
+                s.answers_known += 1;
+                s.last_answer_at = s.now;
+                s.last_answer_after_drain = s.is_draining || s.is_handing_over;
                 if let Command::Answer { close } = s.handle(Input::Reply) {
-                    s.said_close |= close;
+                    s.close_announced |= close;
                 }
             }
-            Happens::Written => {
-                s.written = s.answered;
-                s.owed = false;
+            ModelAction::Written => {
+                s.answers_written = s.answers_known;
+                s.answer_unfinished = false;
                 if s.handle(Input::Flushed) == Command::Shut {
                     s.end(End::Finished);
                 }
             }
-            Happens::Sigterm => {
-                s.drains += 1;
-                s.draining = true;
+            ModelAction::Sigterm => {
+                s.drain_count += 1;
+                s.is_draining = true;
                 s.close(Close::Drain);
             }
-            Happens::Handover => {
-                s.drains += 1;
-                s.handing_over = true;
+            ModelAction::Handover => {
+                s.drain_count += 1;
+                s.is_handing_over = true;
                 s.close(Close::Handover);
             }
-            Happens::Room => {
+            ModelAction::Evict => {
                 s.close(Close::Evict);
-                s.no_room = s.ended.is_none();
+                s.eviction_failed = s.ended.is_none();
             }
-            Happens::HeadTimeOut => s.end(End::TimedOut),
-            Happens::Leave => s.end(End::ByClient),
-            Happens::Wait => {
+            ModelAction::HeadTimeOut => s.end(End::TimedOut),
+            ModelAction::Leave => s.end(End::ByClient),
+            ModelAction::Wait => {
                 s.now += if s.now < EVICTION_GRACE { EVICTION_GRACE } else { UNREAD_ANSWER_TIMEOUT }
             }
         }
@@ -321,22 +329,22 @@
         RULES.iter().map(|(name, _, holds)| Property::always(name, *holds)).collect()
     }
 
-    fn format_action(&self, action: &Happens) -> String {
+    fn format_action(&self, action: &ModelAction) -> String {
         match action {
-            Happens::HalfHead => "half a head comes",
-            Happens::RestOfHead => "the rest of the head comes",
-            Happens::Body => "a body comes whole",
-            Happens::ReadHead => "the head is read",
-            Happens::Take => "the request is whole and sound, and taken",
-            Happens::Unsound => "the request is unsound or its body stops; it is answered 4xx",
-            Happens::Answer => "its answer is known",
-            Happens::Written => "the answer's last byte is written",
-            Happens::Sigterm => "the gateway drains",
-            Happens::Handover => "another process takes over",
-            Happens::Room => "its place is wanted",
-            Happens::HeadTimeOut => "the client has been silent too long",
-            Happens::Leave => "the client leaves",
-            Happens::Wait => "time passes",
+            ModelAction::PartialHead => "a part of a head arrives",
+            ModelAction::RestOfHead => "the rest of the head arrives",
+            ModelAction::Body => "a complete body arrives",
+            ModelAction::ReadHead => "the head is read",
+            ModelAction::Accept => "the request is complete and valid, and is accepted",
+            ModelAction::Malformed => "the request is malformed or its body stops; it is answered with 4xx",
+            ModelAction::Answer => "its answer is known",
+            ModelAction::Written => "the answer's last byte is written",
+            ModelAction::Sigterm => "the gateway drains",
+            ModelAction::Handover => "another process takes over",
+            ModelAction::Evict => "the connection is selected for eviction",
+            ModelAction::HeadTimeOut => "the client has been silent for too long",
+            ModelAction::Leave => "the client disconnects",
+            ModelAction::Wait => "time passes",
         }
         .into()
     }
--- a/crates/testing/model-check/src/mind.rs
+++ b/crates/testing/model-check/src/decision_module.rs
@@ -1,5 +1,5 @@
-//! Who plays the decision module: an adversary, whose words are steps of the world, or the real one, which is
-//! handed its events and speaks when it is its turn.
+//! The decision module of a model: an adversary, whose orders are transitions of the model, or the real module, which
+//! queues events and acts on them in a transition of its own.
 
 use crate::world::World;
 use granitehub::Gateway;
@@ -8,7 +8,7 @@
 use std::hash::{Hash, Hasher};
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Mind {
+pub enum DecisionModule {
     Adversary,
     Real(Box<Real>),
 }
@@ -18,10 +18,10 @@
     gateway: Gateway,
     events: Vec<Event>,
     timers: Vec<(Time, u64)>,
-    list: Vec<Node>,
+    server_list: Vec<Node>,
 }
 
-/// Two are the same if nothing that they hold differs. Their figures are floating, so their text is compared.
+/// Equality and hash use the Debug text, because the module's state contains floating-point numbers.
 impl Real {
     fn image(&self) -> String {
         format!("{self:?}")
@@ -52,33 +52,33 @@
         cancelling: true,
         retry_after: true,
         max_retry_after: 2_000_000_000,
-        max_attempts: world.most_attempts,
+        max_attempts: world.attempt_limit,
         ..Settings::default()
     };
     Gateway::new(settings, 7, now).expect("settings in range")
 }
 
-impl Mind {
+impl DecisionModule {
     pub fn new(world: &World) -> Self {
-        if !world.real {
-            return Mind::Adversary;
+        if !world.uses_real_module {
+            return DecisionModule::Adversary;
         }
-        let (events, timers, list) = Default::default();
-        Mind::Real(Box::new(Real { gateway: gateway(world, 0), events, timers, list }))
+        let (events, timers, server_list) = Default::default();
+        DecisionModule::Real(Box::new(Real { gateway: gateway(world, 0), events, timers, server_list }))
     }
 
     pub fn is_real(&self) -> bool {
-        matches!(self, Mind::Real(_))
+        matches!(self, DecisionModule::Real(_))
     }
 
-    pub fn event(&mut self, event: Event) {
-        if let Mind::Real(real) = self {
+    pub fn push_event(&mut self, event: Event) {
+        if let DecisionModule::Real(real) = self {
             real.events.push(event);
         }
     }
 
-    pub fn tell(&mut self, told: ModuleEvent) {
-        self.event(match told {
+    pub fn notify(&mut self, notification: ModuleEvent) {
+        self.push_event(match notification {
             ModuleEvent::ClientLeft { id } => Event::ClientLeft { id },
             ModuleEvent::Ended { id, attempt, server, ending, last } => Event::AttemptEnd(AttemptEnd {
                 id,
@@ -94,8 +94,8 @@
         });
     }
 
-    pub fn list(&mut self, scope: Scope, servers: &[ListedServer]) {
-        let Mind::Real(real) = self else { return };
+    pub fn update_servers(&mut self, scope: Scope, servers: &[ListedServer]) {
+        let DecisionModule::Real(real) = self else { return };
         let node = |s: &ListedServer| {
             let health = match s.address {
                 Some(_) => Health::Up,
@@ -105,37 +105,39 @@
             Node { cell: s.cell, ..Node::new(&s.name, health) }
         };
         let nodes: Vec<Node> = servers.iter().map(node).collect();
-        real.list.retain(|n| nodes.iter().all(|m| m.name != n.name));
-        real.list.extend(nodes.iter().cloned());
+        real.server_list.retain(|n| nodes.iter().all(|m| m.name != n.name));
+        real.server_list.extend(nodes.iter().cloned());
         real.events.push(Event::Fleet { seq: 1, scope, nodes });
     }
 
-    /// A new one, that knows the list alone.
+    /// Replaces the module by a new one that knows only the server list.
     pub fn restart(&mut self, world: &World, now: Time) {
-        let Mind::Real(real) = self else { return };
+        let DecisionModule::Real(real) = self else { return };
         real.gateway = gateway(world, now);
         real.timers.clear();
-        real.events = vec![Event::Fleet { seq: 0, scope: Scope::Cached, nodes: real.list.clone() }];
+        real.events = vec![Event::Fleet { seq: 0, scope: Scope::Cached, nodes: real.server_list.clone() }];
     }
 
-    pub fn has_news(&self, now: Time) -> bool {
+    pub fn has_pending_events(&self, now: Time) -> bool {
         match self {
-            Mind::Adversary => false,
-            Mind::Real(real) => !real.events.is_empty() || real.timers.iter().any(|(at, _)| *at <= now),
+            DecisionModule::Adversary => false,
+            DecisionModule::Real(real) => {
+                !real.events.is_empty() || real.timers.iter().any(|(expiry, _)| *expiry <= now)
+            }
         }
     }
 
-    /// Its turn: what it has to say.
-    pub fn batch(&mut self, now: Time) -> Vec<Input> {
-        let Mind::Real(real) = self else { return Vec::new() };
+    /// Passes the queued events and due timers to the module and returns its actions as inputs of the request table.
+    pub fn run_batch(&mut self, now: Time) -> Vec<Input> {
+        let DecisionModule::Real(real) = self else { return Vec::new() };
         let due: Vec<u64> = real.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
         real.timers.retain(|t| t.0 > now);
         real.events.extend(due.into_iter().map(|token| Event::Timer { token }));
         let (events, mut actions) = (std::mem::take(&mut real.events), Vec::new());
         real.gateway.handle(now, events, &mut actions);
-        let mut said = Vec::new();
+        let mut inputs = Vec::new();
         for action in actions {
-            said.push(match action {
+            inputs.push(match action {
                 Action::Send { id, server, attempt_deadline } => Input::Send { id, server, attempt_deadline },
                 Action::Reject { id, advice } => Input::Refuse { id, advice },
                 Action::Fail { id } => Input::Fail { id },
@@ -148,6 +150,6 @@
             });
         }
         real.timers.sort_unstable();
-        said
+        inputs
     }
 }
--- a/crates/testing/model-check/src/drains.rs
+++ b/crates/testing/model-check/src/drains.rs
@@ -1,16 +1,17 @@
-//! The world round a gateway's end: a request that becomes whole at any moment before and after the drain was told,
-//! with any time its settings allow, at servers that answer late or never. `lifecycle::Drain` itself is what
-//! is explored. Left out: several requests (they don't know of each other here) and the listener's queue, which is
-//! the system's.
+//! Model of a gateway's shutdown: a request that arrives completely at any moment before or after the start of the drain,
+//! with any timeout that the settings allow, at servers that answer late or never. The checker runs `lifecycle::drain::Drain`
+//! itself. Not modelled: several requests, which are independent of each other here, and the listener's accept queue,
+//! which belongs to the operating system.
 
 use lifecycle::drain::{Drain, ACCEPT_WINDOW, FINAL_MARGIN};
 use stateright::{Model, Property};
 
-const MS: u64 = 1_000_000;
-/// Longest times that settings allow.
-const LONGEST: [u64; 3] = [400 * MS, 2500 * MS, 4655 * MS];
-/// When a request may become whole, after the drain was told.
-const WHOLE: [u64; 6] = [0, 171 * MS, ACCEPT_WINDOW, 900 * MS, 2 * ACCEPT_WINDOW, 3000 * MS];
+const NS_PER_MS: u64 = 1_000_000;
+/// Values of the longest request timeout in the settings.
+const LONGEST_TIMEOUTS_NS: [u64; 3] = [400 * NS_PER_MS, 2500 * NS_PER_MS, 4655 * NS_PER_MS];
+/// Delays until the complete request arrives, counted from the start of the drain if there is one.
+const ARRIVAL_DELAYS_NS: [u64; 6] =
+    [0, 171 * NS_PER_MS, ACCEPT_WINDOW, 900 * NS_PER_MS, 2 * ACCEPT_WINDOW, 3000 * NS_PER_MS];
 
 #[derive(Clone)]
 pub struct Drains;
@@ -18,117 +19,118 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     now: u64,
-    longest: u64,
-    told: Option<u64>,
+    longest_timeout: u64,
+    drain_started_at: Option<u64>,
     drain: Option<Drain>,
-    /// When the request became whole, and when its answer is due.
-    whole: Option<(u64, u64)>,
+    /// Time at which the complete request arrived, and time at which its answer is due.
+    arrival: Option<(u64, u64)>,
     answered: bool,
     ended: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happens {
+pub enum ModelAction {
     Sigterm,
-    /// So long later a request is whole.
-    Whole(u64),
+    /// A complete request arrives after this time.
+    Arrive(u64),
     Answer,
-    /// The server keeps silent until the request's time is up.
-    TimeUp,
+    /// The server does not answer before the request times out.
+    TimeOut,
     End,
 }
 
-type Holds = fn(&Drains, &State) -> bool;
+type Predicate = fn(&Drains, &State) -> bool;
 
-/// Name, words, and whether it holds.
-pub const RULES: &[(&str, &str, Holds)] = &[
+/// The rules: name, description, and the predicate that must hold in every state.
+pub const RULES: &[(&str, &str, Predicate)] = &[
     (
         "no request in hand at the end",
-        "A gateway that ends holds no request that it took and has not answered.",
-        |_, s| !s.ended || s.answered || s.whole.is_none(),
+        "A gateway that ends has no accepted request that it has not answered.",
+        |_, s| !s.ended || s.answered || s.arrival.is_none(),
     ),
     (
         "the window has its whole time",
-        "A request that is whole before the drain, or in its window, is not cut short in its time.",
-        |_, s| match (s.whole, s.told) {
-            (Some((at, due)), Some(told)) if at <= told + ACCEPT_WINDOW => due == at + s.longest,
-            (Some((at, due)), None) => due == at + s.longest,
-            _ => true,
-        },
-    ),
-    (
-        "a gateway ends",
-        "A drain ends by the longest time that any request may wait, and the window.",
-        |_, s| match (s.drain, s.told) {
-            (Some(drain), Some(told)) if s.ended => {
-                drain.end() <= told + ACCEPT_WINDOW + s.longest + FINAL_MARGIN
+        "A request that is complete before the drain or within its accept window keeps its full timeout.",
+        |_, s| match (s.arrival, s.drain_started_at) {
+            (Some((arrived_at, due)), Some(started_at)) if arrived_at <= started_at + ACCEPT_WINDOW => {
+                due == arrived_at + s.longest_timeout
             }
+            (Some((arrived_at, due)), None) => due == arrived_at + s.longest_timeout,
             _ => true,
         },
     ),
+    ("a gateway ends", "A drain ends by the longest request timeout plus the accept window.", |_, s| match (
+        s.drain,
+        s.drain_started_at,
+    ) {
+        (Some(drain), Some(started_at)) if s.ended => {
+            drain.end() <= started_at + ACCEPT_WINDOW + s.longest_timeout + FINAL_MARGIN
+        }
+        _ => true,
+    }),
 ];
 
 impl Model for Drains {
     type State = State;
-    type Action = Happens;
+    type Action = ModelAction;
 
     fn init_states(&self) -> Vec<State> {
-        let state = |longest| State {
+        let state = |longest_timeout| State {
             now: 1,
-            longest,
-            told: None,
+            longest_timeout,
+            drain_started_at: None,
             drain: None,
-            whole: None,
+            arrival: None,
             answered: false,
             ended: false,
         };
-        LONGEST.into_iter().map(state).collect()
+        LONGEST_TIMEOUTS_NS.into_iter().map(state).collect()
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Happens>) {
+    fn actions(&self, s: &State, actions: &mut Vec<ModelAction>) {
         if s.ended {
             return;
         }
-        if s.told.is_none() {
-            actions.push(Happens::Sigterm);
+        if s.drain_started_at.is_none() {
+            actions.push(ModelAction::Sigterm);
         }
-        if s.whole.is_none() {
-            let late = |d: &u64| s.drain.is_none_or(|drain| s.now + d < drain.end());
-            actions.extend(WHOLE.into_iter().filter(late).map(Happens::Whole));
+        if s.arrival.is_none() {
+            let before_end = |delay: &u64| s.drain.is_none_or(|drain| s.now + delay < drain.end());
+            actions.extend(ARRIVAL_DELAYS_NS.into_iter().filter(before_end).map(ModelAction::Arrive));
         }
-        if s.whole.is_some() && !s.answered {
-            actions.push(Happens::Answer);
-            actions.push(Happens::TimeUp);
+        if s.arrival.is_some() && !s.answered {
+            actions.push(ModelAction::Answer);
+            actions.push(ModelAction::TimeOut);
         }
         if s.drain.is_some() {
-            actions.push(Happens::End);
+            actions.push(ModelAction::End);
         }
     }
 
-    fn next_state(&self, last: &State, action: Happens) -> Option<State> {
+    fn next_state(&self, last: &State, action: ModelAction) -> Option<State> {
         let mut s = last.clone();
         match action {
-            Happens::Sigterm => {
-                s.told = Some(s.now);
-                s.drain = Some(Drain::new(s.now, s.longest));
+            ModelAction::Sigterm => {
+                s.drain_started_at = Some(s.now);
+                s.drain = Some(Drain::new(s.now, s.longest_timeout));
             }
-            Happens::Whole(later) => {
-                s.now += later;
-                let wait = s.drain.map_or(s.longest, |drain| drain.wait(s.now, s.longest));
-                s.whole = Some((s.now, s.now + wait));
+            ModelAction::Arrive(delay) => {
+                s.now += delay;
+                let wait = s.drain.map_or(s.longest_timeout, |drain| drain.wait(s.now, s.longest_timeout));
+                s.arrival = Some((s.now, s.now + wait));
             }
-            Happens::Answer => s.answered = true,
-            // The engine answers what is due; the end may come first.
-            Happens::TimeUp => {
-                let (_, due) = s.whole?;
+            ModelAction::Answer => s.answered = true,
+            // The engine answers a request when it is due, unless the drain ends first.
+            ModelAction::TimeOut => {
+                let (_, due) = s.arrival?;
                 let before = s.drain.is_none_or(|drain| due < drain.end());
                 (s.now, s.answered) = (s.now.max(due), before);
                 s.ended = !before;
             }
-            // Once nothing is held; else not before its time.
-            Happens::End => {
-                let held = s.whole.is_some() && !s.answered;
-                if held && s.whole.is_some_and(|(_, due)| due < s.drain.map_or(0, |d| d.end())) {
+            // The gateway ends once no request is unanswered, else only if the answer is due after the end of the drain.
+            ModelAction::End => {
+                let unanswered = s.arrival.is_some() && !s.answered;
+                if unanswered && s.arrival.is_some_and(|(_, due)| due < s.drain.map_or(0, |d| d.end())) {
                     return None;
                 }
                 s.ended = true;
@@ -141,13 +143,15 @@
         RULES.iter().map(|(name, _, holds)| Property::always(name, *holds)).collect()
     }
 
-    fn format_action(&self, action: &Happens) -> String {
+    fn format_action(&self, action: &ModelAction) -> String {
         match action {
-            Happens::Sigterm => "the gateway is told to end".into(),
-            Happens::Whole(later) => format!("{} ms later a request is whole", later / MS),
-            Happens::Answer => "it is answered".into(),
-            Happens::TimeUp => "its time is up".into(),
-            Happens::End => "the gateway ends".into(),
+            ModelAction::Sigterm => "the gateway receives SIGTERM".into(),
+            ModelAction::Arrive(delay) => {
+                format!("a complete request arrives {} ms later", delay / NS_PER_MS)
+            }
+            ModelAction::Answer => "the request is answered".into(),
+            ModelAction::TimeOut => "the request times out".into(),
+            ModelAction::End => "the gateway ends".into(),
         }
     }
 }
--- a/crates/testing/model-check/src/main.rs
+++ b/crates/testing/model-check/src/main.rs
@@ -1,12 +1,13 @@
-//! Explores every reachable state of the life of a request, of a client's connection and of those to a backend.
+//! Model checker of the request table, of client connections, of backend connections and of the drain: explores
+//! every reachable state.
 //!
-//! Exit status: 0 if every rule holds in every state, 1 if one is broken (its shortest way there is printed as
-//! steps), 2 for a command line that won't do.
+//! Exit status: 0 if every rule holds in every state, 1 if a rule is broken (a shortest path to the violation is
+//! printed step by step), 2 for an invalid command line.
 #![forbid(unsafe_code)]
 
 mod clients;
+mod decision_module;
 mod drains;
-mod mind;
 mod rules;
 mod upstreams;
 mod world;
@@ -25,37 +26,37 @@
 #[derive(Parser)]
 #[command(name = "model-check", version, about)]
 struct Args {
-    /// Explore the whole worlds (three attempts) in place of the small ones (two)
+    /// Explore the whole worlds (three attempts) instead of the small ones (two)
     #[arg(long)]
     whole: bool,
-    /// Only the worlds whose names begin so
+    /// Explore only the worlds whose names start with this prefix
     #[arg(long, value_name = "NAME")]
     world: Option<String>,
     /// Print the result as one JSON object on the last line
     #[arg(long)]
     json: bool,
-    /// Plant a defect: the exploration must find it
+    /// Plant a defect, which the exploration must find
     #[arg(long, value_name = "NAME")]
     defect: Option<String>,
     /// Print the names of the defects that can be planted
     #[arg(long)]
     list_defects: bool,
-    /// Print the rules in words
+    /// Print the rules and their descriptions
     #[arg(long)]
     list_rules: bool,
-    /// Worlds explored at a time, 1 to 64; the result does not depend on it
+    /// Number of worlds explored in parallel, 1 to 64; does not affect the result
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u8).range(1..=64))]
     jobs: u8,
 }
 
-/// What was seen of a world.
+/// Result of the exploration of one world.
 #[derive(Serialize)]
-struct Seen {
+struct WorldReport {
     world: String,
     states: usize,
     transitions: usize,
     depth: usize,
-    /// Whether the depth was a limit, not the end of what there is.
+    /// Whether the depth was limited, so that not every reachable state was explored.
     bounded: bool,
     seconds: f64,
     properties: usize,
@@ -72,7 +73,7 @@
 struct Report<'a> {
     whole: bool,
     defect: Option<&'a str>,
-    worlds: Vec<Seen>,
+    worlds: Vec<WorldReport>,
     states: usize,
     transitions: usize,
     seconds: f64,
@@ -80,8 +81,9 @@
     ok: bool,
 }
 
-/// Explores by breadth on one thread, so that counts are the same at every run and a trace is a shortest one.
-fn explore<M>(name: &str, model: M, depth: Option<usize>) -> Seen
+/// Explores a model breadth-first on one thread, so that the counts are the same in every run and a trace is as short
+/// as possible.
+fn explore<M>(name: &str, model: M, depth: Option<usize>) -> WorldReport
 where
     M: Model + Clone + Send + Sync + 'static,
     M::State: Clone + Debug + Hash + PartialEq + Send + Sync + 'static,
@@ -97,20 +99,20 @@
         checker.spawn_bfs().join()
     };
     let mut checker = run(depth);
-    // The library looks at states by the block and keeps the last that breaks a rule: from the top once more,
-    // a step deeper each time, the first to be found is a shortest.
+    // The library checks states in blocks and keeps the last violation. To find a shortest trace, restart with an
+    // increasing depth limit until a violation is found.
     if checker.discoveries().values().next().is_some() {
         checker =
             (1..).map(|depth| run(Some(depth))).find(|c| !c.discoveries().is_empty()).unwrap_or(checker);
     }
-    let mut found: Vec<_> =
+    let mut violations: Vec<_> =
         checker.discoveries().into_iter().map(|(rule, path)| (rule, path.into_actions())).collect();
-    found.sort_by_key(|(rule, steps)| (steps.len(), *rule));
-    let broken = found.into_iter().next().map(|(rule, steps)| Trace {
+    violations.sort_by_key(|(rule, steps)| (steps.len(), *rule));
+    let broken = violations.into_iter().next().map(|(rule, steps)| Trace {
         rule: rule.to_string(),
         steps: steps.iter().map(|a| model.format_action(a)).collect(),
     });
-    Seen {
+    WorldReport {
         world: name.to_string(),
         states: checker.unique_state_count(),
         transitions: checker.state_count(),
@@ -122,14 +124,14 @@
     }
 }
 
-/// The most memory that this process has held, where the system tells.
+/// Returns the peak resident memory of this process, if the system reports it.
 fn peak_memory_mb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find(|l| l.starts_with("VmHWM:"))?;
     line.split_whitespace().nth(1)?.parse::<u64>().ok().map(|kb| kb / 1024)
 }
 
-type Job = (String, Box<dyn FnOnce(&str) -> Seen + Send>);
+type Job = (String, Box<dyn FnOnce(&str) -> WorldReport + Send>);
 
 fn jobs(args: &Args) -> Vec<Job> {
     let mut jobs: Vec<Job> = Vec::new();
@@ -143,8 +145,8 @@
     for (name, connections) in upstreams::worlds(args.whole) {
         jobs.push((name.into(), Box::new(move |name| explore(name, connections, None))));
     }
-    let theirs = |d: &defects::Defect| defects::active(*d);
-    if upstreams::DEFECTS.iter().any(theirs) {
+    let is_planted = |d: &defects::Defect| defects::active(*d);
+    if upstreams::DEFECTS.iter().any(is_planted) {
         jobs.retain(|(name, _)| name.starts_with("upstream"));
     }
     jobs.retain(|(name, _)| args.world.as_ref().is_none_or(|w| name.starts_with(w.as_str())));
@@ -154,63 +156,63 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     if args.list_defects {
-        defects::ALL.iter().for_each(|(_, name, what)| println!("{name:26} {what}"));
+        defects::ALL.iter().for_each(|(_, name, description)| println!("{name:26} {description}"));
         return ExitCode::SUCCESS;
     }
     if args.list_rules {
-        rules::RULES.iter().for_each(|r| println!("{:36} {}", r.name, r.words));
-        clients::RULES.iter().for_each(|(name, words, _)| println!("{name:36} {words}"));
-        drains::RULES.iter().for_each(|(name, words, _)| println!("{name:36} {words}"));
-        upstreams::RULES.iter().for_each(|(name, words, _)| println!("{name:36} {words}"));
+        rules::RULES.iter().for_each(|r| println!("{:36} {}", r.name, r.description));
+        clients::RULES.iter().for_each(|(name, description, _)| println!("{name:36} {description}"));
+        drains::RULES.iter().for_each(|(name, description, _)| println!("{name:36} {description}"));
+        upstreams::RULES.iter().for_each(|(name, description, _)| println!("{name:36} {description}"));
         return ExitCode::SUCCESS;
     }
-    if let Some(wanted) = &args.defect {
-        let Some((defect, ..)) = defects::ALL.iter().find(|(_, name, _)| name == wanted) else {
-            eprintln!("model-check: no defect is named {wanted:?}; --list-defects prints the names");
+    if let Some(defect_name) = &args.defect {
+        let Some((defect, ..)) = defects::ALL.iter().find(|(_, name, _)| name == defect_name) else {
+            eprintln!("model-check: no defect is named {defect_name:?}; --list-defects prints the names");
             return ExitCode::from(2);
         };
         defects::plant(Some(*defect));
     }
-    let todo = jobs(&args);
-    if todo.is_empty() {
-        eprintln!("model-check: no world's name begins with {:?}", args.world.unwrap_or_default());
+    let pending_jobs = jobs(&args);
+    if pending_jobs.is_empty() {
+        eprintln!("model-check: no world's name starts with {:?}", args.world.unwrap_or_default());
         return ExitCode::from(2);
     }
     let started = Instant::now();
-    let order: Vec<String> = todo.iter().map(|(name, _)| name.clone()).collect();
-    let defect = args.defect.is_some();
-    // In order then, so that the first world that shows it is the same at every run.
-    let jobs = if defect { 1 } else { args.jobs };
-    let queue = Mutex::new(todo.into_iter());
-    let seen = Mutex::new(Vec::new());
+    let order: Vec<String> = pending_jobs.iter().map(|(name, _)| name.clone()).collect();
+    let has_defect = args.defect.is_some();
+    // With a defect, explore in order, so that the first world that shows it is the same in every run.
+    let jobs = if has_defect { 1 } else { args.jobs };
+    let queue = Mutex::new(pending_jobs.into_iter());
+    let results = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| loop {
                 let job = queue.lock().expect("not poisoned").next();
                 let Some((name, run)) = job else { return };
                 let result = run(&name);
-                let mut seen = seen.lock().expect("not poisoned");
-                seen.push(result);
-                // A planted defect is to be found once.
-                if defect && seen.iter().any(|s: &Seen| s.broken.is_some()) {
+                let mut results = results.lock().expect("not poisoned");
+                results.push(result);
+                // It is enough to find a planted defect once.
+                if has_defect && results.iter().any(|s: &WorldReport| s.broken.is_some()) {
                     return;
                 }
             });
         }
     });
-    let mut worlds = seen.into_inner().expect("not poisoned");
+    let mut worlds = results.into_inner().expect("not poisoned");
     worlds.sort_by_key(|s| order.iter().position(|name| *name == s.world));
     for s in &worlds {
-        let end = if s.bounded { "deep at most" } else { "deep, to the last state" };
+        let extent = if s.bounded { "deep at most" } else { "deep, to the last state" };
         println!(
-            "{:12} {:9} states, {:9} transitions, {:3} {end}, {} properties, {:.1} s",
+            "{:12} {:9} states, {:9} transitions, {:3} {extent}, {} properties, {:.1} s",
             s.world, s.states, s.transitions, s.depth, s.properties, s.seconds
         );
     }
-    // The shortest way to a broken rule, over all worlds.
+    // The shortest trace to a broken rule in any world.
     let broken = worlds.iter().filter_map(|s| Some((s, s.broken.as_ref()?)));
-    if let Some((seen, trace)) = broken.min_by_key(|(_, t)| t.steps.len()) {
-        println!("\nBROKEN in {}: {}", seen.world, trace.rule);
+    if let Some((result, trace)) = broken.min_by_key(|(_, t)| t.steps.len()) {
+        println!("\nBROKEN in {}: {}", result.world, trace.rule);
         trace.steps.iter().enumerate().for_each(|(n, step)| println!("{:3}. {step}", n + 1));
     }
     let ok = worlds.iter().all(|s| s.broken.is_none());
--- a/crates/testing/model-check/src/rules.rs
+++ b/crates/testing/model-check/src/rules.rs
@@ -1,169 +1,169 @@
-//! The rules, each a named function with its words beside it. What a transition broke is noted by whoever saw
-//! it happen (`Broken`); what a state shows is read off the state.
+//! The rules of the request table, each a named predicate with a description. Violations that only a transition shows are
+//! recorded by the model as `Violation`; the others are read from the state.
 
-use crate::world::{Asked, State, World, DEADLINE, GRACE};
+use crate::world::{ClientState, State, World, DEADLINE, GRACE};
 use lifecycle::Input;
 use stateright::Property;
 
-/// What can be seen only while it happens.
+/// A violation that is visible only during a transition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Broken {
+pub enum Violation {
     SecondAnswer,
     AnswerAfterLeave,
     UnsafeRepeat,
     KeyedRepeat,
-    RefusedThoughRun,
+    RefusedAfterExecution,
     WrittenAfterDrain,
-    OutAfterAnswer,
-    OutAfterStop,
+    ActiveAfterAnswer,
+    WrittenAfterAbort,
     ForeignAnswer,
-    Unmeaning,
-    GuardEarly,
-    GoodLost,
-    ToldTwice,
-    HeldTwice,
-    GoneTwice,
+    UnexpectedError,
+    OverdueTooEarly,
+    GoodAnswerLost,
+    EndNotReportedOnce,
+    DuplicateId,
+    RepeatedDepartureReport,
     WrittenTwice,
 }
 
-/// A rule: its name, its words, and whether it holds.
+/// A rule: its name, its description, and the predicate that must hold in every state.
 pub struct Rule {
     pub name: &'static str,
-    pub words: &'static str,
+    pub description: &'static str,
     pub holds: fn(&World, &State) -> bool,
 }
 
 macro_rules! never {
-    ($broken:ident) => {
-        |_, s| !s.broke(Broken::$broken)
+    ($violation:ident) => {
+        |_, s| !s.has_violation(Violation::$violation)
     };
 }
 
 pub const RULES: &[Rule] = &[
     Rule {
         name: "one final answer",
-        words: "A request gets one final answer, and no second.",
+        description: "A request receives at most one final answer.",
         holds: never!(SecondAnswer),
     },
     Rule {
         name: "none after the leave",
-        words: "Nobody is answered who has left.",
+        description: "A client that has disconnected receives no answer.",
         holds: never!(AnswerAfterLeave),
     },
     Rule {
         name: "one attempt out",
-        words: "Two attempts of one request are never out at once.",
+        description: "Two attempts of one request are never in flight at the same time.",
         holds: |_, s| s.attempts.iter().all(|a| s.attempts.iter().filter(|b| b.id == a.id).count() == 1),
     },
     Rule {
         name: "at most three attempts",
-        words: "No request has more attempts than its limit.",
-        holds: |w, s| s.asked.iter().all(|a| a.attempts <= w.most_attempts),
+        description: "No request has more attempts than its limit.",
+        holds: |w, s| s.requests.iter().all(|a| a.attempts <= w.attempt_limit),
     },
     Rule {
         name: "no unsafe repeat",
-        words: "What must not run twice is not written again once it may have run.",
+        description: "A request that must not run twice is not written again once it may have run.",
         holds: never!(UnsafeRepeat),
     },
     Rule {
         name: "a spent body is not written again",
-        words: "A request whose body is passed on as it comes is written at most once.",
+        description: "A request with a streamed body is written at most once.",
         holds: never!(WrittenTwice),
     },
     Rule {
         name: "keyed repeat in group and window",
-        words: "A keyed request that may have run is written again only where its key is known, and only while it is.",
+        description: "A keyed request that may have run is written again only to servers that know its key, and only as long as they do.",
         holds: never!(KeyedRepeat),
     },
     Rule {
         name: "refusal only if nothing ran",
-        words: "A refusal is given only if no attempt can have run or can yet.",
-        holds: never!(RefusedThoughRun),
+        description: "A request is refused only if no attempt can have run or can still run.",
+        holds: never!(RefusedAfterExecution),
     },
     Rule {
         name: "drains kept",
-        words: "No attempt begins to write to a server once it was told to be draining, gone or elsewhere.",
+        description: "No attempt starts to write to a server that the list shows as draining, removed or at another address.",
         holds: never!(WrittenAfterDrain),
     },
     Rule {
         name: "nothing out after the answer",
-        words: "Behind its final answer, or its client's leave, a request begins no attempt and no write.",
-        holds: never!(OutAfterAnswer),
+        description: "After its final answer or its client's departure, a request starts no attempt and no write.",
+        holds: never!(ActiveAfterAnswer),
     },
     Rule {
         name: "a stopped attempt stays silent",
-        words: "An attempt that was told to stop gets no leave to write.",
-        holds: never!(OutAfterStop),
+        description: "An aborted attempt is not allowed to write.",
+        holds: never!(WrittenAfterAbort),
     },
     Rule {
         name: "what is over is stopped",
-        words: "An attempt still out behind the final answer has been told to stop; so has one whose client left before it was whole.",
+        description: "An attempt still in flight after the final answer has been aborted; so has one that was not fully written when its client left.",
         holds: |_, s| {
-            s.attempts.iter().all(|a| match s.asked[a.arrival].end {
-                Asked::Waits => true,
-                Asked::Answered => a.stopped || a.streams,
-                Asked::Left => a.stopped || a.whole_at_leave,
+            s.attempts.iter().all(|a| match s.requests[a.arrival].client_state {
+                ClientState::Waiting => true,
+                ClientState::Answered => a.aborted || a.is_streaming,
+                ClientState::Left => a.aborted || a.fully_written_at_departure,
             })
         },
     },
     Rule {
         name: "answered by the deadline",
-        words: "Whatever happens or does not, who waits is answered by the deadline and its grace.",
+        description: "A waiting client is always answered by the deadline plus the grace period.",
         holds: |w, s| {
-            let late = s.ticked && s.now >= w.time(DEADLINE + GRACE);
-            !late || s.asked.iter().all(|a| a.end != Asked::Waits || s.now < a.deadline + w.time(GRACE))
+            let late = s.timers_checked && s.now >= w.time(DEADLINE + GRACE);
+            !late || s.requests.iter().all(|a| a.client_state != ClientState::Waiting || s.now < a.deadline + w.time(GRACE))
         },
     },
     Rule {
         name: "the guard is not early",
-        words: "The overdue guard answers nobody before the deadline and its grace.",
-        holds: never!(GuardEarly),
+        description: "The overdue guard answers no request before its deadline plus the grace period.",
+        holds: never!(OverdueTooEarly),
     },
     Rule {
         name: "answers go where they belong",
-        words: "A server's answer goes to the request whose attempt brought it, also if its id came again since.",
+        description: "A server's answer goes to the request of its attempt, even if the id has been reused since.",
         holds: never!(ForeignAnswer),
     },
     Rule {
         name: "a good answer is not lost",
-        words: "A whole good answer reaches the client if it still waits.",
-        holds: never!(GoodLost),
+        description: "A complete good answer reaches the client if it is still waiting.",
+        holds: never!(GoodAnswerLost),
     },
     Rule {
         name: "each end told once",
-        words: "The module hears the end of every attempt once.",
-        holds: never!(ToldTwice),
+        description: "The end of every attempt is reported to the module exactly once.",
+        holds: never!(EndNotReportedOnce),
     },
     Rule {
         name: "each leave told once",
-        words: "The module hears of a client's going once, and not of one that was answered before.",
-        holds: never!(GoneTwice),
+        description: "A client's departure is reported to the module once, and not after it was answered.",
+        holds: never!(RepeatedDepartureReport),
     },
     Rule {
         name: "an id is held once",
-        words: "A request is turned away while the life of another with its id is not over.",
-        holds: never!(HeldTwice),
+        description: "A request is rejected while another request with its id is in the table.",
+        holds: never!(DuplicateId),
     },
     Rule {
         name: "tables empty when all is over",
-        words: "When nobody waits and nothing is out, no table holds anything.",
+        description: "When no client is waiting and no attempt is in flight, the tables are empty.",
         holds: |_, s| {
-            let over = s.attempts.is_empty() && s.asked.iter().all(|a| a.end != Asked::Waits);
-            !over || s.lives.is_empty()
+            let over = s.attempts.is_empty() && s.requests.iter().all(|a| a.client_state != ClientState::Waiting);
+            !over || s.request_table.is_empty()
         },
     },
     Rule {
         name: "what happens has a meaning",
-        words: "Nothing that fronts, servers and clients can do is an error to the machine.",
-        holds: never!(Unmeaning),
+        description: "No input that front ends, servers and clients can cause is an error of the request table.",
+        holds: never!(UnexpectedError),
     },
     Rule {
         name: "nonsense changes nothing",
-        words: "An attempt's word that can't be is a typed error, and nothing has changed.",
+        description: "An impossible report of an attempt returns a typed error and changes nothing.",
         holds: |_, s| {
             let id = 1;
-            // No attempt has so high a number.
+            // Higher than any attempt number in the model.
             let number = 50;
             [
                 Input::Connected { id, attempt: number },
@@ -177,8 +177,8 @@
             ]
             .into_iter()
             .all(|input| {
-                let (mut lives, mut orders) = (s.lives.clone(), Vec::new());
-                lives.handle(s.now, input, &mut orders).is_err() && orders.is_empty() && lives == s.lives
+                let (mut request_table, mut commands) = (s.request_table.clone(), Vec::new());
+                request_table.handle(s.now, input, &mut commands).is_err() && commands.is_empty() && request_table == s.request_table
             })
         },
     },
--- a/crates/testing/model-check/src/upstreams.rs
+++ b/crates/testing/model-check/src/upstreams.rs
@@ -1,8 +1,8 @@
-//! The world round kept connections to one backend: whose the bytes on them are, what has run and what was sent twice. The
-//! backend may begin a request with its head, go on after a reset, answer twice, the second time late, refuse without an
-//! id, and reset or fall silent at any point; the decision module says anything at any time.
-//! `lifecycle::Upstream` and `Lives` themselves are what is explored. Times, drains, keyed requests and leaves are
-//! the other worlds'.
+//! Model of the persistent connections to one backend: which attempt an answer belongs to, what has run and what was sent
+//! twice. The backend may execute a request on its head alone, continue after a reset, answer twice (the second time
+//! late), reject without an id, and reset or stop answering at any point; the decision module may order anything at any
+//! time. The checker runs `lifecycle::Upstream` and `lifecycle::RequestTable` themselves. Time, drains, keyed requests
+//! and clients that disconnect are covered by the other models.
 
 use interface::{Effect, Ending, Group, RequestId};
 use lifecycle::defects::Defect;
@@ -12,249 +12,272 @@
 };
 use stateright::{Model, Property};
 
-/// A request's head and body are so long.
-const HEAD: usize = 1;
-const BODY: usize = 1;
-/// Of each request at the most.
-const ATTEMPTS: u32 = 2;
+// Lengths of a request's head and body; one unit is written at a time.
+const HEAD_LEN: usize = 1;
+const BODY_LEN: usize = 1;
+/// Maximum number of attempts per request.
+const MAX_ATTEMPTS: u32 = 2;
 
 #[derive(Clone)]
 pub struct Upstreams {
-    /// What a second run of each request does; they come in this order.
+    /// Effect of a second execution of each request, in the order of arrival.
     pub effects: Vec<Effect>,
-    pub resets: u8,
-    pub doubles: u8,
+    pub resets_left: u8,
+    pub duplicates_left: u8,
 }
 
-/// Which attempt of which request (a place in `asked`) something belongs to.
-type Whose = (usize, u32);
+/// An attempt: index of its request in `requests`, and number of the attempt.
+type AttemptKey = (usize, u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Answer {
-    OfRun(Whose),
-    TurnedAway { whose: Whose, named: bool },
+    Executed(AttemptKey),
+    Rejected { attempt_key: AttemptKey, has_id: bool },
 }
 
 impl Answer {
-    fn whose(self) -> Whose {
+    fn attempt_key(self) -> AttemptKey {
         match self {
-            Answer::OfRun(whose) | Answer::TurnedAway { whose, .. } => whose,
+            Answer::Executed(attempt_key) | Answer::Rejected { attempt_key, .. } => attempt_key,
         }
     }
 }
 
-/// A connection, at both ends.
+/// A connection, as seen from both ends.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Line {
-    up: Upstream,
-    /// What the gateway awaits on it, and how much of that is written.
-    out: Option<Whose>,
-    sent: usize,
-    /// What the backend has of it to work on, and what it has sent last.
-    has: Option<Whose>,
-    /// Whether it has begun what the gateway awaits.
-    begun: bool,
-    latest: Option<Answer>,
-    /// On their way to the gateway.
-    flight: Vec<Answer>,
-    reset: bool,
+struct BackendConnection {
+    upstream: Upstream,
+    /// Attempt whose answer the gateway is waiting for, and how much of its request is written.
+    current_attempt: Option<AttemptKey>,
+    written: usize,
+    /// Attempt that the backend has received and neither started nor rejected.
+    pending_execution: Option<AttemptKey>,
+    /// Whether the backend has started to execute the gateway's current attempt.
+    execution_started: bool,
+    /// The backend's latest answer.
+    latest_answer: Option<Answer>,
+    /// Answers in transit to the gateway.
+    answers_in_transit: Vec<Answer>,
+    is_reset: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum End {
-    Waits,
+    Waiting,
     Refused,
-    Over,
+    Finished,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Asked {
+struct RequestRecord {
     end: End,
-    runs: u8,
-    /// Whether it must not run twice.
-    once: bool,
-    /// The connections that its attempts went out on.
-    earlier: Vec<u64>,
+    run_count: u8,
+    /// Whether the request must not run twice.
+    is_unsafe: bool,
+    /// Connections used by its attempts.
+    used_connections: Vec<u64>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Broken {
-    wrong_caller: bool,
-    ran_twice: bool,
-    refused_though_run: bool,
-    behind_surplus: bool,
-    unmeaning: bool,
+struct Violations {
+    foreign_answer_accepted: bool,
+    executed_twice: bool,
+    refused_after_execution: bool,
+    written_after_surplus: bool,
+    unexpected_error: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    lives: RequestTable,
-    asked: Vec<Asked>,
-    lines: Vec<Line>,
-    resets: u8,
-    doubles: u8,
-    broken: Broken,
+    request_table: RequestTable,
+    requests: Vec<RequestRecord>,
+    connections: Vec<BackendConnection>,
+    resets_left: u8,
+    duplicates_left: u8,
+    violations: Violations,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Happens {
+pub enum ModelAction {
     Arrive,
     Send(RequestId),
     Refuse(RequestId),
     Write(usize),
-    Begin(usize),
+    StartExecution(usize),
     Answer(usize),
-    TurnAway(usize, bool),
-    Double(usize),
+    Reject(usize, bool),
+    DuplicateAnswer(usize),
     Reset(usize),
-    Silence(usize),
+    TimeOut(usize),
     Read(usize),
 }
 
-type Holds = fn(&Upstreams, &State) -> bool;
+type Predicate = fn(&Upstreams, &State) -> bool;
 
-/// Name, words, and whether it holds.
-pub const RULES: &[(&str, &str, Holds)] = &[
+/// The rules: name, description, and the predicate that must hold in every state.
+pub const RULES: &[(&str, &str, Predicate)] = &[
     (
         "an answer is the attempt's that waits",
-        "What is taken for an attempt's answer was sent for that attempt, and for no earlier one and no other request.",
-        |_, s| !s.broken.wrong_caller,
+        "An answer accepted for an attempt was sent for that attempt, not for an earlier one or another request.",
+        |_, s| !s.violations.foreign_answer_accepted,
     ),
     (
         "what must not run twice does not",
-        "A backend begins a request that must not run twice once at the most, also behind a reset or a silence.",
-        |_, s| !s.broken.ran_twice,
+        "A backend starts a request that must not run twice at most once, even after a reset or a timeout.",
+        |_, s| !s.violations.executed_twice,
     ),
     (
         "what is refused does not run",
-        "A request that must not run twice and is refused has not been begun by a backend, and never is.",
-        |_, s| !s.broken.refused_though_run,
+        "A request that must not run twice and is refused has not been started by a backend, and never will be.",
+        |_, s| !s.violations.refused_after_execution,
     ),
     (
         "nothing goes out behind surplus bytes",
-        "No request goes out on a connection on which bytes wait that belong to none.",
-        |_, s| !s.broken.behind_surplus,
+        "No request is written to a connection with unread bytes that belong to no request.",
+        |_, s| !s.violations.written_after_surplus,
     ),
     (
         "what happens to connections has a meaning",
-        "Nothing that a backend can do to a connection is an error to the machine.",
-        |_, s| !s.broken.unmeaning,
+        "No input that a backend can cause on a connection is an error of the request table.",
+        |_, s| !s.violations.unexpected_error,
     ),
 ];
 
 impl State {
-    /// Hands the machine an input and carries out what it orders.
+    /// Passes an input to the request table and executes its commands.
     fn handle(&mut self, input: Input) {
-        let mut orders = Vec::new();
-        self.broken.unmeaning |= self.lives.handle(0, input, &mut orders).is_err();
-        for order in orders {
-            match order {
+        let mut commands = Vec::new();
+        self.violations.unexpected_error |= self.request_table.handle(0, input, &mut commands).is_err();
+        for command in commands {
+            match command {
                 Command::Start { id, attempt, .. } => self.handle(Input::Connected { id, attempt }),
-                Command::Write { id, attempt } => self.put(id, attempt),
+                Command::Write { id, attempt } => self.assign_connection(id, attempt),
                 Command::Withhold { id, attempt } => {
-                    self.ended(id, attempt, Ending::Unreachable, Reply::None)
+                    self.end_attempt(id, attempt, Ending::Unreachable, Reply::None)
                 }
                 Command::Abort { id, attempt } => {
-                    let out = Some((place(id), attempt));
-                    if let Some(line) = self.lines.iter_mut().find(|l| l.out == out) {
-                        line.out = None;
-                        line.up.end_exchange(0, false);
+                    let attempt_to_abort = Some((request_index(id), attempt));
+                    if let Some(connection) =
+                        self.connections.iter_mut().find(|c| c.current_attempt == attempt_to_abort)
+                    {
+                        connection.current_attempt = None;
+                        connection.upstream.end_exchange(0, false);
                     }
-                    self.ended(id, attempt, Ending::Cancelled, Reply::None);
+                    self.end_attempt(id, attempt, Ending::Cancelled, Reply::None);
                 }
                 Command::Answer { id, answer, .. } => {
-                    let asked = &mut self.asked[place(id)];
+                    let request = &mut self.requests[request_index(id)];
                     let refused = matches!(answer, FinalAnswer::Refused { .. });
-                    asked.end = if refused { End::Refused } else { End::Over };
-                    self.broken.refused_though_run |= refused && asked.once && asked.runs > 0;
+                    request.end = if refused { End::Refused } else { End::Finished };
+                    self.violations.refused_after_execution |=
+                        refused && request.is_unsafe && request.run_count > 0;
                 }
                 Command::Streamed { .. } | Command::NotifyModule(_) => {}
             }
         }
     }
 
-    fn ended(&mut self, id: RequestId, attempt: u32, ending: Ending, reply: Reply) {
+    fn end_attempt(&mut self, id: RequestId, attempt: u32, ending: Ending, reply: Reply) {
         self.handle(Input::AttemptEnded { id, attempt, ending, reply });
     }
 
-    /// An attempt with the leave to write goes out on a connection, as `granite-stage` picks it.
-    fn put(&mut self, id: RequestId, attempt: u32) {
-        let once = self.asked[place(id)].once;
-        let earlier = self.asked[place(id)].earlier.clone();
-        for line in self.lines.iter_mut().filter(|l| l.up.idle_time(0).is_some()) {
-            if line.reset || !line.flight.is_empty() {
-                line.up.on_unexpected_bytes();
+    /// Assigns an attempt that may write to a connection, selected as `granite-stage` does.
+    fn assign_connection(&mut self, id: RequestId, attempt: u32) {
+        let is_unsafe = self.requests[request_index(id)].is_unsafe;
+        let used_connections = self.requests[request_index(id)].used_connections.clone();
+        for connection in self.connections.iter_mut().filter(|c| c.upstream.idle_time(0).is_some()) {
+            if connection.is_reset || !connection.answers_in_transit.is_empty() {
+                connection.upstream.on_unexpected_bytes();
             }
         }
-        let kept = self.lines.iter().rposition(|l| l.up.may_carry(once, &earlier));
-        let n = kept.unwrap_or_else(|| {
-            let up = Upstream::new(self.lines.len() as u64, 0);
-            let (flight, reset) = (Vec::new(), false);
-            self.lines.push(Line {
-                up,
-                out: None,
-                sent: 0,
-                has: None,
-                begun: false,
-                latest: None,
-                flight,
-                reset,
+        let reusable =
+            self.connections.iter().rposition(|c| c.upstream.may_carry(is_unsafe, &used_connections));
+        let n = reusable.unwrap_or_else(|| {
+            let upstream = Upstream::new(self.connections.len() as u64, 0);
+            let (answers_in_transit, is_reset) = (Vec::new(), false);
+            self.connections.push(BackendConnection {
+                upstream,
+                current_attempt: None,
+                written: 0,
+                pending_execution: None,
+                execution_started: false,
+                latest_answer: None,
+                answers_in_transit,
+                is_reset,
             });
-            self.lines.len() - 1
+            self.connections.len() - 1
         });
-        let line = &mut self.lines[n];
-        self.broken.behind_surplus |= !line.flight.is_empty();
-        line.up.begin_exchange();
-        (line.out, line.sent, line.has, line.begun) = (Some((place(id), attempt)), 0, None, false);
-        self.asked[place(id)].earlier.push(line.up.number());
+        let connection = &mut self.connections[n];
+        self.violations.written_after_surplus |= !connection.answers_in_transit.is_empty();
+        connection.upstream.begin_exchange();
+        (
+            connection.current_attempt,
+            connection.written,
+            connection.pending_execution,
+            connection.execution_started,
+        ) = (Some((request_index(id), attempt)), 0, None, false);
+        self.requests[request_index(id)].used_connections.push(connection.upstream.number());
     }
 
-    /// Of a closed connection only what its backend may still begin is of any meaning.
-    fn forget_what_is_over(&mut self) {
-        for line in self.lines.iter_mut().filter(|l| l.up.is_closed()) {
-            (line.out, line.sent, line.begun, line.latest, line.reset) = (None, 0, false, None, false);
-            line.flight.clear();
+    /// Clears the state of closed connections, except for what the backend may still start.
+    fn clear_closed_connections(&mut self) {
+        for connection in self.connections.iter_mut().filter(|c| c.upstream.is_closed()) {
+            (
+                connection.current_attempt,
+                connection.written,
+                connection.execution_started,
+                connection.latest_answer,
+                connection.is_reset,
+            ) = (None, 0, false, None, false);
+            connection.answers_in_transit.clear();
         }
     }
 
-    /// The exchange on a connection ends without an answer of its own.
-    fn lost(&mut self, n: usize, ending: Ending) {
-        let line = &mut self.lines[n];
-        let Some((asked, attempt)) = line.out.take() else { return line.up.on_unexpected_bytes() };
-        let may_have_run = line.sent >= ExecutionStart::FullHead.byte_count(HEAD, Some(BODY));
-        line.up.end_exchange(0, false);
+    /// Ends the exchange on a connection that brought no answer of its own.
+    fn end_without_answer(&mut self, n: usize, ending: Ending) {
+        let connection = &mut self.connections[n];
+        let Some((request, attempt)) = connection.current_attempt.take() else {
+            return connection.upstream.on_unexpected_bytes();
+        };
+        let may_have_run =
+            connection.written >= ExecutionStart::FullHead.byte_count(HEAD_LEN, Some(BODY_LEN));
+        connection.upstream.end_exchange(0, false);
         let ending = if may_have_run { ending } else { Ending::Unreachable };
-        self.ended(id(asked), attempt, ending, Reply::None);
+        self.end_attempt(id(request), attempt, ending, Reply::None);
     }
 
     fn read(&mut self, n: usize) {
-        let line = &mut self.lines[n];
-        let (Some(out), answer) = (line.out, line.flight.remove(0)) else { return };
+        let connection = &mut self.connections[n];
+        let (Some(current_attempt), answer) =
+            (connection.current_attempt, connection.answers_in_transit.remove(0))
+        else {
+            return;
+        };
         let echo = match answer {
-            Answer::TurnedAway { named: false, .. } => Echo::Missing { is_rejection: true },
-            answer if answer.whose().0 == out.0 => Echo::Same,
+            Answer::Rejected { has_id: false, .. } => Echo::Missing { is_rejection: true },
+            answer if answer.attempt_key().0 == current_attempt.0 => Echo::Same,
             _ => Echo::Other,
         };
-        if !line.up.is_answer(echo) {
-            return self.lost(n, Ending::Unreadable);
+        if !connection.upstream.is_answer(echo) {
+            return self.end_without_answer(n, Ending::Unreadable);
         }
-        // A refusal without an id may be another's where it does no harm.
-        let harmless = echo != Echo::Same && !self.asked[out.0].once;
-        self.broken.wrong_caller |= answer.whose() != out && !harmless;
-        line.out = None;
-        line.up.end_exchange(0, line.sent == HEAD + BODY);
-        if line.up.idle_time(0).is_some() && !line.flight.is_empty() {
-            line.up.on_unexpected_bytes();
+        // Accepting another attempt's rejection without an id is harmless if the request may run twice.
+        let harmless = echo != Echo::Same && !self.requests[current_attempt.0].is_unsafe;
+        self.violations.foreign_answer_accepted |= answer.attempt_key() != current_attempt && !harmless;
+        connection.current_attempt = None;
+        connection.upstream.end_exchange(0, connection.written == HEAD_LEN + BODY_LEN);
+        if connection.upstream.idle_time(0).is_some() && !connection.answers_in_transit.is_empty() {
+            connection.upstream.on_unexpected_bytes();
         }
         let (ending, reply) = match answer {
-            Answer::OfRun(_) => (Ending::Success, Reply::Good),
-            Answer::TurnedAway { .. } => (Ending::Overloaded, Reply::None),
+            Answer::Executed(_) => (Ending::Success, Reply::Good),
+            Answer::Rejected { .. } => (Ending::Overloaded, Reply::None),
         };
-        self.ended(id(out.0), out.1, ending, reply);
+        self.end_attempt(id(current_attempt.0), current_attempt.1, ending, reply);
     }
 }
 
-/// The defects that show in these worlds and in no other.
+/// The defects that are found only in these worlds.
 pub const DEFECTS: [Defect; 5] = [
     Defect::HeadTakenForProof,
     Defect::EchoIgnored,
@@ -263,104 +286,115 @@
     Defect::SameConnectionAgain,
 ];
 
-/// Worlds with their names, small for CI and whole.
-pub fn worlds(whole: bool) -> Vec<(&'static str, Upstreams)> {
-    let world = |name, second, resets, doubles| {
-        (name, Upstreams { effects: vec![Effect::Unsafe, second], resets, doubles })
+/// Returns the worlds with their names: small ones for CI, or additionally the whole ones.
+pub fn worlds(is_whole: bool) -> Vec<(&'static str, Upstreams)> {
+    let world = |name, second_effect, resets_left, duplicates_left| {
+        (name, Upstreams { effects: vec![Effect::Unsafe, second_effect], resets_left, duplicates_left })
     };
-    // Two answers and a reset by themselves; together they are the whole worlds.
+    // The small worlds have either a duplicate answer or a reset; the whole worlds have both.
     let mut worlds =
         vec![world("upstream-double", Effect::Unsafe, 0, 1), world("upstream-reset", Effect::Safe, 1, 0)];
-    if whole {
+    if is_whole {
         worlds.push(world("upstream-safe", Effect::Safe, 1, 1));
         worlds.push(world("upstream-unsafe", Effect::Unsafe, 1, 1));
     }
     worlds
 }
 
-fn place(id: RequestId) -> usize {
+fn request_index(id: RequestId) -> usize {
     id as usize - 1
 }
 
-fn id(place: usize) -> RequestId {
-    place as RequestId + 1
+fn id(request_index: usize) -> RequestId {
+    request_index as RequestId + 1
 }
 
 impl Model for Upstreams {
     type State = State;
-    type Action = Happens;
+    type Action = ModelAction;
 
     fn init_states(&self) -> Vec<State> {
-        let mut lives = RequestTable::new(Limits { max_attempts: ATTEMPTS, grace: 1, key_margin: 0 });
-        let place = Some(([127, 0, 0, 1], 9000).into());
-        let servers =
-            vec![ListedServer { name: "s-1".into(), zone: 0, cell: 0, address: place, is_removed: false }];
-        lives
+        let mut request_table =
+            RequestTable::new(Limits { max_attempts: MAX_ATTEMPTS, grace: 1, key_margin: 0 });
+        let backend_address = Some(([127, 0, 0, 1], 9000).into());
+        let servers = vec![ListedServer {
+            name: "s-1".into(),
+            zone: 0,
+            cell: 0,
+            address: backend_address,
+            is_removed: false,
+        }];
+        request_table
             .handle(0, Input::ServerList { is_full: true, servers }, &mut Vec::new())
-            .expect("a list has a meaning");
-        let (resets, doubles) = (self.resets, self.doubles);
-        let (asked, lines, broken) = Default::default();
-        vec![State { lives, asked, lines, resets, doubles, broken }]
+            .expect("a valid server list");
+        let (resets_left, duplicates_left) = (self.resets_left, self.duplicates_left);
+        let (requests, connections, violations) = Default::default();
+        vec![State { request_table, requests, connections, resets_left, duplicates_left, violations }]
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Happens>) {
-        use Happens::*;
-        if s.asked.len() < self.effects.len() {
+    fn actions(&self, s: &State, actions: &mut Vec<ModelAction>) {
+        use ModelAction::*;
+        if s.requests.len() < self.effects.len() {
             actions.push(Arrive);
         }
-        for (n, a) in s.asked.iter().enumerate().filter(|(_, a)| a.end == End::Waits) {
-            let out = s.lines.iter().any(|l| l.out.is_some_and(|(asked, _)| asked == n));
-            if !out && a.earlier.len() < ATTEMPTS as usize {
+        for (n, a) in s.requests.iter().enumerate().filter(|(_, a)| a.end == End::Waiting) {
+            let in_flight =
+                s.connections.iter().any(|c| c.current_attempt.is_some_and(|(request, _)| request == n));
+            if !in_flight && a.used_connections.len() < MAX_ATTEMPTS as usize {
                 actions.push(Send(id(n)));
             }
             actions.push(Refuse(id(n)));
         }
-        for (n, line) in s.lines.iter().enumerate() {
-            // A backend that has had the head may go on with it whatever becomes of the connection.
-            if line.has.is_some() {
-                actions.push(Begin(n));
-                if !line.reset && !line.up.is_closed() {
-                    actions.extend([TurnAway(n, true), TurnAway(n, false)]);
+        for (n, connection) in s.connections.iter().enumerate() {
+            // A backend that has received the head may execute the request whatever happens to the connection.
+            if connection.pending_execution.is_some() {
+                actions.push(StartExecution(n));
+                if !connection.is_reset && !connection.upstream.is_closed() {
+                    actions.extend([Reject(n, true), Reject(n, false)]);
                 }
             }
-            if line.up.is_closed() {
+            if connection.upstream.is_closed() {
                 continue;
             }
-            if line.out.is_some() {
-                if line.sent < HEAD + BODY && !line.reset {
+            if connection.current_attempt.is_some() {
+                if connection.written < HEAD_LEN + BODY_LEN && !connection.is_reset {
                     actions.push(Write(n));
                 }
-                actions.push(Silence(n));
-                if !line.flight.is_empty() {
+                actions.push(TimeOut(n));
+                if !connection.answers_in_transit.is_empty() {
                     actions.push(Read(n));
                 }
             }
-            if !line.reset {
-                if line.latest.is_none_or(|a| Some(a.whose()) != line.out) && line.begun {
+            if !connection.is_reset {
+                if connection
+                    .latest_answer
+                    .is_none_or(|a| Some(a.attempt_key()) != connection.current_attempt)
+                    && connection.execution_started
+                {
                     actions.push(Answer(n));
                 }
-                if s.doubles > 0 && line.latest.is_some() {
-                    actions.push(Double(n));
+                if s.duplicates_left > 0 && connection.latest_answer.is_some() {
+                    actions.push(DuplicateAnswer(n));
                 }
-                if s.resets > 0 {
+                if s.resets_left > 0 {
                     actions.push(Reset(n));
                 }
             }
         }
     }
 
-    fn next_state(&self, last: &State, action: Happens) -> Option<State> {
+    fn next_state(&self, last: &State, action: ModelAction) -> Option<State> {
         let mut s = last.clone();
         match action {
-            Happens::Arrive => {
-                let effect = self.effects[s.asked.len()];
-                s.asked.push(Asked {
-                    end: End::Waits,
-                    runs: 0,
-                    once: effect == Effect::Unsafe,
-                    earlier: Vec::new(),
+            ModelAction::Arrive => {
+                let effect = self.effects[s.requests.len()];
+                s.requests.push(RequestRecord {
+                    end: End::Waiting,
+                    run_count: 0,
+                    is_unsafe: effect == Effect::Unsafe,
+                    used_connections: Vec::new(),
                 });
-                let (id, group) = (id(s.asked.len() - 1), Group::All);
+                let (id, group) = (id(s.requests.len() - 1), Group::All);
                 let arrival = Arrival {
                     id,
                     class: 0,
@@ -372,56 +406,56 @@
                 };
                 s.handle(Input::Received(arrival));
             }
-            Happens::Send(id) => s.handle(Input::Send { id, server: "s-1".into(), attempt_deadline: 0 }),
-            Happens::Refuse(id) => s.handle(Input::Refuse { id, advice: 0 }),
-            Happens::Write(n) => {
-                let line = &mut s.lines[n];
-                line.sent += 1;
-                if line.sent == HEAD {
-                    line.has = line.out;
+            ModelAction::Send(id) => s.handle(Input::Send { id, server: "s-1".into(), attempt_deadline: 0 }),
+            ModelAction::Refuse(id) => s.handle(Input::Refuse { id, advice: 0 }),
+            ModelAction::Write(n) => {
+                let connection = &mut s.connections[n];
+                connection.written += 1;
+                if connection.written == HEAD_LEN {
+                    connection.pending_execution = connection.current_attempt;
                 }
-                if line.sent == ExecutionStart::FullHead.byte_count(HEAD, Some(BODY)) {
-                    let (asked, attempt) = line.out?;
-                    s.handle(Input::Progress { id: id(asked), attempt, step: Step::Written });
+                if connection.written == ExecutionStart::FullHead.byte_count(HEAD_LEN, Some(BODY_LEN)) {
+                    let (request, attempt) = connection.current_attempt?;
+                    s.handle(Input::Progress { id: id(request), attempt, step: Step::Written });
                 }
             }
-            Happens::Begin(n) => {
-                let (asked, _) = s.lines[n].has.take()?;
-                s.lines[n].begun = true;
-                let a = &mut s.asked[asked];
-                a.runs += 1;
-                s.broken.ran_twice |= a.runs > 1 && self.effects[asked] == Effect::Unsafe;
-                s.broken.refused_though_run |= a.once && a.end == End::Refused;
+            ModelAction::StartExecution(n) => {
+                let (request, _) = s.connections[n].pending_execution.take()?;
+                s.connections[n].execution_started = true;
+                let a = &mut s.requests[request];
+                a.run_count += 1;
+                s.violations.executed_twice |= a.run_count > 1 && self.effects[request] == Effect::Unsafe;
+                s.violations.refused_after_execution |= a.is_unsafe && a.end == End::Refused;
             }
-            Happens::Answer(n) => {
-                let answer = Answer::OfRun(s.lines[n].out?);
-                s.lines[n].latest = Some(answer);
-                s.lines[n].flight.push(answer);
+            ModelAction::Answer(n) => {
+                let answer = Answer::Executed(s.connections[n].current_attempt?);
+                s.connections[n].latest_answer = Some(answer);
+                s.connections[n].answers_in_transit.push(answer);
             }
-            Happens::TurnAway(n, named) => {
-                let whose = s.lines[n].has.take()?;
-                let answer = Answer::TurnedAway { whose, named };
-                s.lines[n].latest = Some(answer);
-                s.lines[n].flight.push(answer);
+            ModelAction::Reject(n, has_id) => {
+                let attempt_key = s.connections[n].pending_execution.take()?;
+                let answer = Answer::Rejected { attempt_key, has_id };
+                s.connections[n].latest_answer = Some(answer);
+                s.connections[n].answers_in_transit.push(answer);
             }
-            Happens::Double(n) => {
-                s.doubles -= 1;
-                let again = s.lines[n].latest?;
-                s.lines[n].flight.push(again);
+            ModelAction::DuplicateAnswer(n) => {
+                s.duplicates_left -= 1;
+                let duplicate = s.connections[n].latest_answer?;
+                s.connections[n].answers_in_transit.push(duplicate);
             }
-            Happens::Reset(n) => {
-                s.resets -= 1;
-                s.lines[n].reset = true;
-                s.lines[n].flight.clear();
-                // Of one that is idle the gateway hears when it looks.
-                if s.lines[n].out.is_some() {
-                    s.lost(n, Ending::Interrupted);
+            ModelAction::Reset(n) => {
+                s.resets_left -= 1;
+                s.connections[n].is_reset = true;
+                s.connections[n].answers_in_transit.clear();
+                // The gateway notices the reset of an idle connection when it next selects one.
+                if s.connections[n].current_attempt.is_some() {
+                    s.end_without_answer(n, Ending::Interrupted);
                 }
             }
-            Happens::Silence(n) => s.lost(n, Ending::TimedOut),
-            Happens::Read(n) => s.read(n),
+            ModelAction::TimeOut(n) => s.end_without_answer(n, Ending::TimedOut),
+            ModelAction::Read(n) => s.read(n),
         }
-        s.forget_what_is_over();
+        s.clear_closed_connections();
         (s != *last).then_some(s)
     }
 
@@ -429,20 +463,20 @@
         RULES.iter().map(|(name, _, holds)| Property::always(name, *holds)).collect()
     }
 
-    fn format_action(&self, action: &Happens) -> String {
+    fn format_action(&self, action: &ModelAction) -> String {
         match action {
-            Happens::Arrive => "a request comes whole".into(),
-            Happens::Send(id) => format!("the module says: send {id}"),
-            Happens::Refuse(id) => format!("the module says: refuse {id}"),
-            Happens::Write(n) => format!("a part of the request is written (connection {n})"),
-            Happens::Begin(n) => format!("the backend begins to work on it ({n})"),
-            Happens::Answer(n) => format!("the backend answers ({n})"),
-            Happens::TurnAway(n, true) => format!("the backend turns it away ({n})"),
-            Happens::TurnAway(n, false) => format!("the backend turns it away, without an id ({n})"),
-            Happens::Double(n) => format!("the backend sends its latest answer once more ({n})"),
-            Happens::Reset(n) => format!("the backend resets the connection ({n})"),
-            Happens::Silence(n) => format!("the gateway has waited long enough ({n})"),
-            Happens::Read(n) => format!("the gateway reads an answer ({n})"),
+            ModelAction::Arrive => "a complete request arrives".into(),
+            ModelAction::Send(id) => format!("the module orders: send {id}"),
+            ModelAction::Refuse(id) => format!("the module orders: refuse {id}"),
+            ModelAction::Write(n) => format!("a part of the request is written (connection {n})"),
+            ModelAction::StartExecution(n) => format!("the backend starts to execute the request ({n})"),
+            ModelAction::Answer(n) => format!("the backend answers ({n})"),
+            ModelAction::Reject(n, true) => format!("the backend rejects the request ({n})"),
+            ModelAction::Reject(n, false) => format!("the backend rejects the request, without an id ({n})"),
+            ModelAction::DuplicateAnswer(n) => format!("the backend sends its latest answer again ({n})"),
+            ModelAction::Reset(n) => format!("the backend resets the connection ({n})"),
+            ModelAction::TimeOut(n) => format!("the attempt times out ({n})"),
+            ModelAction::Read(n) => format!("the gateway reads an answer ({n})"),
         }
     }
 }
--- a/crates/testing/model-check/src/world.rs
+++ b/crates/testing/model-check/src/world.rs
@@ -1,8 +1,8 @@
-//! The world round the life of a request: clients, attempts on two servers, their list, time, and a decision
-//! module that is either an adversary or the real one. `lifecycle::Lives` itself is what is explored.
+//! Model of the request table's environment: clients, attempts on two servers, the server list, time, and a decision
+//! module that is either an adversary or the real one. The checker runs `lifecycle::RequestTable` itself.
 
-use crate::mind::Mind;
-use crate::rules::{self, Broken};
+use crate::decision_module::DecisionModule;
+use crate::rules::{self, Violation};
 use interface::{Effect, Ending, Event, Group, Name, Request, RequestId, Scope, Time};
 use lifecycle::{
     Arrival, Command, FinalAnswer, Input, InvalidInput, Limits, ListedServer, ModuleEvent, Reply,
@@ -11,104 +11,105 @@
 use stateright::{Model, Property};
 use std::net::SocketAddr;
 
-/// Times, in the world's units.
+// Durations in units of `World::time_unit`.
 pub const DEADLINE: Time = 3;
 pub const GRACE: Time = 1;
 pub const KEY_TTL: Time = 3;
 pub const KEY_MARGIN: Time = 1;
-const LAST: Time = DEADLINE + GRACE;
+/// Time at which the model's clock stops.
+const LATEST_TIME: Time = DEADLINE + GRACE;
 
-/// What may happen in a world, and how often.
+/// Parameters of one model: the kind of its requests, and how often each disturbance may happen.
 #[derive(Clone)]
 pub struct World {
     pub name: &'static str,
     pub effect: Effect,
-    /// Whether the body is passed on as it comes, so that it can be written once.
-    pub once: bool,
+    /// Whether a request's body is streamed, so that it can be written only once.
+    pub streams_body: bool,
     pub group: Group,
-    /// The ids of the requests that come, in order.
-    pub ids: Vec<RequestId>,
-    pub most_attempts: u32,
+    /// Ids of the requests, in the order of arrival.
+    pub request_ids: Vec<RequestId>,
+    pub attempt_limit: u32,
     pub cancels: u8,
     pub list_changes: u8,
     pub panics: u8,
-    pub leaves: u8,
-    /// Whether the real module speaks, or an adversary.
-    pub real: bool,
-    /// The unit of time: 1 for the adversary, nanoseconds for the real module.
-    pub unit: Time,
+    pub client_departures: u8,
+    /// Whether the real decision module takes part, instead of an adversary.
+    pub uses_real_module: bool,
+    /// Length of one unit of time: 1 with the adversary, a number of nanoseconds with the real module.
+    pub time_unit: Time,
 }
 
-/// How it stands with a client.
+/// State of the client of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Asked {
-    Waits,
+pub enum ClientState {
+    Waiting,
     Answered,
     Left,
 }
 
-/// A request as its client and an all-seeing observer know it.
+/// A request as seen by its client and by an observer with full knowledge.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Arrived {
+pub struct ObservedRequest {
     pub id: RequestId,
     pub deadline: Time,
-    pub end: Asked,
+    pub client_state: ClientState,
     pub attempts: u32,
-    /// When the earliest attempt that came whole to a server began to be written, and the server's cell.
-    pub ran: Option<(Time, u32)>,
-    /// Whether an attempt of it got the leave to write.
-    begun: bool,
+    /// Time at which the write of the earliest attempt that may have run started, and the cell of its server.
+    pub first_execution: Option<(Time, u32)>,
+    /// Whether one of its attempts has been allowed to write.
+    write_permitted: bool,
 }
 
-/// An attempt that is out, as the sockets know it.
+/// An attempt in flight, as seen at the sockets.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Going {
-    /// Whose it is: a place in `asked`.
+pub struct InFlightAttempt {
+    /// Index of its request in `requests`.
     pub arrival: usize,
     pub id: RequestId,
     pub number: u32,
     pub server: u8,
     pub step: Step,
-    pub stopped: bool,
+    pub aborted: bool,
     pub withheld: bool,
-    pub whole_at_leave: bool,
-    began: Time,
-    /// Where its server stood when it was sent.
-    place: SocketAddr,
-    /// Its answer is passed on as it comes.
-    pub streams: bool,
+    pub fully_written_at_departure: bool,
+    started_at: Time,
+    /// Address of its server when it was sent.
+    server_address: SocketAddr,
+    /// Whether its answer is streamed to the client.
+    pub is_streaming: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Standing {
+pub enum ServerState {
     Ready,
     Draining,
     Gone,
-    /// At another address; a newcomer stands at the old one.
+    /// Now at another address; a different server uses the old one.
     Moved,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     pub now: Time,
-    /// Whether what is due now has been looked at.
-    pub ticked: bool,
-    pub lives: RequestTable,
-    pub asked: Vec<Arrived>,
-    pub attempts: Vec<Going>,
-    pub servers: [Standing; 2],
-    to_come: usize,
+    /// Whether the timers due at `now` have been checked.
+    pub timers_checked: bool,
+    pub request_table: RequestTable,
+    pub requests: Vec<ObservedRequest>,
+    pub attempts: Vec<InFlightAttempt>,
+    pub servers: [ServerState; 2],
+    next_request: usize,
     cancels: u8,
     list_changes: u8,
     panics: u8,
-    leaves: u8,
-    broken: u32,
-    pub mind: Mind,
+    client_departures: u8,
+    violations: u32,
+    pub module: DecisionModule,
 }
 
-/// One thing that happens.
+/// A transition of the model.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Happens {
+pub enum ModelAction {
     Arrive,
     Leave { arrival: usize },
     Send { id: RequestId, server: u8 },
@@ -116,11 +117,11 @@
     Fail { id: RequestId },
     Cancel { id: RequestId, attempt: u32 },
     Connected(usize),
-    Whole(usize),
+    FullyWritten(usize),
     Answering(usize),
-    Begun(usize),
+    StreamStarted(usize),
     End(usize, Ending, Reply),
-    List(u8, Standing),
+    ListChange(u8, ServerState),
     Panic,
     Batch,
     Tick,
@@ -131,49 +132,50 @@
     ["s-1", "s-2"][usize::from(n)].into()
 }
 
-fn place(n: u8, moved: bool) -> SocketAddr {
+fn server_address(n: u8, moved: bool) -> SocketAddr {
     ([127, 0, 0, 1], 9000 + u16::from(n) + if moved { 100 } else { 0 }).into()
 }
 
 impl State {
-    pub fn broke(&self, what: Broken) -> bool {
-        self.broken & (1 << what as u32) != 0
+    pub fn has_violation(&self, violation: Violation) -> bool {
+        self.violations & (1 << violation as u32) != 0
     }
 
-    fn note(&mut self, what: Broken, broken: bool) {
-        if broken {
-            self.broken |= 1 << what as u32;
+    fn record_violation_if(&mut self, violation: Violation, occurred: bool) {
+        if occurred {
+            self.violations |= 1 << violation as u32;
         }
     }
 
-    /// The latest request with this id.
+    /// Returns the index of the latest request with this id.
     fn latest(&self, id: RequestId) -> Option<usize> {
-        self.asked.iter().rposition(|a| a.id == id)
+        self.requests.iter().rposition(|a| a.id == id)
     }
 }
 
 impl World {
     pub fn time(&self, units: Time) -> Time {
-        units * self.unit
+        units * self.time_unit
     }
 
-    fn listed(&self, n: u8, standing: Standing) -> ListedServer {
-        let moved = standing == Standing::Moved;
+    fn list_entry(&self, n: u8, server_state: ServerState) -> ListedServer {
+        let moved = server_state == ServerState::Moved;
         ListedServer {
             name: server(n),
             zone: 0,
             cell: u32::from(n),
-            address: matches!(standing, Standing::Ready | Standing::Moved).then(|| place(n, moved)),
-            is_removed: standing == Standing::Gone,
+            address: matches!(server_state, ServerState::Ready | ServerState::Moved)
+                .then(|| server_address(n, moved)),
+            is_removed: server_state == ServerState::Gone,
         }
     }
 
-    /// Hands the machine an input and watches what it orders.
+    /// Passes an input to the request table, executes its commands and records violations.
     fn handle(&self, s: &mut State, input: Input) -> Result<(), InvalidInput> {
-        let mut orders = Vec::new();
-        let ticking = input == Input::Tick;
-        // Whose attempt brings an answer, and whether that is a good one for who still waits.
-        let bringer = match &input {
+        let mut commands = Vec::new();
+        let is_tick = input == Input::Tick;
+        // The attempt that ends with this input, and whether it brings a good answer to a waiting client.
+        let ended_attempt = match &input {
             Input::AttemptEnded { id, attempt, reply, .. } => s
                 .attempts
                 .iter()
@@ -181,45 +183,49 @@
                 .map(|n| (s.attempts.remove(n), *reply)),
             _ => None,
         };
-        let awaited = bringer
-            .as_ref()
-            .is_some_and(|(a, reply)| *reply == Reply::Good && s.asked[a.arrival].end == Asked::Waits);
-        let beginner = match &input {
+        let good_answer_awaited = ended_attempt.as_ref().is_some_and(|(a, reply)| {
+            *reply == Reply::Good && s.requests[a.arrival].client_state == ClientState::Waiting
+        });
+        let streaming_request = match &input {
             Input::AnswerStarted { id, attempt } => {
                 s.attempts.iter_mut().find(|a| a.id == *id && a.number == *attempt).map(|a| {
-                    a.streams = true;
+                    a.is_streaming = true;
                     a.arrival
                 })
             }
             _ => None,
         };
-        let answered: Vec<bool> = s.asked.iter().map(|a| a.end == Asked::Answered).collect();
-        let (mut told, mut streamed) = (0, 0);
-        let done = s.lives.handle(s.now, input, &mut orders);
-        for order in orders {
-            match order {
-                Command::Start { id, attempt, server, address: place, .. } => {
+        let answered: Vec<bool> =
+            s.requests.iter().map(|a| a.client_state == ClientState::Answered).collect();
+        let (mut end_notifications, mut stream_commands) = (0, 0);
+        let done = s.request_table.handle(s.now, input, &mut commands);
+        for command in commands {
+            match command {
+                Command::Start { id, attempt, server, address: server_address, .. } => {
                     let Some(arrival) = s.latest(id) else { continue };
-                    s.note(Broken::OutAfterAnswer, s.asked[arrival].end != Asked::Waits);
-                    s.asked[arrival].attempts += 1;
+                    s.record_violation_if(
+                        Violation::ActiveAfterAnswer,
+                        s.requests[arrival].client_state != ClientState::Waiting,
+                    );
+                    s.requests[arrival].attempts += 1;
                     let server = u8::from(&*server == "s-2");
-                    let (stopped, withheld, whole_at_leave) = (false, false, false);
-                    let (step, began) = (Step::Connecting, s.now);
-                    s.attempts.push(Going {
+                    let (aborted, withheld, fully_written_at_departure) = (false, false, false);
+                    let (step, started_at) = (Step::Connecting, s.now);
+                    s.attempts.push(InFlightAttempt {
                         arrival,
                         id,
                         number: attempt,
                         server,
                         step,
-                        stopped,
+                        aborted,
                         withheld,
-                        whole_at_leave,
-                        began,
-                        place,
-                        streams: false,
+                        fully_written_at_departure,
+                        started_at,
+                        server_address,
+                        is_streaming: false,
                     });
                 }
-                Command::Write { id, attempt } => self.written(s, id, attempt),
+                Command::Write { id, attempt } => self.on_write_permitted(s, id, attempt),
                 Command::Withhold { id, attempt } => {
                     if let Some(a) = s.attempts.iter_mut().find(|a| a.id == id && a.number == attempt) {
                         a.withheld = true;
@@ -227,87 +233,107 @@
                 }
                 Command::Abort { id, attempt } => {
                     if let Some(a) = s.attempts.iter_mut().find(|a| a.id == id && a.number == attempt) {
-                        a.stopped = true;
+                        a.aborted = true;
                     }
                 }
                 Command::Answer { id, answer, .. } => {
                     let Some(n) = s.latest(id) else { continue };
-                    s.note(Broken::SecondAnswer, s.asked[n].end == Asked::Answered);
-                    s.note(Broken::AnswerAfterLeave, s.asked[n].end == Asked::Left);
-                    let due = s.asked[n].deadline + self.time(GRACE);
-                    s.note(Broken::GuardEarly, ticking && s.now < due);
+                    s.record_violation_if(
+                        Violation::SecondAnswer,
+                        s.requests[n].client_state == ClientState::Answered,
+                    );
+                    s.record_violation_if(
+                        Violation::AnswerAfterLeave,
+                        s.requests[n].client_state == ClientState::Left,
+                    );
+                    let due = s.requests[n].deadline + self.time(GRACE);
+                    s.record_violation_if(Violation::OverdueTooEarly, is_tick && s.now < due);
                     if matches!(answer, FinalAnswer::Refused { .. }) {
-                        let whole = s.attempts.iter().any(|a| a.arrival == n && a.step >= Step::Written);
-                        s.note(Broken::RefusedThoughRun, whole || s.asked[n].ran.is_some());
+                        let is_fully_written =
+                            s.attempts.iter().any(|a| a.arrival == n && a.step >= Step::Written);
+                        s.record_violation_if(
+                            Violation::RefusedAfterExecution,
+                            is_fully_written || s.requests[n].first_execution.is_some(),
+                        );
                     }
                     if matches!(answer, FinalAnswer::Served | FinalAnswer::Rejected) {
-                        let own =
-                            bringer.as_ref().is_some_and(|(a, _)| a.arrival == n) || beginner == Some(n);
-                        s.note(Broken::ForeignAnswer, !own);
+                        let is_own = ended_attempt.as_ref().is_some_and(|(a, _)| a.arrival == n)
+                            || streaming_request == Some(n);
+                        s.record_violation_if(Violation::ForeignAnswer, !is_own);
                     }
-                    s.asked[n].end = Asked::Answered;
+                    s.requests[n].client_state = ClientState::Answered;
                 }
                 Command::Streamed { id, .. } => {
-                    let own = bringer.as_ref().is_some_and(|(a, _)| a.id == id && a.streams);
-                    s.note(Broken::ForeignAnswer, !own);
-                    streamed += 1;
+                    let is_own = ended_attempt.as_ref().is_some_and(|(a, _)| a.id == id && a.is_streaming);
+                    s.record_violation_if(Violation::ForeignAnswer, !is_own);
+                    stream_commands += 1;
                 }
                 Command::NotifyModule(t) => {
                     match &t {
-                        ModuleEvent::Ended { .. } => told += 1,
+                        ModuleEvent::Ended { .. } => end_notifications += 1,
                         ModuleEvent::ClientLeft { id } => {
                             let before = s.latest(*id).is_some_and(|n| answered[n]);
-                            s.note(Broken::GoneTwice, before);
+                            s.record_violation_if(Violation::RepeatedDepartureReport, before);
                         }
                     }
-                    s.mind.tell(t);
+                    s.module.notify(t);
                 }
             }
         }
-        if let Some((a, _)) = &bringer {
-            // What streams was told when it began.
-            let once = if a.streams { told == 0 && streamed == 1 } else { told == 1 && streamed == 0 };
-            s.note(Broken::ToldTwice, done.is_ok() && !once);
-            s.note(Broken::GoodLost, awaited && s.asked[a.arrival].end != Asked::Answered);
+        if let Some((a, _)) = &ended_attempt {
+            // The end of a streamed attempt was reported to the module when its stream started.
+            let reported_once = if a.is_streaming {
+                end_notifications == 0 && stream_commands == 1
+            } else {
+                end_notifications == 1 && stream_commands == 0
+            };
+            s.record_violation_if(Violation::EndNotReportedOnce, done.is_ok() && !reported_once);
+            s.record_violation_if(
+                Violation::GoodAnswerLost,
+                good_answer_awaited && s.requests[a.arrival].client_state != ClientState::Answered,
+            );
         }
         done
     }
 
-    /// An attempt got the leave to write.
-    fn written(&self, s: &mut State, id: RequestId, number: u32) {
+    /// Starts the write of an attempt that was allowed to write, and records violations.
+    fn on_write_permitted(&self, s: &mut State, id: RequestId, number: u32) {
         let Some(n) = s.attempts.iter().position(|a| a.id == id && a.number == number) else { return };
         let a = s.attempts[n].clone();
-        let (asked, now) = (s.asked[a.arrival].clone(), s.now);
-        s.note(Broken::WrittenTwice, self.once && asked.begun);
-        s.asked[a.arrival].begun = true;
-        s.note(Broken::OutAfterAnswer, asked.end != Asked::Waits);
-        s.note(Broken::OutAfterStop, a.stopped);
-        let there = self.listed(a.server, s.servers[usize::from(a.server)]).address;
-        s.note(Broken::WrittenAfterDrain, there != Some(a.place));
-        if let Some((first, cell)) = asked.ran {
-            s.note(Broken::UnsafeRepeat, self.effect == Effect::Unsafe);
-            // It takes up to the margin to get there, and the key is known where the first one came.
-            let same = self.group == Group::All || cell == u32::from(a.server);
-            let known = now + self.time(KEY_MARGIN) < first + self.time(KEY_TTL);
-            s.note(Broken::KeyedRepeat, self.effect == Effect::Keyed && !(same && known));
+        let (request, now) = (s.requests[a.arrival].clone(), s.now);
+        s.record_violation_if(Violation::WrittenTwice, self.streams_body && request.write_permitted);
+        s.requests[a.arrival].write_permitted = true;
+        s.record_violation_if(Violation::ActiveAfterAnswer, request.client_state != ClientState::Waiting);
+        s.record_violation_if(Violation::WrittenAfterAbort, a.aborted);
+        let current_address = self.list_entry(a.server, s.servers[usize::from(a.server)]).address;
+        s.record_violation_if(Violation::WrittenAfterDrain, current_address != Some(a.server_address));
+        if let Some((first, cell)) = request.first_execution {
+            s.record_violation_if(Violation::UnsafeRepeat, self.effect == Effect::Unsafe);
+            // The request takes up to the margin to arrive, and the key is known only in the group of the first execution.
+            let in_group = self.group == Group::All || cell == u32::from(a.server);
+            let key_known = now + self.time(KEY_MARGIN) < first + self.time(KEY_TTL);
+            s.record_violation_if(
+                Violation::KeyedRepeat,
+                self.effect == Effect::Keyed && !(in_group && key_known),
+            );
         }
         s.attempts[n].step = Step::Writing;
-        s.attempts[n].began = now;
+        s.attempts[n].started_at = now;
     }
 
-    /// How an attempt may end where it stands.
-    fn endings(&self, a: &Going) -> Vec<(Ending, Reply)> {
+    /// Returns the possible endings of an attempt in its present step.
+    fn endings(&self, a: &InFlightAttempt) -> Vec<(Ending, Reply)> {
         use Ending::*;
         if a.withheld {
             return vec![(Unreachable, Reply::None)];
         }
-        if a.streams {
+        if a.is_streaming {
             let ends = [Success, Interrupted, TimedOut, Unreadable, Cancelled];
             return ends.map(|ending| (ending, Reply::None)).to_vec();
         }
         let mut all = match a.step {
             Step::Connecting => vec![(Unreachable, Reply::None)],
-            // Cut before the last byte; or the server answers before it has read the whole.
+            // The connection breaks before the last byte, or the server answers before it has read the entire request.
             Step::Writing => {
                 vec![(Unreachable, Reply::None), (Overloaded, Reply::None), (Failure, Reply::None)]
             }
@@ -321,7 +347,7 @@
                 (Cancelled, Reply::Rejected),
             ],
         };
-        if a.stopped {
+        if a.aborted {
             all.push((Cancelled, Reply::None));
         }
         all
@@ -330,203 +356,218 @@
 
 impl Model for World {
     type State = State;
-    type Action = Happens;
+    type Action = ModelAction;
 
     fn init_states(&self) -> Vec<State> {
         let limits = Limits {
-            max_attempts: self.most_attempts,
+            max_attempts: self.attempt_limit,
             grace: self.time(GRACE),
             key_margin: self.time(KEY_MARGIN),
         };
         let mut s = State {
             now: 0,
-            ticked: true,
-            lives: RequestTable::new(limits),
-            asked: Vec::new(),
+            timers_checked: true,
+            request_table: RequestTable::new(limits),
+            requests: Vec::new(),
             attempts: Vec::new(),
-            servers: [Standing::Ready; 2],
-            to_come: 0,
+            servers: [ServerState::Ready; 2],
+            next_request: 0,
             cancels: self.cancels,
             list_changes: self.list_changes,
             panics: self.panics,
-            leaves: self.leaves,
-            broken: 0,
-            mind: Mind::new(self),
+            client_departures: self.client_departures,
+            violations: 0,
+            module: DecisionModule::new(self),
         };
-        let servers = vec![self.listed(0, Standing::Ready), self.listed(1, Standing::Ready)];
-        s.mind.list(Scope::Full, &servers);
+        let servers = vec![self.list_entry(0, ServerState::Ready), self.list_entry(1, ServerState::Ready)];
+        s.module.update_servers(Scope::Full, &servers);
         let done = self.handle(&mut s, Input::ServerList { is_full: true, servers });
-        s.note(Broken::Unmeaning, done.is_err());
+        s.record_violation_if(Violation::UnexpectedError, done.is_err());
         vec![s]
     }
 
-    fn actions(&self, s: &State, actions: &mut Vec<Happens>) {
-        if s.broken != 0 {
+    fn actions(&self, s: &State, actions: &mut Vec<ModelAction>) {
+        if s.violations != 0 {
             return;
         }
-        if s.to_come < self.ids.len() {
-            actions.push(Happens::Arrive);
+        if s.next_request < self.request_ids.len() {
+            actions.push(ModelAction::Arrive);
         }
-        for (arrival, a) in s.asked.iter().enumerate() {
-            if a.end == Asked::Waits && s.leaves > 0 && s.latest(a.id) == Some(arrival) {
-                actions.push(Happens::Leave { arrival });
+        for (arrival, a) in s.requests.iter().enumerate() {
+            if a.client_state == ClientState::Waiting
+                && s.client_departures > 0
+                && s.latest(a.id) == Some(arrival)
+            {
+                actions.push(ModelAction::Leave { arrival });
             }
         }
         for (n, a) in s.attempts.iter().enumerate() {
             match a.step {
-                Step::Connecting if !a.withheld => actions.push(Happens::Connected(n)),
-                Step::Writing => actions.push(Happens::Whole(n)),
-                Step::Written => actions.push(Happens::Answering(n)),
-                Step::Answering if !a.streams => actions.push(Happens::Begun(n)),
+                Step::Connecting if !a.withheld => actions.push(ModelAction::Connected(n)),
+                Step::Writing => actions.push(ModelAction::FullyWritten(n)),
+                Step::Written => actions.push(ModelAction::Answering(n)),
+                Step::Answering if !a.is_streaming => actions.push(ModelAction::StreamStarted(n)),
                 _ => {}
             }
             for (ending, reply) in self.endings(a) {
-                actions.push(Happens::End(n, ending, reply));
+                actions.push(ModelAction::End(n, ending, reply));
             }
         }
-        if s.list_changes > 0 && s.servers[0] == Standing::Ready {
-            for standing in [Standing::Draining, Standing::Gone, Standing::Moved] {
-                actions.push(Happens::List(0, standing));
+        if s.list_changes > 0 && s.servers[0] == ServerState::Ready {
+            for server_state in [ServerState::Draining, ServerState::Gone, ServerState::Moved] {
+                actions.push(ModelAction::ListChange(0, server_state));
             }
         }
         if s.panics > 0 {
-            actions.push(Happens::Panic);
+            actions.push(ModelAction::Panic);
         }
-        if s.mind.is_real() {
-            if s.mind.has_news(s.now) {
-                actions.push(Happens::Batch);
+        if s.module.is_real() {
+            if s.module.has_pending_events(s.now) {
+                actions.push(ModelAction::Batch);
             }
-        } else if !s.asked.is_empty() {
-            let mut ids = self.ids.clone();
-            ids.dedup();
-            for id in ids {
-                actions.push(Happens::Send { id, server: 0 });
-                actions.push(Happens::Send { id, server: 1 });
-                actions.push(Happens::Refuse { id });
-                actions.push(Happens::Fail { id });
+        } else if !s.requests.is_empty() {
+            let mut request_ids = self.request_ids.clone();
+            request_ids.dedup();
+            for id in request_ids {
+                actions.push(ModelAction::Send { id, server: 0 });
+                actions.push(ModelAction::Send { id, server: 1 });
+                actions.push(ModelAction::Refuse { id });
+                actions.push(ModelAction::Fail { id });
             }
             if s.cancels > 0 {
-                let out = s.attempts.iter().map(|a| Happens::Cancel { id: a.id, attempt: a.number });
-                actions.extend(out);
+                let cancellations =
+                    s.attempts.iter().map(|a| ModelAction::Cancel { id: a.id, attempt: a.number });
+                actions.extend(cancellations);
             }
         }
-        if !s.ticked {
-            actions.push(Happens::Tick);
-        } else if s.now < self.time(LAST) && !s.asked.is_empty() {
-            actions.push(Happens::Wait);
+        if !s.timers_checked {
+            actions.push(ModelAction::Tick);
+        } else if s.now < self.time(LATEST_TIME) && !s.requests.is_empty() {
+            actions.push(ModelAction::Wait);
         }
     }
 
-    fn next_state(&self, last: &State, action: Happens) -> Option<State> {
+    fn next_state(&self, last: &State, action: ModelAction) -> Option<State> {
         let mut s = last.clone();
         let mut done = Ok(());
         match action {
-            Happens::Arrive => {
-                let id = self.ids[s.to_come];
-                s.to_come += 1;
+            ModelAction::Arrive => {
+                let id = self.request_ids[s.next_request];
+                s.next_request += 1;
                 let deadline = s.now + self.time(DEADLINE);
                 let arrival = Arrival {
                     class: 0,
-                    has_single_attempt: self.once,
+                    has_single_attempt: self.streams_body,
                     id,
                     effect: self.effect,
                     group: self.group,
                     key_ttl: self.time(KEY_TTL),
                     deadline,
                 };
-                let held = s.lives.get(id).is_some();
+                let id_in_use = s.request_table.get(id).is_some();
                 match self.handle(&mut s, Input::Received(arrival)) {
                     Ok(()) => {
-                        s.note(Broken::HeldTwice, held);
-                        s.asked.push(Arrived {
+                        s.record_violation_if(Violation::DuplicateId, id_in_use);
+                        s.requests.push(ObservedRequest {
                             id,
                             deadline,
-                            end: Asked::Waits,
+                            client_state: ClientState::Waiting,
                             attempts: 0,
-                            ran: None,
-                            begun: false,
+                            first_execution: None,
+                            write_permitted: false,
                         });
-                        s.mind.event(Event::Request(Request::new(id, 0, 0, "c-1", deadline, 1.0)));
+                        s.module.push_event(Event::Request(Request::new(id, 0, 0, "c-1", deadline, 1.0)));
                     }
-                    // The front answers it 400 by itself.
-                    Err(InvalidInput::IdInUse(_)) if held => {}
-                    Err(_) => s.note(Broken::Unmeaning, true),
+                    // The HTTP front end answers it with 400.
+                    Err(InvalidInput::IdInUse(_)) if id_in_use => {}
+                    Err(_) => s.record_violation_if(Violation::UnexpectedError, true),
                 }
             }
-            Happens::Leave { arrival } => {
-                let id = s.asked[arrival].id;
-                s.leaves -= 1;
-                s.asked[arrival].end = Asked::Left;
+            ModelAction::Leave { arrival } => {
+                let id = s.requests[arrival].id;
+                s.client_departures -= 1;
+                s.requests[arrival].client_state = ClientState::Left;
                 for a in s.attempts.iter_mut().filter(|a| a.arrival == arrival) {
-                    a.whole_at_leave = a.step >= Step::Written;
+                    a.fully_written_at_departure = a.step >= Step::Written;
                 }
                 done = self.handle(&mut s, Input::ClientLeft { id });
             }
-            Happens::Send { id, server: n } => {
+            ModelAction::Send { id, server: n } => {
                 done = self.handle(&mut s, Input::Send { id, server: server(n), attempt_deadline: 0 });
             }
-            Happens::Refuse { id } => done = self.handle(&mut s, Input::Refuse { id, advice: 0 }),
-            Happens::Fail { id } => done = self.handle(&mut s, Input::Fail { id }),
-            Happens::Cancel { id, attempt } => {
+            ModelAction::Refuse { id } => done = self.handle(&mut s, Input::Refuse { id, advice: 0 }),
+            ModelAction::Fail { id } => done = self.handle(&mut s, Input::Fail { id }),
+            ModelAction::Cancel { id, attempt } => {
                 s.cancels -= 1;
                 done = self.handle(&mut s, Input::Cancel { id, attempt });
             }
-            Happens::Connected(n) => {
+            ModelAction::Connected(n) => {
                 let (id, attempt) = (s.attempts[n].id, s.attempts[n].number);
                 done = self.handle(&mut s, Input::Connected { id, attempt });
             }
-            Happens::Whole(n) | Happens::Answering(n) => {
-                let step = if matches!(action, Happens::Whole(_)) { Step::Written } else { Step::Answering };
+            ModelAction::FullyWritten(n) | ModelAction::Answering(n) => {
+                let step = if matches!(action, ModelAction::FullyWritten(_)) {
+                    Step::Written
+                } else {
+                    Step::Answering
+                };
                 let (id, attempt) = (s.attempts[n].id, s.attempts[n].number);
                 s.attempts[n].step = step;
                 done = self.handle(&mut s, Input::Progress { id, attempt, step });
             }
-            Happens::Begun(n) => {
+            ModelAction::StreamStarted(n) => {
                 let (id, attempt, arrival) = (s.attempts[n].id, s.attempts[n].number, s.attempts[n].arrival);
-                let waits = s.asked[arrival].end == Asked::Waits;
-                s.asked[arrival].ran.get_or_insert((s.attempts[n].began, u32::from(s.attempts[n].server)));
+                let was_waiting = s.requests[arrival].client_state == ClientState::Waiting;
+                s.requests[arrival]
+                    .first_execution
+                    .get_or_insert((s.attempts[n].started_at, u32::from(s.attempts[n].server)));
                 match self.handle(&mut s, Input::AnswerStarted { id, attempt }) {
-                    // It crossed an answer or a leave: the attempt brings nothing.
-                    Err(InvalidInput::NoSuchAttempt { .. }) if !waits => s.attempts[n].streams = false,
-                    wrong => done = wrong,
+                    // Crossed with a final answer or the client's departure: the attempt's answer is not used.
+                    Err(InvalidInput::NoSuchAttempt { .. }) if !was_waiting => {
+                        s.attempts[n].is_streaming = false
+                    }
+                    result => done = result,
                 }
-                s.note(Broken::GoodLost, waits && s.asked[arrival].end != Asked::Answered);
+                s.record_violation_if(
+                    Violation::GoodAnswerLost,
+                    was_waiting && s.requests[arrival].client_state != ClientState::Answered,
+                );
             }
-            Happens::End(n, ending, reply) => {
+            ModelAction::End(n, ending, reply) => {
                 let a = s.attempts[n].clone();
                 if a.step >= Step::Written && ending != Ending::Overloaded {
-                    s.asked[a.arrival].ran.get_or_insert((a.began, u32::from(a.server)));
+                    s.requests[a.arrival].first_execution.get_or_insert((a.started_at, u32::from(a.server)));
                 }
                 done =
                     self.handle(&mut s, Input::AttemptEnded { id: a.id, attempt: a.number, ending, reply });
             }
-            Happens::List(n, standing) => {
+            ModelAction::ListChange(n, server_state) => {
                 s.list_changes -= 1;
-                s.servers[usize::from(n)] = standing;
-                let servers = vec![self.listed(n, standing)];
-                s.mind.list(Scope::Changes, &servers);
+                s.servers[usize::from(n)] = server_state;
+                let servers = vec![self.list_entry(n, server_state)];
+                s.module.update_servers(Scope::Changes, &servers);
                 done = self.handle(&mut s, Input::ServerList { is_full: false, servers });
             }
-            Happens::Panic => {
+            ModelAction::Panic => {
                 s.panics -= 1;
                 done = self.handle(&mut s, Input::Panicked);
-                s.mind.restart(self, s.now);
+                s.module.restart(self, s.now);
             }
-            Happens::Batch => {
-                for input in s.mind.batch(s.now) {
+            ModelAction::Batch => {
+                for input in s.module.run_batch(s.now) {
                     done = done.and(self.handle(&mut s, input));
                 }
             }
-            Happens::Tick => {
-                s.ticked = true;
+            ModelAction::Tick => {
+                s.timers_checked = true;
                 done = self.handle(&mut s, Input::Tick);
             }
-            Happens::Wait => {
-                s.now += self.unit;
-                s.ticked = false;
+            ModelAction::Wait => {
+                s.now += self.time_unit;
+                s.timers_checked = false;
             }
         }
-        s.note(Broken::Unmeaning, done.is_err());
+        s.record_violation_if(Violation::UnexpectedError, done.is_err());
         (s != *last).then_some(s)
     }
 
@@ -534,38 +575,46 @@
         rules::properties()
     }
 
-    fn format_action(&self, action: &Happens) -> String {
+    fn format_action(&self, action: &ModelAction) -> String {
         let n = |n: &u8| &["s-1", "s-2"][usize::from(*n)];
         match action {
-            Happens::Arrive => "a request comes whole".into(),
-            Happens::Leave { arrival } => format!("the client of request {} leaves", arrival + 1),
-            Happens::Send { id, server } => format!("the module says: send {id} to {}", n(server)),
-            Happens::Refuse { id } => format!("the module says: refuse {id}"),
-            Happens::Fail { id } => format!("the module says: fail {id}"),
-            Happens::Cancel { id, attempt } => format!("the module says: cancel attempt {attempt} of {id}"),
-            Happens::Connected(a) => format!("the connection of the attempt that is out ({a}) is up"),
-            Happens::Whole(a) => format!("its last byte is written ({a})"),
-            Happens::Answering(a) => format!("a part of its answer is in ({a})"),
-            Happens::Begun(a) => format!("its answer is good and long: it is passed on as it comes ({a})"),
-            Happens::End(a, ending, reply) => {
-                let what = match (ending, reply) {
-                    (Ending::Success, _) => "with a whole good answer",
+            ModelAction::Arrive => "a complete request arrives".into(),
+            ModelAction::Leave { arrival } => format!("the client of request {} disconnects", arrival + 1),
+            ModelAction::Send { id, server } => format!("the module orders: send {id} to {}", n(server)),
+            ModelAction::Refuse { id } => format!("the module orders: refuse {id}"),
+            ModelAction::Fail { id } => format!("the module orders: fail {id}"),
+            ModelAction::Cancel { id, attempt } => {
+                format!("the module orders: cancel attempt {attempt} of {id}")
+            }
+            ModelAction::Connected(a) => {
+                format!("the connection of the attempt in flight ({a}) is established")
+            }
+            ModelAction::FullyWritten(a) => format!("its last byte is written ({a})"),
+            ModelAction::Answering(a) => format!("a part of its answer has been read ({a})"),
+            ModelAction::StreamStarted(a) => {
+                format!("its answer is good and is streamed to the client ({a})")
+            }
+            ModelAction::End(a, ending, reply) => {
+                let cause = match (ending, reply) {
+                    (Ending::Success, _) => "with a complete good answer",
                     (_, Reply::Rejected) => "with 404: the request itself is at fault",
                     (Ending::Failure, _) => "with 500",
                     (Ending::Overloaded, _) => "with 503, not started",
-                    (Ending::TimedOut, _) => "by its time-out",
+                    (Ending::TimedOut, _) => "by its timeout",
                     (Ending::Unreachable, _) => "before its last byte was written",
-                    (Ending::Interrupted, _) => "by a reset behind its last byte",
-                    (Ending::Unreadable, _) => "with an answer that can't be read",
-                    _ => "because it was told to stop",
+                    (Ending::Interrupted, _) => "by a reset after its last byte",
+                    (Ending::Unreadable, _) => "with an unreadable answer",
+                    _ => "because it was aborted",
                 };
-                format!("the attempt ends {what} ({a})")
+                format!("the attempt ends {cause} ({a})")
+            }
+            ModelAction::ListChange(s, server_state) => {
+                format!("the server list changes: {} is {server_state:?}", n(s))
             }
-            Happens::List(s, standing) => format!("the list says: {} is {standing:?}", n(s)),
-            Happens::Panic => "the module panics".into(),
-            Happens::Batch => "the module hears what has happened, and its orders are carried out".into(),
-            Happens::Tick => "the timers that are due are looked at".into(),
-            Happens::Wait => "time passes".into(),
+            ModelAction::Panic => "the module panics".into(),
+            ModelAction::Batch => "the module receives its events, and its actions are executed".into(),
+            ModelAction::Tick => "the timers that are due are checked".into(),
+            ModelAction::Wait => "time passes".into(),
         }
     }
 }
--- a/crates/testing/model-check/src/worlds.rs
+++ b/crates/testing/model-check/src/worlds.rs
@@ -1,4 +1,4 @@
-//! The worlds that are explored, small for CI and whole.
+//! The configurations of the request model: small ones for CI, and the whole ones.
 
 use crate::world::World;
 use interface::{Effect, Group};
@@ -7,33 +7,33 @@
     World {
         name,
         effect,
-        once: false,
-        // The servers stand in different cells, so that a key's group is one of them.
+        streams_body: false,
+        // The servers are in different cells, so that a key's group is a single server.
         group: Group::Cell,
-        ids: vec![1],
-        most_attempts: 3,
+        request_ids: vec![1],
+        attempt_limit: 3,
         cancels: 1,
         list_changes: 1,
         panics: 1,
-        leaves: 1,
-        real: false,
-        unit: 1,
+        client_departures: 1,
+        uses_real_module: false,
+        time_unit: 1,
     }
 }
 
-/// A world with how deep it is explored; none for to the last state.
+/// A world and its maximum search depth; `None` explores every reachable state.
 pub type Bounded = (World, Option<usize>);
 
 pub fn small() -> Vec<Bounded> {
-    let less = |name, effect| World { most_attempts: 2, ..world(name, effect) };
+    let with_two_attempts = |name, effect| World { attempt_limit: 2, ..world(name, effect) };
     vec![
-        (less("unsafe", Effect::Unsafe), None),
-        (less("keyed", Effect::Keyed), None),
-        (less("safe", Effect::Safe), None),
-        (World { once: true, ..less("open", Effect::Safe) }, None),
-        (reuse(less("reuse", Effect::Unsafe)), None),
-        (real(less("real-keyed", Effect::Keyed)), Some(8)),
-        (real(less("real-unsafe", Effect::Unsafe)), Some(8)),
+        (with_two_attempts("unsafe", Effect::Unsafe), None),
+        (with_two_attempts("keyed", Effect::Keyed), None),
+        (with_two_attempts("safe", Effect::Safe), None),
+        (World { streams_body: true, ..with_two_attempts("open", Effect::Safe) }, None),
+        (reuse(with_two_attempts("reuse", Effect::Unsafe)), None),
+        (with_real_module(with_two_attempts("real-keyed", Effect::Keyed)), Some(8)),
+        (with_real_module(with_two_attempts("real-unsafe", Effect::Unsafe)), Some(8)),
     ]
 }
 
@@ -43,18 +43,26 @@
         (world("keyed", Effect::Keyed), None),
         (world("safe", Effect::Safe), None),
         (reuse(world("reuse", Effect::Unsafe)), None),
-        (real(world("real-safe", Effect::Safe)), Some(9)),
-        (real(world("real-keyed", Effect::Keyed)), Some(9)),
-        (real(world("real-unsafe", Effect::Unsafe)), Some(9)),
+        (with_real_module(world("real-safe", Effect::Safe)), Some(9)),
+        (with_real_module(world("real-keyed", Effect::Keyed)), Some(9)),
+        (with_real_module(world("real-unsafe", Effect::Unsafe)), Some(9)),
     ]
 }
 
-/// An id that comes again: while the first is held, just after its end, while its attempt still runs.
+/// A reused id: while the first request is in the table, directly after its end, and while its attempt still runs.
 fn reuse(world: World) -> World {
-    World { ids: vec![1, 1], most_attempts: 2, cancels: 0, list_changes: 0, panics: 1, leaves: 1, ..world }
+    World {
+        request_ids: vec![1, 1],
+        attempt_limit: 2,
+        cancels: 0,
+        list_changes: 0,
+        panics: 1,
+        client_departures: 1,
+        ..world
+    }
 }
 
-/// The real decision module in the adversary's place.
-fn real(world: World) -> World {
-    World { ids: vec![1, 2], real: true, unit: 250_000_000, ..world }
+/// Replaces the adversary by the real decision module.
+fn with_real_module(world: World) -> World {
+    World { request_ids: vec![1, 2], uses_real_module: true, time_unit: 250_000_000, ..world }
 }
--- a/crates/testing/model-check/tests/check.rs
+++ b/crates/testing/model-check/tests/check.rs
@@ -1,10 +1,10 @@
-//! The checker proves what it says: the same counts at every run, every planted defect found.
+//! Tests of the checker itself: it visits the same number of states in every run, and finds every planted defect.
 
 use serde_json::Value;
 use std::process::{Command, Output};
 
 fn check(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_model-check")).args(args).output().expect("it runs")
+    Command::new(env!("CARGO_BIN_EXE_model-check")).args(args).output().expect("model-check runs")
 }
 
 fn last_line(output: &Output) -> Value {
@@ -21,7 +21,7 @@
         let all = report["worlds"].as_array().expect("worlds");
         all.iter().find(|w| w["world"] == name).expect(name).clone()
     };
-    // The counts change with the machine or its world, never by themselves.
+    // The counts are deterministic: they change only if the state machine or its model changes.
     for (name, states, transitions) in [
         ("connection", 157307, 246843),
         ("drain", 254, 275),
