--- a/benches/passthrough.rs
+++ b/benches/passthrough.rs
@@ -1,9 +1,9 @@
-//! CPU per request of the whole gateway beside a bare hyper pass-through, side by side in one run: one thread
-//! each, pooled connections, the same headers, servers that answer at once.
+//! Compares CPU time per request of the whole gateway and of a bare hyper reverse proxy in one run: one thread each,
+//! pooled connections, the same headers, backends that answer at once.
 //!
 //! `GRANITETHREAD_BEFORE=FILE` adds an earlier build of the gateway, for a comparison of before and after.
-//! `FLEET=1` adds the gateway once more with a view of the fleet that it keeps with two others.
-//! `SNAPSHOT=1` adds it once more with a snapshot each second, on the temporary folder's disk.
+//! `FLEET=1` adds the gateway once more with fleet membership, together with two other members.
+//! `SNAPSHOT=1` adds the gateway once more with a snapshot each second, written to the temporary folder.
 //! `SERVERS`, `CONNECTIONS`, `REQUESTS` and `ROUNDS` set the sizes (10, 64, 30000, 5).
 
 use bytes::Bytes;
@@ -30,33 +30,34 @@
 use test_harness::program::{Program, EXAMPLE};
 use tokio::net::{TcpListener, TcpStream};
 
-type Fault = Box<dyn Error + Send + Sync>;
+type BoxError = Box<dyn Error + Send + Sync>;
 
-// ---- The bare pass-through ----
+// ---- The bare proxy ----
 
-type Idle = RefCell<Vec<SendRequest<Full<Bytes>>>>;
+type IdleConnections = RefCell<Vec<SendRequest<Full<Bytes>>>>;
 
 struct Pool {
-    servers: Vec<(SocketAddr, Idle)>,
+    servers: Vec<(SocketAddr, IdleConnections)>,
     next: Cell<usize>,
 }
 
-async fn pass(pool: &Pool, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Fault> {
-    let n = pool.next.get();
-    pool.next.set((n + 1) % pool.servers.len());
-    let (address, idle) = &pool.servers[n];
+/// Forwards a request to the next server in turn over a pooled connection.
+async fn forward(pool: &Pool, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, BoxError> {
+    let server_index = pool.next.get();
+    pool.next.set((server_index + 1) % pool.servers.len());
+    let (address, idle) = &pool.servers[server_index];
     let (head, body) = request.into_parts();
     let body = body.collect().await?.to_bytes();
-    let mut onward = Request::new(Full::new(body));
-    *onward.method_mut() = head.method;
-    *onward.uri_mut() = head.uri;
+    let mut forwarded = Request::new(Full::new(body));
+    *forwarded.method_mut() = head.method;
+    *forwarded.uri_mut() = head.uri;
     for name in ["host", "request-id", "idempotency-key", "content-type", "request-timeout"] {
         if let Some(value) = head.headers.get(name) {
-            onward.headers_mut().insert(name, value.clone());
+            forwarded.headers_mut().insert(name, value.clone());
         }
     }
-    let kept = idle.borrow_mut().pop().filter(|c| c.is_ready());
-    let mut connection = match kept {
+    let pooled = idle.borrow_mut().pop().filter(|c| c.is_ready());
+    let mut connection = match pooled {
         Some(connection) => connection,
         None => {
             let stream = TcpStream::connect(address).await?;
@@ -66,16 +67,17 @@
             sender
         }
     };
-    let answer = connection.send_request(onward).await?;
+    let answer = connection.send_request(forwarded).await?;
     let body = answer.into_body().collect().await?.to_bytes();
     connection.ready().await?;
     idle.borrow_mut().push(connection);
     Ok(Response::new(Full::new(body)))
 }
 
-fn bare(servers: &str) -> Result<(), Fault> {
+/// Runs the bare proxy to a comma-separated list of servers.
+fn bare(servers: &str) -> Result<(), BoxError> {
     let servers = servers.split(',').map(|s| Ok((s.parse()?, RefCell::default())));
-    let pool = Rc::new(Pool { servers: servers.collect::<Result<_, Fault>>()?, next: Cell::new(0) });
+    let pool = Rc::new(Pool { servers: servers.collect::<Result<_, BoxError>>()?, next: Cell::new(0) });
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build_local(Default::default())?;
     runtime.block_on(async {
@@ -88,7 +90,7 @@
             tokio::task::spawn_local(async move {
                 let service = service_fn(move |r| {
                     let pool = pool.clone();
-                    async move { pass(&pool, r).await }
+                    async move { forward(&pool, r).await }
                 });
                 let _ = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service)
@@ -100,62 +102,63 @@
 
 // ---- The comparison ----
 
-fn number(name: &str, default: usize) -> usize {
+/// Reads a number from an environment variable.
+fn env_number(name: &str, default: usize) -> usize {
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-/// CPU time that a process has used, in clock ticks.
-fn ticks(id: u32) -> u64 {
+/// Returns the CPU time that a process has used, in clock ticks.
+fn cpu_ticks(id: u32) -> u64 {
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).expect("a process of this system");
     let after = stat.rsplit(')').next().unwrap_or_default();
     let field = |n: usize| after.split_whitespace().nth(n).and_then(|f| f.parse().ok()).unwrap_or(0u64);
     field(11) + field(12)
 }
 
-/// Drives a closed loop; requests that were not answered 200, and the mean answer time in ms.
-fn drive(to: SocketAddr, requests: usize, connections: usize, round: usize) -> (usize, f64) {
+/// Drives a closed loop. Returns the number of requests not answered 200, and the mean response time in ms.
+fn drive_closed_loop(address: SocketAddr, requests: usize, connections: usize, round: usize) -> (usize, f64) {
     let started = Instant::now();
-    let lanes: Vec<_> = (0..connections)
-        .map(|lane| {
+    let threads: Vec<_> = (0..connections)
+        .map(|connection_index| {
             thread::spawn(move || {
-                let mut client = Client::try_connect(to).expect("it listens");
-                let mut bad = 0;
+                let mut client = Client::try_connect(address).expect("it listens");
+                let mut failures = 0;
                 for n in 0..requests / connections {
-                    let id = ((round as u64) << 48) | ((lane as u64) << 32) | n as u64;
-                    let text = request("quote", id, "partner", &format!("{lane:016x}"), 2.0);
+                    let id = ((round as u64) << 48) | ((connection_index as u64) << 32) | n as u64;
+                    let text = request("quote", id, "partner", &format!("{connection_index:016x}"), 2.0);
                     match client.try_ask(&text) {
-                        Some(answer) => bad += usize::from(answer.status() != 200),
+                        Some(answer) => failures += usize::from(answer.status() != 200),
                         None => {
-                            bad += 1;
-                            client = Client::try_connect(to).expect("it listens");
+                            failures += 1;
+                            client = Client::try_connect(address).expect("it listens");
                         }
                     }
                 }
-                bad
+                failures
             })
         })
         .collect();
-    let bad = lanes.into_iter().map(|l| l.join().expect("no panic")).sum();
-    (bad, started.elapsed().as_secs_f64() * 1000.0 * connections as f64 / requests as f64)
+    let failures = threads.into_iter().map(|l| l.join().expect("no panic")).sum();
+    (failures, started.elapsed().as_secs_f64() * 1000.0 * connections as f64 / requests as f64)
 }
 
-fn median(mut all: Vec<f64>) -> f64 {
-    all.sort_by(f64::total_cmp);
-    all[all.len() / 2]
+fn median(mut values: Vec<f64>) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values[values.len() / 2]
 }
 
-/// Operators' files of three members that know each other.
-fn members(folder: &Path) -> Result<[PathBuf; 3], Fault> {
+/// Writes the operators' files of three fleet members that have each other as seeds.
+fn members(folder: &Path) -> Result<[PathBuf; 3], BoxError> {
     std::fs::create_dir_all(folder)?;
     let key = folder.join("key");
     std::fs::write(&key, "a key of sixteen bytes and more")?;
     std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600))?;
-    let places = [(); 3].map(|()| UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()));
-    let places: Vec<SocketAddr> = places.into_iter().collect::<Result<_, _>>()?;
+    let listen_addresses = [(); 3].map(|()| UdpSocket::bind("127.0.0.1:0").and_then(|s| s.local_addr()));
+    let listen_addresses: Vec<SocketAddr> = listen_addresses.into_iter().collect::<Result<_, _>>()?;
     let mut files = [(); 3].map(|()| PathBuf::new());
     for (n, file) in files.iter_mut().enumerate() {
         *file = folder.join(format!("member-{n}.toml"));
-        let (listen, seed, key) = (places[n], places[(n + 1) % 3], key.display());
+        let (listen, seed, key) = (listen_addresses[n], listen_addresses[(n + 1) % 3], key.display());
         let text = format!(
             "[fleet]\nname = \"m{n}\"\nlisten = \"{listen}\"\nseeds = [\"{seed}\"]\nkey_file = \"{key}\"\nsubsets = true\n"
         );
@@ -164,14 +167,15 @@
     Ok(files)
 }
 
-fn main() -> Result<(), Fault> {
+fn main() -> Result<(), BoxError> {
     if let Ok(servers) = std::env::var("BARE_SERVERS") {
         return bare(&servers);
     }
-    // `cargo test` runs benches too, in short.
-    let short = !std::env::args().any(|a| a == "--bench");
-    let (servers, connections) = (number("SERVERS", 10), number("CONNECTIONS", 64));
-    let (requests, rounds) = if short { (640, 1) } else { (number("REQUESTS", 30_000), number("ROUNDS", 5)) };
+    // `cargo test` runs benches too, then with few requests.
+    let is_short = !std::env::args().any(|a| a == "--bench");
+    let (servers, connections) = (env_number("SERVERS", 10), env_number("CONNECTIONS", 64));
+    let (requests, rounds) =
+        if is_short { (640, 1) } else { (env_number("REQUESTS", 30_000), env_number("ROUNDS", 5)) };
     let answer = |_: &_, to: &mut _| good(to, "ok", None);
     let addresses = (0..servers).map(|_| serve(Arc::new(answer))).collect::<Result<Vec<_>, _>>()?;
     let names: Vec<String> = (0..servers).map(|n| format!("server-{n:03}")).collect();
@@ -185,17 +189,17 @@
         plan["ceiling_burst"] = 0.0.into();
     }
     let mut programs = Vec::new();
-    let now = PathBuf::from(env!("CARGO_BIN_EXE_granitethread"));
+    let current = PathBuf::from(env!("CARGO_BIN_EXE_granitethread"));
     let before = std::env::var_os("GRANITETHREAD_BEFORE").map(PathBuf::from);
-    for (name, file) in [("before", before), ("gateway", Some(now))] {
+    for (name, file) in [("before", before), ("gateway", Some(current))] {
         let Some(file) = file else { continue };
         programs.push((name, Program::start(&file, &config.to_string(), discovery.address)?));
         discovery.wait_for_calls(programs.len() * 2);
     }
-    let view = number("FLEET", 0) > 0;
+    let with_fleet = env_number("FLEET", 0) > 0;
     let folder = std::env::temp_dir().join(format!("granitethread-bench-{}", std::process::id()));
-    let mut others = Vec::new();
-    if view {
+    let mut other_members = Vec::new();
+    if with_fleet {
         let [with, members @ ..] = members(&folder)?;
         let file = Path::new(env!("CARGO_BIN_EXE_granitethread"));
         programs.push((
@@ -203,53 +207,61 @@
             Program::start_with_operator_file(file, &config.to_string(), discovery.address, Some(&with))?,
         ));
         for member in members {
-            others.push(Program::start_with_operator_file(file, EXAMPLE, discovery.address, Some(&member))?);
+            other_members.push(Program::start_with_operator_file(
+                file,
+                EXAMPLE,
+                discovery.address,
+                Some(&member),
+            )?);
         }
-        discovery.wait_for_calls((programs.len() + others.len()) * 2);
+        discovery.wait_for_calls((programs.len() + other_members.len()) * 2);
     }
-    if number("SNAPSHOT", 0) > 0 {
-        let own = folder.join("snapshots");
-        std::fs::create_dir_all(&own)?;
+    if env_number("SNAPSHOT", 0) > 0 {
+        let snapshot_folder = folder.join("snapshots");
+        std::fs::create_dir_all(&snapshot_folder)?;
         let file = folder.join("snapshot.toml");
-        std::fs::write(&file, format!("[snapshot]\nfolder = \"{}\"\nname = \"g\"\n", own.display()))?;
+        std::fs::write(
+            &file,
+            format!("[snapshot]\nfolder = \"{}\"\nname = \"g\"\n", snapshot_folder.display()),
+        )?;
         let program = Path::new(env!("CARGO_BIN_EXE_granitethread"));
         programs.push((
             "snapshot",
             Program::start_with_operator_file(program, &config.to_string(), discovery.address, Some(&file))?,
         ));
     }
-    let places: Vec<String> = addresses.iter().map(ToString::to_string).collect();
+    let backend_addresses: Vec<String> = addresses.iter().map(ToString::to_string).collect();
     let mut bare = Command::new(std::env::current_exe()?)
-        .env("BARE_SERVERS", places.join(","))
+        .env("BARE_SERVERS", backend_addresses.join(","))
         .stderr(Stdio::piped())
         .spawn()?;
-    let mut first = String::new();
-    BufReader::new(bare.stderr.take().expect("piped")).read_line(&mut first)?;
-    let bare_address: SocketAddr = first.trim().trim_start_matches("listening on ").parse()?;
+    let mut first_line = String::new();
+    BufReader::new(bare.stderr.take().expect("piped")).read_line(&mut first_line)?;
+    let bare_address: SocketAddr = first_line.trim().trim_start_matches("listening on ").parse()?;
     let mut subjects = vec![("bare", bare.id(), bare_address)];
     subjects.extend(programs.iter().map(|(name, p)| (*name, p.child.id(), p.address)));
-    let mut seen: Vec<(Vec<f64>, Vec<f64>, usize)> = vec![Default::default(); subjects.len()];
-    // Round 0 warms up; the order turns from round to round.
+    let mut results: Vec<(Vec<f64>, Vec<f64>, usize)> = vec![Default::default(); subjects.len()];
+    // Round 0 is a warm-up. The order of the programs rotates from round to round.
     for round in 0..=rounds {
         for turn in 0..subjects.len() {
             let n = (turn + round) % subjects.len();
             let (_, id, address) = subjects[n];
-            let started = ticks(id);
-            let (bad, ms) = drive(address, requests, connections, round);
+            let ticks_before = cpu_ticks(id);
+            let (failures, ms) = drive_closed_loop(address, requests, connections, round);
             if round > 0 {
-                seen[n].0.push((ticks(id) - started) as f64 * 1e4 / requests as f64);
-                seen[n].1.push(ms);
-                seen[n].2 += bad;
+                results[n].0.push((cpu_ticks(id) - ticks_before) as f64 * 1e4 / requests as f64);
+                results[n].1.push(ms);
+                results[n].2 += failures;
             }
         }
     }
     let _ = (bare.kill(), bare.wait());
     println!("{servers} servers, {connections} connections, {rounds} rounds of {requests} requests each");
-    let base = seen[0].0.clone();
-    for ((name, ..), (cpu, ms, bad)) in subjects.iter().zip(&seen) {
-        let ratio = median(cpu.iter().zip(&base).map(|(a, b)| a / b.max(1e-9)).collect());
+    let bare_cpu = results[0].0.clone();
+    for ((name, ..), (cpu, ms, failures)) in subjects.iter().zip(&results) {
+        let ratio = median(cpu.iter().zip(&bare_cpu).map(|(a, b)| a / b.max(1e-9)).collect());
         println!(
-            "{name:8} {:6.1} us CPU a request, {ratio:5.2} times the bare one's; {:6.2} ms an answer; {bad} not served",
+            "{name:8} {:6.1} us CPU a request, {ratio:5.2} times the bare one's; {:6.2} ms an answer; {failures} not served",
             median(cpu.clone()),
             median(ms.clone())
         );
@@ -257,18 +269,19 @@
     if let (Some(b), Some(a)) =
         (subjects.iter().position(|s| s.0 == "before"), subjects.iter().position(|s| s.0 == "gateway"))
     {
-        let ratio = median(seen[a].0.iter().zip(&seen[b].0).map(|(a, b)| a / b.max(1e-9)).collect());
+        let ratio = median(results[a].0.iter().zip(&results[b].0).map(|(a, b)| a / b.max(1e-9)).collect());
         println!("after is {ratio:.3} of before");
     }
-    for (part, what) in [("view", "a view"), ("snapshot", "snapshots")] {
-        let place = |name| subjects.iter().position(|s| s.0 == name);
-        if let (Some(b), Some(a)) = (place("gateway"), place(part)) {
-            let ratio = median(seen[a].0.iter().zip(&seen[b].0).map(|(a, b)| a / b.max(1e-9)).collect());
-            let all = seen[a].0.iter().sum::<f64>() / seen[b].0.iter().sum::<f64>();
-            println!("with {what} it is {ratio:.3} of without; over all rounds {all:.3}");
+    for (part, feature) in [("view", "a view"), ("snapshot", "snapshots")] {
+        let subject_index = |name| subjects.iter().position(|s| s.0 == name);
+        if let (Some(b), Some(a)) = (subject_index("gateway"), subject_index(part)) {
+            let ratio =
+                median(results[a].0.iter().zip(&results[b].0).map(|(a, b)| a / b.max(1e-9)).collect());
+            let all = results[a].0.iter().sum::<f64>() / results[b].0.iter().sum::<f64>();
+            println!("with {feature} it is {ratio:.3} of without; over all rounds {all:.3}");
         }
     }
-    drop(others);
+    drop(other_members);
     let _ = std::fs::remove_dir_all(&folder);
     Ok(())
 }
--- a/tests/legacy.rs
+++ b/tests/legacy.rs
@@ -1,4 +1,5 @@
-//! What one process of a gateway leaves for the next: stores and ceilings go on, whatever is garbled changes nothing.
+//! State that one process of a gateway exports for its successor: buckets and hard limits continue, and a garbled
+//! export changes nothing.
 
 use granitehub::*;
 
@@ -24,71 +25,76 @@
     gateway
 }
 
-/// How many of so many requests of one unit are sent on at once; each is answered.
-fn passed(gateway: &mut Gateway, now: Time, ids: std::ops::Range<u64>) -> usize {
+/// Sends a request of one unit for each id and returns how many are forwarded at once. Each forwarded one succeeds.
+fn count_sent(gateway: &mut Gateway, now: Time, ids: std::ops::Range<u64>) -> usize {
     let mut sent = 0;
     for id in ids {
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let request = Request::new(id, 0, 0, "c-1", now + 4 * SEC, 1.0);
-        gateway.handle(now, vec![Event::Request(request)], &mut out);
-        for action in out {
+        gateway.handle(now, vec![Event::Request(request)], &mut actions);
+        for action in actions {
             let Action::Send { id, server, .. } = action else { continue };
             sent += 1;
             let (ending, last, elapsed) = (Ending::Success, true, SEC / 20);
             let (attempt, settled, metered, load) = (0, 0.0, None, None);
-            let end = AttemptEnd { id, attempt, server, ending, last, elapsed, settled, metered, load };
-            gateway.handle(now, vec![Event::AttemptEnd(end)], &mut Vec::new());
+            let attempt_end =
+                AttemptEnd { id, attempt, server, ending, last, elapsed, settled, metered, load };
+            gateway.handle(now, vec![Event::AttemptEnd(attempt_end)], &mut Vec::new());
         }
     }
     sent
 }
 
 #[test]
-fn a_burst_is_given_once_whatever_processes_there_are() {
+fn an_imported_state_does_not_grant_a_burst_twice() {
     let mut old = gateway(START);
     let now = START + 30 * SEC;
-    let first = passed(&mut old, now, 0..60);
-    assert!(first >= 20, "{first}: its store, at the least");
-    let mut alone = gateway(now);
-    alone.import_state(now, &old.export_state()).expect("of this version");
-    let again = passed(&mut alone, now, 100..160);
-    let old_again = passed(&mut old, now, 200..260);
+    let first_burst = count_sent(&mut old, now, 0..60);
+    assert!(first_burst >= 20, "{first_burst}: at least a full bucket");
+    let mut successor = gateway(now);
+    successor.import_state(now, &old.export_state()).expect("a supported version");
+    let successor_sent = count_sent(&mut successor, now, 100..160);
+    let old_sent = count_sent(&mut old, now, 200..260);
     assert!(
-        again.abs_diff(old_again) <= 10 && again < first / 2,
-        "{again}, the old one {old_again}, {first} at first"
+        successor_sent.abs_diff(old_sent) <= 10 && successor_sent < first_burst / 2,
+        "{successor_sent}, the old process {old_sent}, {first_burst} at first"
     );
 }
 
-/// A ceiling begins empty, since a process can't tell that it is the first. One that goes on with another's can.
+/// The bucket of a hard limit starts empty, since a process can't know whether it is the first. An imported state says
+/// how full it is.
 #[test]
-fn a_ceiling_goes_on_where_it_stood() {
+fn a_hard_limit_continues_at_its_imported_level() {
     let old = gateway(START);
     let now = START + 60 * SEC;
-    assert_eq!(passed(&mut gateway(now), now, 0..10), 0, "it may have been passed a moment ago");
+    assert_eq!(count_sent(&mut gateway(now), now, 0..10), 0, "the limit may have been used up just before");
     let mut new = gateway(now);
-    new.import_state(now, &old.export_state()).expect("of this version");
-    assert_eq!(passed(&mut new, now, 0..10), 10);
+    new.import_state(now, &old.export_state()).expect("a supported version");
+    assert_eq!(count_sent(&mut new, now, 0..10), 10);
 }
 
-/// Both serve for a moment: what either let pass is gone.
+/// Both processes serve for a moment: the requests that either sent are charged.
 #[test]
-fn what_the_new_one_let_pass_before_counts_too() {
+fn requests_sent_before_the_import_count_too() {
     let (mut old, mut new) = (gateway(START), gateway(START));
     let now = START + 30 * SEC;
-    passed(&mut old, now, 0..10);
-    let early = passed(&mut new, now, 100..110);
+    count_sent(&mut old, now, 0..10);
+    let early = count_sent(&mut new, now, 100..110);
     assert_eq!(early, 10);
-    new.import_state(now, &old.export_state()).expect("of this version");
-    let rest = passed(&mut new, now, 200..260);
+    new.import_state(now, &old.export_state()).expect("a supported version");
+    let sent_after_import = count_sent(&mut new, now, 200..260);
     let mut fresh = gateway(START);
-    let whole = passed(&mut fresh, now, 300..380);
-    assert!(rest + 20 <= whole + 10, "{rest} after 20, beside {whole} from a full store");
+    let full_burst = count_sent(&mut fresh, now, 300..380);
+    assert!(
+        sent_after_import + 20 <= full_burst + 10,
+        "{sent_after_import} after 20, compared with {full_burst} from a full bucket"
+    );
 }
 
 #[test]
-fn what_is_garbled_is_refused_whole() {
+fn a_garbled_state_is_refused_entirely() {
     let mut old = gateway(START);
-    passed(&mut old, START + SEC, 0..30);
+    count_sent(&mut old, START + SEC, 0..30);
     let text = old.export_state();
     let mut new = gateway(START + SEC);
     for cut in (0..text.len()).step_by(37) {
@@ -107,13 +113,13 @@
     assert_eq!(new.export_state(), gateway(START + SEC).export_state(), "nothing has changed");
 }
 
-/// Its clock may be a little ahead of ours.
+/// The exporting process's clock may be slightly ahead: importing its state must not panic.
 #[test]
 fn times_ahead_of_now_do_no_harm() {
     let mut old = gateway(START);
-    passed(&mut old, START + 9 * SEC, 0..30);
+    count_sent(&mut old, START + 9 * SEC, 0..30);
     let mut new = gateway(START);
-    new.import_state(START, &old.export_state()).expect("of this version");
-    passed(&mut new, START, 100..110);
-    passed(&mut new, START + 20 * SEC, 200..210);
+    new.import_state(START, &old.export_state()).expect("a supported version");
+    count_sent(&mut new, START, 100..110);
+    count_sent(&mut new, START + 20 * SEC, 200..210);
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' file and the example of a gateway's own, as the program takes them.
+//! Validation of the operators' file and of the example gateway configuration by the program.
 
 use std::path::PathBuf;
 use std::process::{Command, Output};
@@ -7,34 +7,37 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_granitethread");
 static NUMBER: AtomicU32 = AtomicU32::new(0);
 
-struct File(PathBuf);
+/// A temporary file, removed on drop.
+struct TempFile(PathBuf);
 
-impl File {
-    fn new(text: &str, ending: &str) -> Self {
+impl TempFile {
+    fn new(text: &str, extension: &str) -> Self {
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let name = format!("granitethread-operator-{}-{number}.{ending}", std::process::id());
+        let name = format!("granitethread-operator-{}-{number}.{extension}", std::process::id());
         let path = std::env::temp_dir().join(name);
         std::fs::write(&path, text).expect("a file");
-        File(path)
+        TempFile(path)
     }
 }
 
-impl Drop for File {
+impl Drop for TempFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
+/// Runs `granitethread check` on a file.
 fn check(file: &PathBuf) -> Output {
     Command::new(PROGRAM).arg("check").arg(file).output().expect("it runs")
 }
 
+/// Returns the path of a file of the repository's `deploy` folder.
 fn repository(file: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("deploy").join(file)
 }
 
 #[test]
-fn what_stands_in_the_repository_will_do() {
+fn the_example_files_of_the_repository_are_valid() {
     for file in ["operator.toml", "gateway.example.json"] {
         let output = check(&repository(file));
         assert!(output.status.success(), "{file}: {}", String::from_utf8_lossy(&output.stderr));
@@ -43,8 +46,8 @@
 }
 
 #[test]
-fn what_will_not_do_is_one_line_with_its_place_whether_checked_or_started_with() {
-    for (text, wanted) in [
+fn an_invalid_file_is_one_line_with_its_position_on_check_and_on_start() {
+    for (text, expected) in [
         ("[lifecycle]\nway_back = 3\n", ":2: lifecycle.way_back: unknown field"),
         ("[planet]\nx = 1\n", ":1: planet: unknown field"),
         ("\n[lifecycle]\nmodule_grace_ms = true\n", ":3: lifecycle.module_grace_ms: invalid type"),
@@ -53,21 +56,21 @@
             ":2: lifecycle.key_margin_ms: 1001 is out of range: 0 to 1000",
         ),
     ] {
-        let file = File::new(text, "toml");
+        let file = TempFile::new(text, "toml");
         let started = Command::new(PROGRAM)
             .env("GRANITETHREAD_OPERATOR", &file.0)
             .env("LB_CONFIG", repository("gateway.example.json"))
             .output()
             .expect("it runs");
         for output in [check(&file.0), started] {
-            let said = String::from_utf8_lossy(&output.stderr);
-            assert_eq!(output.status.code(), Some(1), "{said}");
-            assert_eq!(said.lines().count(), 1, "{said}");
-            assert!(said.contains(wanted) && said.contains(&file.0.display().to_string()), "{said}");
+            let stderr = String::from_utf8_lossy(&output.stderr);
+            assert_eq!(output.status.code(), Some(1), "{stderr}");
+            assert_eq!(stderr.lines().count(), 1, "{stderr}");
+            assert!(stderr.contains(expected) && stderr.contains(&file.0.display().to_string()), "{stderr}");
         }
     }
-    let own = File::new("{\"listen\": 5}", "json");
-    let output = check(&own.0);
+    let gateway_config = TempFile::new("{\"listen\": 5}", "json");
+    let output = check(&gateway_config.0);
     assert_eq!((output.status.code(), String::from_utf8_lossy(&output.stderr).lines().count()), (Some(1), 1));
     let missing = check(&PathBuf::from("no-such-file.toml"));
     assert_eq!(
@@ -76,11 +79,11 @@
     );
 }
 
-/// JSON lines by a setting: every line of the log is an object with the message and its fields.
+/// With `log.format = "json"` each log line is an object with the message and its fields.
 #[test]
-fn the_log_is_json_when_asked_for() {
+fn the_log_is_json_when_configured() {
     use std::io::{BufRead, BufReader};
-    let file = File::new("[log]\nformat = \"json\"\n", "toml");
+    let file = TempFile::new("[log]\nformat = \"json\"\n", "toml");
     let mut child = Command::new(PROGRAM)
         .env("GRANITETHREAD_OPERATOR", &file.0)
         .env("LB_CONFIG", repository("gateway.example.json"))
@@ -92,7 +95,7 @@
     BufReader::new(child.stderr.take().expect("piped")).read_line(&mut line).expect("a line");
     let _ = (child.kill(), child.wait());
     let event: serde_json::Value = serde_json::from_str(&line).unwrap_or_else(|e| panic!("{line}: {e}"));
-    let address = event["address"].as_str().expect("a field of its own");
+    let address = event["address"].as_str().expect("an address field");
     assert_eq!(event["message"], format!("listening on {address}"));
     assert_eq!(event["level"], "INFO");
 }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes and pools on loopback sockets, as the operators write them.
+//! End-to-end tests of routes and pools from the operators' file, on loopback sockets.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -6,7 +6,7 @@
 use test_harness::planners::Files;
 use test_harness::program::{Program, EXAMPLE};
 
-const FILE: &str = r#"
+const OPERATOR_FILE: &str = r#"
 [[pool]]
 name = "pricing"
 group = [1]
@@ -39,53 +39,57 @@
     let program = Path::new(env!("CARGO_BIN_EXE_granitethread"));
     let started = Program::start_with_operator_file(program, &config, discovery.address, Some(&operator))
         .expect("it starts");
-    // The second call is the watch: the list is in.
+    // The second call is the watch: by then the list has been applied.
     discovery.wait_for_calls(2);
     started
 }
 
 #[test]
-fn each_route_reaches_its_own_pool_with_its_path() {
+fn each_route_forwards_to_its_own_pool_with_its_path() {
     let (pricing, booking) = (Backend::good(), Backend::good());
     let targets = [target("s-1", pricing.address, 1), target("s-2", booking.address, 2)].join(",");
     let discovery = Discovery::new(format!(r#"{{"rev":1,"all":true,"targets":[{targets}]}}"#));
     let mut files = Files(Vec::new());
-    let gateway = start(FILE, &mut files, &discovery);
+    let gateway = start(OPERATOR_FILE, &mut files, &discovery);
     let mut client = Client::connect(gateway.address);
-    let mut say = |class, path: &str| client.ask(&caller_request(class).text().replace("/api?x=1", path));
+    let mut send_request =
+        |class, path: &str| client.ask(&caller_request(class).text().replace("/api?x=1", path));
 
-    assert_eq!(say("quote", "/v2/api/list?x=1").status(), 200);
-    assert!(pricing.next().start.starts_with("GET /api/list?x=1 "), "the prefix is rewritten, the rest kept");
-    assert_eq!(say("quote", "/api/v2?y=%2F").status(), 200);
-    assert!(booking.next().start.starts_with("GET /api/v2?y=%2F "), "what is not rewritten is unchanged");
-    assert_eq!(say("confirm", "/v2/api").status(), 404, "its class has no route there");
-    assert_eq!(say("quote", "/apis").status(), 404);
-    let empty = say("quote", "/empty");
+    assert_eq!(send_request("quote", "/v2/api/list?x=1").status(), 200);
+    assert!(
+        pricing.next().start.starts_with("GET /api/list?x=1 "),
+        "the prefix is rewritten, the remainder kept"
+    );
+    assert_eq!(send_request("quote", "/api/v2?y=%2F").status(), 200);
+    assert!(booking.next().start.starts_with("GET /api/v2?y=%2F "), "a path without a rewrite is unchanged");
+    assert_eq!(send_request("confirm", "/v2/api").status(), 404, "the class has no route for this path");
+    assert_eq!(send_request("quote", "/apis").status(), 404);
+    let empty = send_request("quote", "/empty");
     assert!(matches!(empty.status(), 429 | 503) && empty.header("retry-after").is_some(), "{empty:?}");
     assert!(pricing.received_nothing() && booking.received_nothing());
     assert_eq!(
         client.ask("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").status(),
         200,
-        "it has no route to be hidden by"
+        "no route may hide the readiness path"
     );
 }
 
-/// A conflict is one line with both places, and nothing starts.
+/// Two conflicting routes are reported in one line with both line numbers, and the program does not start.
 #[test]
-fn a_table_that_wont_do_names_both_lines() {
+fn a_conflicting_route_table_is_refused_with_both_lines() {
     let mut files = Files(Vec::new());
-    let both = format!("{FILE}[[route]]\nprefix = \"/api/\"\npool = \"pricing\"\n");
-    let operator = files.add("routes.toml", &both, 0o600).expect("a file");
+    let conflicting = format!("{OPERATOR_FILE}[[route]]\nprefix = \"/api/\"\npool = \"pricing\"\n");
+    let operator = files.add("routes.toml", &conflicting, 0o600).expect("a file");
     let discovery = Discovery::never_answers();
     let program = Path::new(env!("CARGO_BIN_EXE_granitethread"));
     let error = Program::start_with_operator_file(program, EXAMPLE, discovery.address, Some(&operator))
         .err()
-        .expect("it won't do");
+        .expect("the table is refused");
     let check = std::process::Command::new(program).arg("check").arg(&operator).output().expect("it runs");
-    let said = String::from_utf8_lossy(&check.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&check.stderr).into_owned();
     assert!(
-        !check.status.success() && said.contains("line 22: a request") && said.lines().count() == 1,
-        "{said}"
+        !check.status.success() && stderr.contains("line 22: a request") && stderr.lines().count() == 1,
+        "{stderr}"
     );
     assert!(error.contains("line 22: a request can match this route and that of line 16"), "{error}");
 }
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -1,5 +1,5 @@
-//! What a gateway knows over its own death: killed processes, damaged files, folders that are not there. What it is worth
-//! is counted at the backends.
+//! Recovery from snapshots: killed processes, damaged files, missing folders. The effect is measured by the requests
+//! that reach the backends.
 
 mod support;
 
@@ -12,8 +12,9 @@
 use test_harness::program::{Program, EXAMPLE};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_granitethread");
-const FILE: &str = "granitethread.snapshot";
+const SNAPSHOT_FILE: &str = "granitethread.snapshot";
 
+/// A temporary folder of one test, removed on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -24,7 +25,7 @@
     }
 
     fn file(&self) -> PathBuf {
-        self.0.join(FILE)
+        self.0.join(SNAPSHOT_FILE)
     }
 }
 
@@ -34,14 +35,14 @@
     }
 }
 
-/// A gateway of this name that keeps its snapshots there.
-fn gateway(folder: &Path, operators: &Path, name: &str, discovery: &Discovery) -> Program {
+/// Starts a gateway of this name with snapshots in `folder`, and waits until it is ready.
+fn start_gateway(folder: &Path, operators: &Path, name: &str, discovery: &Discovery) -> Program {
     let text = format!("[snapshot]\nfolder = \"{}\"\nname = \"{name}\"\nevery_ms = 200\n", folder.display());
     std::fs::write(operators, text).expect("the operators' file");
     let program = Path::new(PROGRAM);
     let gateway = Program::start_member(program, EXAMPLE, discovery.address, operators, None);
     let gateway = gateway.expect("it starts");
-    // It has a list when it is ready.
+    // A ready gateway has an endpoint list.
     let until = Instant::now() + LIMIT;
     loop {
         let ready = Client::try_connect(gateway.address)
@@ -58,13 +59,13 @@
     SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_nanos() as u64
 }
 
-/// Until a snapshot lies there that was true later than now.
-fn kept(folder: &Folder) {
-    let (asked, until) = (now(), Instant::now() + LIMIT);
+/// Waits for a snapshot taken after this call.
+fn wait_for_snapshot(folder: &Folder) {
+    let (called_at, until) = (now(), Instant::now() + LIMIT);
     loop {
-        let at =
+        let taken_at =
             std::fs::read(folder.file()).ok().and_then(|b| inspect(&b).ok()).map(|read| read.author.taken_at);
-        if at.is_some_and(|at| at > asked) {
+        if taken_at.is_some_and(|taken_at| taken_at > called_at) {
             return;
         }
         assert!(Instant::now() < until, "no snapshot is written");
@@ -72,183 +73,200 @@
     }
 }
 
-/// So many requests of one customer with a small quota, as fast as they are answered; how many were served.
-fn burst(at: SocketAddr, times: usize) -> usize {
-    let mut client = Client::connect(at);
-    let mut one = caller_request("quote");
-    one.plan = "starter";
-    (0..times).filter(|_| client.ask(&one.text()).status() == 200).count()
+/// Sends `count` requests of one customer with a small quota one after another and returns how many were served.
+fn burst(address: SocketAddr, count: usize) -> usize {
+    let mut client = Client::connect(address);
+    let mut request = caller_request("quote");
+    request.plan = "starter";
+    (0..count).filter(|_| client.ask(&request.text()).status() == 200).count()
 }
 
-/// What a gateway named g1 with one server leaves when it is killed: its folder, one for operators' files, and its peers.
-fn killed(name: &str) -> (Folder, Folder, Backend, Discovery) {
+/// Runs a gateway named g1 with one backend, kills it after a snapshot, and returns its snapshot folder, the folder of
+/// its operators' file, and its peers.
+fn killed_gateway(name: &str) -> (Folder, Folder, Backend, Discovery) {
     let (folder, operators) = (Folder::new(name), Folder::new(&format!("{name}-operators")));
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
-    let mut first = gateway(&folder.0, &operators.0.join("g.toml"), "g1", &discovery);
-    kept(&folder);
+    let mut first = start_gateway(&folder.0, &operators.0.join("g.toml"), "g1", &discovery);
+    wait_for_snapshot(&folder);
     first.kill();
     (folder, operators, backend, discovery)
 }
 
-fn lines(gateway: &Program) -> Vec<String> {
-    let mut all: Vec<String> = gateway.log.try_iter().collect();
-    all.retain(|line| line.contains("snapshot: "));
-    all
+/// Returns the log lines about snapshots that have been read so far.
+fn snapshot_log_lines(gateway: &Program) -> Vec<String> {
+    let mut lines: Vec<String> = gateway.log.try_iter().collect();
+    lines.retain(|line| line.contains("snapshot: "));
+    lines
 }
 
-/// The same, once there is one: another thread reads the program's log, and may be behind its answers on a busy machine.
-fn awaited_lines(gateway: &Program) -> Vec<String> {
+/// Waits for a log line about snapshots and returns all of them. Another thread reads the program's log and may lag
+/// behind its answers on a busy machine.
+fn wait_for_snapshot_log_lines(gateway: &Program) -> Vec<String> {
     let until = Instant::now() + LIMIT;
-    let mut all = lines(gateway);
-    while all.is_empty() && Instant::now() < until {
+    let mut lines = snapshot_log_lines(gateway);
+    while lines.is_empty() && Instant::now() < until {
         std::thread::sleep(Duration::from_millis(10));
-        all = lines(gateway);
+        lines = snapshot_log_lines(gateway);
     }
-    // A second line, which must not be there, comes soon behind it.
+    // An unwanted second line would follow soon after the first.
     std::thread::sleep(Duration::from_millis(50));
-    all.extend(lines(gateway));
-    all
+    lines.extend(snapshot_log_lines(gateway));
+    lines
 }
 
 #[test]
-fn a_killed_gateway_goes_on_with_its_bans_and_its_stores() {
+fn a_killed_gateway_resumes_with_its_bans_and_buckets() {
     let (folder, operators) = (Folder::new("killed"), Folder::new("killed-operators"));
     let operators = operators.0.join("g.toml");
-    let (banned, other) = (Backend::good(), Backend::good());
-    let both = [("s-1", banned.address, "Ready"), ("s-2", other.address, "Ready")];
-    let discovery = Discovery::new(list(1, true, &both));
-    let mut first = gateway(&folder.0, &operators, "g1", &discovery);
+    let (banned, unbanned) = (Backend::good(), Backend::good());
+    let targets = [("s-1", banned.address, "Ready"), ("s-2", unbanned.address, "Ready")];
+    let discovery = Discovery::new(list(1, true, &targets));
+    let mut first = start_gateway(&folder.0, &operators, "g1", &discovery);
     let answer = first.call("POST /maintenance/enter", r#"{"target":"s-1"}"#).expect("an answer");
     assert_eq!(answer.0, 200);
-    let blank = burst(first.address, 30);
-    assert!(blank >= 4, "a full store serves several: {blank}");
-    kept(&folder);
+    let served_fresh = burst(first.address, 30);
+    assert!(served_fresh >= 4, "a full bucket serves several: {served_fresh}");
+    wait_for_snapshot(&folder);
     first.kill();
     let _ = banned.requests.try_iter().count();
-    let second = gateway(&folder.0, &operators, "g1", &discovery);
-    let after = burst(second.address, 30);
-    assert!(after * 2 <= blank, "its store was empty a moment ago: {after} beside {blank}");
-    assert!(banned.received_nothing(), "its ban stands");
-    let said = awaited_lines(&second);
-    assert!(said.len() == 1 && said[0].contains("goes on with one that is"), "{said:?}");
-    kept(&folder);
+    let second = start_gateway(&folder.0, &operators, "g1", &discovery);
+    let served_after = burst(second.address, 30);
+    assert!(
+        served_after * 2 <= served_fresh,
+        "its bucket was empty a moment ago: {served_after} compared with {served_fresh}"
+    );
+    assert!(banned.received_nothing(), "its ban is still in force");
+    let log_lines = wait_for_snapshot_log_lines(&second);
+    assert!(log_lines.len() == 1 && log_lines[0].contains("goes on with one that is"), "{log_lines:?}");
+    wait_for_snapshot(&folder);
     drop(second);
-    // Without the snapshot the store is full again, and the ban is gone: what the test rests on.
+    // Control: without the snapshot the bucket is full again and the ban is gone.
     std::fs::remove_file(folder.file()).expect("the snapshot");
-    let third = gateway(&folder.0, &operators, "g1", &discovery);
-    assert!(burst(third.address, 30) > after, "a blank process serves as at first");
+    let third = start_gateway(&folder.0, &operators, "g1", &discovery);
+    assert!(burst(third.address, 30) > served_after, "a process without a snapshot has a full bucket");
 }
 
 #[test]
-fn a_killed_gateway_serves_by_its_last_list_while_discovery_is_silent() {
+fn a_killed_gateway_serves_from_its_last_list_while_discovery_is_silent() {
     let (folder, operators) = (Folder::new("list"), Folder::new("list-operators"));
     let operators = operators.0.join("g.toml");
-    let (drains, stays) = (Backend::good(), Backend::good());
-    let told =
-        |rev, state| list(rev, true, &[("s-1", drains.address, state), ("s-2", stays.address, "Ready")]);
-    let discovery = Discovery::new(told(1, "Ready"));
-    let mut first = gateway(&folder.0, &operators, "g1", &discovery);
-    kept(&folder);
-    // Killed as soon as the drain is on the disk, long before the next second.
-    discovery.publish(2, told(2, "Terminating"));
+    let (draining, remaining) = (Backend::good(), Backend::good());
+    let list_with = |rev, state| {
+        list(rev, true, &[("s-1", draining.address, state), ("s-2", remaining.address, "Ready")])
+    };
+    let discovery = Discovery::new(list_with(1, "Ready"));
+    let mut first = start_gateway(&folder.0, &operators, "g1", &discovery);
+    wait_for_snapshot(&folder);
+    // The gateway is killed as soon as the drain is on disk, long before the next second.
+    discovery.publish(2, list_with(2, "Terminating"));
     let until = Instant::now() + LIMIT;
-    let listed = |read: snapshot::Snapshot| read.sections[&Kind::List].clone().expect("a list");
-    let holds = |bytes: Vec<u8>| {
-        String::from_utf8_lossy(&listed(inspect(&bytes).expect("whole"))).contains("Terminating")
+    let list_section = |read: snapshot::Snapshot| read.sections[&Kind::List].clone().expect("a list");
+    let contains_drain = |bytes: Vec<u8>| {
+        String::from_utf8_lossy(&list_section(inspect(&bytes).expect("whole"))).contains("Terminating")
     };
-    while !std::fs::read(folder.file()).is_ok_and(holds) {
-        assert!(Instant::now() < until, "the drain is not kept");
+    while !std::fs::read(folder.file()).is_ok_and(contains_drain) {
+        assert!(Instant::now() < until, "the drain is not written to the snapshot");
         std::thread::sleep(Duration::from_millis(2));
     }
     first.kill();
-    let _ = drains.requests.try_iter().count();
+    let _ = draining.requests.try_iter().count();
     let silent = Discovery::never_answers();
-    let second = gateway(&folder.0, &operators, "g1", &silent);
-    assert!(burst(second.address, 3) >= 1, "it serves by what it knew");
-    assert!(drains.received_nothing(), "nothing new to what was told to drain");
-    // An old one names addresses that may be another's by now.
-    kept(&folder);
+    let second = start_gateway(&folder.0, &operators, "g1", &silent);
+    assert!(burst(second.address, 3) >= 1, "it serves from the restored list");
+    assert!(draining.received_nothing(), "a draining backend gets no new request");
+    // The list of an old snapshot is not used: its addresses may belong to other servers by now.
+    wait_for_snapshot(&folder);
     drop(second);
     let old = std::fs::read(folder.file()).expect("the snapshot");
     let old = inspect(&old).expect("a snapshot");
     let author = snapshot::Author { taken_at: now() - 700_000_000_000, ..old.author.clone() };
     let section = |(kind, bytes): (&Kind, &Result<Vec<u8>, _>)| snapshot::Section {
         kind: *kind,
-        bytes: bytes.clone().expect("sound"),
+        bytes: bytes.clone().expect("an intact section"),
     };
     let sections: Vec<_> = old.sections.iter().map(section).collect();
     std::fs::write(folder.file(), snapshot::encode(&author, &sections)).expect("it can be written");
     let third = Program::start_member(Path::new(PROGRAM), EXAMPLE, silent.address, &operators, None);
     let third = third.expect("it starts");
     let ready = Client::connect(third.address).ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status();
-    assert_ne!(ready, 200, "it knows no server");
+    assert_ne!(ready, 200, "it knows no backend");
 }
 
 #[test]
-fn a_gateway_that_dies_of_its_snapshot_reads_it_once() {
-    let (folder, operators, _backend, discovery) = killed("once");
+fn a_snapshot_that_crashes_the_gateway_is_read_once() {
+    let (folder, operators, _backend, discovery) = killed_gateway("once");
     let operators = operators.0.join("g.toml");
-    // Killed within the second in which it writes nothing.
-    let mut second = gateway(&folder.0, &operators, "g1", &discovery);
+    // It is killed within its first second, in which it writes no snapshot.
+    let mut second = start_gateway(&folder.0, &operators, "g1", &discovery);
     second.kill();
     assert!(!folder.file().exists(), "it is set aside");
-    let third = gateway(&folder.0, &operators, "g1", &discovery);
-    assert_eq!(lines(&third), Vec::<String>::new(), "it begins with nothing and says nothing");
-    kept(&folder);
+    let third = start_gateway(&folder.0, &operators, "g1", &discovery);
+    assert_eq!(
+        snapshot_log_lines(&third),
+        Vec::<String>::new(),
+        "it starts without a snapshot and logs nothing about it"
+    );
+    wait_for_snapshot(&folder);
 }
 
 #[test]
-fn what_is_wrong_with_a_snapshot_costs_its_part_and_one_line() {
-    let (folder, operators, _backend, discovery) = killed("damaged");
+fn a_damaged_snapshot_costs_only_the_damaged_part_and_is_logged() {
+    let (folder, operators, _backend, discovery) = killed_gateway("damaged");
     let operators = operators.0.join("g.toml");
-    let sound = std::fs::read(folder.file()).expect("the snapshot");
-    let read = inspect(&sound).expect("a snapshot");
-    let bans = read.sections[&Kind::Bans].clone().expect("bans");
-    let at = sound.windows(bans.len()).position(|w| w == bans).expect("their place");
-    let mut flipped = sound.clone();
-    flipped[at] ^= 1;
-    for (bytes, name, wanted) in [
+    let intact = std::fs::read(folder.file()).expect("the snapshot");
+    let decoded = inspect(&intact).expect("a snapshot");
+    let bans = decoded.sections[&Kind::Bans].clone().expect("bans");
+    let offset = intact.windows(bans.len()).position(|w| w == bans).expect("their offset");
+    let mut flipped = intact.clone();
+    flipped[offset] ^= 1;
+    for (bytes, name, expected) in [
         (flipped.clone(), "g1", "snapshot: bans: its checksum does not hold; begun without"),
-        (sound[..sound.len() / 2].to_vec(), "g1", "the file ends before it does; begun without"),
-        (sound.clone(), "g2", "snapshot: it is \"g1\"'s; begun with nothing"),
+        (intact[..intact.len() / 2].to_vec(), "g1", "the file ends before it does; begun without"),
+        (intact.clone(), "g2", "snapshot: it is \"g1\"'s; begun with nothing"),
         (b"anything".to_vec(), "g1", "snapshot: not a snapshot; begun with nothing"),
         (Vec::new(), "g1", "snapshot: not a snapshot; begun with nothing"),
     ] {
         std::fs::write(folder.file(), bytes).expect("it can be written");
-        let gateway = gateway(&folder.0, &operators, name, &discovery);
+        let gateway = start_gateway(&folder.0, &operators, name, &discovery);
         assert!(burst(gateway.address, 1) == 1, "it serves");
-        let said = awaited_lines(&gateway);
-        assert!(said.iter().filter(|l| l.contains(wanted)).count() >= 1, "{wanted}: {said:?}");
-        assert!(said.len() <= 4, "{said:?}");
+        let log_lines = wait_for_snapshot_log_lines(&gateway);
+        assert!(log_lines.iter().filter(|l| l.contains(expected)).count() >= 1, "{expected}: {log_lines:?}");
+        assert!(log_lines.len() <= 4, "{log_lines:?}");
     }
-    let show = |json: bool| {
+    let show_snapshot = |json: bool| {
         let mut command = Command::new(PROGRAM);
         command.args(["snapshot", "show"]).arg(folder.file());
         command.args(json.then_some("--json")).output().expect("it runs")
     };
     std::fs::write(folder.file(), &flipped).expect("it can be written");
-    let text = String::from_utf8(show(false).stdout).expect("text");
+    let text = String::from_utf8(show_snapshot(false).stdout).expect("text");
     assert!(
         text.starts_with("g1, life ") && text.contains("of no use: its checksum does not hold"),
         "{text}"
     );
-    let all: serde_json::Value = serde_json::from_slice(&show(true).stdout).expect("JSON");
-    assert_eq!((all["name"].as_str(), all["sections"].as_array().map(Vec::len)), (Some("g1"), Some(4)));
+    let shown: serde_json::Value = serde_json::from_slice(&show_snapshot(true).stdout).expect("JSON");
+    assert_eq!((shown["name"].as_str(), shown["sections"].as_array().map(Vec::len)), (Some("g1"), Some(4)));
     std::fs::write(folder.file(), "x").expect("it can be written");
-    let none = show(false);
-    let said = String::from_utf8_lossy(&none.stderr).to_string();
-    assert!(!none.status.success() && said.lines().count() == 1 && said.contains("not a snapshot"), "{said}");
+    let failed_show = show_snapshot(false);
+    let stderr = String::from_utf8_lossy(&failed_show.stderr).to_string();
+    assert!(
+        !failed_show.status.success() && stderr.lines().count() == 1 && stderr.contains("not a snapshot"),
+        "{stderr}"
+    );
 }
 
 #[test]
-fn without_a_folder_to_write_to_it_serves_all_the_same() {
+fn a_gateway_serves_without_a_writable_snapshot_folder() {
     let operators = Folder::new("nowhere-operators");
     let file = operators.0.join("g.toml");
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
-    let gateway = gateway(&operators.0.join("nowhere"), &file, "g1", &discovery);
+    let gateway = start_gateway(&operators.0.join("nowhere"), &file, "g1", &discovery);
     assert_eq!(burst(gateway.address, 1), 1);
-    let said = awaited_lines(&gateway);
-    assert!(said.len() == 1 && said[0].contains("nothing is kept for a next process"), "{said:?}");
+    let log_lines = wait_for_snapshot_log_lines(&gateway);
+    assert!(
+        log_lines.len() == 1 && log_lines[0].contains("nothing is kept for a next process"),
+        "{log_lines:?}"
+    );
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! The real program among the rig's scripted neighbours. Each test program uses a part of it.
+//! Starts the program among the scripted peers of the test harness. Each test binary uses a part of this module.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader};
@@ -26,25 +26,25 @@
  {"name":"confirm","on_time":750000000,"deadline":2000000000,"effect":"keyed","group":"all","key_ttl":2000000000,"points":5.0},
  {"name":"book-slot","on_time":750000000,"deadline":LONGEST,"effect":"unsafe","group":"all","points":3.0}]}}"#;
 
-/// What a test may set.
+/// Options with which a test starts a gateway.
 pub struct Setup {
     pub sockets: usize,
     pub memory_mb: usize,
     pub connect_ms: u64,
     pub keepalive_ms: u64,
-    /// Descriptors that the system gives the process.
+    /// Limit of open file descriptors of the process.
     pub ulimit: Option<usize>,
-    /// The list of backends that the configuration gives.
+    /// Endpoint list given in the configuration.
     pub known: Option<String>,
-    /// In place of any free port.
+    /// Listen address; any free port if absent.
     pub listen: Option<SocketAddr>,
-    /// Whether it listens for operators' calls.
-    pub operator: bool,
-    /// A socket that it inherits, and the folder that all its processes share.
+    /// Whether the gateway opens a second listener for operators' calls.
+    pub operator_listener: bool,
+    /// Inherited listening socket, and the temporary folder that all processes on that socket share.
     pub inherited: Option<(TcpListener, PathBuf)>,
-    /// Whether discovery is an agent of its own (`automatic`) or must be asked (`subscribe`).
+    /// Discovery mode: an agent of its own (`automatic`) or a service that must be asked (`subscribe`).
     pub mode: &'static str,
-    /// How long clients of `quote` and `book-slot` may wait.
+    /// Deadline of the classes `quote` and `book-slot`.
     pub deadline_ms: u64,
 }
 
@@ -58,7 +58,7 @@
             ulimit: None,
             known: None,
             listen: None,
-            operator: false,
+            operator_listener: false,
             inherited: None,
             mode: "automatic",
             deadline_ms: 2500,
@@ -67,8 +67,8 @@
 }
 
 impl Setup {
-    /// The configuration.
-    pub fn text(&self, discovery: &Discovery) -> String {
+    /// Returns the configuration file's content.
+    pub fn config_json(&self, discovery: &Discovery) -> String {
         CONFIG
             .replace("DISCOVERY", &discovery.address.to_string())
             .replace("MODE", self.mode)
@@ -81,16 +81,18 @@
     }
 }
 
+/// A running gateway process. It is killed when dropped.
 pub struct Gateway {
     pub child: Child,
     pub address: SocketAddr,
-    /// The second address, or the first again.
-    pub operator: SocketAddr,
+    /// Address of the operators' listener; the same as `address` without one.
+    pub operator_address: SocketAddr,
     config: PathBuf,
-    /// Lines of its log.
+    /// Lines that the process logged and no test has read yet.
     log: Receiver<String>,
 }
 
+/// Writes a configuration file of a unique name and returns its path.
 pub fn config_file(text: &str) -> PathBuf {
     let number = NUMBER.fetch_add(1, Ordering::Relaxed);
     let name = format!("granitethread-{}-{number}.json", std::process::id());
@@ -100,32 +102,34 @@
 }
 
 impl Gateway {
+    /// Starts a gateway with the default options and waits for its first endpoint list.
     pub fn start(discovery: &Discovery) -> Self {
-        let gateway = Gateway::with(discovery, Setup::default());
-        // The second call is the watch: the list is in.
+        let gateway = Gateway::start_with(discovery, Setup::default());
+        // The second call is the watch: by then the list has been applied.
         discovery.wait_for_calls(2);
         gateway
     }
 
-    pub fn with(discovery: &Discovery, setup: Setup) -> Self {
-        let config = config_file(&setup.text(discovery));
+    /// Starts a gateway with these options and waits until it listens.
+    pub fn start_with(discovery: &Discovery, setup: Setup) -> Self {
+        let config = config_file(&setup.config_json(discovery));
         let program = env!("CARGO_BIN_EXE_granitethread");
         let mut command = match setup.ulimit {
             None => Command::new(program),
-            Some(n) => {
+            Some(descriptors) => {
                 let mut shell = Command::new("/bin/sh");
-                shell.args(["-c", &format!("ulimit -n {n}; exec \"$0\""), program]);
+                shell.args(["-c", &format!("ulimit -n {descriptors}; exec \"$0\""), program]);
                 shell
             }
         };
         command.env("LB_CONFIG", &config).env_remove("LB_LISTEN");
-        // It counts at the start only.
+        // The program reads this variable at start only, not on a reload.
         command.env("LB_DISCOVERY", discovery.address.to_string());
         if let Some(address) = setup.listen {
             command.env("LB_LISTEN", address.to_string());
         }
         command.env_remove("LB_INHERITED_FD").env_remove("LB_OPERATOR");
-        if setup.operator {
+        if setup.operator_listener {
             command.env("LB_OPERATOR", "127.0.0.1:0");
         }
         if let Some((socket, folder)) = setup.inherited {
@@ -134,46 +138,54 @@
         }
         let mut child = command.stderr(Stdio::piped()).spawn().expect("the gateway starts");
         let mut log = BufReader::new(child.stderr.take().expect("piped"));
-        let mut told = |before: &str| -> SocketAddr {
+        let mut read_address = |prefix: &str| -> SocketAddr {
             let mut line = String::new();
             log.read_line(&mut line).expect("a line");
-            let address = line.trim().strip_prefix(before).unwrap_or_else(|| panic!("{line}"));
+            let address = line.trim().strip_prefix(prefix).unwrap_or_else(|| panic!("{line}"));
             address.parse().expect("an address")
         };
-        let address = told("listening on ");
-        let operator = if setup.operator { told("operators' calls on ") } else { address };
-        let (line, lines) = channel();
+        let address = read_address("listening on ");
+        let operator_address =
+            if setup.operator_listener { read_address("operators' calls on ") } else { address };
+        let (line, log_lines) = channel();
         thread::spawn(move || log.lines().map_while(Result::ok).for_each(|l| drop(line.send(l))));
-        Gateway { child, address, operator, config, log: lines }
+        Gateway { child, address, operator_address, config, log: log_lines }
     }
 
-    /// An operator's call.
+    /// Sends a call to the operators' listener and returns the answer.
     pub fn call(&self, start: &str, body: &str) -> Message {
         let text = format!("{start} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        Client::connect(self.operator).ask(&text)
+        Client::connect(self.operator_address).ask(&text)
     }
 
+    /// Opens a client connection.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
 
-    /// Waits for a line of the log that holds this.
-    pub fn logged(&self, text: &str) {
-        while !self.log.recv_timeout(LIMIT).unwrap_or_else(|_| panic!("{text:?} is logged")).contains(text) {}
+    /// Waits for a log line that contains `text`.
+    pub fn wait_for_log(&self, text: &str) {
+        while !self
+            .log
+            .recv_timeout(LIMIT)
+            .unwrap_or_else(|_| panic!("{text:?} was not logged"))
+            .contains(text)
+        {}
     }
 
-    /// The next line of the log, if one comes in time.
-    pub fn says_within(&self, time: std::time::Duration) -> Option<String> {
-        self.log.recv_timeout(time).ok()
+    /// Returns the next log line, or `None` if none comes within `timeout`.
+    pub fn next_log_line(&self, timeout: std::time::Duration) -> Option<String> {
+        self.log.recv_timeout(timeout).ok()
     }
 
-    /// Puts another configuration in place and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         let new = config_file(text);
         std::fs::rename(new, &self.config).expect("the file is replaced");
         self.signal("-HUP");
     }
 
+    /// Sends a signal, named as an option of `kill`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
--- a/tests/vast.rs
+++ b/tests/vast.rs
@@ -1,5 +1,5 @@
-//! The module in a fleet of a hundred gateways: what is safe for one must be so for all of them together, and what
-//! one gateway alone sees seldom must be learnt in time.
+//! The decision module in a fleet of a hundred gateways: behaviour that is safe for one must be safe for all of them
+//! together, and events that a single gateway sees rarely must still be learnt in time.
 
 use granitehub::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,45 +21,46 @@
     }
 }
 
+/// A gateway under test, with its clock and the next request id.
 struct Rig {
-    g: Gateway,
+    gateway: Gateway,
     now: Time,
-    next: u64,
+    next_id: u64,
 }
 
 impl Rig {
     fn new(me: u32, nodes: Vec<Node>) -> Rig {
-        let g = Gateway::new(settings(me), u64::from(me) + 1, 100 * SEC).expect("settings in range");
-        let mut rig = Rig { g, now: 100 * SEC, next: 1 };
+        let gateway = Gateway::new(settings(me), u64::from(me) + 1, 100 * SEC).expect("settings in range");
+        let mut rig = Rig { gateway, now: 100 * SEC, next_id: 1 };
         rig.publish(Event::Fleet { seq: 1, scope: Scope::Cached, nodes });
         rig
     }
 
     fn publish(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.g.handle(self.now, vec![event], &mut out);
+        self.gateway.handle(self.now, vec![event], &mut out);
         out
     }
 
-    /// A request a fifth of a second after the last one. Where each of its attempts went, which `end` says how
-    /// it went; it takes 50 ms.
-    fn request(&mut self, end: &mut dyn FnMut(&str) -> Ending) -> Vec<String> {
+    /// Sends a request 200 ms after the last one and returns the server of each attempt. An attempt takes 50 ms and ends
+    /// as `ending_of` says for its server.
+    fn request(&mut self, ending_of: &mut dyn FnMut(&str) -> Ending) -> Vec<String> {
         self.now += 200 * MS;
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let customer = format!("c{}", id % 7);
         let deadline = self.now + 4 * SEC;
         let request = Request { spread: GATEWAYS, ..Request::new(id, 0, 0, &customer, deadline, 1.0) };
         let mut actions = self.publish(Event::Request(request));
-        let mut went = Vec::new();
+        let mut attempt_servers = Vec::new();
         while let Some(server) = actions.iter().find_map(|a| match a {
             Action::Send { id: sent, server, .. } if *sent == id => Some(server.clone()),
             _ => None,
         }) {
             self.now += 50 * MS;
-            let ending = end(&server);
-            let attempt = went.len() as u32;
-            went.push(server.to_string());
+            let ending = ending_of(&server);
+            let attempt = attempt_servers.len() as u32;
+            attempt_servers.push(server.to_string());
             actions = self.publish(Event::AttemptEnd(AttemptEnd {
                 id,
                 attempt,
@@ -72,7 +73,7 @@
                 load: None,
             }));
         }
-        went
+        attempt_servers
     }
 }
 
@@ -80,23 +81,25 @@
     (0..n).map(|i| Node::new(&format!("s{i}"), Health::Up)).collect()
 }
 
-/// Sixty connections from each of a hundred gateways are more than servers hold, and a gateway of five requests a
-/// second would use each once in twelve seconds: long after it was closed, and too seldom to learn anything of it.
+/// Guards the subset: sixty connections from each of a hundred gateways are more than the servers hold, and a gateway
+/// with five requests a second would use each connection once in twelve seconds, which is long after it was closed and
+/// too rarely to learn anything about the server.
 #[test]
-fn each_of_many_gateways_keeps_to_few_servers_and_all_are_kept_alike() {
-    let mut keepers: BTreeMap<String, u32> = BTreeMap::new();
+fn each_of_many_gateways_uses_a_small_subset_and_servers_are_used_evenly() {
+    let mut gateways_per_server: BTreeMap<String, u32> = BTreeMap::new();
     for me in 0..GATEWAYS {
         let mut rig = Rig::new(me, servers(60));
-        let used: BTreeSet<String> = (0..100).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
-        assert!((4..=9).contains(&used.len()), "gateway {me} used {} servers", used.len());
-        used.into_iter().for_each(|name| *keepers.entry(name).or_default() += 1);
+        let used_servers: BTreeSet<String> =
+            (0..100).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
+        assert!((4..=9).contains(&used_servers.len()), "gateway {me} used {} servers", used_servers.len());
+        used_servers.into_iter().for_each(|name| *gateways_per_server.entry(name).or_default() += 1);
     }
-    assert_eq!(keepers.len(), 60, "some server is used by nobody");
-    let (least, most) = (keepers.values().min(), keepers.values().max());
-    assert!(least >= Some(&7) && most <= Some(&16), "kept by {least:?} to {most:?} of 100 gateways");
+    assert_eq!(gateways_per_server.len(), 60, "some server is used by nobody");
+    let (fewest, most) = (gateways_per_server.values().min(), gateways_per_server.values().max());
+    assert!(fewest >= Some(&7) && most <= Some(&16), "used by {fewest:?} to {most:?} of 100 gateways");
 }
 
-/// A gateway whose servers all fail must not be left to them: the next ones take their place.
+/// When all servers of a gateway's subset fail, the next ones replace them.
 #[test]
 fn servers_that_fail_are_replaced_in_the_subset() {
     let mut rig = Rig::new(3, servers(60));
@@ -108,34 +111,35 @@
     assert!(failed <= 4, "{failed} of {} attempts went to servers that are down", later.len());
 }
 
-/// A list whose servers are all down: every request is refused after three attempts at the most, and once they are
-/// up again they are used again at once.
+/// When all servers of the list are down, every request is refused after at most three attempts, and servers that are
+/// up again are used at once.
 #[test]
-fn with_all_servers_bad_requests_end_and_the_fleet_is_found_again() {
+fn with_all_servers_down_requests_end_and_recovered_servers_are_used_at_once() {
     let mut rig = Rig::new(3, servers(60));
     for _ in 0..100 {
-        let went = rig.request(&mut |_| Ending::Unreachable);
-        assert!((1..=3).contains(&went.len()), "{} attempts", went.len());
+        let attempt_servers = rig.request(&mut |_| Ending::Unreachable);
+        assert!((1..=3).contains(&attempt_servers.len()), "{} attempts", attempt_servers.len());
     }
     let served = (0..20).filter(|_| rig.request(&mut |_| Ending::Success).len() == 1).count();
     assert_eq!(served, 20, "served at the first attempt once the servers are up again");
 }
 
-/// After a zone came back cold a gateway that keeps to cold servers alone would send each of them a full part.
+/// After a zone came back cold, a gateway whose subset holds only cold servers would send each of them a full share.
 #[test]
-fn among_cold_servers_a_gateway_keeps_to_more_of_them() {
+fn a_gateway_uses_a_larger_subset_of_cold_servers() {
     let cold = |i: usize| Node { since: 99 * SEC, ..Node::new(&format!("s{i}"), Health::Up) };
     let mut rig = Rig::new(3, (0..60).map(cold).collect());
-    let used: BTreeSet<String> = (0..60).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
-    assert!(used.len() > 12, "kept to {} cold servers", used.len());
+    let used_servers: BTreeSet<String> =
+        (0..60).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
+    assert!(used_servers.len() > 12, "used only {} cold servers", used_servers.len());
 }
 
-/// After a release most servers are cold. They get their part at once, by warmth: not nothing while the warm ones
-/// drown, and not more than twice it, far from what pushes them over.
+/// After a release most servers are cold. They must get their share by warmth at once: not nothing while the warm ones
+/// are overloaded, and not more than twice that share, far below what overloads them.
 #[test]
-fn cold_servers_get_their_part_from_a_hundred_gateways_at_once() {
+fn cold_servers_get_a_share_by_warmth_from_a_hundred_gateways() {
     let node = |i: usize| Node {
-        // Warmth 0.52 to 0.64 for two in three, over the time that the test lasts.
+        // Two in three have a warmth of 0.52 to 0.64 while the test runs.
         since: if i.is_multiple_of(3) { 0 } else { 96 * SEC },
         ..Node::new(&format!("s{i}"), Health::Up)
     };
@@ -148,16 +152,18 @@
         }
     }
     let (each_cold, each_warm) = (cold / 40.0, warm / 20.0);
-    let part = each_cold / each_warm;
-    assert!((0.35..0.9).contains(&part), "a cold server gets {part} of what a warm one does");
+    let ratio = each_cold / each_warm;
+    assert!((0.35..0.9).contains(&ratio), "a cold server gets {ratio} of what a warm one does");
 }
 
-/// Few gateways see each server often enough: they use all of them.
+/// With few gateways each one uses every server often enough, so there is no subset.
 #[test]
 fn few_gateways_use_the_whole_fleet() {
     let mut rig = Rig::new(0, Vec::new());
-    rig.g = Gateway::new(Settings { gateways: 4, ..settings(0) }, 5, 100 * SEC).expect("settings in range");
+    rig.gateway =
+        Gateway::new(Settings { gateways: 4, ..settings(0) }, 5, 100 * SEC).expect("settings in range");
     rig.publish(Event::Fleet { seq: 1, scope: Scope::Cached, nodes: servers(17) });
-    let used: BTreeSet<String> = (0..200).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
-    assert_eq!(used.len(), 17);
+    let used_servers: BTreeSet<String> =
+        (0..200).flat_map(|_| rig.request(&mut |_| Ending::Success)).collect();
+    assert_eq!(used_servers.len(), 17);
 }
