--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -115,7 +115,7 @@
 /// Many clients on pooled and new connections while the gateway gets the signal. The variable `RESTARTS` sets the
 /// number of restarts.
 #[test]
-fn no_request_is_lost_during_a_restart() {
+fn no_request_is_lost_to_the_moment_of_a_restart() {
     let restarts = std::env::var("RESTARTS").ok().and_then(|n| n.parse().ok()).unwrap_or(6);
     let outcomes = Arc::new(ClientOutcomes::default());
     for _ in 0..restarts {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn three_gateways_find_each_other_and_report_it() {
+fn three_gateways_find_each_other_and_tell_so() {
     let folder = Folder::new("three");
     let key = folder.write("key", "a key of sixteen bytes and more\n", 0o600);
     let discovery = Discovery::new(list(1, true, &[]));
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -43,7 +43,7 @@
 // ---- Forwarding ----
 
 #[test]
-fn a_request_is_forwarded_unchanged_and_its_answer_returned_whole() {
+fn a_request_goes_on_unchanged_and_its_answer_comes_back_whole() {
     let backend = Backend::good();
     let gateway = Gateway::start(&discovery_listing(&backend));
     let mut client = gateway.client();
@@ -102,7 +102,7 @@
 // ---- Bad input ----
 
 #[test]
-fn bad_requests_are_refused_and_the_connection_stays_open() {
+fn bad_requests_are_turned_away_and_the_connection_goes_on() {
     let backend = Backend::good();
     let gateway = Gateway::start(&discovery_listing(&backend));
     let mut client = gateway.client();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn partial_requests_and_noise_do_not_affect_other_clients() {
+fn half_a_request_and_noise_harm_nobody_else() {
     let backend = Backend::good();
     let gateway = Gateway::start(&discovery_listing(&backend));
     let text = caller_request("book-slot").text();
@@ -284,7 +284,7 @@
 // ---- Outcomes: whether the request may have run ----
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_sent_once() {
+fn an_unsafe_request_that_may_have_run_fails_and_goes_out_once() {
     let scripts: [fn(&mut TcpStream) -> bool; 8] = [
         |_| false,
         |s| write_text(s, "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n"),
@@ -325,7 +325,7 @@
 
 /// The request behind a malformed answer may have run, so only safe requests are retried, on a new connection.
 #[test]
-fn a_malformed_answer_fails_its_attempt_at_once() {
+fn an_answer_that_cannot_be_read_is_given_up_at_once() {
     let endless_head = "X: 1\r\n".repeat(4000);
     let scripts = [
         "\u{1}\u{2}\u{3} noise\r\n\r\n".to_string(),
@@ -438,7 +438,7 @@
 }
 
 #[test]
-fn a_safe_request_is_retried_after_a_reset() {
+fn a_safe_request_goes_out_again_after_a_reset() {
     // First attempts fill the retry budget, so the reset comes only after ten of them.
     let count = AtomicUsize::new(0);
     let backend = Backend::new(move |_, s| count.fetch_add(1, Ordering::SeqCst) != 10 && ok(s, "x"));
@@ -484,7 +484,7 @@
 }
 
 #[test]
-fn without_a_ready_backend_a_request_is_refused_in_time() {
+fn with_no_backend_to_go_to_a_request_is_refused_in_time() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Terminating")]));
     let gateway = Gateway::start(&discovery);
@@ -501,7 +501,7 @@
 }
 
 #[test]
-fn a_client_disconnect_cancels_its_attempt() {
+fn when_the_client_leaves_its_attempt_is_given_up() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let backend = Backend::new(move |_, s| released.lock().expect("kept").recv().is_ok() && ok(s, "x"));
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -338,7 +338,7 @@
 }
 
 #[test]
-fn bans_survive_an_upgrade_and_bind_both_processes() {
+fn bans_hold_over_an_upgrade_and_bind_both_processes() {
     let (a, b) = (Backend::good(), Backend::good());
     let discovery = Discovery::new(two_ready_backends(1, a.address, b.address));
     let listener = SharedListener::new();
@@ -404,7 +404,7 @@
 }
 
 #[test]
-fn a_garbled_bans_file_is_ignored() {
+fn a_garbled_file_of_bans_harms_nothing() {
     let backend = Backend::good();
     let discovery = Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")]));
     let listener = SharedListener::new();
@@ -444,7 +444,7 @@
 
 /// The descriptors of operators' connections are released.
 #[test]
-fn a_thousand_calls_leak_no_descriptors() {
+fn a_thousand_calls_leave_nothing_behind() {
     let backend = Backend::good();
     let gateway =
         start_with_operator_listener(&Discovery::new(list(1, true, &[("s-1", backend.address, "Ready")])));
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -81,7 +81,7 @@
 
 /// With `log.format = "json"` each log line is an object with the message and its fields.
 #[test]
-fn the_log_is_json_when_configured() {
+fn the_log_is_json_when_asked_for() {
     use std::io::{BufRead, BufReader};
     let file = TempFile::new("[log]\nformat = \"json\"\n", "toml");
     let mut child = Command::new(PROGRAM)
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn each_route_forwards_to_its_own_pool_with_its_path() {
+fn each_route_reaches_its_own_pool_with_its_path() {
     let (pricing, booking) = (Backend::good(), Backend::good());
     let targets = [target("s-1", pricing.address, 1), target("s-2", booking.address, 2)].join(",");
     let discovery = Discovery::new(format!(r#"{{"rev":1,"all":true,"targets":[{targets}]}}"#));
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -77,7 +77,7 @@
 // ---- Request bodies ----
 
 #[test]
-fn a_chunked_body_is_forwarded_with_its_length() {
+fn a_chunked_body_goes_on_whole_with_its_length() {
     let backend = Backend::good();
     let gateway = Gateway::start(&discovery_listing(&backend));
     let mut client = gateway.client();
@@ -102,7 +102,7 @@
 
 /// The client takes 2 s for the head and sends the body at 64 kB a second.
 #[test]
-fn a_slow_body_is_awaited_and_a_stalled_one_times_out() {
+fn a_slow_body_is_awaited_and_a_stalled_one_is_not() {
     let backend = Backend::good();
     let gateway = Gateway::start(&discovery_listing(&backend));
     let address = gateway.address;
@@ -313,7 +313,7 @@
 }
 
 #[test]
-fn the_first_bytes_are_forwarded_before_the_answer_is_complete() {
+fn the_first_bytes_are_passed_on_while_the_rest_is_still_to_come() {
     let (release, released) = channel::<()>();
     let released = Mutex::new(released);
     let backend = Backend::new(move |_, s| {
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_killed_gateway_serves_from_its_last_list_while_discovery_is_silent() {
+fn a_killed_gateway_serves_by_its_last_list_while_discovery_is_silent() {
     let (folder, operators) = (Folder::new("list"), Folder::new("list-operators"));
     let operators = operators.0.join("g.toml");
     let (draining, remaining) = (Backend::good(), Backend::good());
