--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -223,7 +223,7 @@
     for (bytes, name, expected) in [
         (flipped.clone(), "g1", "snapshot: bans: its checksum does not hold; begun without"),
         (intact[..intact.len() / 2].to_vec(), "g1", "the file ends before it does; begun without"),
-        (intact.clone(), "g2", "snapshot: it is \"g1\"'s; begun with nothing"),
+        (intact.clone(), "g2", "snapshot: it belongs to \"g1\"; begun with nothing"),
         (b"anything".to_vec(), "g1", "snapshot: not a snapshot; begun with nothing"),
         (Vec::new(), "g1", "snapshot: not a snapshot; begun with nothing"),
     ] {
