--- a/crates/control/control-node/src/subscribers.rs
+++ b/crates/control/control-node/src/subscribers.rs
@@ -124,7 +124,7 @@
         match message {
             GatewayMessage::MissingGateways { mut missing } => {
                 missing.truncate(MAX_MISSING_GATEWAYS);
-                log::info!("membership: {name} reports missing gateways: {}", missing.join(", "));
+                log::info!("membership: {name} misses {}", missing.join(", "));
                 subscriber.missing_gateways = missing;
             }
             GatewayMessage::ChunkReceived { index, received } => {
--- a/crates/control/control-plane/src/storage.rs
+++ b/crates/control/control-plane/src/storage.rs
@@ -262,8 +262,8 @@
     let is_empty = stored.term == 0 && stored.snapshot.index == 0;
     (is_empty && !settings.identity.initial_start).then(|| {
         format!(
-            "storage: {} holds no log though this is not the initial start: as with a lost disk, this node cannot vote until \
-             the others admit it; should the directory have been moved (docs/operate/upgrade.md)?",
+            "storage: {} holds no log though the system has started before: as with a lost disk, this node waits for a \
+             vote; was the directory to be moved (docs/operate/upgrade.md)?",
             data_directory.display()
         )
     })
--- a/crates/gateway/engine/src/events.rs
+++ b/crates/gateway/engine/src/events.rs
@@ -126,7 +126,7 @@
             Notice::ModulePanicked { ended } => {
                 write!(f, "the module panicked: restarted from the server list, {ended} requests ended")
             }
-            Notice::AccountPanicked => write!(f, "the allowance account panicked and was restarted"),
+            Notice::AccountPanicked => write!(f, "the account of allowances panicked; a new one begins"),
             Notice::InvalidReport(error) => write!(f, "lifecycle: {error}"),
         }
     }
--- a/crates/gateway/proxy/src/handover.rs
+++ b/crates/gateway/proxy/src/handover.rs
@@ -93,7 +93,7 @@
             let liveness_lock = self.liveness_lock.as_ref();
             if self.role() == Role::Joining && liveness_lock.is_some_and(|f| f.try_lock().is_ok()) {
                 self.role.set(self.role().after(Input::OtherEnded));
-                info!("handover: the previous process has ended");
+                info!("handover: the process before this one has ended");
             }
             sleep(if awaits_state { STATE_POLL_INTERVAL } else { POLL_INTERVAL }).await;
         }
