--- a/crates/testing/model-check/src/clients.rs
+++ b/crates/testing/model-check/src/clients.rs
@@ -7,6 +7,7 @@
 };
 use stateright::{Model, Property};
 
+/// The model of a client connection.
 #[derive(Clone)]
 pub struct Clients {
     /// How many requests the client sends.
@@ -48,6 +49,7 @@
     unexpected_error: bool,
 }
 
+/// Cause of the connection's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum End {
     ByClient,
@@ -60,6 +62,7 @@
     Cut,
 }
 
+/// A transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ModelAction {
     PartialHead,
--- a/crates/testing/model-check/src/decision_module.rs
+++ b/crates/testing/model-check/src/decision_module.rs
@@ -7,12 +7,14 @@
 use lifecycle::{Input, ListedServer, ModuleEvent};
 use std::hash::{Hash, Hasher};
 
+/// The decision module of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum DecisionModule {
     Adversary,
     Real(Box<Real>),
 }
 
+/// The real decision module, with its queued events, timers and server list.
 #[derive(Clone, Debug)]
 pub struct Real {
     gateway: Gateway,
@@ -77,6 +79,7 @@
         }
     }
 
+    /// Queues a report of the request table as an event of the real module.
     pub fn notify(&mut self, notification: ModuleEvent) {
         self.push_event(match notification {
             ModuleEvent::ClientLeft { id } => Event::ClientLeft { id },
--- a/crates/testing/model-check/src/drains.rs
+++ b/crates/testing/model-check/src/drains.rs
@@ -13,6 +13,7 @@
 const ARRIVAL_DELAYS_NS: [u64; 6] =
     [0, 171 * NS_PER_MS, ACCEPT_WINDOW, 900 * NS_PER_MS, 2 * ACCEPT_WINDOW, 3000 * NS_PER_MS];
 
+/// The model of a gateway's shutdown.
 #[derive(Clone)]
 pub struct Drains;
 
@@ -28,6 +29,7 @@
     ended: bool,
 }
 
+/// A transition of the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ModelAction {
     Sigterm,
--- a/crates/testing/model-check/src/upstreams.rs
+++ b/crates/testing/model-check/src/upstreams.rs
@@ -18,6 +18,7 @@
 /// Maximum number of attempts per request.
 const MAX_ATTEMPTS: u32 = 2;
 
+/// The model of the connections to one backend.
 #[derive(Clone)]
 pub struct Upstreams {
     /// Effect of a second execution of each request, in the order of arrival.
@@ -97,6 +98,7 @@
     violations: Violations,
 }
 
+/// A transition of the model. The numbers are indices of `connections`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ModelAction {
     Arrive,
--- a/crates/testing/model-check/src/world.rs
+++ b/crates/testing/model-check/src/world.rs
@@ -80,6 +80,7 @@
     pub is_streaming: bool,
 }
 
+/// State of a server in the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ServerState {
     Ready,
