--- a/crates/testing/model-check/src/upstreams.rs
+++ b/crates/testing/model-check/src/upstreams.rs
@@ -98,7 +98,7 @@
     violations: Violations,
 }
 
-/// A transition of the model. The numbers are indices of `connections`.
+/// A transition of the model. Values of type `usize` are indices of `connections`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ModelAction {
     Arrive,
