--- a/crates/testing/control-sim/src/change_history.rs
+++ b/crates/testing/control-sim/src/change_history.rs
@@ -103,14 +103,14 @@
     sent: BTreeMap<BodyDigest, Nonce>,
     /// Backends whose drain is committed.
     draining: BTreeSet<String>,
-    /// The current version, and since when.
+    /// The newest committed version, and when it was committed.
     current: (Version, Time),
     /// Version and nonce of each committed change, and when it was committed.
     committed: BTreeMap<(Version, Nonce), Time>,
     /// Acknowledged versions, each with its base and nonce.
     acknowledged: BTreeMap<Version, (Version, Nonce)>,
     refused: BTreeSet<Change>,
-    /// When each was first acknowledged, in order.
+    /// In order of time: when a version was first acknowledged, and the newest acknowledged version from then on.
     acknowledged_at: Vec<(Time, Version)>,
     pub counts: Counts,
 }
--- a/crates/testing/control-sim/src/growth.rs
+++ b/crates/testing/control-sim/src/growth.rs
@@ -101,7 +101,8 @@
 /// Interval between a backend's heartbeats, each to one of the control nodes, in seconds.
 const HEARTBEAT_INTERVAL_S: f64 = 1.5;
 
-/// Returns tables with one line for each fleet or size.
+/// Returns the lines of the Markdown tables: message sizes and costs for each fleet, then the costs of single
+/// components, and their memory.
 pub fn table() -> Vec<String> {
     let mut lines = vec![
         "| gateways, backends, tenants, routes | snapshot, B | changed backend, B | quota a gateway, B/s \
--- a/crates/testing/control-sim/src/operators.rs
+++ b/crates/testing/control-sim/src/operators.rs
@@ -52,15 +52,16 @@
         Operator { base: 0, pending: None, sent: Vec::new(), read_next: false, max_attempts: rng.u32(4..60) }
     }
 
-    /// Starts the next request. `nonce` is unused so far; `acknowledged` is the newest version acknowledged to
-    /// anybody.
+    /// Starts the next request: a read, an earlier change sent again, or a new change. A new change has a body of
+    /// `bytes` bytes and `nonce`, which no other change may have. A read must return at least version `acknowledged`,
+    /// the newest that was acknowledged to any operator.
     pub fn start_request(&mut self, rng: &mut Rng, now: Time, nonce: u64, bytes: u32, acknowledged: Version) {
         let must_read = std::mem::take(&mut self.read_next);
         let request = match rng.u8(..10) {
             _ if must_read => Request::Read(acknowledged),
             0 => Request::Read(acknowledged),
             1 if !self.sent.is_empty() => {
-                // Mostly a recent one.
+                // One of the last three, or, half of the time, any.
                 let candidates = if rng.bool() { self.sent.len() } else { self.sent.len().min(3) };
                 Request::Replace(self.sent[self.sent.len() - 1 - rng.usize(..candidates)])
             }
--- a/crates/testing/control-sim/src/rules.rs
+++ b/crates/testing/control-sim/src/rules.rs
@@ -18,7 +18,8 @@
     Stale { read: u32, acknowledged: u32 },
     /// Two changes with the same base version were both acknowledged.
     Twice(u32),
-    /// A later read does not know of an acknowledged drain.
+    /// The drain of this backend was acknowledged but not committed, or a read sent after its acknowledgement does not
+    /// know of it.
     Drain(String),
     /// Two quota coordinators are active at the same time.
     TwoLend(u64, u64),
--- a/crates/testing/model-check/src/clients.rs
+++ b/crates/testing/model-check/src/clients.rs
@@ -41,7 +41,7 @@
     is_handing_over: bool,
     /// Whether hyper was told to close the connection after the answer.
     is_closing: bool,
-    /// Whether the last answer started after a drain or handover.
+    /// Whether a drain or handover had begun when the last answer started.
     last_answer_after_drain: bool,
     pub ended: Option<End>,
     /// Whether the connection was selected for eviction and not closed.
--- a/crates/testing/model-check/src/drains.rs
+++ b/crates/testing/model-check/src/drains.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ModelAction {
     Sigterm,
-    /// A complete request arrives after this time.
+    /// A complete request arrives this many nanoseconds later.
     Arrive(u64),
     Answer,
     /// The server does not answer before the request times out.
--- a/crates/testing/model-check/tests/leases.rs
+++ b/crates/testing/model-check/tests/leases.rs
@@ -170,6 +170,8 @@
     assert!(with_defect > 40, "the defect shows: {with_defect}");
 }
 
+/// Seat 0 lends its share of two slots while two attempts still run on it: these count against the share, so no more
+/// than the four slots are in use.
 #[test]
 fn what_is_out_on_a_share_when_it_is_lent_counts_there() {
     let _guard = without_defects();
@@ -387,7 +389,8 @@
     }
 }
 
-/// Spends and returns many fractions of a grant. Returns the maximum held at the planner and the number of panics.
+/// Reports many fractions of a grant as spent, each with far more units returned than were granted. Returns the maximum
+/// of what the planner counts as still to be spent, in the pool and in leases, and the number of panics it caught.
 fn spend_fractions() -> (f64, u64) {
     let config = LeaseConfig::new(1, vec![quota(10.0, 1000.0)]);
     let (mut most, mut panics) = (0.0_f64, 0);
--- a/crates/testing/model-check/tests/storms.rs
+++ b/crates/testing/model-check/tests/storms.rs
@@ -47,12 +47,14 @@
         ActualUse { level, min_level: level, at: 0, in_flight: 0, max_in_flight: 0 }
     }
 
+    /// Records the start of an attempt of `units` units: fills each limited bucket for the time since the last attempt,
+    /// by a clock fast by `drift`, and takes the units from it. The limits are checked elsewhere.
     fn record_spend(&mut self, now: Time, units: f64, plan: &Allowance, drift: f64) {
         let elapsed_s = (now - self.at) as f64 / 1e9;
         self.at = now;
         for kind in (0..2).filter(|kind| plan.limits(*kind)) {
             let (rate, depth) = plan.of(kind);
-            // A clock may run fast by the drift bound, and buckets fill with it.
+            // A forwarder's clock may run fast by up to `drift`, and its buckets fill by that clock.
             let filled = self.level[kind] + rate * (1.0 + drift) * elapsed_s;
             self.level[kind] = filled.min(depth) - units;
             self.min_level[kind] = self.min_level[kind].min(self.level[kind]);
