--- a/crates/testing/test-harness/src/comeback.rs
+++ b/crates/testing/test-harness/src/comeback.rs
@@ -38,7 +38,7 @@
 const DOWNTIME: Duration = Duration::from_secs(1);
 /// Warm-up until the levels of the stores reflect the load.
 const WARM_UP: Duration = Duration::from_secs(4);
-/// Time for which a client keeps an unused connection.
+/// A client does not use a connection again that was idle for this long.
 const MAX_IDLE: Duration = Duration::from_secs(1);
 /// Step between two spans that are examined for full service.
 const WINDOW: Duration = Duration::from_millis(250);
@@ -153,7 +153,8 @@
     }
 }
 
-/// Sends one customer's requests, `rate` a second, each to a random gateway.
+/// Sends a part of one customer's requests, `rate` a second at even intervals from `began` until `until`, each to a random
+/// gateway. The ids of the requests count up from `id`, whose upper bits name the customer.
 fn run_client(
     mut id: u64,
     rate: f64,
@@ -173,7 +174,7 @@
         let class = ["quote", "confirm", "book-slot"][(id % 3) as usize];
         let text = crate::demo::request(class, id, "workshop", &format!("{:016x}", 1 + customer(id)), 2.0)
             .replace("units=1,spread=1", &format!("units={},spread={GATEWAYS}", units(id)));
-        // Connections are refused while a gateway is down: the next request goes to another gateway.
+        // Connections are refused while a gateway is down: this request is then left out.
         // A connection that was idle for longer may have been closed, and a request on it would be lost.
         let kept =
             clients.remove(&gateway).filter(|(_, used)| used.elapsed() < MAX_IDLE).map(|(client, _)| client);
@@ -201,8 +202,8 @@
     (all > 0).then(|| good as f64 / all as f64)
 }
 
-/// Returns the time after `started`, in milliseconds, until customers within their quota get 95% of their earlier
-/// service for 2 s.
+/// Returns the time in milliseconds from `started` to the first span of 2 s in which customers within their quota are
+/// served, at the gateways `at`, at least 95% of the share `before` that they were served earlier.
 fn full_service(
     outcomes: &[Outcome],
     at: &[usize],
--- a/crates/testing/test-harness/src/demo.rs
+++ b/crates/testing/test-harness/src/demo.rs
@@ -21,7 +21,7 @@
     ("partner", "00000000000000c1", 12.0),
     ("partner", "00000000000000c2", 20.0),
 ];
-/// Time for which a client keeps an unused connection.
+/// A client does not use a connection again that was idle for this long.
 const MAX_IDLE: Duration = Duration::from_secs(1);
 /// Time for which a server works on a request.
 const WORK_TIME: Duration = Duration::from_millis(70);
--- a/crates/testing/test-harness/src/scale/hollow.rs
+++ b/crates/testing/test-harness/src/scale/hollow.rs
@@ -434,7 +434,8 @@
     }
 }
 
-/// Sends one heartbeat. Returns the response's status, and the bytes of the request and the response.
+/// Sends a heartbeat of backend `n`, on the kept connection or on a new one, which is then kept. Returns the response's
+/// status, and the number of bytes of the request and the response together.
 async fn send_heartbeat(
     kept: &mut Option<TcpStream>,
     to: SocketAddr,
--- a/crates/testing/test-harness/src/tcp_proxy.rs
+++ b/crates/testing/test-harness/src/tcp_proxy.rs
@@ -59,7 +59,8 @@
         self.state.cut[1].store(to_client, Ordering::Relaxed);
     }
 
-    /// Sets the delay of each direction: to the server, and back. The order of bytes is kept, since it is a stream.
+    /// Sets the delay of each direction: to the server, and back. The bytes of one read are held for this time before
+    /// the next read, so they stay in order, and a long delay also limits the bytes a second.
     pub fn delay(&self, to_server: Duration, to_client: Duration) {
         self.state.delay[0].store(to_server.as_micros() as u64, Ordering::Relaxed);
         self.state.delay[1].store(to_client.as_micros() as u64, Ordering::Relaxed);
--- a/tests/module.rs
+++ b/tests/module.rs
@@ -273,9 +273,11 @@
     }
 }
 
+/// What other gateways use of a customer's quota, as the servers' meter reports it, leaves less to pass here.
 #[test]
 fn a_metered_neighbour_counts() {
-    // 8 of 10 requests per second here; by the meter, other gateways use nothing or three times as much.
+    // Here 8 requests per second at a quota of 10; by the meter, other gateways use nothing, or three times what passes
+    // here.
     let passed = |factor: f64| {
         let mut rig = Rig::new(settings(), 10);
         rig.spread = 4;
@@ -560,7 +562,8 @@
     assert_eq!(out, [Action::Subscribe { on: true }]);
 }
 
-/// A process that has just started receives requests before its first server list.
+/// A process that has just started receives requests before its first server list: it sends them to no server, and rejects
+/// them by their deadline.
 #[test]
 fn a_request_before_any_list_is_answered_in_its_time() {
     let gateway = Gateway::new(settings(), 1, 100 * SEC).expect("settings in range");
@@ -575,6 +578,7 @@
     assert!(rejected(&out, id), "{out:?}");
 }
 
+/// Ids of requests, tokens of timers and classes that the module does not know.
 #[test]
 fn unknown_ids_are_ignored() {
     let mut rig = Rig::new(settings(), 1);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -42,7 +42,8 @@
     (0..count).for_each(|_| assert_eq!(client.ask(&caller_request("quote").text()).status(), 200));
 }
 
-/// Sends requests from four clients at once, so that one backend is not enough.
+/// Sends five requests from each of four clients at once, each of which must be answered 200. Of several backends, more
+/// than one is then likely to get some.
 fn expect_served_concurrently(address: SocketAddr) {
     thread::scope(|s| (0..4).for_each(|_| drop(s.spawn(move || expect_served_at(address, 5)))));
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -185,7 +185,7 @@
         self.signal("-HUP");
     }
 
-    /// Sends a signal, named as an option of `kill`.
+    /// Sends a signal to the gateway, given as an option of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
