--- a/crates/testing/fleet-sim/src/compare.rs
+++ b/crates/testing/fleet-sim/src/compare.rs
@@ -10,7 +10,7 @@
     pub figure: &'static str,
     pub first: f64,
     pub second: f64,
-    pub by: Estimate,
+    pub change: Estimate,
     /// The whole interval lies on the worse side of nothing, by more than the stated margin.
     pub worse: bool,
 }
@@ -38,14 +38,14 @@
     }
     let difference = |(figure, _, more): &(&'static str, &str, bool)| {
         let value = |row: &Row| row.figures.get(*figure).copied().unwrap_or(0.0);
-        let by: Vec<f64> = pairs.iter().map(|(a, b)| value(b) - value(a)).collect();
-        let by = estimate(&by);
+        let change: Vec<f64> = pairs.iter().map(|(a, b)| value(b) - value(a)).collect();
+        let change = estimate(&change);
         let count = pairs.len() as f64;
         let first = pairs.iter().map(|(a, _)| value(a)).sum::<f64>() / count;
         let second = pairs.iter().map(|(_, b)| value(b)).sum::<f64>() / count;
         let allowed = margin * first.abs();
-        let worse = if *more { by.high < -allowed } else { by.low > allowed };
-        Difference { figure, first, second, by, worse }
+        let worse = if *more { change.high < -allowed } else { change.low > allowed };
+        Difference { figure, first, second, change, worse }
     };
     Ok(FIGURES.iter().map(difference).collect())
 }
--- a/crates/testing/fleet-sim/src/days.rs
+++ b/crates/testing/fleet-sim/src/days.rs
@@ -1,11 +1,11 @@
 //! The same day played with real processes on loopback and in virtual time, side by side: what the simulator says is
 //! true as far as the two agree.
 
-use crate::chance::{exponential, long_tailed, stream};
 use crate::quota::Quotas;
-use crate::servers::{COLD, COLD_FROM};
+use crate::rng::{exponential, long_tailed, stream};
+use crate::servers::{INITIAL_WARMTH, WARM_UP_TIME};
 use crate::spec::{plan_of, Spec, MS};
-use crate::world::WORK;
+use crate::world::MEAN_WORK;
 use crate::{play, Stats};
 use fastrand::Rng;
 use serde_json::{json, Value};
@@ -26,7 +26,7 @@
 pub const TOLERANCE: f64 = 0.06;
 const CLASSES: [&str; 3] = ["quote", "confirm", "book-slot"];
 /// An idle connection is not used again after so long: the gateway lets it go after 2.2 s.
-const FRESH: Duration = Duration::from_secs(1);
+const MAX_IDLE: Duration = Duration::from_secs(1);
 
 /// Connections to a gateway that are kept, and when each was used last.
 type Pool = Mutex<Vec<(Client, Instant)>>;
@@ -89,28 +89,28 @@
         gateways.push(Program::start(&program, &config(spec, n), discovery.address)?);
     }
     let addresses: Vec<SocketAddr> = gateways.iter().map(|g| g.address).collect();
-    let begun = Instant::now();
+    let day_start = Instant::now();
     let clients = {
         let (day, addresses) = (day.clone(), addresses.clone());
-        thread::spawn(move || day.clients(&addresses, begun))
+        thread::spawn(move || day.clients(&addresses, day_start))
     };
     let mut rng = stream(seed, "late news");
     let mut late = || Duration::from_millis(rng.u64(200..2500));
     if let Some(at) = spec.power_cut {
-        wait(begun, at);
+        wait(day_start, at);
         day.servers.iter().for_each(|s| s.stop());
-        let told = begun + Duration::from_nanos(at) + late();
-        wait(begun, at + 1000 * MS);
+        let list_update_at = day_start + Duration::from_nanos(at) + late();
+        wait(day_start, at + 1000 * MS);
         for s in &day.servers {
             s.start()?;
         }
-        thread::sleep(told.saturating_duration_since(Instant::now()));
+        thread::sleep(list_update_at.saturating_duration_since(Instant::now()));
         discovery.tell(2, day.list(2));
     }
     if let Some(at) = spec.crash {
-        wait(begun, at);
+        wait(day_start, at);
         gateways[0].kill();
-        wait(begun, at + 2000 * MS);
+        wait(day_start, at + 2000 * MS);
         gateways[0].start_again()?;
     }
     let done = clients.join().map_err(|_| "the clients panicked".to_string());
@@ -118,8 +118,8 @@
     done.map(|()| Shares::of(&day.stats()))
 }
 
-fn wait(begun: Instant, at: u64) {
-    thread::sleep((begun + Duration::from_nanos(at)).saturating_duration_since(Instant::now()));
+fn wait(day_start: Instant, at: u64) {
+    thread::sleep((day_start + Duration::from_nanos(at)).saturating_duration_since(Instant::now()));
 }
 
 /// A gateway's own file for this world.
@@ -152,9 +152,9 @@
 struct Running {
     up: bool,
     /// How often it has started.
-    life: u64,
+    generation: u64,
     /// When it started last, if it was stopped before.
-    born: Option<(Instant, u64)>,
+    started_at: Option<(Instant, u64)>,
     connections: Vec<TcpStream>,
 }
 
@@ -180,27 +180,27 @@
     fn start(&self) -> Result<(), String> {
         let mut running = lock(&self.running);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        (running.up, running.born) = (true, Some((Instant::now(), unix)));
-        running.life += 1;
+        (running.up, running.started_at) = (true, Some((Instant::now(), unix)));
+        running.generation += 1;
         self.changed.notify_all();
         Ok(())
     }
 
     /// What one of its cores does now, as a part of a warm one's.
     fn speed(&self) -> f64 {
-        let born = lock(&self.running).born;
-        let age = born.map_or(1.0, |(at, _)| at.elapsed().as_secs_f64() * 1e9 / COLD as f64);
-        (COLD_FROM + (1.0 - COLD_FROM) * age).min(1.0)
+        let started_at = lock(&self.running).started_at;
+        let age = started_at.map_or(1.0, |(at, _)| at.elapsed().as_secs_f64() * 1e9 / WARM_UP_TIME as f64);
+        (INITIAL_WARMTH + (1.0 - INITIAL_WARMTH) * age).min(1.0)
     }
 
-    fn life(&self) -> Option<u64> {
+    fn generation(&self) -> Option<u64> {
         let running = lock(&self.running);
-        running.up.then_some(running.life)
+        running.up.then_some(running.generation)
     }
 }
 
 /// What all servers share.
-struct Books {
+struct SharedState {
     spec: Spec,
     meter: Meter,
     /// Whose each request is, and its units.
@@ -211,14 +211,14 @@
     attempts: AtomicU64,
 }
 
-impl Books {
+impl SharedState {
     /// Serves a server's connections while it is up, and comes back with it.
     fn serve(self: Arc<Self>, server: Arc<Server>, mut listener: TcpListener) {
         loop {
             while let Ok((stream, _)) = listener.accept() {
-                let Some(life) = server.life() else { break };
-                let (books, server) = (self.clone(), server.clone());
-                thread::spawn(move || books.connection(&server, life, stream));
+                let Some(generation) = server.generation() else { break };
+                let (shared, server) = (self.clone(), server.clone());
+                thread::spawn(move || shared.connection(&server, generation, stream));
             }
             drop(listener);
             let mut running = lock(&server.running);
@@ -233,33 +233,35 @@
         }
     }
 
-    fn connection(&self, server: &Server, life: u64, mut stream: TcpStream) {
+    fn connection(&self, server: &Server, generation: u64, mut stream: TcpStream) {
         let (Ok(half), Ok(handle)) = (stream.try_clone(), stream.try_clone()) else { return };
         let _ = stream.set_nodelay(true);
         lock(&server.running).connections.push(handle);
         let mut reader = BufReader::new(half);
         while let Some(message) = read(&mut reader, 0) {
-            if server.life() != Some(life) || !self.answer(server, life, &message, &mut stream) {
+            if server.generation() != Some(generation)
+                || !self.answer(server, generation, &message, &mut stream)
+            {
                 return;
             }
         }
     }
 
     /// As the simulator's servers do: `servers.rs` and `world/backends.rs`.
-    fn answer(&self, server: &Server, life: u64, message: &Message, to: &mut TcpStream) -> bool {
+    fn answer(&self, server: &Server, generation: u64, message: &Message, to: &mut TcpStream) -> bool {
         let id = message.header("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
         let (customer, units) = lock(&self.asked).get(&id).copied().unwrap_or_default();
         self.attempts.fetch_add(1, Ordering::Relaxed);
-        let work = long_tailed(&mut lock(&self.work), WORK * (0.4 + 0.15 * units)) / server.speed();
+        let work = long_tailed(&mut lock(&self.work), MEAN_WORK * (0.4 + 0.15 * units)) / server.speed();
         if !server.cores.work(Duration::from_nanos(work as u64)) {
             return not_started(to);
         }
-        if server.life() != Some(life) {
+        if server.generation() != Some(generation) {
             return false;
         }
         let keyed = message.header("idempotency-key").is_some();
-        let ran = if keyed { lock(&self.keys).insert(id, Instant::now()) } else { None };
-        let repeat = ran.is_some_and(|at| at.elapsed() < Duration::from_secs(2));
+        let first_run = if keyed { lock(&self.keys).insert(id, Instant::now()) } else { None };
+        let repeat = first_run.is_some_and(|at| at.elapsed() < Duration::from_secs(2));
         let used = self.meter.book(&customer.to_string(), if repeat { 0.0 } else { units });
         let rate = self.spec.settings(0).plans[plan_of(customer)].rate;
         let head = format!(
@@ -276,14 +278,14 @@
     spec: Spec,
     seed: u64,
     servers: Vec<Arc<Server>>,
-    books: Arc<Books>,
+    shared: Arc<SharedState>,
     offers: Mutex<Quotas>,
     counts: Mutex<Stats>,
 }
 
 /// A client's first try, as it was drawn.
 #[derive(Clone, Copy)]
-struct First {
+struct FirstTry {
     at: u64,
     customer: usize,
     class: usize,
@@ -293,7 +295,7 @@
 
 impl Day {
     fn new(spec: Spec, seed: u64) -> Result<Self, String> {
-        let books = Arc::new(Books {
+        let shared = Arc::new(SharedState {
             spec: spec.clone(),
             meter: Meter::default(),
             asked: Mutex::default(),
@@ -307,16 +309,16 @@
             let (server, listener) = Server::new(Cores::new(2, kinds.usize(8..16)))?;
             let server = Arc::new(server);
             servers.push(server.clone());
-            let books = books.clone();
-            thread::spawn(move || books.serve(server, listener));
+            let shared = shared.clone();
+            thread::spawn(move || shared.serve(server, listener));
         }
-        Ok(Day { spec, seed, servers, books, offers: Mutex::default(), counts: Mutex::default() })
+        Ok(Day { spec, seed, servers, shared, offers: Mutex::default(), counts: Mutex::default() })
     }
 
     /// The list of servers as it is now.
     fn list(&self, rev: u64) -> String {
         let target = |(n, s): (usize, &Arc<Server>)| {
-            let boot = lock(&s.running).born.map_or(0, |(_, unix)| unix);
+            let boot = lock(&s.running).started_at.map_or(0, |(_, unix)| unix);
             json!({
                 "uid": format!("s-{n:04}"), "endpoint": s.address.to_string(), "az": "hall", "model": "m",
                 "pod_group": 0, "state": "Ready", "capacity_hint": 1.0, "boot_ms": boot,
@@ -327,63 +329,68 @@
     }
 
     fn stats(&self) -> Stats {
-        Stats { reached: self.books.attempts.load(Ordering::Relaxed), ..*lock(&self.counts) }
+        Stats { reached: self.shared.attempts.load(Ordering::Relaxed), ..*lock(&self.counts) }
     }
 
     /// All first tries, drawn as the simulator draws them.
-    fn firsts(&self) -> Vec<First> {
-        let (mut load, mut firsts) = (stream(self.seed, "load"), Vec::new());
+    fn first_tries(&self) -> Vec<FirstTry> {
+        let (mut load, mut first_tries) = (stream(self.seed, "load"), Vec::new());
         let (mut at, end) = (100 * MS, self.spec.seconds * 1000 * MS);
         while at < end {
             let gap = exponential(&mut load, 1e9 / self.spec.rate) as u64;
             let customer = load.usize(0..self.spec.customers);
-            let drawn = load.f64();
-            let class = if drawn < 0.46 { 0 } else { 1 + usize::from(drawn < 0.73) };
+            let draw = load.f64();
+            let class = if draw < 0.46 { 0 } else { 1 + usize::from(draw < 0.73) };
             let units = f64::from(load.u32(1..=8)).min(f64::from(load.u32(1..=8)));
-            let first = First { at, customer, class, units, chance: load.u64(..) };
-            firsts.push(first);
+            let first = FirstTry { at, customer, class, units, chance: load.u64(..) };
+            first_tries.push(first);
             if self.spec.flood.is_some_and(|(from, until)| (from..until).contains(&at)) {
                 // The first partner adds twice as much again.
-                firsts.extend((1..3).map(|n| First { customer: 0, chance: first.chance + n, ..first }));
+                first_tries.extend((1..3).map(|n| FirstTry {
+                    customer: 0,
+                    chance: first.chance + n,
+                    ..first
+                }));
             }
             at += gap;
         }
-        firsts
+        first_tries
     }
 
     /// Plays all clients, and returns when the last has done.
-    fn clients(self: Arc<Self>, gateways: &[SocketAddr], begun: Instant) {
+    fn clients(self: Arc<Self>, gateways: &[SocketAddr], day_start: Instant) {
         let pools: Arc<[Pool]> = gateways.iter().map(|_| Pool::default()).collect();
         let gateways: Arc<[SocketAddr]> = gateways.into();
         let mut all = Vec::new();
-        for first in self.firsts() {
-            wait(begun, first.at);
+        for first in self.first_tries() {
+            wait(day_start, first.at);
             let (day, pools, gateways) = (self.clone(), pools.clone(), gateways.clone());
-            all.push(thread::spawn(move || day.client(&first, &gateways, &pools, begun)));
+            all.push(thread::spawn(move || day.client(&first, &gateways, &pools, day_start)));
         }
         all.into_iter().for_each(|c| drop(c.join()));
     }
 
     /// One client: it asks, and comes again up to twice, as the simulator's do.
-    fn client(&self, first: &First, gateways: &[SocketAddr], pools: &[Pool], begun: Instant) {
+    fn client(&self, first: &FirstTry, gateways: &[SocketAddr], pools: &[Pool], day_start: Instant) {
         let settings = self.spec.settings(0);
         let (class, plan) = (&settings.classes[first.class], &settings.plans[plan_of(first.customer)]);
-        let now = || begun.elapsed().as_nanos() as u64;
+        let now = || day_start.elapsed().as_nanos() as u64;
         let inside = lock(&self.offers).take(first.customer, plan, now(), first.units);
         let worth = if inside { class.points * plan.value_factor * first.units } else { 0.0 };
         lock(&self.counts).worth_asked += worth;
-        let asked_at = Instant::now();
+        let first_asked_at = Instant::now();
         for tries in 0..3 {
             if now() >= self.spec.seconds * 1000 * MS {
                 return;
             }
             let mut rng = Rng::with_seed(first.chance ^ tries);
-            let home = first.customer * 7 + (now() / self.spec.moves) as usize;
+            let home = first.customer * 7 + (now() / self.spec.home_change_every) as usize;
             let n = gateways.len();
-            let at = if rng.f64() < self.spec.home { home % n } else { (home + rng.usize(0..n.min(3))) % n };
+            let at =
+                if rng.f64() < self.spec.home_share { home % n } else { (home + rng.usize(0..n.min(3))) % n };
             let timeout = (class.deadline as f64 * (0.5 + 0.5 * rng.f64())) as u64;
             let id = (first.chance ^ (tries << 60)).max(1);
-            lock(&self.books.asked).insert(id, (first.customer, first.units));
+            lock(&self.shared.asked).insert(id, (first.customer, first.units));
             lock(&self.counts).asked += 1;
             let account = format!("{:016x}", 1 + first.customer);
             let text = test_harness::demo::request(
@@ -398,14 +405,14 @@
                 let g = (at + k) % n;
                 ask(&pools[g], gateways[g], &text, Duration::from_nanos(timeout))
             });
-            lock(&self.books.asked).remove(&id);
-            let again = match answer {
+            lock(&self.shared.asked).remove(&id);
+            let retry_delay = match answer {
                 Some(Some((200, _))) => {
-                    let timely = asked_at.elapsed().as_nanos() as u64 <= class.latency_target;
+                    let in_time = first_asked_at.elapsed().as_nanos() as u64 <= class.latency_target;
                     let mut counts = lock(&self.counts);
                     counts.served += 1;
-                    counts.in_aim += u64::from(timely);
-                    counts.worth_served += if timely { worth } else { 0.0 };
+                    counts.in_aim += u64::from(in_time);
+                    counts.worth_served += if in_time { worth } else { 0.0 };
                     return;
                 }
                 Some(Some((429 | 503, advice))) => {
@@ -426,7 +433,7 @@
                 // It was taken and nothing came of it: the simulator's client gives up too.
                 _ => return,
             };
-            thread::sleep(again);
+            thread::sleep(retry_delay);
         }
     }
 }
@@ -434,18 +441,18 @@
 /// Asks a gateway, on a connection that is kept if there is one. None if nobody listens; else the status and the
 /// advice, if an answer came in time.
 fn ask(pool: &Pool, to: SocketAddr, text: &str, limit: Duration) -> Option<Option<(u16, Duration)>> {
-    let kept = lock(pool).pop().filter(|(_, used)| used.elapsed() < FRESH).map(|(client, _)| client);
+    let kept = lock(pool).pop().filter(|(_, used)| used.elapsed() < MAX_IDLE).map(|(client, _)| client);
     let reused = kept.is_some();
     let mut client = match kept {
         Some(client) => client,
         None => Client::try_connect(to)?,
     };
     let asked = Instant::now();
-    let mut answer = said(&mut client, text, limit);
+    let mut answer = exchange(&mut client, text, limit);
     if answer.is_none() && reused && asked.elapsed() < limit {
         // It may have been closed as idle while the request was on its way.
         client = Client::try_connect(to)?;
-        answer = said(&mut client, text, limit.saturating_sub(asked.elapsed()));
+        answer = exchange(&mut client, text, limit.saturating_sub(asked.elapsed()));
     }
     if answer.is_some() {
         lock(pool).push((client, Instant::now()));
@@ -453,7 +460,7 @@
     Some(answer)
 }
 
-fn said(client: &mut Client, text: &str, limit: Duration) -> Option<(u16, Duration)> {
+fn exchange(client: &mut Client, text: &str, limit: Duration) -> Option<(u16, Duration)> {
     client.stream.set_read_timeout(Some(limit.max(Duration::from_millis(1)))).ok()?;
     let answer = client.try_ask(text)?;
     let advice = answer.header("retry-after").and_then(|v| v.parse().ok()).unwrap_or(0.0);
--- a/crates/testing/fleet-sim/src/defects.rs
+++ b/crates/testing/fleet-sim/src/defects.rs
@@ -3,7 +3,7 @@
 use interface::Settings;
 use lifecycle::defects as lifecycle;
 use plan::defects as planning;
-use snapshot::defects as memory;
+use snapshot::defects as snapshot_defects;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// Defects that a fleet shows, and in which world.
@@ -34,17 +34,17 @@
 ];
 
 /// Defects of the decision module: it is told other settings than the world's.
-const OF_MODULE: [&str; 3] = ["cold-taken-for-warm", "ceiling-forgotten", "ceilings-by-view"];
+const MODULE_DEFECTS: [&str; 3] = ["cold-taken-for-warm", "ceiling-forgotten", "ceilings-by-view"];
 /// Defects of what is made of old snapshots.
-const OF_MEMORY: [(&str, memory::Defect); 2] = [
-    ("snapshot-ceiling-taken", memory::Defect::CeilingTaken),
-    ("snapshot-born-earlier", memory::Defect::BornEarlier),
+const SNAPSHOT_DEFECTS: [(&str, snapshot_defects::Defect); 2] = [
+    ("snapshot-ceiling-taken", snapshot_defects::Defect::CeilingTaken),
+    ("snapshot-born-earlier", snapshot_defects::Defect::BornEarlier),
 ];
-static SPOILT: AtomicUsize = AtomicUsize::new(0);
+static PLANTED_MODULE_DEFECT: AtomicUsize = AtomicUsize::new(0);
 
 /// The settings as the module hears them.
-pub fn spoil(mut settings: Settings) -> Settings {
-    match SPOILT.load(Ordering::Relaxed) {
+pub fn apply_defect(mut settings: Settings) -> Settings {
+    match PLANTED_MODULE_DEFECT.load(Ordering::Relaxed) {
         1 => settings.warm_up_time = 0,
         2 => settings.plans.iter_mut().for_each(|p| p.hard_limit_rate = 0.0),
         // A part of what all share rests on the view, and that says that nobody else lives.
@@ -63,15 +63,15 @@
 pub fn plant(name: Option<&str>) -> bool {
     lifecycle::plant(None);
     planning::plant(None);
-    SPOILT.store(0, Ordering::Relaxed);
-    memory::plant(None);
+    PLANTED_MODULE_DEFECT.store(0, Ordering::Relaxed);
+    snapshot_defects::plant(None);
     let Some(name) = name else { return true };
-    if let Some((_, defect)) = OF_MEMORY.iter().find(|(known, _)| *known == name) {
-        memory::plant(Some(*defect));
+    if let Some((_, defect)) = SNAPSHOT_DEFECTS.iter().find(|(known, _)| *known == name) {
+        snapshot_defects::plant(Some(*defect));
         return true;
     }
-    if let Some(n) = OF_MODULE.iter().position(|known| *known == name) {
-        SPOILT.store(n + 1, Ordering::Relaxed);
+    if let Some(n) = MODULE_DEFECTS.iter().position(|known| *known == name) {
+        PLANTED_MODULE_DEFECT.store(n + 1, Ordering::Relaxed);
         return true;
     }
     if let Some((defect, ..)) = lifecycle::ALL.iter().find(|(_, known, _)| *known == name) {
--- a/crates/testing/fleet-sim/src/experiment.rs
+++ b/crates/testing/fleet-sim/src/experiment.rs
@@ -17,7 +17,7 @@
 //! planner_down_ms = [8000, 12000]
 //! ```
 
-use crate::mind::Choice;
+use crate::module::Choice;
 use crate::record::{Second, QUANTILES};
 use crate::spec::MS;
 use crate::{play, Outcome, Spec};
@@ -28,7 +28,7 @@
 use std::sync::{Mutex, PoisonError};
 
 /// The most runs of one experiment.
-pub const MOST_RUNS: usize = 1_000_000;
+pub const MAX_RUNS: usize = 1_000_000;
 
 /// What differs from a named world. What is absent stays as it is.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
@@ -73,9 +73,9 @@
 }
 
 /// Applies to the field what is there.
-fn put<T: Copy, U>(to: &mut U, from: Option<T>, how: impl Fn(T) -> U) {
+fn set_if_some<T: Copy, U>(to: &mut U, from: Option<T>, convert: impl Fn(T) -> U) {
     if let Some(value) = from {
-        *to = how(value);
+        *to = convert(value);
     }
 }
 
@@ -86,40 +86,40 @@
     /// What is out of range, in words.
     pub fn apply(&self, spec: &mut Spec) -> Result<(), String> {
         let ms = |n: u64| n.saturating_mul(MS);
-        put(&mut spec.gateways, self.gateways, |n| n);
-        put(&mut spec.servers, self.servers, |n| n);
-        put(&mut spec.planners, self.planners, |n| n);
-        put(&mut spec.customers, self.customers, |n| n);
-        put(&mut spec.rate, self.rate, |n| n);
-        put(&mut spec.seconds, self.seconds, |n| n);
-        put(&mut spec.fault_every, self.fault_every_ms, |n| (n > 0).then(|| ms(n)));
-        put(&mut spec.skew, self.skew, |n| n);
-        put(&mut spec.placement, self.placement, |n| n);
-        put(&mut spec.choice, self.choice, |n| n);
-        put(&mut spec.partner.0, self.partner_rate, |n| n);
-        put(&mut spec.partner.1, self.partner_depth, |n| n);
-        put(&mut spec.lease, self.lease_ms, ms);
-        put(&mut spec.loan, self.loan_ms, ms);
-        let lease = spec.lease;
-        put(&mut spec.loan, self.loan_leases, |n| lease.saturating_mul(n));
-        put(&mut spec.tick, self.tick_ms, ms);
-        put(&mut spec.moves, self.moves_ms, ms);
-        put(&mut spec.home, self.home, |n| n);
+        set_if_some(&mut spec.gateways, self.gateways, |n| n);
+        set_if_some(&mut spec.servers, self.servers, |n| n);
+        set_if_some(&mut spec.planners, self.planners, |n| n);
+        set_if_some(&mut spec.customers, self.customers, |n| n);
+        set_if_some(&mut spec.rate, self.rate, |n| n);
+        set_if_some(&mut spec.seconds, self.seconds, |n| n);
+        set_if_some(&mut spec.fault_every, self.fault_every_ms, |n| (n > 0).then(|| ms(n)));
+        set_if_some(&mut spec.skew, self.skew, |n| n);
+        set_if_some(&mut spec.placement, self.placement, |n| n);
+        set_if_some(&mut spec.choice, self.choice, |n| n);
+        set_if_some(&mut spec.partner_quota.0, self.partner_rate, |n| n);
+        set_if_some(&mut spec.partner_quota.1, self.partner_depth, |n| n);
+        set_if_some(&mut spec.lease_ttl, self.lease_ms, ms);
+        set_if_some(&mut spec.loan_ttl, self.loan_ms, ms);
+        let lease = spec.lease_ttl;
+        set_if_some(&mut spec.loan_ttl, self.loan_leases, |n| lease.saturating_mul(n));
+        set_if_some(&mut spec.tick, self.tick_ms, ms);
+        set_if_some(&mut spec.home_change_every, self.moves_ms, ms);
+        set_if_some(&mut spec.home_share, self.home, |n| n);
         let pair = |(a, b): (u64, u64)| Some((ms(a), ms(b)));
-        put(&mut spec.planner_down, self.planner_down_ms, pair);
-        put(&mut spec.power_cut, self.power_cut_ms, |n| Some(ms(n)));
-        put(&mut spec.flood, self.flood_ms, pair);
-        put(&mut spec.crash, self.crash_ms, |n| Some(ms(n)));
+        set_if_some(&mut spec.planner_down, self.planner_down_ms, pair);
+        set_if_some(&mut spec.power_cut, self.power_cut_ms, |n| Some(ms(n)));
+        set_if_some(&mut spec.flood, self.flood_ms, pair);
+        set_if_some(&mut spec.crash, self.crash_ms, |n| Some(ms(n)));
         check(spec)
     }
 }
 
 fn check(spec: &Spec) -> Result<(), String> {
-    let within = |name: &str, value: f64, least: f64, most: f64| {
-        if (least..=most).contains(&value) {
+    let within = |name: &str, value: f64, min: f64, max: f64| {
+        if (min..=max).contains(&value) {
             return Ok(());
         }
-        Err(format!("{name} is {value}: {least} to {most} is wanted"))
+        Err(format!("{name} is {value}: {min} to {max} is wanted"))
     };
     within("gateways", spec.gateways as f64, 1.0, 4096.0)?;
     within("servers", spec.servers as f64, 1.0, 10_000.0)?;
@@ -128,15 +128,15 @@
     within("rate", spec.rate, 1e-3, 1e6)?;
     within("seconds", spec.seconds as f64, 1.0, 3600.0)?;
     within("skew", spec.skew, 0.0, 1.0)?;
-    within("home", spec.home, 0.0, 1.0)?;
-    within("partner_rate", spec.partner.0, 1e-3, 1e6)?;
-    within("partner_depth", spec.partner.1, 1e-3, 1e6)?;
-    within("moves_ms", (spec.moves / MS) as f64, 1.0, 1e9)?;
+    within("home", spec.home_share, 0.0, 1.0)?;
+    within("partner_rate", spec.partner_quota.0, 1e-3, 1e6)?;
+    within("partner_depth", spec.partner_quota.1, 1e-3, 1e6)?;
+    within("moves_ms", (spec.home_change_every / MS) as f64, 1.0, 1e9)?;
     let ordered = |span: Option<(Time, Time)>| span.is_none_or(|(from, until)| from <= until);
     if !ordered(spec.planner_down) || !ordered(spec.flood) {
         return Err("a span ends before it begins".into());
     }
-    spec.terms().validate()
+    spec.lease_config().validate()
 }
 
 /// One arm: its name, and what differs in it.
@@ -210,8 +210,8 @@
                 points.iter().flat_map(|p| values.iter().map(|v| with(p, v)).collect::<Vec<_>>()).collect();
         }
         let runs = ((until - from) as usize).saturating_mul(points.len()).saturating_mul(arms.len());
-        if runs == 0 || runs > MOST_RUNS {
-            return Err(format!("{runs} runs: 1 to {MOST_RUNS} are wanted"));
+        if runs == 0 || runs > MAX_RUNS {
+            return Err(format!("{runs} runs: 1 to {MAX_RUNS} are wanted"));
         }
         let mut cells = Vec::new();
         for arm in &arms {
@@ -219,11 +219,11 @@
                 let mut change = file.base.clone();
                 change.extend(arm.change.clone());
                 change.extend(point.clone());
-                let of = |e: String| format!("arm {:?}: {e}", arm.name);
+                let in_arm = |e: String| format!("arm {:?}: {e}", arm.name);
                 let change: Change =
-                    change.try_into().map_err(|e| of(e.to_string().trim().replace('\n', " ")))?;
+                    change.try_into().map_err(|e| in_arm(e.to_string().trim().replace('\n', " ")))?;
                 let mut spec = world.clone();
-                change.apply(&mut spec).map_err(of)?;
+                change.apply(&mut spec).map_err(in_arm)?;
                 let point = point.iter().map(|(k, v)| (k.clone(), v.to_string())).collect();
                 cells.push(Cell { arm: arm.name.clone(), point, spec });
             }
@@ -308,8 +308,8 @@
             record.quantile(0.5),
             record.quantile(0.99),
             record.spread(),
-            s.fallen as f64,
-            s.most_over,
+            s.collapsed as f64,
+            s.max_over_ceiling,
         ];
         let figures = FIGURES.iter().zip(values).map(|((name, ..), v)| ((*name).to_string(), v)).collect();
         Row {
--- a/crates/testing/fleet-sim/src/lib.rs
+++ b/crates/testing/fleet-sim/src/lib.rs
@@ -3,17 +3,17 @@
 //! The same seed gives the same digest on every machine and in every build.
 #![forbid(unsafe_code)]
 
-pub mod chance;
 pub mod compare;
 pub mod days;
 pub mod defects;
 pub mod experiment;
 pub mod members;
-pub mod mind;
+pub mod module;
 pub mod observer;
 pub mod quota;
 pub mod record;
 pub mod report;
+pub mod rng;
 pub mod servers;
 pub mod shrink;
 pub mod spec;
--- a/crates/testing/fleet-sim/src/main.rs
+++ b/crates/testing/fleet-sim/src/main.rs
@@ -9,7 +9,7 @@
 use fleet_sim::members;
 use fleet_sim::shrink::shrink;
 use fleet_sim::story::Story;
-use fleet_sim::world::play_cut;
+use fleet_sim::world::play_with_cuts;
 use fleet_sim::{days, defects, play, report, spec, Spec, Stats, Violation};
 use indicatif::ProgressBar;
 use serde_json::json;
@@ -173,15 +173,15 @@
 }
 
 /// A line that survives whoever reads it.
-fn say(line: &str) {
+fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
 /// Random days of the view, side by side.
-fn explore_members((from, to): (u64, u64), size: usize, jobs: usize) -> Vec<members::Played> {
+fn explore_members((from, to): (u64, u64), size: usize, jobs: usize) -> Vec<members::RandomRun> {
     let (next, all) = (AtomicU64::new(from), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
-        for _ in 0..cores(jobs) {
+        for _ in 0..job_count(jobs) {
             scope.spawn(|| loop {
                 let seed = next.fetch_add(1, Ordering::Relaxed);
                 if seed >= to {
@@ -197,26 +197,29 @@
     all
 }
 
-fn members_figures(all: &[members::Played], json: bool) -> ExitCode {
+fn members_figures(all: &[members::RandomRun], json: bool) -> ExitCode {
     let broken: Vec<_> = all.iter().filter(|p| p.settled_ms.is_none() && !p.too_few).collect();
     let too_few = all.iter().filter(|p| p.too_few).count();
     for played in broken.iter().take(10) {
-        say(&format!("BROKEN: seed {}: no one view within the bound: {:?}", played.seed, played.faults));
-        played.wrong.iter().take(8).for_each(|what| say(&format!("  {what}")));
+        print_line(&format!(
+            "BROKEN: seed {}: no one view within the bound: {:?}",
+            played.seed, played.faults
+        ));
+        played.wrong.iter().take(8).for_each(|what| print_line(&format!("  {what}")));
     }
     let mut times: Vec<u64> = all.iter().filter_map(|p| p.settled_ms).collect();
     times.sort_unstable();
     let at = |part: f64| times.get((times.len() as f64 * part) as usize).or(times.last()).copied();
-    let mean = |of: fn(&members::Played) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
+    let mean = |of: fn(&members::RandomRun) -> f64| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
     let (datagrams, bytes) = (mean(|p| p.datagrams_a_second), mean(|p| p.bytes_a_second));
     if json {
-        say(&json!({
+        print_line(&json!({
             "days": all.len(), "broken": broken.len(), "too_few": too_few, "settled_ms_p50": at(0.5), "settled_ms_p99": at(0.99),
             "settled_ms_most": times.last(), "datagrams_a_second": datagrams, "bytes_a_second": bytes,
         })
         .to_string());
     } else {
-        say(&format!(
+        print_line(&format!(
             "{} days, {} without one view in time, {too_few} with fewer than an eighth left, who say so; settled after {:?} ms (p50), {:?} (p99), {:?} at most; \
              {datagrams:.1} datagrams, {bytes:.0} bytes a second a member",
             all.len(),
@@ -229,7 +232,7 @@
     ExitCode::from(u8::from(!broken.is_empty()))
 }
 
-fn wrong(what: &str) -> ExitCode {
+fn command_error(what: &str) -> ExitCode {
     eprintln!("fleet-sim: {what}");
     ExitCode::from(2)
 }
@@ -252,12 +255,12 @@
     virtual_seconds: f64,
     steps: u64,
     asked: u64,
-    most_over: f64,
+    max_over_ceiling: f64,
 }
 
 fn explore(worlds: &[Spec], (from, to): (u64, u64), jobs: usize, stop_at_first: bool) -> Sum {
     let (next, sum) = (AtomicU64::new(from), Mutex::new(Sum::default()));
-    let jobs = cores(jobs);
+    let jobs = job_count(jobs);
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| loop {
@@ -272,7 +275,7 @@
                 sum.virtual_seconds += outcome.time as f64 / 1e9;
                 sum.steps += outcome.steps;
                 sum.asked += outcome.stats.asked;
-                sum.most_over = sum.most_over.max(outcome.stats.most_over);
+                sum.max_over_ceiling = sum.max_over_ceiling.max(outcome.stats.max_over_ceiling);
                 if let Some(violation) = outcome.violation {
                     sum.broken.push((seed, world.name, violation));
                     if stop_at_first {
@@ -288,30 +291,30 @@
 }
 
 /// How many run side by side where nothing is said: one a core.
-fn cores(jobs: usize) -> usize {
+fn job_count(jobs: usize) -> usize {
     if jobs > 0 {
         return jobs;
     }
     std::thread::available_parallelism().map_or(1, usize::from)
 }
 
-fn finish(done: Result<bool, String>) -> ExitCode {
+fn exit_code(done: Result<bool, String>) -> ExitCode {
     match done {
         Ok(good) => ExitCode::from(u8::from(!good)),
-        Err(what) => wrong(&what),
+        Err(what) => command_error(&what),
     }
 }
 
-fn of(path: &Path) -> impl Fn(std::io::Error) -> String + '_ {
+fn with_path(path: &Path) -> impl Fn(std::io::Error) -> String + '_ {
     move |e| format!("{}: {e}", path.display())
 }
 
 fn run(file: &Path, out: &Path, jobs: usize, quiet: bool) -> Result<(), String> {
-    let text = std::fs::read_to_string(file).map_err(of(file))?;
+    let text = std::fs::read_to_string(file).map_err(with_path(file))?;
     let experiment = Experiment::read(&text).map_err(|e| format!("{}: {e}", file.display()))?;
-    std::fs::create_dir_all(out).map_err(of(out))?;
+    std::fs::create_dir_all(out).map_err(with_path(out))?;
     let bar = if quiet { ProgressBar::hidden() } else { ProgressBar::new(experiment.runs() as u64) };
-    let rows = experiment.play(cores(jobs), || bar.inc(1));
+    let rows = experiment.play(job_count(jobs), || bar.inc(1));
     bar.finish_and_clear();
     let mut lines = String::new();
     for row in &rows {
@@ -319,17 +322,17 @@
         lines.push('\n');
     }
     let (rows_file, table) = (out.join("rows.jsonl"), out.join("rows.csv"));
-    std::fs::write(&rows_file, lines).map_err(of(&rows_file))?;
-    write_csv(&rows, std::fs::File::create(&table).map_err(of(&table))?)?;
-    std::fs::write(out.join("experiment.toml"), text).map_err(of(out))?;
+    std::fs::write(&rows_file, lines).map_err(with_path(&rows_file))?;
+    write_csv(&rows, std::fs::File::create(&table).map_err(with_path(&table))?)?;
+    std::fs::write(out.join("experiment.toml"), text).map_err(with_path(out))?;
     let broken = rows.iter().filter(|r| r.broken.is_some()).count();
-    say(&format!("{} runs, {broken} with a broken rule, in {}", rows.len(), out.display()));
+    print_line(&format!("{} runs, {broken} with a broken rule, in {}", rows.len(), out.display()));
     Ok(())
 }
 
 fn rows(dir: &Path) -> Result<Vec<Row>, String> {
     let file = dir.join("rows.jsonl");
-    let text = std::fs::read_to_string(&file).map_err(of(&file))?;
+    let text = std::fs::read_to_string(&file).map_err(with_path(&file))?;
     read_rows(&text).map_err(|e| format!("{}: {e}", file.display()))
 }
 
@@ -347,16 +350,16 @@
     let plots = report::plots(&rows).map_err(|e| e.to_string())?;
     for (name, svg) in &plots {
         let file = dir.join(format!("{name}.svg"));
-        std::fs::write(&file, svg).map_err(of(&file))?;
+        std::fs::write(&file, svg).map_err(with_path(&file))?;
     }
     let file = dir.join("report.html");
-    std::fs::write(&file, report::page(&rows, &plots)).map_err(of(&file))?;
-    say(&format!("{} with {} plots", file.display(), plots.len()));
+    std::fs::write(&file, report::page(&rows, &plots)).map_err(with_path(&file))?;
+    print_line(&format!("{} with {} plots", file.display(), plots.len()));
     Ok(())
 }
 
 /// Plays a day both ways; whether they agree.
-fn side_by_side(day: &str, seed: u64, seconds: u64, json: bool) -> Result<bool, String> {
+fn compare_day(day: &str, seed: u64, seconds: u64, json: bool) -> Result<bool, String> {
     let Some(spec) = Spec::named(day).filter(|_| days::DAYS.contains(&day)) else {
         return Err(format!("no day is named {day:?}: {} are", days::DAYS.join(", ")));
     };
@@ -369,18 +372,18 @@
         let apart = (r - s).abs() > days::TOLERANCE;
         good &= !apart;
         let verdict = if apart { "  APART" } else { "" };
-        say(&format!("{day:6} {name:10} real {r:.3}  simulated {s:.3}{verdict}"));
+        print_line(&format!("{day:6} {name:10} real {r:.3}  simulated {s:.3}{verdict}"));
         figures.insert(name.into(), json!([r, s]));
     }
     if json {
-        say(&json!({ "day": day, "seed": seed, "figures": figures, "ok": good }).to_string());
+        print_line(&json!({ "day": day, "seed": seed, "figures": figures, "ok": good }).to_string());
     }
     Ok(good)
 }
 
 /// Plays a story; whether every rule held.
 fn story(file: &Path, mended: bool, lines: usize) -> Result<bool, String> {
-    let text = std::fs::read_to_string(file).map_err(of(file))?;
+    let text = std::fs::read_to_string(file).map_err(with_path(file))?;
     let story = Story::read(&text).map_err(|e| format!("{}: {e}", file.display()))?;
     let defect = story.defect.as_deref().filter(|_| !mended);
     if !defects::plant(defect) {
@@ -388,16 +391,16 @@
     }
     let Some(outcome) = story.play(true) else { return Err("the world is gone".into()) };
     let all = &outcome.story;
-    all[all.len().saturating_sub(lines)..].iter().for_each(|line| say(line));
+    all[all.len().saturating_sub(lines)..].iter().for_each(|line| print_line(line));
     match &outcome.violation {
-        Some(violation) => say(&format!("BROKEN: {violation}")),
-        None => say("every rule held"),
+        Some(violation) => print_line(&format!("BROKEN: {violation}")),
+        None => print_line("every rule held"),
     }
     Ok(outcome.violation.is_none())
 }
 
 /// Prints the differences; whether none that is judged is worse.
-fn compared(
+fn print_differences(
     first: &[Row],
     second: &[Row],
     judge: &[String],
@@ -412,17 +415,17 @@
     let judged = |d: &Difference| judge.iter().any(|j| j == d.figure);
     for d in &all {
         let verdict = if d.worse && judged(d) { "  WORSE" } else { "" };
-        let (low, high) = (d.by.low, d.by.high);
-        say(&format!(
+        let (low, high) = (d.change.low, d.change.high);
+        print_line(&format!(
             "{:18} {:10.4} {:10.4}  by {:+.4} [{low:+.4}, {high:+.4}]{verdict}",
-            d.figure, d.first, d.second, d.by.mean
+            d.figure, d.first, d.second, d.change.mean
         ));
     }
     let good = all.iter().all(|d| !(d.worse && judged(d)));
     if json {
-        let of = |d: &Difference| (d.figure.to_string(), json!([d.by.mean, d.by.low, d.by.high]));
+        let of = |d: &Difference| (d.figure.to_string(), json!([d.change.mean, d.change.low, d.change.high]));
         let all: serde_json::Map<String, serde_json::Value> = all.iter().map(of).collect();
-        say(&json!({ "differences": all, "no_worse": good }).to_string());
+        print_line(&json!({ "differences": all, "no_worse": good }).to_string());
     }
     Ok(good)
 }
@@ -430,107 +433,108 @@
 fn main() -> ExitCode {
     match Args::parse().command {
         Command::List => {
-            spec::ALL.iter().for_each(|s| say(&format!("{:10} {}", s.name, s.about)));
+            spec::ALL.iter().for_each(|s| print_line(&format!("{:10} {}", s.name, s.about)));
             ExitCode::SUCCESS
         }
         Command::ListDefects => {
-            defects::ALL.iter().for_each(|(name, world)| say(&format!("{name:26} {world}")));
+            defects::ALL.iter().for_each(|(name, world)| print_line(&format!("{name:26} {world}")));
             ExitCode::SUCCESS
         }
         Command::Explore { seeds, world, defect, json, jobs } => {
             let known = defects::ALL.iter().find(|(name, _)| Some(*name) == defect.as_deref());
             if defect.is_some() && known.is_none() {
-                return wrong("no defect has this name; list-defects prints the names");
+                return command_error("no defect has this name; list-defects prints the names");
             }
             let world = world.as_deref().or(known.map(|(_, world)| *world));
             let Some(worlds) = worlds(world) else {
-                return wrong("no world has this name; list prints them");
+                return command_error("no world has this name; list prints them");
             };
             defects::plant(defect.as_deref());
             let begun = Instant::now();
             let sum = explore(&worlds, seeds, jobs, defect.is_some());
             let took = begun.elapsed().as_secs_f64();
             for (seed, world, violation) in sum.broken.iter().take(10) {
-                say(&format!("BROKEN: seed {seed} of {world}: {violation}"));
+                print_line(&format!("BROKEN: seed {seed} of {world}: {violation}"));
             }
             let speed = (sum.virtual_seconds / took).round();
             if json {
                 let figures = json!({
                     "runs": sum.runs, "violations": sum.broken.len(), "virtual_seconds": sum.virtual_seconds.round(),
-                    "speed": speed, "steps": sum.steps, "asked": sum.asked, "most_over": sum.most_over,
+                    "speed": speed, "steps": sum.steps, "asked": sum.asked, "most_over": sum.max_over_ceiling,
                 });
-                say(&figures.to_string());
+                print_line(&figures.to_string());
             } else {
                 let (runs, broken) = (sum.runs, sum.broken.len());
-                say(&format!("{runs} runs, {broken} with a broken rule, {speed} times real time"));
+                print_line(&format!("{runs} runs, {broken} with a broken rule, {speed} times real time"));
             }
             ExitCode::from(u8::from(!sum.broken.is_empty()))
         }
         Command::Replay { seed, world, defect, only, lines } => {
-            let Some(spec) = Spec::named(&world) else { return wrong("no world has this name") };
+            let Some(spec) = Spec::named(&world) else { return command_error("no world has this name") };
             if !defects::plant(defect.as_deref()) {
-                return wrong("no defect has this name");
+                return command_error("no defect has this name");
             }
             let outcome = play(&spec, seed, true);
             let wanted = |line: &&String| only.as_ref().is_none_or(|only| line.contains(only));
             let story: Vec<&String> = outcome.story.iter().filter(wanted).collect();
-            story[story.len().saturating_sub(lines)..].iter().for_each(|line| say(line));
-            say(&format!("{} steps, digest {}", outcome.steps, outcome.digest));
+            story[story.len().saturating_sub(lines)..].iter().for_each(|line| print_line(line));
+            print_line(&format!("{} steps, digest {}", outcome.steps, outcome.digest));
             if let Some(violation) = outcome.violation {
-                say(&format!("BROKEN: {violation}"));
+                print_line(&format!("BROKEN: {violation}"));
                 return ExitCode::FAILURE;
             }
             ExitCode::SUCCESS
         }
-        Command::Story { file, mended, lines } => finish(story(&file, mended, lines)),
+        Command::Story { file, mended, lines } => exit_code(story(&file, mended, lines)),
         Command::Shrink { seed, world, defect, lines, out } => {
-            let Some(spec) = Spec::named(&world) else { return wrong("no world has this name") };
+            let Some(spec) = Spec::named(&world) else { return command_error("no world has this name") };
             if !defects::plant(defect.as_deref()) {
-                return wrong("no defect has this name");
+                return command_error("no defect has this name");
             }
             let Some(small) = shrink(&spec, seed) else {
-                say("every rule held: there is nothing to shrink");
+                print_line("every rule held: there is nothing to shrink");
                 return ExitCode::SUCCESS;
             };
-            let outcome = play_cut(&small.spec, seed, true, &small.cuts);
+            let outcome = play_with_cuts(&small.spec, seed, true, &small.cuts);
             let story = &outcome.story;
-            story[story.len().saturating_sub(lines)..].iter().for_each(|line| say(line));
-            say(&format!(
+            story[story.len().saturating_sub(lines)..].iter().for_each(|line| print_line(line));
+            print_line(&format!(
                 "{} of {} customers and {} faults are left, {} tries, in {} plays",
-                small.customers_left, spec.customers, small.faults_left, outcome.stats.asked, small.played
+                small.customers_left, spec.customers, small.faults_left, outcome.stats.asked, small.plays
             ));
             if let Some(file) = out {
                 let story = Story::new(&small.spec, seed, &small.cuts, &small.violation, defect.as_deref());
-                let wrote = story.write().and_then(|text| std::fs::write(&file, text).map_err(of(&file)));
+                let wrote =
+                    story.write().and_then(|text| std::fs::write(&file, text).map_err(with_path(&file)));
                 if let Err(what) = wrote {
-                    return wrong(&what);
+                    return command_error(&what);
                 }
             }
-            say(&format!("BROKEN: {}", small.violation));
+            print_line(&format!("BROKEN: {}", small.violation));
             ExitCode::FAILURE
         }
-        Command::Run { file, out, jobs, quiet } => finish(run(&file, &out, jobs, quiet).map(|()| true)),
-        Command::Report { dir } => finish(report(&dir).map(|()| true)),
+        Command::Run { file, out, jobs, quiet } => exit_code(run(&file, &out, jobs, quiet).map(|()| true)),
+        Command::Report { dir } => exit_code(report(&dir).map(|()| true)),
         Command::Compare { first, second, arm, second_arm, judge, margin, json } => {
             let second_arm = second_arm.as_ref().or(arm.as_ref());
             let done = read(&first, arm.as_ref()).and_then(|a| Ok((a, read(&second, second_arm)?)));
-            finish(done.and_then(|(a, b)| compared(&a, &b, &judge, margin, json)))
+            exit_code(done.and_then(|(a, b)| print_differences(&a, &b, &judge, margin, json)))
         }
         Command::Days { seed, day, seconds, defect, json } => {
             if !defects::plant(defect.as_deref()) {
-                return wrong("no defect has this name");
+                return command_error("no defect has this name");
             }
             let names: Vec<&str> = day.as_deref().map_or(days::DAYS.to_vec(), |day| vec![day]);
-            finish(
-                names.iter().try_fold(true, |good, day| Ok(side_by_side(day, seed, seconds, json)? && good)),
+            exit_code(
+                names.iter().try_fold(true, |good, day| Ok(compare_day(day, seed, seconds, json)? && good)),
             )
         }
         Command::Members { seeds, size, json, jobs } => {
             members_figures(&explore_members(seeds, size as usize, jobs), json)
         }
         Command::Comeback { seeds, world } => {
-            let Some(with) = Spec::named(&world) else { return wrong("no world has this name") };
-            let without = Spec { snapshots: None, ..with.clone() };
+            let Some(with) = Spec::named(&world) else { return command_error("no world has this name") };
+            let without = Spec { snapshot_every: None, ..with.clone() };
             let calm = Spec { blackouts: [None; 2], power_cut: None, fault_every: None, ..with.clone() };
             let mut broken = 0;
             for (name, spec) in [("with snapshots", &with), ("without", &without), ("nobody killed", &calm)] {
@@ -542,25 +546,25 @@
                     sum.asked += s.asked;
                     sum.refused += s.refused;
                     sum.refused_with_room += s.refused_with_room;
-                    sum.fallen += s.fallen;
+                    sum.collapsed += s.collapsed;
                     sum.sent_units += s.sent_units;
-                    sum.beyond_units += s.beyond_units;
+                    sum.units_over_quota += s.units_over_quota;
                     sum.worth_asked += s.worth_asked;
                     sum.worth_served += s.worth_served;
                 }
                 let tries = sum.asked.max(1) as f64;
-                say(&format!(
+                print_line(&format!(
                     "{name:14} worth served {:.4}, units beyond quotas {:.4} of those sent, refused with room {:.4}, cold servers pushed over {}",
                     sum.worth_served / sum.worth_asked.max(1e-9),
-                    sum.beyond_units / sum.sent_units.max(1e-9),
+                    sum.units_over_quota / sum.sent_units.max(1e-9),
                     sum.refused_with_room as f64 / tries,
-                    sum.fallen
+                    sum.collapsed
                 ));
             }
             ExitCode::from(u8::from(broken > 0))
         }
         Command::Placement { seeds, world } => {
-            let Some(with) = Spec::named(&world) else { return wrong("no world has this name") };
+            let Some(with) = Spec::named(&world) else { return command_error("no world has this name") };
             let without = Spec { placement: false, ..with.clone() };
             let mut sums = [Stats::default(); 2];
             for seed in seeds.0..seeds.1 {
@@ -571,18 +575,18 @@
                     sum.turned_away += s.turned_away;
                     sum.refused += s.refused;
                     sum.refused_with_room += s.refused_with_room;
-                    sum.queue += s.queue / (seeds.1 - seeds.0) as f64;
+                    sum.mean_queue += s.mean_queue / (seeds.1 - seeds.0) as f64;
                 }
             }
             for (name, s) in ["with", "without"].iter().zip(sums) {
                 let share = |n: u64| n as f64 / s.asked.max(1) as f64;
-                say(&format!(
+                print_line(&format!(
                     "{name:8} in aim {:.4}, refused {:.4}, refused with room {:.4}, turned away {:.4}, before it {:.3}",
                     share(s.in_aim),
                     share(s.refused),
                     share(s.refused_with_room),
                     share(s.turned_away),
-                    s.queue
+                    s.mean_queue
                 ));
             }
             ExitCode::SUCCESS
--- a/crates/testing/fleet-sim/src/members.rs
+++ b/crates/testing/fleet-sim/src/members.rs
@@ -11,15 +11,15 @@
 pub const MS: Time = 1_000_000;
 pub const S: Time = 1_000 * MS;
 /// Members of a large world start over so long.
-const KEY: &[u8] = b"the key of a virtual fleet";
+const FLEET_KEY: &[u8] = b"the key of a virtual fleet";
 
 /// A place in the fleet: one name, whatever lives there.
 pub struct Node {
     pub name: String,
     pub view: Option<View>,
-    life: u64,
+    generation: u64,
     /// While it is stopped: until when, and what comes meanwhile.
-    stopped: Option<Time>,
+    paused_until: Option<Time>,
     inbox: Vec<Vec<u8>>,
     due: Time,
     pub datagrams: u64,
@@ -30,38 +30,38 @@
 }
 
 /// When a datagram comes, its number, to whom, what it holds.
-type Carried = (Time, u64, usize, Vec<u8>);
+type QueuedDatagram = (Time, u64, usize, Vec<u8>);
 
 /// Which side of a cut a node is on, and what the network does.
 pub struct Net {
     pub now: Time,
     pub nodes: Vec<Node>,
-    pub group: Vec<u32>,
+    pub partition: Vec<u32>,
     /// Ordered pairs of which nothing gets through.
-    pub silent: BTreeSet<(usize, usize)>,
+    pub blocked_links: BTreeSet<(usize, usize)>,
     /// Chances.
     pub loss: f64,
-    pub doubled: f64,
+    pub duplication: f64,
     /// The longest way, and since when it is so slow for whom.
-    pub delay: Time,
-    pub slow: BTreeSet<usize>,
+    pub max_delay: Time,
+    pub slow_nodes: BTreeSet<usize>,
     /// Whether what comes to a stopped member is lost, as on a machine that is suspended.
-    pub suspends: bool,
+    pub drops_while_paused: bool,
     rng: fastrand::Rng,
-    queue: BinaryHeap<Reverse<Carried>>,
-    wakes: BinaryHeap<Reverse<(Time, usize)>>,
+    queue: BinaryHeap<Reverse<QueuedDatagram>>,
+    timers: BinaryHeap<Reverse<(Time, usize)>>,
     sent: u64,
     /// All that was ever sent to somebody, if it is to be played again.
-    pub tape: Option<Vec<(usize, Vec<u8>)>>,
+    pub recording: Option<Vec<(usize, Vec<u8>)>>,
     /// Deaths believed of somebody who ran and could be reached by all: (who believes, whom).
-    pub wronged: Vec<(usize, usize)>,
+    pub false_deaths: Vec<(usize, usize)>,
 }
 
 pub fn address(n: usize) -> SocketAddr {
     (Ipv4Addr::new(10, 0, (n / 250) as u8, (n % 250) as u8 + 1), 7000).into()
 }
 
-fn number(to: SocketAddr) -> Option<usize> {
+fn node_index(to: SocketAddr) -> Option<usize> {
     match to.ip() {
         std::net::IpAddr::V4(ip) => {
             let [_, _, high, low] = ip.octets();
@@ -73,7 +73,7 @@
 
 /// What a datagram of this fleet says.
 pub fn read(bytes: &[u8]) -> Option<Message> {
-    Some(Keys::new(vec![KEY.to_vec()]).ok()?.open(bytes).ok()?.message)
+    Some(Keys::new(vec![FLEET_KEY.to_vec()]).ok()?.open(bytes).ok()?.message)
 }
 
 impl Net {
@@ -82,8 +82,8 @@
         let node = |n| Node {
             name: format!("m{n:04}"),
             view: None,
-            life: 0,
-            stopped: None,
+            generation: 0,
+            paused_until: None,
             inbox: Vec::new(),
             due: 0,
             datagrams: 0,
@@ -94,35 +94,35 @@
         Net {
             now: 0,
             nodes: (0..size).map(node).collect(),
-            group: vec![0; size],
-            silent: BTreeSet::new(),
+            partition: vec![0; size],
+            blocked_links: BTreeSet::new(),
             loss: 0.0,
-            doubled: 0.0,
-            delay: 2 * MS,
-            slow: BTreeSet::new(),
-            suspends: false,
+            duplication: 0.0,
+            max_delay: 2 * MS,
+            slow_nodes: BTreeSet::new(),
+            drops_while_paused: false,
             rng: fastrand::Rng::with_seed(seed),
             queue: BinaryHeap::new(),
-            wakes: BinaryHeap::new(),
+            timers: BinaryHeap::new(),
             sent: 0,
-            tape: None,
-            wronged: Vec::new(),
+            recording: None,
+            false_deaths: Vec::new(),
         }
     }
 
     /// Starts a life at this place, a later one than any before, with the first three places as seeds.
     pub fn start(&mut self, n: usize) {
-        let life = (1_700_000_000_000 + self.now / MS).max(self.nodes[n].life + 1);
-        self.start_with(n, life, &self.nodes[n].name.clone());
+        let generation = (1_700_000_000_000 + self.now / MS).max(self.nodes[n].generation + 1);
+        self.start_with(n, generation, &self.nodes[n].name.clone());
     }
 
-    pub fn start_with(&mut self, n: usize, life: u64, name: &str) {
-        let mut config = Config::new(name, life, address(n));
+    pub fn start_with(&mut self, n: usize, generation: u64, name: &str) {
+        let mut config = Config::new(name, generation, address(n));
         config.seeds = (0..3).map(address).collect();
-        let keys = Keys::new(vec![KEY.to_vec()]).expect("long enough");
+        let keys = Keys::new(vec![FLEET_KEY.to_vec()]).expect("long enough");
         let view = View::new(config, keys, self.rng.u64(..), self.rng.u128(..).to_be_bytes(), self.now);
         let node = &mut self.nodes[n];
-        (node.life, node.stopped, node.superseded) = (life, None, false);
+        (node.generation, node.paused_until, node.superseded) = (generation, None, false);
         node.inbox.clear();
         node.view = Some(view);
         self.schedule(n);
@@ -133,18 +133,18 @@
     }
 
     pub fn leave(&mut self, n: usize) {
-        self.hand(n, Input::Leave);
+        self.deliver(n, Input::Leave);
         self.kill(n);
     }
 
     /// It does nothing until then, and knows nothing of it.
-    pub fn stop(&mut self, n: usize, until: Time) {
-        self.nodes[n].stopped = Some(until);
-        self.wakes.push(Reverse((until, n)));
+    pub fn pause(&mut self, n: usize, until: Time) {
+        self.nodes[n].paused_until = Some(until);
+        self.timers.push(Reverse((until, n)));
     }
 
     pub fn running(&self) -> Vec<usize> {
-        let runs = |n: &usize| self.nodes[*n].view.is_some() && self.nodes[*n].stopped.is_none();
+        let runs = |n: &usize| self.nodes[*n].view.is_some() && self.nodes[*n].paused_until.is_none();
         (0..self.nodes.len()).filter(runs).collect()
     }
 
@@ -158,18 +158,18 @@
         let due = self.nodes[n].view.as_ref().and_then(View::next_due).unwrap_or(Time::MAX);
         self.nodes[n].due = due;
         if due < Time::MAX {
-            self.wakes.push(Reverse((due.max(self.now), n)));
+            self.timers.push(Reverse((due.max(self.now), n)));
         }
     }
 
-    fn hand(&mut self, n: usize, input: Input<'_>) {
+    fn deliver(&mut self, n: usize, input: Input<'_>) {
         let mut out = Vec::new();
         let now = self.now;
         let Some(view) = &mut self.nodes[n].view else { return };
         view.handle(now, input, &mut out);
         for output in out {
             match output {
-                Output::Send { to, bytes } => self.carry(n, to, bytes),
+                Output::Send { to, bytes } => self.transmit(n, to, bytes),
                 Output::StableView(_) => self.nodes[n].versions += 1,
                 Output::Superseded { .. } => self.nodes[n].superseded = true,
             }
@@ -177,70 +177,71 @@
         self.schedule(n);
     }
 
-    fn carry(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
+    fn transmit(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let node = &mut self.nodes[from];
         node.datagrams += 1;
         node.bytes += bytes.len() as u64;
-        let Some(to) = number(to).filter(|n| *n < self.nodes.len()) else { return };
-        if let Some(tape) = &mut self.tape {
-            tape.push((to, bytes.clone()));
+        let Some(to) = node_index(to).filter(|n| *n < self.nodes.len()) else { return };
+        if let Some(recording) = &mut self.recording {
+            recording.push((to, bytes.clone()));
         }
-        let cut = self.group[from] != self.group[to] || self.silent.contains(&(from, to));
+        let cut = self.partition[from] != self.partition[to] || self.blocked_links.contains(&(from, to));
         if cut || self.rng.f64() < self.loss {
             return;
         }
-        let times = 1 + usize::from(self.rng.f64() < self.doubled);
+        let times = 1 + usize::from(self.rng.f64() < self.duplication);
         for _ in 0..times {
-            let slow = if self.slow.contains(&from) || self.slow.contains(&to) { 150 * MS } else { 0 };
-            let at = self.now + MS / 10 + self.rng.u64(0..self.delay) + slow;
+            let extra_delay =
+                if self.slow_nodes.contains(&from) || self.slow_nodes.contains(&to) { 150 * MS } else { 0 };
+            let at = self.now + MS / 10 + self.rng.u64(0..self.max_delay) + extra_delay;
             self.sent += 1;
             self.queue.push(Reverse((at, self.sent, to, bytes.clone())));
         }
     }
 
     /// Plays until then.
-    pub fn play(&mut self, until: Time) {
+    pub fn advance_to(&mut self, until: Time) {
         loop {
-            let wake = self.wakes.peek().map_or(Time::MAX, |Reverse((at, _))| *at);
-            let come = self.queue.peek().map_or(Time::MAX, |Reverse((at, ..))| *at);
-            if wake.min(come) > until {
+            let next_timer = self.timers.peek().map_or(Time::MAX, |Reverse((at, _))| *at);
+            let next_datagram = self.queue.peek().map_or(Time::MAX, |Reverse((at, ..))| *at);
+            if next_timer.min(next_datagram) > until {
                 self.now = until;
                 return;
             }
-            self.now = self.now.max(wake.min(come));
-            if come <= wake {
+            self.now = self.now.max(next_timer.min(next_datagram));
+            if next_datagram <= next_timer {
                 let Some(Reverse((_, _, to, bytes))) = self.queue.pop() else { continue };
-                if self.nodes[to].stopped.is_some() {
+                if self.nodes[to].paused_until.is_some() {
                     // What a socket holds is bounded.
-                    if self.nodes[to].inbox.len() < 200 && !self.suspends {
+                    if self.nodes[to].inbox.len() < 200 && !self.drops_while_paused {
                         self.nodes[to].inbox.push(bytes);
                     }
                 } else {
-                    self.hand(to, Input::Datagram(&bytes));
+                    self.deliver(to, Input::Datagram(&bytes));
                 }
                 continue;
             }
-            let Some(Reverse((at, n))) = self.wakes.pop() else { continue };
-            if self.nodes[n].stopped.is_some_and(|until| until > at) {
+            let Some(Reverse((at, n))) = self.timers.pop() else { continue };
+            if self.nodes[n].paused_until.is_some_and(|until| until > at) {
                 continue;
             }
-            if self.nodes[n].stopped.take().is_some() {
+            if self.nodes[n].paused_until.take().is_some() {
                 for bytes in std::mem::take(&mut self.nodes[n].inbox) {
-                    self.hand(n, Input::Datagram(&bytes));
+                    self.deliver(n, Input::Datagram(&bytes));
                 }
             }
             if self.nodes[n].due <= self.now {
-                self.hand(n, Input::Tick);
+                self.deliver(n, Input::Tick);
             }
         }
     }
 
     /// Whether all that run and can reach each other see each other and nobody else.
-    pub fn settled(&self) -> bool {
+    pub fn converged(&self) -> bool {
         let running = self.running();
-        let groups: BTreeSet<u32> = running.iter().map(|n| self.group[*n]).collect();
+        let groups: BTreeSet<u32> = running.iter().map(|n| self.partition[*n]).collect();
         groups.into_iter().all(|group| {
-            let of: Vec<usize> = running.iter().copied().filter(|n| self.group[*n] == group).collect();
+            let of: Vec<usize> = running.iter().copied().filter(|n| self.partition[*n] == group).collect();
             let digests: BTreeSet<u64> =
                 of.iter().filter_map(|n| Some(self.nodes[*n].view.as_ref()?.digest())).collect();
             let seen = of.first().and_then(|n| self.nodes[*n].view.as_ref());
@@ -249,20 +250,20 @@
         })
     }
 
-    /// Plays on until that holds; how long it took. None if it does not within `most`.
-    pub fn until_settled(&mut self, most: Time) -> Option<Time> {
-        let began = self.now;
-        while !self.settled() {
-            if self.now >= began + most {
+    /// Plays on until that holds; how long it took. None if it does not within `limit`.
+    pub fn advance_until_converged(&mut self, limit: Time) -> Option<Time> {
+        let started_at = self.now;
+        while !self.converged() {
+            if self.now >= started_at + limit {
                 return None;
             }
-            self.play(self.now + 20 * MS);
+            self.advance_to(self.now + 20 * MS);
         }
-        Some(self.now - began)
+        Some(self.now - started_at)
     }
 
     /// Whether this member sees all who run and nobody else.
-    pub fn sees_who_runs(&self, at: usize) -> bool {
+    pub fn sees_all_running(&self, at: usize) -> bool {
         self.disagreements().iter().all(|(who, _)| *who != at)
     }
 
@@ -277,9 +278,9 @@
             for n in 0..self.nodes.len() {
                 let node = &self.nodes[n];
                 let seen = seen.get(&node.name);
-                let lives = seen.is_some_and(|r| r.state.is_alive() && r.generation == node.life);
-                if lives != running.contains(&n) {
-                    let seen = seen.map(|r| (r.state, r.generation == node.life, r.incarnation));
+                let seen_alive = seen.is_some_and(|r| r.state.is_alive() && r.generation == node.generation);
+                if seen_alive != running.contains(&n) {
+                    let seen = seen.map(|r| (r.state, r.generation == node.generation, r.incarnation));
                     all.push((*at, format!("{at} sees {n} as {seen:?}, health {:?}", view.health())));
                 }
             }
@@ -288,7 +289,7 @@
     }
 
     /// Whom some running member believes dead though it runs.
-    pub fn wronged(&self) -> usize {
+    pub fn false_deaths(&self) -> usize {
         let running = self.running();
         let dead = |n: &usize| {
             let view = self.nodes[*n].view.as_ref();
@@ -296,7 +297,8 @@
                 let state = m.record.state == State::Dead;
                 state
                     && running.iter().any(|r| {
-                        *self.nodes[*r].name == *m.record.name && self.nodes[*r].life == m.record.generation
+                        *self.nodes[*r].name == *m.record.name
+                            && self.nodes[*r].generation == m.record.generation
                     })
             };
             view.map_or(0, |v| v.members().filter(|m| of(m.clone())).count())
@@ -307,7 +309,7 @@
 
 /// What a seed came to.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Played {
+pub struct RandomRun {
     pub seed: u64,
     /// What was done, in order, with the time in milliseconds.
     pub faults: Vec<(u64, String)>,
@@ -323,26 +325,26 @@
 }
 
 /// So long after the last fault there must be one view.
-pub const BOUND: Time = 8 * S;
+pub const CONVERGENCE_BOUND: Time = 8 * S;
 
 /// The same where fewer than an eighth are left: for most of a wave they take themselves for isolated.
-pub const BOUND_FEW: Time = 30 * S;
+pub const CONVERGENCE_BOUND_FEW: Time = 30 * S;
 
 /// A random day: so many members start, faults come and go, the last one is mended; then one view within the bound.
-pub fn random(size: usize, seed: u64) -> Played {
-    let (mut played, mut net) = random_net(size, seed);
+pub fn random(size: usize, seed: u64) -> RandomRun {
+    let (mut run, mut net) = random_net(size, seed);
     let (datagrams, bytes) = traffic(&mut net, 10 * S);
-    (played.datagrams_a_second, played.bytes_a_second) = (datagrams, bytes);
-    played
+    (run.datagrams_a_second, run.bytes_a_second) = (datagrams, bytes);
+    run
 }
 
 /// The same with the network as it is then.
-pub fn random_net(size: usize, seed: u64) -> (Played, Net) {
+pub fn random_net(size: usize, seed: u64) -> (RandomRun, Net) {
     let mut net = Net::new(size, seed);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
-    let mut played = Played { seed, ..Played::default() };
+    let mut run = RandomRun { seed, ..RandomRun::default() };
     (0..size).for_each(|n| net.start(n));
-    net.play(3 * S);
+    net.advance_to(3 * S);
     for _ in 0..rng.usize(2..6) {
         let some = |rng: &mut fastrand::Rng, part: f64| {
             let count = (size as f64 * part) as usize;
@@ -363,23 +365,23 @@
             2 => {
                 let part = 0.1 + rng.f64() * 0.4;
                 let cut = some(&mut rng, part);
-                cut.iter().for_each(|n| net.group[*n] = 1);
+                cut.iter().for_each(|n| net.partition[*n] = 1);
                 format!("{} cut off", cut.len())
             }
             3 => {
-                net.group.fill(0);
-                net.silent.clear();
+                net.partition.fill(0);
+                net.blocked_links.clear();
                 "healed".into()
             }
             4 => {
                 let part = rng.f64() * 0.2;
-                let stopped = some(&mut rng, part);
+                let paused_until = some(&mut rng, part);
                 let until = net.now + rng.u64(500 * MS..6 * S);
-                stopped.iter().for_each(|n| net.stop(*n, until));
-                format!("{} stopped", stopped.len())
+                paused_until.iter().for_each(|n| net.pause(*n, until));
+                format!("{} stopped", paused_until.len())
             }
             5 => {
-                (net.loss, net.doubled) = (rng.f64() * 0.3, rng.f64() * 0.1);
+                (net.loss, net.duplication) = (rng.f64() * 0.3, rng.f64() * 0.1);
                 format!("loss {:.2}", net.loss)
             }
             6 => {
@@ -397,39 +399,39 @@
             }
             _ => {
                 let (a, b) = (rng.usize(0..size), rng.usize(0..size));
-                net.silent.insert((a, b));
+                net.blocked_links.insert((a, b));
                 format!("{a} is not heard at {b}")
             }
         };
-        played.faults.push((net.now / MS, what));
+        run.faults.push((net.now / MS, what));
         let next = net.now + rng.u64(200 * MS..8 * S);
-        net.play(next);
+        net.advance_to(next);
     }
     // The last fault ends: whoever runs can reach everybody; nobody is stopped any more.
-    net.group.fill(0);
-    net.silent.clear();
-    (net.loss, net.doubled) = (0.0, 0.0);
-    let awake = net.nodes.iter().filter_map(|n| n.stopped).max().unwrap_or(net.now);
-    net.play(awake.max(net.now));
+    net.partition.fill(0);
+    net.blocked_links.clear();
+    (net.loss, net.duplication) = (0.0, 0.0);
+    let resumed_at = net.nodes.iter().filter_map(|n| n.paused_until).max().unwrap_or(net.now);
+    net.advance_to(resumed_at.max(net.now));
     if net.running().is_empty() {
         net.start(0);
     }
-    played.faults.push((net.now / MS, "all is mended".into()));
-    played.settled_ms = net.until_settled(BOUND).map(|t| t / MS);
-    if played.settled_ms.is_none() {
-        played.wrong = net.disagreements().into_iter().map(|(_, what)| what).collect();
+    run.faults.push((net.now / MS, "all is mended".into()));
+    run.settled_ms = net.advance_until_converged(CONVERGENCE_BOUND).map(|t| t / MS);
+    if run.settled_ms.is_none() {
+        run.wrong = net.disagreements().into_iter().map(|(_, what)| what).collect();
         let running = net.running();
         let few = running.len() * 8 < size;
         if few {
-            net.until_settled(BOUND_FEW);
+            net.advance_until_converged(CONVERGENCE_BOUND_FEW);
         }
-        let told = |n: &usize| {
+        let consistent = |n: &usize| {
             let view = net.nodes[*n].view.as_ref();
-            view.is_some_and(|v| v.health().isolated_since.is_some() || net.sees_who_runs(*n))
+            view.is_some_and(|v| v.health().isolated_since.is_some() || net.sees_all_running(*n))
         };
-        played.too_few = few && running.iter().all(told);
+        run.too_few = few && running.iter().all(consistent);
     }
-    (played, net)
+    (run, net)
 }
 
 /// What a running member sends in a second of so long, in the mean: datagrams and bytes.
@@ -437,7 +439,7 @@
     let sum = |net: &Net| net.nodes.iter().fold((0, 0), |(d, b), n| (d + n.datagrams, b + n.bytes));
     let before = sum(net);
     let until = net.now + time;
-    net.play(until);
+    net.advance_to(until);
     let after = sum(net);
     let share = net.running().len().max(1) as f64 * time as f64 / S as f64;
     ((after.0 - before.0) as f64 / share, (after.1 - before.1) as f64 / share)
--- a/crates/testing/fleet-sim/src/mind.rs
+++ b/crates/testing/fleet-sim/src/module.rs
@@ -10,12 +10,12 @@
 use std::rc::Rc;
 
 /// Requests that mischief is made with: the last so many.
-const KNOWN: usize = 24;
+const MAX_RECENT_REQUESTS: usize = 24;
 
-pub struct Mind {
+pub struct SimulatedModule {
     gateway: Gateway,
-    mischief: Option<Mischief>,
-    choice: Option<Chooser>,
+    faults: Option<FaultInjection>,
+    choice: Option<ServerChooser>,
 }
 
 /// Who chooses the server: the module, or for comparison something simpler in its place, which spares no cold
@@ -34,35 +34,35 @@
 }
 
 /// What is in work and waiting at each server, over its present speed.
-pub type Truth = Rc<RefCell<Vec<f64>>>;
+pub type TrueLoads = Rc<RefCell<Vec<f64>>>;
 
-struct Chooser {
+struct ServerChooser {
     choice: Choice,
     rng: Rng,
-    truth: Truth,
-    up: BTreeMap<Name, usize>,
-    own: BTreeMap<Name, u32>,
+    true_loads: TrueLoads,
+    available: BTreeMap<Name, usize>,
+    in_flight: BTreeMap<Name, u32>,
 }
 
-impl Chooser {
-    fn hear(&mut self, event: &Event) {
+impl ServerChooser {
+    fn observe(&mut self, event: &Event) {
         match event {
             Event::Fleet { scope, nodes, .. } if *scope != Scope::Failed => {
                 if *scope != Scope::Changes {
-                    self.up.clear();
+                    self.available.clear();
                 }
                 for n in nodes {
                     let number = n.name.trim_start_matches("s-").parse().unwrap_or(0);
                     if n.health == Health::Up {
-                        self.up.insert(n.name.clone(), number);
+                        self.available.insert(n.name.clone(), number);
                     } else {
-                        self.up.remove(&n.name);
+                        self.available.remove(&n.name);
                     }
                 }
             }
             Event::AttemptEnd(e) => {
-                if let Some(own) = self.own.get_mut(&e.server) {
-                    *own = own.saturating_sub(1);
+                if let Some(in_flight) = self.in_flight.get_mut(&e.server) {
+                    *in_flight = in_flight.saturating_sub(1);
                 }
             }
             _ => {}
@@ -70,79 +70,79 @@
     }
 
     fn choose(&mut self) -> Option<Name> {
-        let all: Vec<(&Name, usize)> = self.up.iter().map(|(name, n)| (name, *n)).collect();
+        let all: Vec<(&Name, usize)> = self.available.iter().map(|(name, n)| (name, *n)).collect();
         if all.is_empty() {
             return None;
         }
-        let mut one = || all[self.rng.usize(..all.len())];
-        let own = |name: &Name| self.own.get(name).copied().unwrap_or(0);
+        let mut draw = || all[self.rng.usize(..all.len())];
+        let in_flight = |name: &Name| self.in_flight.get(name).copied().unwrap_or(0);
         let (name, _) = match self.choice {
             Choice::Module => return None,
-            Choice::Random => one(),
+            Choice::Random => draw(),
             Choice::Two => {
-                let (a, b) = (one(), one());
-                if own(a.0) <= own(b.0) {
+                let (a, b) = (draw(), draw());
+                if in_flight(a.0) <= in_flight(b.0) {
                     a
                 } else {
                     b
                 }
             }
             Choice::Least => {
-                let truth = self.truth.borrow();
-                let load = |n: usize| truth.get(n).copied().unwrap_or(0.0);
+                let true_loads = self.true_loads.borrow();
+                let load = |n: usize| true_loads.get(n).copied().unwrap_or(0.0);
                 // From a drawn place on, so that equals share.
                 let from = self.rng.usize(..all.len());
-                let turned = all[from..].iter().chain(&all[..from]);
-                *turned.min_by(|a, b| load(a.1).total_cmp(&load(b.1)))?
+                let rotated = all[from..].iter().chain(&all[..from]);
+                *rotated.min_by(|a, b| load(a.1).total_cmp(&load(b.1)))?
             }
         };
         let name = name.clone();
-        *self.own.entry(name.clone()).or_default() += 1;
+        *self.in_flight.entry(name.clone()).or_default() += 1;
         Some(name)
     }
 }
 
-struct Mischief {
+struct FaultInjection {
     rng: Rng,
-    known: VecDeque<RequestId>,
+    recent_requests: VecDeque<RequestId>,
     servers: usize,
 }
 
-impl Mind {
+impl SimulatedModule {
     /// The real module; with a seed and a number of servers, one that makes mischief.
     pub fn new(
         gateway: Gateway,
-        mischief: Option<(u64, usize)>,
-        choice: Option<(Choice, u64, Truth)>,
+        faults: Option<(u64, usize)>,
+        choice: Option<(Choice, u64, TrueLoads)>,
     ) -> Self {
-        let mischief = mischief.map(|(seed, servers)| Mischief {
+        let faults = faults.map(|(seed, servers)| FaultInjection {
             rng: Rng::with_seed(seed),
-            known: VecDeque::new(),
+            recent_requests: VecDeque::new(),
             servers,
         });
-        let chooser = |(choice, seed, truth)| Chooser {
+        let chooser = |(choice, seed, true_loads)| ServerChooser {
             choice,
             rng: Rng::with_seed(seed),
-            truth,
-            up: BTreeMap::new(),
-            own: BTreeMap::new(),
+            true_loads,
+            available: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
         };
-        Mind { gateway, mischief, choice: choice.map(chooser) }
+        SimulatedModule { gateway, faults, choice: choice.map(chooser) }
     }
 }
 
-impl Module for Mind {
+impl Module for SimulatedModule {
     fn export_state(&self) -> String {
         self.gateway.export_state()
     }
 
-    fn import_state(&mut self, now: Time, left: &str) -> Result<(), String> {
-        self.gateway.import_state(now, left)
+    fn import_state(&mut self, now: Time, state: &str) -> Result<(), String> {
+        self.gateway.import_state(now, state)
     }
 
     fn handle(&mut self, now: Time, events: Vec<Event>, out: &mut Vec<Action>) {
         if let Some(c) = &mut self.choice {
-            events.iter().for_each(|e| c.hear(e));
+            events.iter().for_each(|e| c.observe(e));
             self.gateway.handle(now, events, out);
             for action in out {
                 if let Action::Send { server, .. } = action {
@@ -151,29 +151,31 @@
             }
             return;
         }
-        let Some(m) = &mut self.mischief else { return self.gateway.handle(now, events, out) };
+        let Some(m) = &mut self.faults else { return self.gateway.handle(now, events, out) };
         for event in &events {
             if let Event::Request(request) = event {
-                m.known.push_back(request.id);
+                m.recent_requests.push_back(request.id);
             }
         }
-        while m.known.len() > KNOWN {
-            m.known.pop_front();
+        while m.recent_requests.len() > MAX_RECENT_REQUESTS {
+            m.recent_requests.pop_front();
         }
         self.gateway.handle(now, events, out);
         match m.rng.u32(0..2000) {
             // Without the hook, which would fill the log.
             0 => std::panic::resume_unwind(Box::new("mischief")),
             1..=20 => out.clear(),
-            21..=400 => m.add(now, out),
+            21..=400 => m.inject(now, out),
             _ => {}
         }
     }
 }
 
-impl Mischief {
-    fn add(&mut self, now: Time, out: &mut Vec<Action>) {
-        let Some(id) = self.known.get(self.rng.usize(0..KNOWN)).copied() else { return };
+impl FaultInjection {
+    fn inject(&mut self, now: Time, out: &mut Vec<Action>) {
+        let Some(id) = self.recent_requests.get(self.rng.usize(0..MAX_RECENT_REQUESTS)).copied() else {
+            return;
+        };
         let attempt = self.rng.u32(0..3);
         let action = match self.rng.u32(0..8) {
             0 => Action::Reject { id, advice: 0 },
--- a/crates/testing/fleet-sim/src/record.rs
+++ b/crates/testing/fleet-sim/src/record.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Latencies are told up to a minute, in microseconds, to three digits.
-const LONGEST: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 /// Where a distribution is written down.
 pub const QUANTILES: [f64; 15] =
     [0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.99, 0.999, 1.0];
@@ -37,7 +37,7 @@
 
 impl Record {
     pub fn new(servers: usize) -> Self {
-        let latency = Histogram::new_with_max(LONGEST, 3).expect("these bounds are sound");
+        let latency = Histogram::new_with_max(MAX_LATENCY_US, 3).expect("these bounds are sound");
         Record { latency, work: vec![0.0; servers], seconds: Vec::new() }
     }
 
@@ -63,9 +63,9 @@
     /// The busiest server's work over the mean of all; 0 if nothing was done.
     pub fn spread(&self) -> f64 {
         let sum: f64 = self.work.iter().sum();
-        let most = self.work.iter().fold(0.0, |a: f64, b| a.max(*b));
+        let busiest = self.work.iter().fold(0.0, |a: f64, b| a.max(*b));
         if sum > 0.0 {
-            most * self.work.len() as f64 / sum
+            busiest * self.work.len() as f64 / sum
         } else {
             0.0
         }
--- a/crates/testing/fleet-sim/src/report.rs
+++ b/crates/testing/fleet-sim/src/report.rs
@@ -15,7 +15,7 @@
 /// A plot by the name of its file, without the ending.
 pub type Plots = Vec<(String, String)>;
 
-type Failed = Box<dyn std::error::Error>;
+type PlotError = Box<dyn std::error::Error>;
 
 /// Rows by arm, and by the swept values.
 struct Table<'a> {
@@ -54,9 +54,9 @@
                 by.entry(x).or_default().push(*y);
             }
         }
-        let place =
+        let to_point =
             |(n, (x, values)): (usize, (&&str, &Vec<f64>))| (x.parse().unwrap_or(n as f64), estimate(values));
-        let mut line: Vec<(f64, Estimate)> = by.iter().enumerate().map(place).collect();
+        let mut line: Vec<(f64, Estimate)> = by.iter().enumerate().map(to_point).collect();
         line.sort_by(|a, b| a.0.total_cmp(&b.0));
         line
     }
@@ -74,8 +74,8 @@
     if from_zero {
         low = low.min(0.0);
     }
-    let room = ((high - low) * 0.05).max(high.abs() * 0.01).max(1e-6);
-    (if from_zero && low == 0.0 { 0.0 } else { low - room })..high + room
+    let padding = ((high - low) * 0.05).max(high.abs() * 0.01).max(1e-6);
+    (if from_zero && low == 0.0 { 0.0 } else { low - padding })..high + padding
 }
 
 /// One line of a plot: its name, its points, and the interval of each if it has one.
@@ -85,7 +85,7 @@
     bars: Vec<(f64, f64, f64)>,
 }
 
-fn plot(title: &str, x: &str, lines: &[Line], from_zero: bool) -> Result<String, Failed> {
+fn plot(title: &str, x: &str, lines: &[Line], from_zero: bool) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -122,7 +122,7 @@
     Ok(svg)
 }
 
-fn timeline(arm: &str, seconds: &[Second]) -> Result<String, Failed> {
+fn timeline(arm: &str, seconds: &[Second]) -> Result<String, PlotError> {
     let line = |name: &str, of: fn(&Second) -> u64| Line {
         name: name.into(),
         points: seconds.iter().enumerate().map(|(n, s)| (n as f64, of(s) as f64)).collect(),
@@ -142,7 +142,7 @@
 ///
 /// # Errors
 /// What the plotting library says.
-pub fn plots(rows: &[Row]) -> Result<Plots, Failed> {
+pub fn plots(rows: &[Row]) -> Result<Plots, PlotError> {
     let table = Table::new(rows);
     let mut all = Plots::new();
     if let Some(swept) = table.swept {
@@ -220,7 +220,13 @@
         for (figure, ..) in FIGURES {
             let values: Vec<f64> = rows.iter().filter_map(|r| r.figures.get(figure).copied()).collect();
             let e = estimate(&values);
-            let _ = write!(html, "<td>{} [{}, {}]", short(e.mean), short(e.low), short(e.high));
+            let _ = write!(
+                html,
+                "<td>{} [{}, {}]",
+                format_significant(e.mean),
+                format_significant(e.low),
+                format_significant(e.high)
+            );
         }
     }
     html.push_str("</table>");
@@ -237,11 +243,11 @@
                 html,
                 "<tr{class}><td>{}<td>{} to {}<td>{} [{}, {}]",
                 d.figure,
-                short(d.first),
-                short(d.second),
-                short(d.by.mean),
-                short(d.by.low),
-                short(d.by.high)
+                format_significant(d.first),
+                format_significant(d.second),
+                format_significant(d.change.mean),
+                format_significant(d.change.low),
+                format_significant(d.change.high)
             );
         }
         html.push_str("</table>");
@@ -253,7 +259,7 @@
 }
 
 /// Four digits that count.
-fn short(v: f64) -> String {
+fn format_significant(v: f64) -> String {
     let digits = (3 - v.abs().max(1e-12).log10().floor() as i32).clamp(0, 5) as usize;
     format!("{v:.digits$}")
 }
--- a/crates/testing/fleet-sim/src/servers.rs
+++ b/crates/testing/fleet-sim/src/servers.rs
@@ -4,17 +4,17 @@
 use std::collections::VecDeque;
 
 /// Capacity of a server that has just started, as a part of the whole, and how long until it is warm.
-pub const COLD_FROM: f64 = 0.19;
-pub const COLD: Time = 15_000_000_000;
+pub const INITIAL_WARMTH: f64 = 0.19;
+pub const WARM_UP_TIME: Time = 15_000_000_000;
 /// Sent more than so many times what it can do, for so long, a cold server falls over and stays down.
-pub const FALL_MULTIPLE: f64 = 3.0;
-pub const FALL: Time = 1_500_000_000;
+pub const COLLAPSE_MULTIPLE: f64 = 3.0;
+pub const COLLAPSE_WINDOW: Time = 1_500_000_000;
 
 /// One attempt as it reached a server.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub gateway: usize,
-    pub life: u64,
+    pub generation: u64,
     pub id: u64,
     pub attempt: u32,
     /// Work in nanoseconds of one warm core.
@@ -24,8 +24,8 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Mood {
-    Well,
+pub enum Condition {
+    Healthy,
     /// Quickly fails this part of what it gets.
     FailsFast(f64),
     /// Takes everything and answers nothing.
@@ -44,97 +44,97 @@
 pub struct Server {
     pub listed: Listed,
     /// Whether its process runs; and whether it fell over from too much work when it was cold.
-    pub up: bool,
-    pub fallen: bool,
-    pub mood: Mood,
-    pub born: Time,
+    pub running: bool,
+    pub collapsed: bool,
+    pub condition: Condition,
+    pub started_at: Time,
     cores: usize,
-    room: usize,
+    queue_capacity: usize,
     busy: usize,
     queue: VecDeque<Job>,
     /// Work sent to it lately while it was cold, and when.
-    sent: VecDeque<(Time, f64)>,
+    recent_work: VecDeque<(Time, f64)>,
 }
 
 /// What becomes of a job that comes.
 #[derive(Debug)]
-pub enum Taken {
+pub enum Admission {
     /// It runs from now on, for so long.
-    Runs(Job, Time),
-    Waits,
+    Started(Job, Time),
+    Queued,
     /// Turned away unseen.
     Full,
     /// The server fell over from it: what it held is cut.
-    FallsOver,
+    Collapsed,
 }
 
 impl Server {
     /// One that has been warm for long.
-    pub fn new(cores: usize, room: usize) -> Self {
+    pub fn new(cores: usize, queue_capacity: usize) -> Self {
         Server {
             listed: Listed::Up,
-            up: true,
-            fallen: false,
-            mood: Mood::Well,
-            born: 0,
+            running: true,
+            collapsed: false,
+            condition: Condition::Healthy,
+            started_at: 0,
             cores,
-            room,
+            queue_capacity,
             busy: 0,
             queue: VecDeque::new(),
-            sent: VecDeque::new(),
+            recent_work: VecDeque::new(),
         }
     }
 
     /// Its process starts, with nothing, and cold.
     pub fn start(&mut self, now: Time) {
-        let (cores, room) = (self.cores, self.room);
-        *self = Server { born: now.max(1), ..Server::new(cores, room) };
+        let (cores, queue_capacity) = (self.cores, self.queue_capacity);
+        *self = Server { started_at: now.max(1), ..Server::new(cores, queue_capacity) };
     }
 
     pub fn stop(&mut self) {
-        self.up = false;
+        self.running = false;
         self.busy = 0;
         self.queue.clear();
-        self.sent.clear();
+        self.recent_work.clear();
     }
 
     /// What one of its cores does now, as a part of a warm one's.
     pub fn speed(&self, now: Time) -> f64 {
-        if self.born == 0 {
+        if self.started_at == 0 {
             return 1.0;
         }
-        let age = now.saturating_sub(self.born) as f64 / COLD as f64;
-        (COLD_FROM + (1.0 - COLD_FROM) * age).min(1.0)
+        let age = now.saturating_sub(self.started_at) as f64 / WARM_UP_TIME as f64;
+        (INITIAL_WARMTH + (1.0 - INITIAL_WARMTH) * age).min(1.0)
     }
 
-    fn run(&mut self, now: Time, job: Job) -> Taken {
+    fn run(&mut self, now: Time, job: Job) -> Admission {
         self.busy += 1;
         let time = (job.work / self.speed(now)) as Time;
-        Taken::Runs(job, time)
+        Admission::Started(job, time)
     }
 
-    pub fn take(&mut self, now: Time, job: Job) -> Taken {
+    pub fn admit(&mut self, now: Time, job: Job) -> Admission {
         let speed = self.speed(now);
         if speed < 1.0 {
-            self.sent.push_back((now, job.work));
-            while self.sent.front().is_some_and(|(at, _)| *at + FALL < now) {
-                self.sent.pop_front();
+            self.recent_work.push_back((now, job.work));
+            while self.recent_work.front().is_some_and(|(at, _)| *at + COLLAPSE_WINDOW < now) {
+                self.recent_work.pop_front();
             }
-            let sent: f64 = self.sent.iter().map(|(_, work)| work).sum();
-            if sent > FALL_MULTIPLE * speed * self.cores as f64 * FALL as f64 {
+            let recent_work: f64 = self.recent_work.iter().map(|(_, work)| work).sum();
+            if recent_work > COLLAPSE_MULTIPLE * speed * self.cores as f64 * COLLAPSE_WINDOW as f64 {
                 self.stop();
-                self.fallen = true;
-                return Taken::FallsOver;
+                self.collapsed = true;
+                return Admission::Collapsed;
             }
         }
         if self.busy < self.cores {
             return self.run(now, job);
         }
-        if self.queue.len() >= self.room {
-            return Taken::Full;
+        if self.queue.len() >= self.queue_capacity {
+            return Admission::Full;
         }
         self.queue.push_back(job);
-        Taken::Waits
+        Admission::Queued
     }
 
     /// One that ran is done; the next that runs, and for how long.
@@ -142,7 +142,7 @@
         self.busy = self.busy.saturating_sub(1);
         let job = self.queue.pop_front()?;
         match self.run(now, job) {
-            Taken::Runs(job, time) => Some((job, time)),
+            Admission::Started(job, time) => Some((job, time)),
             _ => None,
         }
     }
--- a/crates/testing/fleet-sim/src/shrink.rs
+++ b/crates/testing/fleet-sim/src/shrink.rs
@@ -1,12 +1,12 @@
 //! Makes a story small: faults, customers and time are taken out for as long as the same rule breaks.
 
 use crate::spec::Spec;
-use crate::world::play_cut;
+use crate::world::play_with_cuts;
 use crate::Violation;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A wait of four seconds is 31 ms then.
-const MOST_HALVINGS: u32 = 7;
+const MAX_HALVINGS: u32 = 7;
 
 /// What is left out of a world. Each fault and each request has chance of its own, so that what is left is the same.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -15,51 +15,51 @@
     pub faults: BTreeSet<u64>,
     pub customers: BTreeSet<usize>,
     /// By how many halvings what a fault leads to comes sooner, by the fault's number.
-    pub sooner: BTreeMap<u64, u32>,
+    pub delay_halvings: BTreeMap<u64, u32>,
 }
 
 /// The smallest story that was found, and how often a world was played for it.
 #[derive(Debug)]
-pub struct Small {
+pub struct ShrunkStory {
     pub spec: Spec,
     pub cuts: Cuts,
     pub violation: Violation,
     pub faults_left: u64,
     pub customers_left: usize,
-    pub played: u64,
+    pub plays: u64,
 }
 
 /// Shrinks what this seed breaks; none if it breaks nothing.
-pub fn shrink(spec: &Spec, seed: u64) -> Option<Small> {
-    let first = play_cut(spec, seed, false, &Cuts::default());
+pub fn shrink(spec: &Spec, seed: u64) -> Option<ShrunkStory> {
+    let first = play_with_cuts(spec, seed, false, &Cuts::default());
     let violation = first.violation?;
-    let mut small = Small {
+    let mut small = ShrunkStory {
         spec: spec.clone(),
         cuts: Cuts::default(),
         violation,
         faults_left: first.stats.faults,
         customers_left: spec.customers,
-        played: 1,
+        plays: 1,
     };
     // Nothing behind it counts.
     let seconds = small.violation.at / 1_000_000_000 + 1;
     let spec = Spec { seconds: seconds.min(spec.seconds), ..spec.clone() };
-    small.attempt(seed, spec, Cuts::default());
+    small.try_cuts(seed, spec, Cuts::default());
     let all: Vec<u64> = (0..first.stats.faults).collect();
-    small.take_out(seed, &all, |cuts, n| cuts.faults.extend([n]));
+    small.remove_chunks(seed, &all, |cuts, n| cuts.faults.extend([n]));
     let all: Vec<u64> = (0..small.spec.customers as u64).collect();
-    small.take_out(seed, &all, |cuts, n| cuts.customers.extend([n as usize]));
-    small.hurry(seed, first.stats.faults);
+    small.remove_chunks(seed, &all, |cuts, n| cuts.customers.extend([n as usize]));
+    small.shorten_delays(seed, first.stats.faults);
     small.faults_left = first.stats.faults - small.cuts.faults.len() as u64;
     small.customers_left = small.spec.customers - small.cuts.customers.len();
     Some(small)
 }
 
-impl Small {
+impl ShrunkStory {
     /// Takes these cuts if the same rule breaks with them.
-    fn attempt(&mut self, seed: u64, spec: Spec, cuts: Cuts) -> bool {
-        self.played += 1;
-        let found = play_cut(&spec, seed, false, &cuts).violation;
+    fn try_cuts(&mut self, seed: u64, spec: Spec, cuts: Cuts) -> bool {
+        self.plays += 1;
+        let found = play_with_cuts(&spec, seed, false, &cuts).violation;
         match found.filter(|v| v.rule == self.violation.rule) {
             Some(violation) => {
                 (self.violation, self.spec, self.cuts) = (violation, spec, cuts);
@@ -70,12 +70,12 @@
     }
 
     /// What the faults that are left lead to comes sooner, by halves, while the rule still breaks.
-    fn hurry(&mut self, seed: u64, faults: u64) {
+    fn shorten_delays(&mut self, seed: u64, faults: u64) {
         for fault in (0..faults).filter(|n| !self.cuts.faults.contains(n)).collect::<Vec<_>>() {
-            for halvings in 1..=MOST_HALVINGS {
+            for halvings in 1..=MAX_HALVINGS {
                 let mut cuts = self.cuts.clone();
-                cuts.sooner.insert(fault, halvings);
-                if !self.attempt(seed, self.spec.clone(), cuts) {
+                cuts.delay_halvings.insert(fault, halvings);
+                if !self.try_cuts(seed, self.spec.clone(), cuts) {
                     break;
                 }
             }
@@ -83,14 +83,14 @@
     }
 
     /// Halves first, then smaller parts, down to one at a time (delta debugging, Zeller and Hildebrandt 2002).
-    fn take_out(&mut self, seed: u64, all: &[u64], cut: fn(&mut Cuts, u64)) {
+    fn remove_chunks(&mut self, seed: u64, all: &[u64], cut: fn(&mut Cuts, u64)) {
         let mut part = all.len().div_ceil(2);
         while part > 0 {
             for some in all.chunks(part) {
                 let mut cuts = self.cuts.clone();
                 some.iter().for_each(|n| cut(&mut cuts, *n));
                 if cuts != self.cuts {
-                    self.attempt(seed, self.spec.clone(), cuts);
+                    self.try_cuts(seed, self.spec.clone(), cuts);
                 }
             }
             part = if part == 1 { 0 } else { part.div_ceil(2) };
--- a/crates/testing/fleet-sim/src/spec.rs
+++ b/crates/testing/fleet-sim/src/spec.rs
@@ -1,6 +1,6 @@
 //! What a world is made of. Named worlds are the usual ones; a seed draws the rest.
 
-use crate::mind::Choice;
+use crate::module::Choice;
 use interface::{Class, Effect, Group, Plan, Settings, Time};
 use plan::{Allowance, LeaseConfig};
 
@@ -26,18 +26,18 @@
     /// Whether planners' placement reaches the module.
     pub placement: bool,
     /// Whether the module makes mischief. What it alone guards, ceilings and cold servers, is not watched then.
-    pub mischief: bool,
+    pub faulty_module: bool,
     /// Who chooses the server. Cold servers that fall over are counted, not watched, where it is not the module.
     pub choice: Choice,
     /// A partner's quota: units a second, and units. Its ceiling is 60 and 80.
-    pub partner: (f64, f64),
+    pub partner_quota: (f64, f64),
     /// A planner's lease, a loan and the time between two reports.
-    pub lease: Time,
-    pub loan: Time,
+    pub lease_ttl: Time,
+    pub loan_ttl: Time,
     pub tick: Time,
     /// How often the gateway changes that most of a customer's requests come through, and their part.
-    pub moves: Time,
-    pub home: f64,
+    pub home_change_every: Time,
+    pub home_share: f64,
     /// The first planner is gone from the first of these to the second.
     pub planner_down: Option<(Time, Time)>,
     /// All servers stop at this moment and are back a second later, cold.
@@ -47,13 +47,13 @@
     /// The first partner asks for twice as much as all others, from the first of these to the second.
     pub flood: Option<(Time, Time)>,
     /// Mean time between two lies to each gateway about who lives, or none.
-    pub lies: Option<Time>,
+    pub false_position_every: Option<Time>,
     /// The first gateway dies at this moment and is back two seconds later.
     pub crash: Option<Time>,
     /// So many gateways in ten are killed at each of these moments, and back a second later.
     pub blackouts: [Option<(Time, usize)>; 2],
     /// How often each gateway leaves a snapshot for its next life; none: it begins with nothing.
-    pub snapshots: Option<Time>,
+    pub snapshot_every: Option<Time>,
     /// Snapshots are damaged, lost, old or another's now and then.
     pub bad_disks: bool,
 }
@@ -70,22 +70,22 @@
     fault_every: None,
     skew: 0.0,
     placement: true,
-    mischief: false,
+    faulty_module: false,
     choice: Choice::Module,
-    partner: (30.0, 60.0),
-    lease: 500 * MS,
-    loan: 1500 * MS,
+    partner_quota: (30.0, 60.0),
+    lease_ttl: 500 * MS,
+    loan_ttl: 1500 * MS,
     tick: 50 * MS,
-    moves: 8000 * MS,
-    home: 0.8,
+    home_change_every: 8000 * MS,
+    home_share: 0.8,
     planner_down: None,
     power_cut: None,
     power_cut_tenths: 10,
     flood: None,
-    lies: None,
+    false_position_every: None,
     crash: None,
     blackouts: [None; 2],
-    snapshots: None,
+    snapshot_every: None,
     bad_disks: false,
 };
 
@@ -101,7 +101,7 @@
         name: "mischief",
         about: "the same with a module that says anything at any time, falls silent and panics",
         fault_every: Some(800 * MS),
-        mischief: true,
+        faulty_module: true,
         ..CALM
     },
     Spec {
@@ -123,7 +123,7 @@
         customers: 8,
         rate: 200.0,
         // So that the ceiling binds.
-        partner: (150.0, 200.0),
+        partner_quota: (150.0, 200.0),
         fault_every: Some(400 * MS),
         ..CALM
     },
@@ -176,7 +176,7 @@
         about: "gateways that guess, few members with large quotas that ask for more than their hard ceiling",
         customers: 8,
         rate: 250.0,
-        partner: (150.0, 200.0),
+        partner_quota: (150.0, 200.0),
         ..CALM
     },
     Spec {
@@ -198,9 +198,9 @@
         servers: 20,
         customers: 8,
         rate: 250.0,
-        partner: (150.0, 200.0),
+        partner_quota: (150.0, 200.0),
         fault_every: Some(800 * MS),
-        lies: Some(300 * MS),
+        false_position_every: Some(300 * MS),
         ..CALM
     },
     Spec {
@@ -209,9 +209,9 @@
         gateways: 12,
         servers: 20,
         rate: 400.0,
-        home: 0.3,
+        home_share: 0.3,
         blackouts: [Some((8000 * MS, 7)), Some((10_500 * MS, 4))],
-        snapshots: Some(1000 * MS),
+        snapshot_every: Some(1000 * MS),
         ..CALM
     },
     Spec {
@@ -220,9 +220,9 @@
         servers: 20,
         customers: 400,
         rate: 200.0,
-        partner: (150.0, 200.0),
+        partner_quota: (150.0, 200.0),
         fault_every: Some(500 * MS),
-        snapshots: Some(500 * MS),
+        snapshot_every: Some(500 * MS),
         bad_disks: true,
         ..CALM
     },
@@ -235,7 +235,7 @@
         blackouts: [Some((8000 * MS, 10)), None],
         power_cut: Some(8000 * MS),
         power_cut_tenths: 6,
-        snapshots: Some(1000 * MS),
+        snapshot_every: Some(1000 * MS),
         ..CALM
     },
     Spec {
@@ -257,7 +257,7 @@
     }
 
     /// What its planners and forwarders share.
-    pub fn terms(&self) -> LeaseConfig {
+    pub fn lease_config(&self) -> LeaseConfig {
         let settings = self.settings(0);
         let allowance = |p: &Plan| Allowance {
             quota_rate: p.rate,
@@ -267,7 +267,7 @@
             slots: f64::from(p.parallel),
         };
         let plans = settings.plans.iter().map(allowance).collect();
-        let (lease_ttl, loan_ttl, tick) = (self.lease, self.loan, self.tick);
+        let (lease_ttl, loan_ttl, tick) = (self.lease_ttl, self.loan_ttl, self.tick);
         LeaseConfig {
             lease_ttl,
             loan_ttl,
@@ -292,7 +292,7 @@
             hard_limit_rate: 60.0,
             hard_limit_burst: 80.0,
             value_factor: 1.8,
-            ..Plan::new("partner", self.partner.0, self.partner.1)
+            ..Plan::new("partner", self.partner_quota.0, self.partner_quota.1)
         };
         Settings {
             gateway_index: me as u32,
@@ -305,10 +305,10 @@
             settles_cost: true,
             max_units: 8.0,
             meter_period: 500 * MS,
-            warm_up_time: crate::servers::COLD,
-            initial_warmth: crate::servers::COLD_FROM,
-            collapse_window: crate::servers::FALL,
-            collapse_multiple: crate::servers::FALL_MULTIPLE,
+            warm_up_time: crate::servers::WARM_UP_TIME,
+            initial_warmth: crate::servers::INITIAL_WARMTH,
+            collapse_window: crate::servers::COLLAPSE_WINDOW,
+            collapse_multiple: crate::servers::COLLAPSE_MULTIPLE,
             answer_slack: 8 * MS,
             tick: 2 * MS,
             ..Settings::default()
--- a/crates/testing/fleet-sim/src/statistics.rs
+++ b/crates/testing/fleet-sim/src/statistics.rs
@@ -3,9 +3,9 @@
 use fastrand::Rng;
 
 /// How often a sample is drawn anew.
-const DRAWS: usize = 2000;
+const RESAMPLES: usize = 2000;
 /// The part of the draws inside an interval.
-const INSIDE: f64 = 0.95;
+const CONFIDENCE: f64 = 0.95;
 
 /// A mean, and the interval that 95% of the redrawn means lie in.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -26,11 +26,11 @@
     let mean = |sum: f64| sum / count as f64;
     let mut rng = Rng::with_seed(count as u64);
     let mut draws: Vec<f64> =
-        (0..DRAWS).map(|_| mean((0..count).map(|_| values[rng.usize(0..count)]).sum())).collect();
+        (0..RESAMPLES).map(|_| mean((0..count).map(|_| values[rng.usize(0..count)]).sum())).collect();
     draws.sort_by(f64::total_cmp);
-    let at = |part: f64| draws[((DRAWS - 1) as f64 * part).round() as usize];
-    let edge = (1.0 - INSIDE) / 2.0;
-    Estimate { mean: mean(values.iter().sum()), low: at(edge), high: at(1.0 - edge), count }
+    let quantile = |part: f64| draws[((RESAMPLES - 1) as f64 * part).round() as usize];
+    let tail = (1.0 - CONFIDENCE) / 2.0;
+    Estimate { mean: mean(values.iter().sum()), low: quantile(tail), high: quantile(1.0 - tail), count }
 }
 
 #[cfg(test)]
--- a/crates/testing/fleet-sim/src/story.rs
+++ b/crates/testing/fleet-sim/src/story.rs
@@ -2,7 +2,7 @@
 
 use crate::shrink::Cuts;
 use crate::spec::{Spec, MS};
-use crate::world::{play_cut, Outcome};
+use crate::world::{play_with_cuts, Outcome};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,8 +24,8 @@
     #[serde(default)]
     pub customers_left_out: BTreeSet<usize>,
     /// By how many halvings what a fault leads to comes sooner, by the fault's number.
-    #[serde(default)]
-    pub sooner: BTreeMap<String, u32>,
+    #[serde(default, rename = "sooner")]
+    pub delay_halvings: BTreeMap<String, u32>,
 }
 
 impl Story {
@@ -40,7 +40,7 @@
             defect: defect.map(Into::into),
             faults_left_out: cuts.faults.clone(),
             customers_left_out: cuts.customers.clone(),
-            sooner: cuts.sooner.iter().map(|(n, by)| (n.to_string(), *by)).collect(),
+            delay_halvings: cuts.delay_halvings.iter().map(|(n, by)| (n.to_string(), *by)).collect(),
         }
     }
 
@@ -56,7 +56,8 @@
         if !(1..=3600).contains(&story.seconds) {
             return Err(format!("seconds is {}: 1 to 3600 is wanted", story.seconds));
         }
-        if let Some(bad) = story.sooner.iter().find(|(n, by)| n.parse::<u64>().is_err() || **by > 20) {
+        if let Some(bad) = story.delay_halvings.iter().find(|(n, by)| n.parse::<u64>().is_err() || **by > 20)
+        {
             return Err(format!("sooner: {} = {}: a fault's number and 0 to 20 are wanted", bad.0, bad.1));
         }
         Ok(story)
@@ -71,14 +72,18 @@
     }
 
     /// Plays it; the defect is the caller's to plant.
-    pub fn play(&self, tell: bool) -> Option<Outcome> {
+    pub fn play(&self, keep_story: bool) -> Option<Outcome> {
         let spec = Spec { seconds: self.seconds, ..Spec::named(&self.world)? };
         let cuts = Cuts {
             faults: self.faults_left_out.clone(),
             customers: self.customers_left_out.clone(),
-            sooner: self.sooner.iter().filter_map(|(n, by)| Some((n.parse().ok()?, *by))).collect(),
+            delay_halvings: self
+                .delay_halvings
+                .iter()
+                .filter_map(|(n, by)| Some((n.parse().ok()?, *by)))
+                .collect(),
         };
-        Some(play_cut(&spec, self.seed, tell, &cuts))
+        Some(play_with_cuts(&spec, self.seed, keep_story, &cuts))
     }
 }
 
--- a/crates/testing/fleet-sim/src/story/tests.rs
+++ b/crates/testing/fleet-sim/src/story/tests.rs
@@ -11,7 +11,7 @@
         defect: Some("d".into()),
         faults_left_out: [1, 3].into(),
         customers_left_out: [7].into(),
-        sooner: [("2".to_string(), 3)].into(),
+        delay_halvings: [("2".to_string(), 3)].into(),
     };
     let text = story.write().unwrap();
     assert_eq!(Story::read(&text).unwrap(), story);
--- a/crates/testing/fleet-sim/src/trace.rs
+++ b/crates/testing/fleet-sim/src/trace.rs
@@ -4,9 +4,9 @@
 use sha2::{Digest, Sha256};
 use std::fmt::Write as _;
 
-const FLUSH: usize = 1 << 16;
+const FLUSH_BYTES: usize = 1 << 16;
 /// The most lines of a story that are kept: the last ones.
-const MOST_LINES: usize = 200_000;
+const MAX_STORY_LINES: usize = 200_000;
 
 #[derive(Default)]
 pub struct Trace {
@@ -18,7 +18,7 @@
 
 impl Trace {
     /// With a story, which costs time and memory.
-    pub fn telling() -> Self {
+    pub fn with_story() -> Self {
         Trace { story: Some(Default::default()), ..Trace::default() }
     }
 
@@ -26,16 +26,16 @@
     pub fn note(&mut self, words: &[u64]) {
         self.steps += 1;
         words.iter().for_each(|w| self.buffer.extend_from_slice(&w.to_be_bytes()));
-        if self.buffer.len() >= FLUSH {
+        if self.buffer.len() >= FLUSH_BYTES {
             self.hash.update(&self.buffer);
             self.buffer.clear();
         }
     }
 
     /// Adds a line to the story, if there is one.
-    pub fn tell(&mut self, now: Time, line: impl FnOnce() -> String) {
+    pub fn log(&mut self, now: Time, line: impl FnOnce() -> String) {
         if let Some(story) = &mut self.story {
-            if story.len() >= MOST_LINES {
+            if story.len() >= MAX_STORY_LINES {
                 story.pop_front();
             }
             story.push_back(format!("{:10.3} ms  {}", now as f64 / 1e6, line()));
--- a/crates/testing/fleet-sim/src/world.rs
+++ b/crates/testing/fleet-sim/src/world.rs
@@ -5,15 +5,16 @@
 mod clients;
 mod faults;
 mod gateways;
-mod memory;
+
 mod planning;
+mod snapshots;
 
-use crate::chance::{exponential, long_tailed, stream};
-use crate::mind::{Choice, Mind, Truth};
+use crate::module::{Choice, SimulatedModule, TrueLoads};
 use crate::observer::{Observer, Violation};
 use crate::quota::Quotas;
 use crate::record::Record;
-use crate::servers::{Job, Listed, Mood, Server, Taken, COLD};
+use crate::rng::{exponential, long_tailed, stream};
+use crate::servers::{Admission, Condition, Job, Listed, Server, WARM_UP_TIME};
 use crate::shrink::Cuts;
 use crate::spec::{plan_of, Spec, MS};
 use crate::trace::Trace;
@@ -29,15 +30,15 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 
-const FIGURES: Timing =
+const TIMING: Timing =
     Timing { way_back: 20 * MS, module_grace: 5 * MS, key_margin: 20 * MS, min_batch_interval: 2 * MS };
 /// Where clocks stand at the start, at the least.
-const EPOCH: Time = 1_000_000_000 * MS;
+const MIN_CLOCK_OFFSET: Time = 1_000_000_000 * MS;
 /// After the last request all is over within so long: the longest deadline, and the way of what is still out.
-const TAIL: Time = 12_000 * MS;
-const PERIOD: Time = 500 * MS;
+const DRAIN_TIME: Time = 12_000 * MS;
+const METER_PERIOD: Time = 500 * MS;
 /// Mean work of a request, of one warm core.
-pub(crate) const WORK: f64 = 85e6;
+pub(crate) const MEAN_WORK: f64 = 85e6;
 
 /// Counts of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -53,16 +54,16 @@
     /// Attempts that a full server turned away.
     pub turned_away: u64,
     /// Cold servers that fell over.
-    pub fallen: u64,
+    pub collapsed: u64,
     pub faults: u64,
     /// Tries refused before anything was sent though the quota, counted over all gateways, had room for them.
     pub refused_with_room: u64,
-    pub most_over: f64,
+    pub max_over_ceiling: f64,
     /// Units that were sent first, and those of them for which the quota, counted over all gateways, had no room.
     pub sent_units: f64,
-    pub beyond_units: f64,
+    pub units_over_quota: f64,
     /// Of the attempts that reached a server, the mean of those before them there, for each core.
-    pub queue: f64,
+    pub mean_queue: f64,
     /// Worth of first tries inside the quotas, as one gateway that saw them all would count, and what of it was
     /// answered within the aim.
     pub worth_asked: f64,
@@ -83,18 +84,18 @@
 }
 
 /// Plays a world to its end, or to the first broken rule.
-pub fn play(spec: &Spec, seed: u64, tell: bool) -> Outcome {
-    play_cut(spec, seed, tell, &Cuts::default())
+pub fn play(spec: &Spec, seed: u64, keep_story: bool) -> Outcome {
+    play_with_cuts(spec, seed, keep_story, &Cuts::default())
 }
 
 /// The same with some of it left out.
-pub fn play_cut(spec: &Spec, seed: u64, tell: bool, cuts: &Cuts) -> Outcome {
-    let mut world = World::new(spec.clone(), seed, tell, cuts.clone());
+pub fn play_with_cuts(spec: &Spec, seed: u64, keep_story: bool, cuts: &Cuts) -> Outcome {
+    let mut world = World::new(spec.clone(), seed, keep_story, cuts.clone());
     world.run();
     let (digest, story) = std::mem::take(&mut world.trace).finish();
     Outcome {
-        violation: world.observer.broken.take(),
-        stats: Stats { most_over: world.observer.most_over, ..world.stats() },
+        violation: world.observer.violation.take(),
+        stats: Stats { max_over_ceiling: world.observer.max_over_ceiling, ..world.stats() },
         steps: world.steps,
         digest,
         story,
@@ -105,13 +106,13 @@
 
 /// What comes to a gateway's process.
 #[derive(Clone, Debug)]
-enum Inward {
+enum GatewayEvent {
     Connected {
         id: u64,
         attempt: u32,
     },
     /// What came back, or that nothing will.
-    Back {
+    AttemptResult {
         id: u64,
         attempt: u32,
         ending: Ending,
@@ -124,14 +125,14 @@
         written: bool,
     },
     /// An attempt's time is up.
-    Limit {
+    AttemptTimeout {
         id: u64,
         attempt: u32,
     },
-    Left {
+    ClientGone {
         id: u64,
     },
-    Told {
+    ServerListUpdate {
         rev: u64,
         entries: Vec<(usize, Listed, Time)>,
     },
@@ -147,24 +148,24 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Arrive,
-    Ask(Ask),
-    To { gateway: usize, life: u64, what: Inward },
+    Arrival,
+    ClientTry(ClientTry),
+    AtGateway { gateway: usize, generation: u64, event: GatewayEvent },
     AtServer { server: usize, job: Job },
-    Done { server: usize, born: Time, job: Job },
-    TimeUp { id: u64 },
+    Done { server: usize, started_at: Time, job: Job },
+    ClientTimeout { id: u64 },
     AtPlanner { planner: usize, report: Report },
     Fault,
-    Lie,
+    FalsePosition,
     Snapshot { gateway: usize },
-    Planned(Planned),
-    Mend(Mend),
+    PlannedFault(PlannedFault),
+    Recovery(Recovery),
     Sweep,
 }
 
 /// What a world has go wrong at a stated time.
 #[derive(Clone, Copy, Debug)]
-enum Planned {
+enum PlannedFault {
     PlannerDown(Time),
     PowerCut,
     Flood(Time),
@@ -174,7 +175,7 @@
 
 /// What heals, or comes back.
 #[derive(Clone, Debug)]
-enum Mend {
+enum Recovery {
     Server(usize),
     Mood(usize),
     Drained(usize),
@@ -186,27 +187,27 @@
 
 /// A client's try.
 #[derive(Clone, Debug)]
-struct Ask {
+struct ClientTry {
     customer: usize,
     class: usize,
     units: f64,
     tries: u32,
-    begun: Time,
+    first_try_at: Time,
     /// Chance of its own: what happens to others changes nothing in it.
-    chance: u64,
+    seed: u64,
     /// What it is worth, if it was inside the quota when it was first asked.
     worth: f64,
 }
 
-struct Waiting {
-    ask: Ask,
+struct WaitingClient {
+    client_try: ClientTry,
     gateway: usize,
-    life: u64,
+    generation: u64,
     since: Time,
 }
 
 /// An attempt that is out, as its gateway's sockets know it.
-struct Out {
+struct OpenAttempt {
     attempt: u32,
     server: usize,
     written: bool,
@@ -214,21 +215,21 @@
 }
 
 struct Process {
-    engine: Engine<Mind>,
-    life: u64,
-    up: bool,
+    engine: Engine<SimulatedModule>,
+    generation: u64,
+    running: bool,
     paused_until: Time,
     /// Its clock: where it stood at the start, and its rate.
     offset: Time,
     rate: f64,
-    out: BTreeMap<u64, Out>,
+    open_attempts: BTreeMap<u64, OpenAttempt>,
     /// The last list that it was told.
     rev: u64,
     list: Vec<(usize, Listed, Time)>,
     wake: u64,
     wake_at: Option<Time>,
     /// Snapshots on its disk, the last one last. A disk that lies may have lost some.
-    kept: VecDeque<Vec<u8>>,
+    saved_snapshots: VecDeque<Vec<u8>>,
 }
 
 impl Process {
@@ -242,11 +243,11 @@
     }
 }
 
-struct Planning {
-    what: Planner,
+struct PlannerProcess {
+    planner: Planner,
     offset: Time,
     rate: f64,
-    up: bool,
+    running: bool,
     paused_until: Time,
 }
 
@@ -256,13 +257,13 @@
     seed: u64,
     now: Time,
     steps: u64,
-    queue: BTreeMap<(Time, u32, u64), Event>,
+    events: BTreeMap<(Time, u32, u64), Event>,
     number: u64,
     trace: Trace,
     observer: Observer,
     processes: Vec<Process>,
-    planners: Vec<Planning>,
-    terms: LeaseConfig,
+    planners: Vec<PlannerProcess>,
+    lease_config: LeaseConfig,
     /// By gateway and planner: whether reports and whether grants get through.
     links: Vec<Vec<(bool, bool)>>,
     servers: Vec<Server>,
@@ -271,29 +272,29 @@
     keys: BTreeMap<u64, Time>,
     /// Units that each customer used, by period.
     meter: BTreeMap<(usize, u64), f64>,
-    waiting: BTreeMap<u64, Waiting>,
+    waiting: BTreeMap<u64, WaitingClient>,
     /// What is left of each customer's quota over all gateways, and as of when.
-    truth: Truth,
+    true_loads: TrueLoads,
     quotas: Quotas,
     /// The same if all first tries were sent.
     offers: Quotas,
     record: Record,
     /// What a request asks: customer, class, units.
-    asked: BTreeMap<u64, (usize, usize, f64)>,
+    requests: BTreeMap<u64, (usize, usize, f64)>,
     flood: Option<usize>,
     /// By how many halvings the present fault's waits are cut short.
-    sooner: u32,
+    delay_halvings: u32,
     next_id: u64,
     jobs: u64,
     counts: Stats,
     queued: f64,
-    net: Rng,
-    load: Rng,
-    chance: Rng,
-    work: Rng,
-    memory: Rng,
-    tie: Rng,
-    lives: Rng,
+    network_rng: Rng,
+    load_rng: Rng,
+    fault_rng: Rng,
+    work_rng: Rng,
+    snapshot_rng: Rng,
+    tie_rng: Rng,
+    restart_rng: Rng,
     outputs: Vec<Output>,
 }
 
@@ -310,35 +311,41 @@
 }
 
 impl World {
-    fn new(spec: Spec, seed: u64, tell: bool, cuts: Cuts) -> Self {
+    fn new(spec: Spec, seed: u64, keep_story: bool, cuts: Cuts) -> Self {
         let mut clocks = stream(seed, "clocks");
-        let mut lives = stream(seed, "lives");
-        let terms = spec.terms();
-        let truth = Truth::new(RefCell::new(vec![0.0; spec.servers]));
-        let mut clock = || (EPOCH + clocks.u64(0..1000) * 1000 * MS, 0.997 + clocks.f64() * 0.006);
+        let mut restart_rng = stream(seed, "lives");
+        let lease_config = spec.lease_config();
+        let true_loads = TrueLoads::new(RefCell::new(vec![0.0; spec.servers]));
+        let mut clock = || (MIN_CLOCK_OFFSET + clocks.u64(0..1000) * 1000 * MS, 0.997 + clocks.f64() * 0.006);
         let processes = (0..spec.gateways)
             .map(|n| {
                 let (offset, rate) = clock();
                 Process {
-                    engine: engine(&spec, &terms, n, 1, offset, (&mut lives, &truth)),
-                    life: 1,
-                    up: true,
+                    engine: new_engine(&spec, &lease_config, n, 1, offset, (&mut restart_rng, &true_loads)),
+                    generation: 1,
+                    running: true,
                     paused_until: 0,
                     offset,
                     rate,
-                    out: BTreeMap::new(),
+                    open_attempts: BTreeMap::new(),
                     rev: 0,
                     list: Vec::new(),
                     wake: 0,
                     wake_at: None,
-                    kept: VecDeque::new(),
+                    saved_snapshots: VecDeque::new(),
                 }
             })
             .collect();
         let planners = (0..spec.planners)
             .map(|_| {
                 let (offset, rate) = clock();
-                Planning { what: planner(&terms, &mut lives), offset, rate, up: true, paused_until: 0 }
+                PlannerProcess {
+                    planner: new_planner(&lease_config, &mut restart_rng),
+                    offset,
+                    rate,
+                    running: true,
+                    paused_until: 0,
+                }
             })
             .collect();
         let mut kinds = stream(seed, "servers");
@@ -348,8 +355,8 @@
         for customer in (0..spec.customers).filter(|c| plan_of(*c) == 1) {
             // Leases keep it but for the drift of clocks; who guesses has the rule's slack.
             let slack = if spec.planners > 0 { 1.0 } else { (0.1 * partner.hard_limit_burst).max(8.0) };
-            let slack = if spec.mischief { f64::INFINITY } else { slack };
-            observer.ceiling(customer, partner.hard_limit_rate, partner.hard_limit_burst, slack);
+            let slack = if spec.faulty_module { f64::INFINITY } else { slack };
+            observer.set_ceiling(customer, partner.hard_limit_rate, partner.hard_limit_burst, slack);
         }
         let mut world = World {
             links: vec![vec![(true, true); spec.planners]; spec.gateways],
@@ -357,67 +364,67 @@
             seed,
             now: 0,
             steps: 0,
-            queue: BTreeMap::new(),
+            events: BTreeMap::new(),
             number: 0,
-            trace: if tell { Trace::telling() } else { Trace::default() },
+            trace: if keep_story { Trace::with_story() } else { Trace::default() },
             observer,
             processes,
             planners,
-            terms,
+            lease_config,
             servers,
             rev: 1,
             keys: BTreeMap::new(),
             meter: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            truth,
+            true_loads,
             quotas: Quotas::default(),
             offers: Quotas::default(),
             record: Record::new(spec.servers),
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
             flood: None,
-            sooner: 0,
+            delay_halvings: 0,
             next_id: seed << 32,
             jobs: 0,
             counts: Stats::default(),
             queued: 0.0,
-            net: stream(seed, "network"),
-            load: stream(seed, "load"),
-            chance: stream(seed, "faults"),
-            work: stream(seed, "work"),
-            memory: stream(seed, "memory"),
-            tie: stream(seed, "ties"),
-            lives,
+            network_rng: stream(seed, "network"),
+            load_rng: stream(seed, "load"),
+            fault_rng: stream(seed, "faults"),
+            work_rng: stream(seed, "work"),
+            snapshot_rng: stream(seed, "memory"),
+            tie_rng: stream(seed, "ties"),
+            restart_rng,
             outputs: Vec::new(),
             spec,
         };
         let entries = world.entries();
         for gateway in 0..world.spec.gateways {
-            let what = Inward::Told { rev: 1, entries: entries.clone() };
-            world.at(0, Event::To { gateway, life: 1, what });
+            let event = GatewayEvent::ServerListUpdate { rev: 1, entries: entries.clone() };
+            world.schedule(0, Event::AtGateway { gateway, generation: 1, event });
             if world.spec.planners > 0 {
-                let first = world.net.u64(0..50) * MS;
-                world.at(first, Event::To { gateway, life: 1, what: Inward::Tick });
+                let first = world.network_rng.u64(0..50) * MS;
+                world.schedule(first, Event::AtGateway { gateway, generation: 1, event: GatewayEvent::Tick });
             }
         }
         // Loans are made, and stores fill, before the first request.
-        world.at(if world.spec.planners > 0 { 4000 * MS } else { 100 * MS }, Event::Arrive);
+        world.schedule(if world.spec.planners > 0 { 4000 * MS } else { 100 * MS }, Event::Arrival);
         if let Some(every) = world.spec.fault_every {
-            world.at(5000 * MS + every, Event::Fault);
+            world.schedule(5000 * MS + every, Event::Fault);
         }
-        if world.spec.lies.is_some() {
-            world.at(0, Event::Lie);
+        if world.spec.false_position_every.is_some() {
+            world.schedule(0, Event::FalsePosition);
         }
-        for gateway in 0..world.processes.len() * usize::from(world.spec.snapshots.is_some()) {
-            let first = world.memory.u64(0..1000) * MS;
-            world.at(first, Event::Snapshot { gateway });
+        for gateway in 0..world.processes.len() * usize::from(world.spec.snapshot_every.is_some()) {
+            let first = world.snapshot_rng.u64(0..1000) * MS;
+            world.schedule(first, Event::Snapshot { gateway });
         }
-        world.at(5000 * MS, Event::Sweep);
-        world.planned();
+        world.schedule(5000 * MS, Event::Sweep);
+        world.schedule_planned_faults();
         world
     }
 
     fn stats(&self) -> Stats {
-        Stats { queue: self.queued / self.counts.reached.max(1) as f64, ..self.counts }
+        Stats { mean_queue: self.queued / self.counts.reached.max(1) as f64, ..self.counts }
     }
 
     fn end(&self) -> Time {
@@ -425,15 +432,15 @@
     }
 
     /// Events at one instant come in an order that chance settles.
-    fn at(&mut self, at: Time, event: Event) {
+    fn schedule(&mut self, at: Time, event: Event) {
         self.number += 1;
-        self.queue.insert((at.max(self.now), self.tie.u32(..), self.number), event);
+        self.events.insert((at.max(self.now), self.tie_rng.u32(..), self.number), event);
     }
 
     fn run(&mut self) {
-        let over = self.end() + TAIL;
-        while let Some(((at, _, number), event)) = self.queue.pop_first() {
-            if at > over || self.observer.broken.is_some() {
+        let over = self.end() + DRAIN_TIME;
+        while let Some(((at, _, number), event)) = self.events.pop_first() {
+            if at > over || self.observer.violation.is_some() {
                 break;
             }
             self.now = at;
@@ -441,13 +448,13 @@
             self.trace.note(&[at, number]);
             self.step(event);
         }
-        if self.observer.broken.is_some() {
+        if self.observer.violation.is_some() {
             return;
         }
         self.now = over;
         for n in 0..self.processes.len() {
             let p = &self.processes[n];
-            if p.up && p.paused_until < self.now && !p.engine.is_idle() {
+            if p.running && p.paused_until < self.now && !p.engine.is_idle() {
                 self.observer.not_idle(self.now, n, p.engine.request_count());
             }
         }
@@ -455,71 +462,74 @@
 
     fn step(&mut self, event: Event) {
         match event {
-            Event::Arrive => self.arrive(),
-            Event::Ask(ask) => self.ask(ask),
-            Event::To { gateway, life, what } => self.inward(gateway, life, what),
+            Event::Arrival => self.arrive(),
+            Event::ClientTry(client_try) => self.start_try(client_try),
+            Event::AtGateway { gateway, generation, event } => {
+                self.handle_gateway_event(gateway, generation, event)
+            }
             Event::AtServer { server, job } => self.at_server(server, job),
-            Event::Done { server, born, job } => self.done(server, born, &job),
-            Event::TimeUp { id } => self.time_up(id),
+            Event::Done { server, started_at, job } => self.done(server, started_at, &job),
+            Event::ClientTimeout { id } => self.client_timeout(id),
             Event::AtPlanner { planner, report } => self.at_planner(planner, &report),
-            Event::Fault => self.fault(),
-            Event::Lie => self.lie(),
+            Event::Fault => self.next_fault(),
+            Event::FalsePosition => self.inject_false_position(),
             Event::Snapshot { gateway } => self.snapshot(gateway),
-            Event::Planned(what) => self.happen(what),
-            Event::Mend(what) => self.mend(&what),
+            Event::PlannedFault(what) => self.apply_planned_fault(what),
+            Event::Recovery(what) => self.recover(&what),
             Event::Sweep => {
                 self.observer.sweep(self.now);
-                let (now, since) = (self.now, self.now / PERIOD);
+                let (now, since) = (self.now, self.now / METER_PERIOD);
                 self.meter.retain(|(_, period), _| *period + 10 > since);
                 self.keys.retain(|_, at| *at + 10_000 * MS > now);
-                self.at(self.now + 1000 * MS, Event::Sweep);
+                self.schedule(self.now + 1000 * MS, Event::Sweep);
             }
         }
     }
 }
 
 /// A gateway's engine that begins now by its clock.
-fn engine(
+fn new_engine(
     spec: &Spec,
-    terms: &LeaseConfig,
+    lease_config: &LeaseConfig,
     n: usize,
-    life: u64,
+    generation: u64,
     clock: Time,
-    (lives, truth): (&mut Rng, &Truth),
-) -> Engine<Mind> {
+    (restart_rng, true_loads): (&mut Rng, &TrueLoads),
+) -> Engine<SimulatedModule> {
     let settings = spec.settings(n);
-    let own = crate::defects::spoil(settings.clone());
-    let (mischief, servers, chance) = (spec.mischief, spec.servers, lives.u64(..));
-    let (choice, truth) = (spec.choice, truth.clone());
+    let own = crate::defects::apply_defect(settings.clone());
+    let (faulty, servers, chance) = (spec.faulty_module, spec.servers, restart_rng.u64(..));
+    let (choice, true_loads) = (spec.choice, true_loads.clone());
     let make = move |seed: u64, now| {
         let gateway = Gateway::new(own.clone(), seed, now)?;
-        let other = (choice != Choice::Module).then(|| (choice, chance ^ seed, truth.clone()));
-        Ok(Mind::new(gateway, mischief.then_some((chance ^ now, servers)), other))
+        let other = (choice != Choice::Module).then(|| (choice, chance ^ seed, true_loads.clone()));
+        Ok(SimulatedModule::new(gateway, faulty.then_some((chance ^ now, servers)), other))
     };
-    let seed = (n as u64) << 32 | life;
-    let mut engine = Engine::new(settings, seed, FIGURES, clock, Box::new(make))
+    let seed = (n as u64) << 32 | generation;
+    let mut engine = Engine::new(settings, seed, TIMING, clock, Box::new(make))
         .expect("the settings of a world are sound");
     if spec.planners > 0 {
-        let incarnation = lives.u64(1..);
-        let account = Account::new(terms.clone(), n as u16, incarnation, spec.planners, clock);
+        let incarnation = restart_rng.u64(1..);
+        let account = Account::new(lease_config.clone(), n as u16, incarnation, spec.planners, clock);
         engine.set_account(account.expect("the terms of a world are sound"));
     }
     engine
 }
 
-fn planner(terms: &LeaseConfig, lives: &mut Rng) -> Planner {
-    Planner::new(terms.clone(), lives.u64(1..), 100_000).expect("the terms of a world are sound")
+fn new_planner(lease_config: &LeaseConfig, restart_rng: &mut Rng) -> Planner {
+    Planner::new(lease_config.clone(), restart_rng.u64(1..), 100_000).expect("the terms of a world are sound")
 }
 
 /// The list as an engine takes it.
-fn list(p: &Process) -> Vec<ListEntry> {
-    let entry = |(n, listed, born): &(usize, Listed, Time)| {
+fn server_list(p: &Process) -> Vec<ListEntry> {
+    let entry = |(n, listed, started_at): &(usize, Listed, Time)| {
         let health = match listed {
             Listed::Up => Health::Up,
             Listed::Draining => Health::Draining,
             Listed::Gone => return None,
         };
-        let since = if *born == 0 { p.offset.saturating_sub(2 * COLD) } else { p.clock(*born) };
+        let since =
+            if *started_at == 0 { p.offset.saturating_sub(2 * WARM_UP_TIME) } else { p.clock(*started_at) };
         let place = (health == Health::Up).then(|| ([10, 0, (n >> 8) as u8, *n as u8], 80).into());
         Some((Node { since, ..Node::new(&server_name(*n), health) }, place))
     };
--- a/crates/testing/fleet-sim/src/world/gateways.rs
+++ b/crates/testing/fleet-sim/src/world/gateways.rs
@@ -3,63 +3,68 @@
 use super::*;
 
 impl World {
-    pub(super) fn inward(&mut self, gateway: usize, life: u64, what: Inward) {
+    pub(super) fn handle_gateway_event(&mut self, gateway: usize, generation: u64, event: GatewayEvent) {
         let p = &mut self.processes[gateway];
-        if !p.up || p.life != life {
+        if !p.running || p.generation != generation {
             return;
         }
         if p.paused_until > self.now {
             // It finds it when it goes on.
             let at = p.paused_until;
-            return self.at(at, Event::To { gateway, life, what });
+            return self.schedule(at, Event::AtGateway { gateway, generation, event });
         }
-        match what {
-            Inward::Connected { id, attempt } => {
-                if p.out.get(&id).is_some_and(|o| o.attempt == attempt) {
-                    self.give(gateway, Input::Connected { id, attempt });
+        match event {
+            GatewayEvent::Connected { id, attempt } => {
+                if p.open_attempts.get(&id).is_some_and(|o| o.attempt == attempt) {
+                    self.handle_input(gateway, Input::Connected { id, attempt });
                 }
             }
-            Inward::Back { id, attempt, ending, facts } => {
-                let Some(out) = p.out.get(&id).filter(|o| o.attempt == attempt) else { return };
-                let facts = AttemptFacts { elapsed: self.now - out.since, ..facts };
-                p.out.remove(&id);
-                self.over(gateway, id, attempt, ending, facts);
+            GatewayEvent::AttemptResult { id, attempt, ending, facts } => {
+                let Some(open) = p.open_attempts.get(&id).filter(|o| o.attempt == attempt) else { return };
+                let facts = AttemptFacts { elapsed: self.now - open.since, ..facts };
+                p.open_attempts.remove(&id);
+                self.finish_attempt(gateway, id, attempt, ending, facts);
             }
-            Inward::Stopped { id, attempt, written } => {
-                let never = !written;
-                self.observer.ended(id, attempt, never);
-                self.tell_ended(gateway, id, attempt, Ending::Cancelled, AttemptFacts::default());
+            GatewayEvent::Stopped { id, attempt, written } => {
+                let did_not_run = !written;
+                self.observer.ended(id, attempt, did_not_run);
+                self.report_attempt_end(gateway, id, attempt, Ending::Cancelled, AttemptFacts::default());
             }
-            Inward::Limit { id, attempt } => {
-                let Some(out) = p.out.get(&id).filter(|o| o.attempt == attempt) else { return };
-                let ending = if out.written { Ending::TimedOut } else { Ending::Unreachable };
-                let facts = AttemptFacts { elapsed: self.now - out.since, ..AttemptFacts::default() };
-                p.out.remove(&id);
-                self.over(gateway, id, attempt, ending, facts);
+            GatewayEvent::AttemptTimeout { id, attempt } => {
+                let Some(open) = p.open_attempts.get(&id).filter(|o| o.attempt == attempt) else { return };
+                let ending = if open.written { Ending::TimedOut } else { Ending::Unreachable };
+                let facts = AttemptFacts { elapsed: self.now - open.since, ..AttemptFacts::default() };
+                p.open_attempts.remove(&id);
+                self.finish_attempt(gateway, id, attempt, ending, facts);
             }
-            Inward::Left { id } => {
-                self.observer.left(id);
+            GatewayEvent::ClientGone { id } => {
+                self.observer.client_left(id);
                 self.waiting.remove(&id);
-                self.give(gateway, Input::ClientLeft { id });
+                self.handle_input(gateway, Input::ClientLeft { id });
             }
-            Inward::Told { rev, entries } => self.told(gateway, rev, entries),
-            Inward::Grant { planner, grant } => self.give(gateway, Input::Grant { planner, grant }),
-            Inward::Tick => {
-                let tick = (self.terms.tick as f64 / p.rate) as Time;
-                self.at(self.now + tick, Event::To { gateway, life, what: Inward::Tick });
-                self.give(gateway, Input::PlanningTick);
+            GatewayEvent::ServerListUpdate { rev, entries } => self.apply_server_list(gateway, rev, entries),
+            GatewayEvent::Grant { planner, grant } => {
+                self.handle_input(gateway, Input::Grant { planner, grant })
             }
-            Inward::Wake { number } => {
+            GatewayEvent::Tick => {
+                let tick = (self.lease_config.tick as f64 / p.rate) as Time;
+                self.schedule(
+                    self.now + tick,
+                    Event::AtGateway { gateway, generation, event: GatewayEvent::Tick },
+                );
+                self.handle_input(gateway, Input::PlanningTick);
+            }
+            GatewayEvent::Wake { number } => {
                 if p.wake == number {
                     p.wake_at = None;
-                    self.give(gateway, Input::Wake);
+                    self.handle_input(gateway, Input::Wake);
                 }
             }
         }
     }
 
     /// An attempt has come to its end at its gateway.
-    pub(super) fn over(
+    pub(super) fn finish_attempt(
         &mut self,
         gateway: usize,
         id: u64,
@@ -67,13 +72,13 @@
         ending: Ending,
         facts: AttemptFacts,
     ) {
-        let never = matches!(ending, Ending::Overloaded | Ending::Unreachable | Ending::Stale);
-        self.observer.ended(id, attempt, never);
-        self.trace.tell(self.now, || format!("  {id:x}: attempt {attempt} ends: {ending:?}"));
-        self.tell_ended(gateway, id, attempt, ending, facts);
+        let did_not_run = matches!(ending, Ending::Overloaded | Ending::Unreachable | Ending::Stale);
+        self.observer.ended(id, attempt, did_not_run);
+        self.trace.log(self.now, || format!("  {id:x}: attempt {attempt} ends: {ending:?}"));
+        self.report_attempt_end(gateway, id, attempt, ending, facts);
     }
 
-    pub(super) fn tell_ended(
+    pub(super) fn report_attempt_end(
         &mut self,
         gateway: usize,
         id: u64,
@@ -82,83 +87,100 @@
         facts: AttemptFacts,
     ) {
         let reply = if ending == Ending::Success { Reply::Good } else { Reply::None };
-        self.give(gateway, Input::AttemptEnded { id, attempt, ending, reply, facts });
+        self.handle_input(gateway, Input::AttemptEnded { id, attempt, ending, reply, facts });
     }
 
     /// Hands a gateway an input and carries out what it orders.
-    pub(super) fn give(&mut self, gateway: usize, input: Input) {
+    pub(super) fn handle_input(&mut self, gateway: usize, input: Input) {
         let mut outputs = std::mem::take(&mut self.outputs);
         let p = &mut self.processes[gateway];
         let clock = p.clock(self.now);
         // What tells of something that is over already is no fault here: the world is late as sockets are.
         let _ = p.engine.handle(clock, input, &mut outputs);
-        let mut begun = Vec::new();
+        let mut written_attempts = Vec::new();
         for output in outputs.drain(..) {
-            self.carry(gateway, output, &mut begun);
+            self.apply_output(gateway, output, &mut written_attempts);
         }
         self.outputs = outputs;
-        for (id, attempt) in begun {
+        for (id, attempt) in written_attempts {
             let _ = self.processes[gateway].engine.handle(
                 clock,
                 Input::Progress { id, attempt, step: Step::Written },
                 &mut Vec::new(),
             );
         }
-        self.schedule(gateway);
+        self.schedule_wake(gateway);
     }
 
-    pub(super) fn carry(&mut self, gateway: usize, output: Output, begun: &mut Vec<(u64, u32)>) {
-        let (now, life) = (self.now, self.processes[gateway].life);
+    pub(super) fn apply_output(
+        &mut self,
+        gateway: usize,
+        output: Output,
+        written_attempts: &mut Vec<(u64, u32)>,
+    ) {
+        let (now, generation) = (self.now, self.processes[gateway].generation);
         match output {
             Output::Start { id, attempt, server, attempt_deadline, .. } => {
                 let server = server_number(&server);
                 self.trace.note(&[1, id, u64::from(attempt), server as u64]);
-                self.trace.tell(now, || {
+                self.trace.log(now, || {
                     format!("  gateway {gateway} begins attempt {attempt} of {id:x} at server {server}")
                 });
                 self.counts.attempts += 1;
                 self.observer.started(now, id, attempt);
                 let p = &mut self.processes[gateway];
-                p.out.insert(id, Out { attempt, server, written: false, since: now });
+                p.open_attempts.insert(id, OpenAttempt { attempt, server, written: false, since: now });
                 let limit = p.world(attempt_deadline);
-                self.at(limit, Event::To { gateway, life, what: Inward::Limit { id, attempt } });
-                let at = now + self.net.u64(200_000..1_500_000);
-                let what = if self.servers[server].up {
-                    Inward::Connected { id, attempt }
+                self.schedule(
+                    limit,
+                    Event::AtGateway {
+                        gateway,
+                        generation,
+                        event: GatewayEvent::AttemptTimeout { id, attempt },
+                    },
+                );
+                let at = now + self.network_rng.u64(200_000..1_500_000);
+                let event = if self.servers[server].running {
+                    GatewayEvent::Connected { id, attempt }
                 } else {
-                    Inward::Back { id, attempt, ending: Ending::Unreachable, facts: AttemptFacts::default() }
+                    GatewayEvent::AttemptResult {
+                        id,
+                        attempt,
+                        ending: Ending::Unreachable,
+                        facts: AttemptFacts::default(),
+                    }
                 };
-                self.at(at, Event::To { gateway, life, what });
+                self.schedule(at, Event::AtGateway { gateway, generation, event });
             }
             Output::Write { id, attempt } => {
-                let Some(out) = self.processes[gateway].out.get_mut(&id) else { return };
-                out.written = true;
-                let server = out.server;
-                begun.push((id, attempt));
+                let Some(open) = self.processes[gateway].open_attempts.get_mut(&id) else { return };
+                open.written = true;
+                let server = open.server;
+                written_attempts.push((id, attempt));
                 self.observer.written(now, id, attempt, server);
-                let (customer, _, units) = self.asked.get(&id).copied().unwrap_or_default();
+                let (customer, _, units) = self.requests.get(&id).copied().unwrap_or_default();
                 if attempt == 0 {
                     self.observer.first_sent(now, customer, units);
                     let plan = self.plan(customer);
                     let within = plan.rate <= 0.0 || self.quotas.take(customer, &plan, now, units);
                     self.counts.sent_units += units;
-                    self.counts.beyond_units += if within { 0.0 } else { units };
+                    self.counts.units_over_quota += if within { 0.0 } else { units };
                 }
                 self.jobs += 1;
-                let work = long_tailed(&mut self.work, WORK * (0.4 + 0.15 * units));
-                let job = Job { gateway, life, id, attempt, work, number: self.jobs };
-                let at = now + self.net.u64(100_000..500_000);
-                self.at(at, Event::AtServer { server, job });
+                let work = long_tailed(&mut self.work_rng, MEAN_WORK * (0.4 + 0.15 * units));
+                let job = Job { gateway, generation, id, attempt, work, number: self.jobs };
+                let at = now + self.network_rng.u64(100_000..500_000);
+                self.schedule(at, Event::AtServer { server, job });
             }
             Output::Withhold { id, attempt } => {
-                self.processes[gateway].out.remove(&id);
-                let what = Inward::Stopped { id, attempt, written: false };
-                self.at(now, Event::To { gateway, life, what });
+                self.processes[gateway].open_attempts.remove(&id);
+                let event = GatewayEvent::Stopped { id, attempt, written: false };
+                self.schedule(now, Event::AtGateway { gateway, generation, event });
             }
             Output::Abort { id, attempt } => {
-                if let Some(out) = self.processes[gateway].out.remove(&id) {
-                    let what = Inward::Stopped { id, attempt, written: out.written };
-                    self.at(now, Event::To { gateway, life, what });
+                if let Some(open) = self.processes[gateway].open_attempts.remove(&id) {
+                    let event = GatewayEvent::Stopped { id, attempt, written: open.written };
+                    self.schedule(now, Event::AtGateway { gateway, generation, event });
                 }
             }
             Output::Answer { id, answer } => {
@@ -168,16 +190,16 @@
             Output::RequestEnded { .. } => {}
             Output::Report { planner, report } => self.report(gateway, planner, report),
             Output::Notice(notice @ (Notice::ModulePanicked { .. } | Notice::AccountPanicked))
-                if !self.spec.mischief =>
+                if !self.spec.faulty_module =>
             {
                 self.observer.panicked(now, format!("gateway {gateway}: {notice}"));
             }
-            Output::Notice(notice) => self.trace.tell(now, || format!("gateway {gateway}: {notice}")),
+            Output::Notice(notice) => self.trace.log(now, || format!("gateway {gateway}: {notice}")),
         }
     }
 
     /// Has a gateway woken when it wants to be, no sooner than its module may be called.
-    pub(super) fn schedule(&mut self, gateway: usize) {
+    pub(super) fn schedule_wake(&mut self, gateway: usize) {
         let p = &mut self.processes[gateway];
         let Some(due) = p.engine.next_due() else { return };
         let at = p.world(due.max(p.engine.next_batch_at())).max(self.now);
@@ -186,7 +208,7 @@
         }
         p.wake += 1;
         p.wake_at = Some(at);
-        let (life, number) = (p.life, p.wake);
-        self.at(at, Event::To { gateway, life, what: Inward::Wake { number } });
+        let (generation, number) = (p.generation, p.wake);
+        self.schedule(at, Event::AtGateway { gateway, generation, event: GatewayEvent::Wake { number } });
     }
 }
--- a/crates/testing/fleet-sim/src/world/planning.rs
+++ b/crates/testing/fleet-sim/src/world/planning.rs
@@ -4,7 +4,7 @@
 
 impl World {
     pub(super) fn entries(&self) -> Vec<(usize, Listed, Time)> {
-        self.servers.iter().enumerate().map(|(n, s)| (n, s.listed, s.born)).collect()
+        self.servers.iter().enumerate().map(|(n, s)| (n, s.listed, s.started_at)).collect()
     }
 
     /// The list has changed: every gateway hears of it, late.
@@ -12,14 +12,19 @@
         self.rev += 1;
         let (rev, entries) = (self.rev, self.entries());
         for gateway in 0..self.processes.len() {
-            let life = self.processes[gateway].life;
-            let what = Inward::Told { rev, entries: entries.clone() };
-            let at = self.now + self.net.u64(200..2500) * MS;
-            self.at(at, Event::To { gateway, life, what });
+            let generation = self.processes[gateway].generation;
+            let event = GatewayEvent::ServerListUpdate { rev, entries: entries.clone() };
+            let at = self.now + self.network_rng.u64(200..2500) * MS;
+            self.schedule(at, Event::AtGateway { gateway, generation, event });
         }
     }
 
-    pub(super) fn told(&mut self, gateway: usize, rev: u64, entries: Vec<(usize, Listed, Time)>) {
+    pub(super) fn apply_server_list(
+        &mut self,
+        gateway: usize,
+        rev: u64,
+        entries: Vec<(usize, Listed, Time)>,
+    ) {
         let p = &mut self.processes[gateway];
         // A later one has overtaken it.
         if rev <= p.rev {
@@ -27,50 +32,50 @@
         }
         (p.rev, p.list) = (rev, entries);
         for (n, listed, _) in &p.list {
-            self.observer.told(self.now, gateway, *n, *listed == Listed::Up);
+            self.observer.server_listed(self.now, gateway, *n, *listed == Listed::Up);
         }
-        let entries = list(p);
-        self.give(gateway, Input::ServerList { scope: Scope::Full, rev, entries });
+        let entries = server_list(p);
+        self.handle_input(gateway, Input::ServerList { scope: Scope::Full, rev, entries });
     }
 
     /// Whether a message gets through, and after how long.
     pub(super) fn message(&mut self, open: bool) -> Option<Time> {
-        if !open || self.spec.fault_every.is_some() && self.net.u32(0..100) < 2 {
+        if !open || self.spec.fault_every.is_some() && self.network_rng.u32(0..100) < 2 {
             return None;
         }
-        Some(match self.net.u32(0..100) {
-            0 if self.spec.fault_every.is_some() => self.net.u64(100..3000) * MS,
-            1..=5 if self.spec.fault_every.is_some() => self.net.u64(10..300) * MS,
-            _ => self.net.u64(200_000..3_000_000),
+        Some(match self.network_rng.u32(0..100) {
+            0 if self.spec.fault_every.is_some() => self.network_rng.u64(100..3000) * MS,
+            1..=5 if self.spec.fault_every.is_some() => self.network_rng.u64(10..300) * MS,
+            _ => self.network_rng.u64(200_000..3_000_000),
         })
     }
 
     /// Now and then a message comes twice.
     pub(super) fn copies(&mut self) -> usize {
-        1 + usize::from(self.spec.fault_every.is_some() && self.net.u32(0..100) < 2)
+        1 + usize::from(self.spec.fault_every.is_some() && self.network_rng.u32(0..100) < 2)
     }
 
     pub(super) fn report(&mut self, gateway: usize, planner: usize, report: Report) {
         let open = self.links[gateway][planner].0;
         for _ in 0..self.copies() {
             if let Some(delay) = self.message(open) {
-                self.at(self.now + delay, Event::AtPlanner { planner, report: report.clone() });
+                self.schedule(self.now + delay, Event::AtPlanner { planner, report: report.clone() });
             }
         }
     }
 
     pub(super) fn at_planner(&mut self, planner: usize, report: &Report) {
         let p = &mut self.planners[planner];
-        if !p.up {
+        if !p.running {
             return;
         }
         if p.paused_until > self.now {
             let (at, report) = (p.paused_until, report.clone());
-            return self.at(at, Event::AtPlanner { planner, report });
+            return self.schedule(at, Event::AtPlanner { planner, report });
         }
         let clock = p.offset + (self.now as f64 * p.rate) as Time;
-        let answer = p.what.handle(clock, report);
-        if p.what.panics() > 0 {
+        let answer = p.planner.handle(clock, report);
+        if p.planner.panics() > 0 {
             self.observer.panicked(self.now, format!("planner {planner}"));
         }
         let Ok(mut grant) = answer else { return };
@@ -78,12 +83,12 @@
             grant.work_share = 1.0 / self.spec.gateways as f64;
         }
         let gateway = usize::from(report.seat);
-        let life = self.processes[gateway].life;
+        let generation = self.processes[gateway].generation;
         let open = self.links[gateway][planner].1;
         for _ in 0..self.copies() {
             if let Some(delay) = self.message(open) {
-                let what = Inward::Grant { planner, grant: grant.clone() };
-                self.at(self.now + delay, Event::To { gateway, life, what });
+                let event = GatewayEvent::Grant { planner, grant: grant.clone() };
+                self.schedule(self.now + delay, Event::AtGateway { gateway, generation, event });
             }
         }
     }
--- a/crates/testing/fleet-sim/tests/members.rs
+++ b/crates/testing/fleet-sim/tests/members.rs
@@ -15,7 +15,9 @@
 }
 
 fn within(net: &mut Net, ms: u64, what: &str) -> Result<u64, String> {
-    net.until_settled(ms * MS).map(|t| t / MS).ok_or_else(|| format!("{what}: no one view within {ms} ms"))
+    net.advance_until_converged(ms * MS)
+        .map(|t| t / MS)
+        .ok_or_else(|| format!("{what}: no one view within {ms} ms"))
 }
 
 fn ensure(holds: bool, what: impl Into<String>) -> Result<(), String> {
@@ -36,7 +38,7 @@
 
 fn a_crash_is_known_to_all(seed: u64) -> Result<(), String> {
     let mut net = fleet(24, seed)?;
-    net.play(5 * S);
+    net.advance_to(5 * S);
     net.kill(11);
     within(&mut net, 2500, "one is killed")?;
     Ok(())
@@ -44,11 +46,11 @@
 
 fn seven_in_ten_are_killed_at_once(seed: u64) -> Result<(), String> {
     let mut net = fleet(24, seed)?;
-    net.play(5 * S);
+    net.advance_to(5 * S);
     let versions: u64 = net.nodes.iter().map(|n| n.versions).sum();
     (0..17).for_each(|n| net.kill(n));
     within(&mut net, 4000, "seven in ten are killed")?;
-    net.play(net.now + 3 * S);
+    net.advance_to(net.now + 3 * S);
     // A wave is few versions, not one for each of the dead.
     let made = net.nodes.iter().map(|n| n.versions).sum::<u64>() - versions;
     ensure(made <= 7 * 3, format!("{made} versions at seven members"))
@@ -56,45 +58,45 @@
 
 fn halves_that_are_cut_off_meet_again(seed: u64) -> Result<(), String> {
     let mut net = fleet(24, seed)?;
-    net.play(5 * S);
-    (0..24).for_each(|n| net.group[n] = n as u32 % 2);
-    net.play(9 * S);
+    net.advance_to(5 * S);
+    (0..24).for_each(|n| net.partition[n] = n as u32 % 2);
+    net.advance_to(9 * S);
     // Joins and deaths on both sides meanwhile.
     net.kill(3);
     net.kill(14);
-    net.play(11 * S);
+    net.advance_to(11 * S);
     net.start(14);
-    net.play(15 * S);
-    ensure(net.settled(), "each half sees itself and nobody else")?;
-    net.group.fill(0);
-    let wronged = net.wronged();
+    net.advance_to(15 * S);
+    ensure(net.converged(), "each half sees itself and nobody else")?;
+    net.partition.fill(0);
+    let false_deaths = net.false_deaths();
     within(&mut net, 4000, "the halves meet")?;
-    ensure(wronged > 0, "they had given each other up")
+    ensure(false_deaths > 0, "they had given each other up")
 }
 
 /// What the other half holds for dead is asked, not buried.
 fn halves_that_meet_bury_nobody_of_their_own(seed: u64) -> Result<(), String> {
     let mut net = fleet(24, seed)?;
-    net.play(5 * S);
-    (0..24).for_each(|n| net.group[n] = n as u32 % 2);
-    net.play(15 * S);
-    net.group.fill(0);
+    net.advance_to(5 * S);
+    (0..24).for_each(|n| net.partition[n] = n as u32 % 2);
+    net.advance_to(15 * S);
+    net.partition.fill(0);
     for _ in 0..200 {
-        net.play(net.now + 20 * MS);
+        net.advance_to(net.now + 20 * MS);
         for (a, b) in (0..24).flat_map(|a| (0..24).map(move |b| (a, b))).filter(|(a, b)| a % 2 == b % 2) {
             let dead = state(&net, a, &format!("m{b:04}")) == Some(State::Dead);
             ensure(!dead, format!("{a} buries {b}, which it has heard all the time"))?;
         }
     }
-    ensure(net.settled(), "the halves meet")
+    ensure(net.converged(), "the halves meet")
 }
 
 fn a_join_is_known_to_all(seed: u64) -> Result<(), String> {
     let mut net = fleet(23, seed)?;
     net.nodes.len();
-    net.play(5 * S);
+    net.advance_to(5 * S);
     net.kill(7);
-    net.play(12 * S);
+    net.advance_to(12 * S);
     net.start(7);
     within(&mut net, 1500, "one joins")?;
     Ok(())
@@ -102,18 +104,18 @@
 
 fn a_restart_quicker_than_its_own_suspicion(seed: u64) -> Result<(), String> {
     let mut net = fleet(12, seed)?;
-    net.play(5 * S);
+    net.advance_to(5 * S);
     let old = net.nodes[5].view.as_ref().map(|v| v.members().next().map(|m| m.record.generation));
     net.kill(5);
-    net.play(net.now + 300 * MS);
+    net.advance_to(net.now + 300 * MS);
     net.start(5);
     within(&mut net, 2500, "a new life")?;
     let new = net.nodes[5].view.as_ref().map(|v| v.members().next().map(|m| m.record.generation));
     ensure(old < new, "its life is a later one")?;
     // And stays: nobody goes back to the older.
     for _ in 0..50 {
-        net.play(net.now + 100 * MS);
-        ensure(net.settled(), "the old life is void")?;
+        net.advance_to(net.now + 100 * MS);
+        ensure(net.converged(), "the old life is void")?;
     }
     Ok(())
 }
@@ -122,9 +124,9 @@
     let mut net = fleet(24, seed)?;
     net.loss = 0.2;
     for _ in 0..300 {
-        net.play(net.now + 100 * MS);
-        let wronged = net.wronged();
-        ensure(wronged == 0, format!("{wronged} beliefs in a death of somebody healthy"))?;
+        net.advance_to(net.now + 100 * MS);
+        let false_deaths = net.false_deaths();
+        ensure(false_deaths == 0, format!("{false_deaths} beliefs in a death of somebody healthy"))?;
     }
     net.loss = 0.0;
     within(&mut net, 4000, "after the loss")?;
@@ -133,14 +135,14 @@
 
 fn one_that_does_not_hear_another_has_others_ask(seed: u64) -> Result<(), String> {
     let mut net = fleet(12, seed)?;
-    net.play(5 * S);
+    net.advance_to(5 * S);
     // A hears B, B hears C, C not A, and not the other way round either.
     for (a, b) in [(1, 2), (2, 1), (2, 3), (4, 1), (6, 7), (7, 6), (8, 9)] {
-        net.silent.insert((a, b));
+        net.blocked_links.insert((a, b));
     }
     for _ in 0..200 {
-        net.play(net.now + 100 * MS);
-        ensure(net.wronged() == 0, "helpers reach whom one does not")?;
+        net.advance_to(net.now + 100 * MS);
+        ensure(net.false_deaths() == 0, "helpers reach whom one does not")?;
     }
     // Seldom even suspected: others were asked.
     let suspected = |net: &Net| {
@@ -155,7 +157,7 @@
     };
     let mut seen = 0;
     for _ in 0..100 {
-        net.play(net.now + 100 * MS);
+        net.advance_to(net.now + 100 * MS);
         seen += suspected(&net);
     }
     ensure(seen < 40, format!("{seen} suspicions in a hundred looks"))
@@ -163,9 +165,9 @@
 
 fn one_that_is_cut_off_says_so_and_buries_nobody(seed: u64) -> Result<(), String> {
     let mut net = fleet(12, seed)?;
-    net.play(5 * S);
-    net.group[4] = 1;
-    net.play(20 * S);
+    net.advance_to(5 * S);
+    net.partition[4] = 1;
+    net.advance_to(20 * S);
     let view = net.nodes[4].view.as_ref().ok_or("it runs")?;
     ensure(view.health().isolated_since.is_some(), "it says that it is cut off")?;
     let dead = view.members().filter(|m| m.record.state == State::Dead).count();
@@ -174,9 +176,9 @@
         net.nodes[5].view.as_ref().is_some_and(|v| v.health().isolated_since.is_none()),
         "the others don't",
     )?;
-    net.group.fill(0);
+    net.partition.fill(0);
     within(&mut net, 4000, "it is back")?;
-    net.play(net.now + S);
+    net.advance_to(net.now + S);
     ensure(
         net.nodes[4].view.as_ref().is_some_and(|v| v.health().isolated_since.is_none()),
         "and says so no more",
@@ -185,16 +187,16 @@
 
 fn one_that_was_stopped_blames_nobody(seed: u64) -> Result<(), String> {
     let mut net = fleet(12, seed)?;
-    net.play(5 * S);
+    net.advance_to(5 * S);
     for round in 0..4 {
-        net.stop(6, net.now + 5 * S);
+        net.pause(6, net.now + 5 * S);
         // Somebody dies before it sleeps, so that it falls asleep with suspicions.
-        net.play(net.now + 5 * S + 5 * MS);
+        net.advance_to(net.now + 5 * S + 5 * MS);
         let view = net.nodes[6].view.as_ref().ok_or("it runs")?;
         let blamed = view.members().filter(|m| m.record.state != State::Alive).count();
         ensure(blamed == 0, format!("round {round}: it wakes and blames {blamed}"))?;
         for _ in 0..20 {
-            net.play(net.now + 50 * MS);
+            net.advance_to(net.now + 50 * MS);
             let view = net.nodes[6].view.as_ref().ok_or("it runs")?;
             let dead = view.members().filter(|m| m.record.state == State::Dead).count();
             ensure(dead == 0, format!("round {round}: it holds {dead} for dead"))?;
@@ -206,21 +208,21 @@
 
 fn one_that_sleeps_through_a_refutation_believes_it_all_the_same(seed: u64) -> Result<(), String> {
     let mut net = fleet(12, seed)?;
-    net.suspends = true;
-    net.play(5 * S);
-    net.stop(2, net.now + 5 * S);
+    net.drops_while_paused = true;
+    net.advance_to(5 * S);
+    net.pause(2, net.now + 5 * S);
     let mut looks = 0;
     while state(&net, 6, "m0002") != Some(State::Suspect) {
-        net.play(net.now + 5 * MS);
+        net.advance_to(net.now + 5 * MS);
         looks += 1;
         ensure(looks < 800, "somebody who is stopped is suspected")?;
     }
-    net.stop(2, net.now + 400 * MS);
-    net.play(net.now + 350 * MS);
+    net.pause(2, net.now + 400 * MS);
+    net.advance_to(net.now + 350 * MS);
     let before = state(&net, 6, "m0002");
     // So short that those whom it heard before still count as heard: it is not isolated in its own eyes.
-    net.stop(6, net.now + 1500 * MS);
-    net.play(net.now + 1500 * MS);
+    net.pause(6, net.now + 1500 * MS);
+    net.advance_to(net.now + 1500 * MS);
     let dead = state(&net, 6, "m0002") == Some(State::Dead);
     ensure(!dead || before == Some(State::Dead), "it was asleep, not the other dead")?;
     within(&mut net, 4000, "it is back")?;
@@ -229,7 +231,7 @@
 
 fn a_leave_is_known_sooner_than_a_death(seed: u64) -> Result<(), String> {
     let mut net = fleet(24, seed)?;
-    net.play(5 * S);
+    net.advance_to(5 * S);
     net.leave(9);
     within(&mut net, 1200, "one leaves")?;
     ensure(state(&net, 3, "m0009") == Some(State::Left), "it is not held for dead")
@@ -239,9 +241,9 @@
     let mut net = Net::new(8, seed);
     (0..7).for_each(|n| net.start(n));
     within(&mut net, 3000, "all start at once")?;
-    net.play(5 * S);
+    net.advance_to(5 * S);
     net.start_with(7, 1_800_000_000_000, "m0004");
-    net.play(10 * S);
+    net.advance_to(10 * S);
     ensure(net.nodes[4].superseded && !net.nodes[7].superseded, "the earlier says that it was superseded")?;
     ensure(net.nodes[7].view.is_some(), "the later runs")?;
     let at = net.nodes[2].view.as_ref().and_then(|v| v.members().find(|m| &*m.record.name == "m0004"));
@@ -250,9 +252,9 @@
 
 fn a_clock_that_was_put_back_locks_nobody_out(seed: u64) -> Result<(), String> {
     let mut net = fleet(8, seed)?;
-    net.play(5 * S);
+    net.advance_to(5 * S);
     net.kill(4);
-    net.play(8 * S);
+    net.advance_to(8 * S);
     net.start_with(4, 1_000, "m0004");
     within(&mut net, 2500, "it joins all the same")?;
     Ok(())
@@ -260,29 +262,29 @@
 
 fn old_datagrams_change_nothing(seed: u64) -> Result<(), String> {
     let mut net = Net::new(8, seed);
-    net.tape = Some(Vec::new());
+    net.recording = Some(Vec::new());
     (0..8).for_each(|n| net.start(n));
-    net.play(3 * S);
+    net.advance_to(3 * S);
     // A member that is gone for good, known in all that is on the tape.
     net.kill(6);
-    net.play(10 * S);
-    let tape = net.tape.take().ok_or("a tape")?;
+    net.advance_to(10 * S);
+    let recording = net.recording.take().ok_or("a tape")?;
     let sent = |net: &Net| net.nodes.iter().map(|n| n.datagrams).sum::<u64>();
     // Longer than the dead are kept.
-    net.play(700 * S);
+    net.advance_to(700 * S);
     let (before, took) = (sent(&net), net.now);
-    net.play(took + S);
+    net.advance_to(took + S);
     let usual = sent(&net) - before;
-    let count = tape.len();
-    for (to, bytes) in tape {
+    let count = recording.len();
+    for (to, bytes) in recording {
         if net.nodes[to].view.is_some() {
             net.inject(to, bytes);
         }
     }
     let before = sent(&net);
-    net.play(net.now + S);
+    net.advance_to(net.now + S);
     let after = sent(&net) - before;
-    ensure(net.settled(), "the dead stay dead")?;
+    ensure(net.converged(), "the dead stay dead")?;
     ensure(
         after < usual + count as u64 / 10,
         format!("{after} datagrams beside {usual}: old ones are answered"),
@@ -291,17 +293,17 @@
 
 fn a_stranger_gets_one_short_answer_and_is_forgotten(seed: u64) -> Result<(), String> {
     let mut net = Net::new(6, seed);
-    net.tape = Some(Vec::new());
+    net.recording = Some(Vec::new());
     (0..4).for_each(|n| net.start(n));
-    net.play(3 * S);
+    net.advance_to(3 * S);
     // Somebody with the key whom no answer reaches.
-    net.group[5] = 1;
+    net.partition[5] = 1;
     net.start(5);
-    net.play(3 * S + 400 * MS);
-    let tape = net.tape.take().ok_or("a tape")?;
+    net.advance_to(3 * S + 400 * MS);
+    let recording = net.recording.take().ok_or("a tape")?;
     net.kill(5);
     let hello: Vec<_> =
-        tape.into_iter().filter(|(_, b)| matches!(read(b), Some(Message::Hello { .. }))).collect();
+        recording.into_iter().filter(|(_, b)| matches!(read(b), Some(Message::Hello { .. }))).collect();
     ensure(!hello.is_empty(), "it has greeted its seeds")?;
     let sent = net.nodes[0].bytes;
     let (mut took, mut got) = (0, 0);
@@ -310,7 +312,7 @@
         net.inject(0, bytes);
         got += 1;
     }
-    net.play(net.now + MS);
+    net.advance_to(net.now + MS);
     ensure(net.nodes[0].bytes - sent <= took, format!("{got} greetings are answered by more"))?;
     ensure(state(&net, 0, "m0005").is_none(), "nothing is kept of it")
 }
@@ -318,11 +320,11 @@
 fn any_bytes_are_dropped_and_counted(seed: u64) -> Result<(), String> {
     let mut net = fleet(4, seed)?;
     let mut rng = fastrand::Rng::with_seed(seed);
-    net.tape = Some(Vec::new());
-    net.play(net.now + S);
-    let tape = net.tape.take().ok_or("a tape")?;
+    net.recording = Some(Vec::new());
+    net.advance_to(net.now + S);
+    let recording = net.recording.take().ok_or("a tape")?;
     for n in 0..2000 {
-        let (to, mut bytes) = tape[rng.usize(0..tape.len())].clone();
+        let (to, mut bytes) = recording[rng.usize(0..recording.len())].clone();
         match n % 4 {
             0 => bytes = (0..rng.usize(0..3000)).map(|_| rng.u8(..)).collect(),
             1 => bytes.truncate(rng.usize(0..bytes.len())),
@@ -334,7 +336,7 @@
         }
         net.inject(to, bytes);
     }
-    net.play(net.now + 10 * MS);
+    net.advance_to(net.now + 10 * MS);
     let dropped: u64 = net
         .nodes
         .iter()
@@ -343,7 +345,7 @@
         .map(|(_, n)| n)
         .sum();
     ensure(dropped >= 2000, format!("{dropped} dropped"))?;
-    ensure(net.settled(), "nothing has changed")
+    ensure(net.converged(), "nothing has changed")
 }
 
 const STORIES: &[(&str, Story)] = &[
@@ -402,16 +404,16 @@
 /// Beliefs in a death of somebody healthy in half a minute of 20% loss, and how long a crash took to be known (ms).
 fn under_loss(seed: u64) -> (usize, Option<u64>) {
     let mut net = fleet(24, seed).expect("they find each other");
-    net.play(5 * S);
+    net.advance_to(5 * S);
     net.kill(11);
-    let crash = net.until_settled(10 * S).map(|t| t / MS);
+    let crash = net.advance_until_converged(10 * S).map(|t| t / MS);
     net.loss = 0.2;
-    let mut wronged = 0;
+    let mut false_deaths = 0;
     for _ in 0..60 {
-        net.play(net.now + 500 * MS);
-        wronged += net.wronged();
+        net.advance_to(net.now + 500 * MS);
+        false_deaths += net.false_deaths();
     }
-    (wronged, crash)
+    (false_deaths, crash)
 }
 
 /// The same seeds, the same network, the same carrier.
@@ -452,12 +454,12 @@
 #[test]
 fn a_thousand_changes_a_minute_are_followed() {
     let mut net = fleet(100, 1).expect("they find each other");
-    net.play(5 * S);
+    net.advance_to(5 * S);
     let mut rng = fastrand::Rng::with_seed(1);
-    let (mut down, mut wronged, mut changes) = (Vec::new(), 0, 0);
+    let (mut down, mut false_deaths, mut changes) = (Vec::new(), 0, 0);
     while changes < 1000 {
         // Sixteen or seventeen a second: somebody is killed, comes back, leaves or restarts at once.
-        net.play(net.now + 60 * MS);
+        net.advance_to(net.now + 60 * MS);
         changes += 1;
         let n = rng.usize(3..100);
         match (net.nodes[n].view.is_some(), rng.u32(0..3)) {
@@ -483,14 +485,14 @@
             }
         }
         if changes % 50 == 0 {
-            wronged += net.wronged();
+            false_deaths += net.false_deaths();
         }
     }
-    assert_eq!(wronged, 0, "somebody who runs is held for dead");
+    assert_eq!(false_deaths, 0, "somebody who runs is held for dead");
     // Each consumer's versions are few beside a thousand.
     let versions = net.nodes[0].versions;
     assert!((15..=70).contains(&versions), "{versions} versions in a minute");
-    let took = net.until_settled(4 * S).map(|t| t / MS);
+    let took = net.advance_until_converged(4 * S).map(|t| t / MS);
     println!("one view {took:?} ms after the last of a thousand changes; {versions} versions");
     assert!(took.is_some(), "no one view within 4 s");
 }
@@ -501,9 +503,9 @@
     let of = |size| {
         let mut net = Net::new(size, 1);
         (0..size).for_each(|n| net.start(n));
-        net.until_settled(20 * S).expect("one view");
+        net.advance_until_converged(20 * S).expect("one view");
         // Until all has been told that there was to tell: each member 3 log2(n) times, some fifteen a datagram.
-        net.play(net.now + 90 * S * (size as u64).div_ceil(200).min(8));
+        net.advance_to(net.now + 90 * S * (size as u64).div_ceil(200).min(8));
         traffic(&mut net, 5 * S)
     };
     let (small, large) = (of(20), of(200));
--- a/crates/testing/fleet-sim/tests/sim.rs
+++ b/crates/testing/fleet-sim/tests/sim.rs
@@ -2,7 +2,7 @@
 
 use fleet_sim::shrink::shrink;
 use fleet_sim::story::Story;
-use fleet_sim::world::play_cut;
+use fleet_sim::world::play_with_cuts;
 use fleet_sim::{defects, play, Spec};
 use std::sync::{Mutex, PoisonError};
 
@@ -76,7 +76,7 @@
     let seed = (0..100).find(|seed| play(&spec, *seed, false).violation.is_some()).expect("it is found");
     let first = play(&spec, seed, false);
     let small = shrink(&spec, seed).expect("it breaks");
-    let again = play_cut(&small.spec, seed, false, &small.cuts);
+    let again = play_with_cuts(&small.spec, seed, false, &small.cuts);
     defects::plant(None);
     assert_eq!(again.violation.as_ref(), Some(&small.violation));
     assert_eq!(first.violation.map(|v| v.rule), Some(small.violation.rule));
--- a/crates/testing/fleet-sim/tests/vast.rs
+++ b/crates/testing/fleet-sim/tests/vast.rs
@@ -10,7 +10,7 @@
         let world = Spec::named("vast").expect("a world of this name");
         let outcome = play(&world, seed, false);
         assert_eq!(outcome.violation, None, "seed {seed}");
-        assert_eq!(outcome.stats.fallen, 0, "seed {seed}: cold servers pushed over");
+        assert_eq!(outcome.stats.collapsed, 0, "seed {seed}: cold servers pushed over");
         asked += outcome.stats.worth_asked;
         served += outcome.stats.worth_served;
     }
