--- a/crates/testing/fleet-sim/src/compare.rs
+++ b/crates/testing/fleet-sim/src/compare.rs
@@ -1,25 +1,25 @@
-//! One set of rows against another: paired by parameters and seed, so that "no worse" is a statement.
+//! Compares two sets of rows, paired by parameters and seed, so that "no worse" is a statistical statement.
 
 use crate::experiment::{Row, FIGURES};
 use crate::statistics::{estimate, Estimate};
 use std::collections::BTreeMap;
 
-/// A figure's paired difference, second less first.
+/// Paired difference of one figure: second minus first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     pub figure: &'static str,
     pub first: f64,
     pub second: f64,
     pub change: Estimate,
-    /// The whole interval lies on the worse side of nothing, by more than the stated margin.
+    /// Whether the whole interval lies on the worse side of zero by more than the given margin.
     pub worse: bool,
 }
 
-/// Compares every figure over the runs that both have, arms left aside. `margin`: by how much of the first's mean
-/// it may be worse all the same.
+/// Compares every figure over the runs present in both sets, ignoring the arm. `margin` is the fraction of
+/// the first set's mean by which the second may be worse without being reported.
 ///
 /// # Errors
-/// If the two have no run in common, or one has a run twice.
+/// Returns an error if the sets have no run in common, or if one set contains a run twice.
 pub fn compare(first: &[&Row], second: &[&Row], margin: f64) -> Result<Vec<Difference>, String> {
     let index = |rows: &[&Row]| {
         let mut index: BTreeMap<(BTreeMap<String, String>, u64), Row> = BTreeMap::new();
--- a/crates/testing/fleet-sim/src/compare/tests.rs
+++ b/crates/testing/fleet-sim/src/compare/tests.rs
@@ -20,7 +20,7 @@
     all.iter().any(|d| d.worse)
 }
 
-/// Runs differ by far more than the arms do: pairs tell them apart all the same.
+/// Runs differ from each other by far more than the arms do; pairing still detects the difference.
 #[test]
 fn pairs_tell_a_small_loss_from_a_large_spread() {
     let base = rows(|s| 0.5 + 0.4 * (s as f64 * 0.7).sin());
--- a/crates/testing/fleet-sim/src/days.rs
+++ b/crates/testing/fleet-sim/src/days.rs
@@ -1,5 +1,5 @@
-//! The same day played with real processes on loopback and in virtual time, side by side: what the simulator says is
-//! true as far as the two agree.
+//! Runs the same scenario with real processes on loopback and in virtual time, and compares the two. The
+//! simulator's results are trusted as far as the two agree.
 
 use crate::quota::Quotas;
 use crate::rng::{exponential, long_tailed, stream};
@@ -20,24 +20,24 @@
 use test_harness::peers::{read, Client, Discovery, Message};
 use test_harness::program::{locate, Program, EXAMPLE};
 
-/// The days that are played side by side.
+/// Scenarios that are run side by side.
 pub const DAYS: [&str; 4] = ["calm", "crash", "cold", "flood"];
-/// By how much the shares of the two may differ.
+/// Maximum difference between the shares of the real and the simulated run.
 pub const TOLERANCE: f64 = 0.06;
 const CLASSES: [&str; 3] = ["quote", "confirm", "book-slot"];
-/// An idle connection is not used again after so long: the gateway lets it go after 2.2 s.
+/// Maximum idle time of a reused connection: the gateway closes idle connections after 2.2 s.
 const MAX_IDLE: Duration = Duration::from_secs(1);
 
-/// Connections to a gateway that are kept, and when each was used last.
+/// Idle connections to a gateway, with the time of their last use.
 type Pool = Mutex<Vec<(Client, Instant)>>;
 
-/// What a day came to, as shares.
+/// Results of a scenario, as shares.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Shares {
     pub goodput: f64,
     pub refused: f64,
     pub failed: f64,
-    /// Attempts that reached a server, for each try.
+    /// Attempts that reached a server, per try.
     pub attempts: f64,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// The mean over these seeds in virtual time.
+/// Returns the mean over these seeds in virtual time.
 pub fn simulated(spec: &Spec, seeds: std::ops::Range<u64>) -> Shares {
     let n = seeds.end.saturating_sub(seeds.start).max(1) as f64;
     let mut mean = Shares::default();
@@ -76,10 +76,10 @@
     mean
 }
 
-/// Plays a day with real gateways, as long as the world says.
+/// Runs a scenario with real gateways, for the duration that the spec states.
 ///
 /// # Errors
-/// One line, if a gateway does not come up.
+/// Returns a one-line description if a gateway does not start.
 pub fn real(spec: &Spec, seed: u64) -> Result<Shares, String> {
     let program = locate()?;
     let day = Arc::new(Day::new(spec.clone(), seed)?);
@@ -122,7 +122,7 @@
     thread::sleep((day_start + Duration::from_nanos(at)).saturating_duration_since(Instant::now()));
 }
 
-/// A gateway's own file for this world.
+/// Returns the configuration of one gateway of this world.
 fn config(spec: &Spec, me: usize) -> String {
     let mut config: Value = serde_json::from_str(EXAMPLE).expect("the example is JSON");
     let settings = spec.settings(me);
@@ -140,7 +140,8 @@
 
 // ---- Servers ----
 
-/// A stand-in server: cores, a waiting room, a cold start, an address of its own that is there while it runs.
+/// Stand-in job server with cores, a bounded queue and a cold start. Its address accepts connections only
+/// while it runs.
 struct Server {
     address: SocketAddr,
     running: Mutex<Running>,
@@ -151,9 +152,9 @@
 #[derive(Default)]
 struct Running {
     up: bool,
-    /// How often it has started.
+    /// Number of starts.
     generation: u64,
-    /// When it started last, if it was stopped before.
+    /// Time of the last start as an instant and in Unix milliseconds, if it was stopped before.
     started_at: Option<(Instant, u64)>,
     connections: Vec<TcpStream>,
 }
@@ -172,11 +173,11 @@
             running.up = false;
             running.connections.drain(..).for_each(|c| drop(c.shutdown(Shutdown::Both)));
         }
-        // Its listener finds out by this, and goes.
+        // Wakes the listener thread, which then closes the listener.
         drop(TcpStream::connect(self.address));
     }
 
-    /// Starts it anew, and waits until it listens.
+    /// Marks the server as running and wakes the thread that binds its listener again.
     fn start(&self) -> Result<(), String> {
         let mut running = lock(&self.running);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -186,7 +187,7 @@
         Ok(())
     }
 
-    /// What one of its cores does now, as a part of a warm one's.
+    /// Returns the speed of one core as a fraction of a warm core's.
     fn speed(&self) -> f64 {
         let started_at = lock(&self.running).started_at;
         let age = started_at.map_or(1.0, |(at, _)| at.elapsed().as_secs_f64() * 1e9 / WARM_UP_TIME as f64);
@@ -199,20 +200,20 @@
     }
 }
 
-/// What all servers share.
+/// State shared by all servers.
 struct SharedState {
     spec: Spec,
     meter: Meter,
-    /// Whose each request is, and its units.
+    /// Customer and units of each request.
     asked: Mutex<HashMap<u64, (usize, f64)>>,
-    /// When keyed requests ran first.
+    /// Time of the last execution of each keyed request.
     keys: Mutex<HashMap<u64, Instant>>,
     work: Mutex<Rng>,
     attempts: AtomicU64,
 }
 
 impl SharedState {
-    /// Serves a server's connections while it is up, and comes back with it.
+    /// Serves a server's connections while it runs, and binds its listener again after a restart.
     fn serve(self: Arc<Self>, server: Arc<Server>, mut listener: TcpListener) {
         loop {
             while let Ok((stream, _)) = listener.accept() {
@@ -247,7 +248,7 @@
         }
     }
 
-    /// As the simulator's servers do: `servers.rs` and `world/backends.rs`.
+    /// Processes a request as the simulated servers do: see `servers.rs` and `world/backends.rs`.
     fn answer(&self, server: &Server, generation: u64, message: &Message, to: &mut TcpStream) -> bool {
         let id = message.header("request-id").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
         let (customer, units) = lock(&self.asked).get(&id).copied().unwrap_or_default();
@@ -283,7 +284,7 @@
     counts: Mutex<Stats>,
 }
 
-/// A client's first try, as it was drawn.
+/// First try of a client, as drawn from the random streams.
 #[derive(Clone, Copy)]
 struct FirstTry {
     at: u64,
@@ -315,7 +316,7 @@
         Ok(Day { spec, seed, servers, shared, offers: Mutex::default(), counts: Mutex::default() })
     }
 
-    /// The list of servers as it is now.
+    /// Returns the current server list as discovery sends it.
     fn list(&self, rev: u64) -> String {
         let target = |(n, s): (usize, &Arc<Server>)| {
             let boot = lock(&s.running).started_at.map_or(0, |(_, unix)| unix);
@@ -332,7 +333,7 @@
         Stats { reached: self.shared.attempts.load(Ordering::Relaxed), ..*lock(&self.counts) }
     }
 
-    /// All first tries, drawn as the simulator draws them.
+    /// Draws all first tries with the same distributions and streams as the simulator.
     fn first_tries(&self) -> Vec<FirstTry> {
         let (mut load, mut first_tries) = (stream(self.seed, "load"), Vec::new());
         let (mut at, end) = (100 * MS, self.spec.seconds * 1000 * MS);
@@ -345,7 +346,7 @@
             let first = FirstTry { at, customer, class, units, chance: load.u64(..) };
             first_tries.push(first);
             if self.spec.flood.is_some_and(|(from, until)| (from..until).contains(&at)) {
-                // The first partner adds twice as much again.
+                // The first partner adds twice the regular load.
                 first_tries.extend((1..3).map(|n| FirstTry {
                     customer: 0,
                     chance: first.chance + n,
@@ -357,7 +358,7 @@
         first_tries
     }
 
-    /// Plays all clients, and returns when the last has done.
+    /// Runs all clients, and returns when the last one has finished.
     fn clients(self: Arc<Self>, gateways: &[SocketAddr], day_start: Instant) {
         let pools: Arc<[Pool]> = gateways.iter().map(|_| Pool::default()).collect();
         let gateways: Arc<[SocketAddr]> = gateways.into();
@@ -370,7 +371,7 @@
         all.into_iter().for_each(|c| drop(c.join()));
     }
 
-    /// One client: it asks, and comes again up to twice, as the simulator's do.
+    /// Runs one client: one request with up to two retries, as in the simulator.
     fn client(&self, first: &FirstTry, gateways: &[SocketAddr], pools: &[Pool], day_start: Instant) {
         let settings = self.spec.settings(0);
         let (class, plan) = (&settings.classes[first.class], &settings.plans[plan_of(first.customer)]);
@@ -430,7 +431,8 @@
                     }
                     Duration::from_millis(100)
                 }
-                // It was taken and nothing came of it: the simulator's client gives up too.
+                // The request was accepted but no response came; the simulator's client gives
+                // up too.
                 _ => return,
             };
             thread::sleep(retry_delay);
@@ -438,8 +440,8 @@
     }
 }
 
-/// Asks a gateway, on a connection that is kept if there is one. None if nobody listens; else the status and the
-/// advice, if an answer came in time.
+/// Sends a request, on an idle connection if there is one. Returns `None` if the connection is refused;
+/// otherwise the status and the advised delay, if a response came in time.
 fn ask(pool: &Pool, to: SocketAddr, text: &str, limit: Duration) -> Option<Option<(u16, Duration)>> {
     let kept = lock(pool).pop().filter(|(_, used)| used.elapsed() < MAX_IDLE).map(|(client, _)| client);
     let reused = kept.is_some();
@@ -450,7 +452,7 @@
     let asked = Instant::now();
     let mut answer = exchange(&mut client, text, limit);
     if answer.is_none() && reused && asked.elapsed() < limit {
-        // It may have been closed as idle while the request was on its way.
+        // The gateway may have closed the idle connection while the request was on its way.
         client = Client::try_connect(to)?;
         answer = exchange(&mut client, text, limit.saturating_sub(asked.elapsed()));
     }
--- a/crates/testing/fleet-sim/src/defects.rs
+++ b/crates/testing/fleet-sim/src/defects.rs
@@ -1,4 +1,4 @@
-//! Defects of the deciding parts, planted by name. The shipped program is built without them.
+//! Planted defects of the decision-making crates, selected by name. Release binaries are built without them.
 
 use interface::Settings;
 use lifecycle::defects as lifecycle;
@@ -6,7 +6,7 @@
 use snapshot::defects as snapshot_defects;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Defects that a fleet shows, and in which world.
+/// Defects that a fleet simulation detects, each with the world that reveals it.
 pub const ALL: &[(&str, &str)] = &[
     ("no-abort-on-leave", "mischief"),
     ("no-abort-on-answer", "mischief"),
@@ -33,21 +33,22 @@
     ("snapshot-born-earlier", "amnesia"),
 ];
 
-/// Defects of the decision module: it is told other settings than the world's.
+/// Defects of the decision module: it receives settings that differ from the world's.
 const MODULE_DEFECTS: [&str; 3] = ["cold-taken-for-warm", "ceiling-forgotten", "ceilings-by-view"];
-/// Defects of what is made of old snapshots.
+/// Defects in the handling of old snapshots.
 const SNAPSHOT_DEFECTS: [(&str, snapshot_defects::Defect); 2] = [
     ("snapshot-ceiling-taken", snapshot_defects::Defect::CeilingTaken),
     ("snapshot-born-earlier", snapshot_defects::Defect::BornEarlier),
 ];
 static PLANTED_MODULE_DEFECT: AtomicUsize = AtomicUsize::new(0);
 
-/// The settings as the module hears them.
+/// Returns the settings that the module receives, altered by the planted defect if there is one.
 pub fn apply_defect(mut settings: Settings) -> Settings {
     match PLANTED_MODULE_DEFECT.load(Ordering::Relaxed) {
         1 => settings.warm_up_time = 0,
         2 => settings.plans.iter_mut().for_each(|p| p.hard_limit_rate = 0.0),
-        // A part of what all share rests on the view, and that says that nobody else lives.
+        // The gateway's share of a common limit follows its view of the fleet, and the view reports
+        // no other live gateway.
         3 => {
             let all = f64::from(settings.gateways);
             settings.plans.iter_mut().for_each(|p| {
@@ -59,7 +60,8 @@
     settings
 }
 
-/// Plants it, or takes all out. False if there is none of this name.
+/// Plants the named defect after removing all others; `None` only removes them. Returns false if no defect
+/// has this name.
 pub fn plant(name: Option<&str>) -> bool {
     lifecycle::plant(None);
     planning::plant(None);
--- a/crates/testing/fleet-sim/src/experiment.rs
+++ b/crates/testing/fleet-sim/src/experiment.rs
@@ -1,16 +1,17 @@
-//! Experiments: a base world, sweeps over its parameters, arms side by side, over many seeds. One row a run.
+//! Experiments: a base world, parameter sweeps, and arms to compare, over many seeds. Each run yields one
+//! row.
 //!
-//! A file such as
+//! Example of an experiment file:
 //!
 //! ```toml
 //! name = "lease-length"
 //! world = "leases"
-//! seeds = [0, 40]            # from, and up to but without
-//! [base]                     # what differs from the world in all runs
+//! seeds = [0, 40]            # first seed, and the end (exclusive)
+//! [base]                     # overrides of the world in all runs
 //! seconds = 20
-//! [sweep]                    # every combination is played
+//! [sweep]                    # every combination is run
 //! lease_ms = [100, 500, 2000]
-//! [[arm]]                    # all of that for each arm, over the same seeds
+//! [[arm]]                    # each arm runs all combinations over the same seeds
 //! name = "calm"
 //! [[arm]]
 //! name = "a planner is lost"
@@ -27,10 +28,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// The most runs of one experiment.
+/// Maximum number of runs of one experiment.
 pub const MAX_RUNS: usize = 1_000_000;
 
-/// What differs from a named world. What is absent stays as it is.
+/// Overrides of a named world's parameters. Absent fields keep the world's value.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
@@ -38,41 +39,42 @@
     pub gateways: Option<usize>,
     /// 1 to 10,000.
     pub servers: Option<usize>,
-    /// 0 to 16; 0: gateways guess from the meter.
+    /// 0 to 16; with 0, gateways estimate usage from the meter.
     pub planners: Option<usize>,
     /// 1 to 10 million.
     pub customers: Option<usize>,
-    /// Requests a second, above 0 to 1 million.
+    /// Requests per second, above 0 to 1 million.
     pub rate: Option<f64>,
     /// 1 to 3600.
     pub seconds: Option<u64>,
-    /// Mean time between two faults; 0 for none.
+    /// Mean time between faults; 0 disables them.
     pub fault_every_ms: Option<u64>,
-    /// The part of all requests that comes through the first gateway, 0 to 1.
+    /// Fraction of all requests that arrive at the first gateway, 0 to 1.
     pub skew: Option<f64>,
     pub placement: Option<bool>,
     /// "module", "random", "two" or "least".
     pub choice: Option<Choice>,
-    /// A partner's quota, units a second and units; above 0.
+    /// Quota of the partner plan: units per second and bucket depth in units; above 0.
     pub partner_rate: Option<f64>,
     pub partner_depth: Option<f64>,
-    /// The planners' terms; those that contradict each other are refused.
+    /// Lease configuration of the planners; contradictory values are rejected.
     pub lease_ms: Option<u64>,
     pub loan_ms: Option<u64>,
-    /// A loan's life in leases, in place of loan_ms.
+    /// Loan TTL as a multiple of the lease TTL; replaces loan_ms.
     pub loan_leases: Option<u64>,
     pub tick_ms: Option<u64>,
-    /// How often a customer's main gateway changes, 1 or more, and the part of its requests there, 0 to 1.
+    /// Interval at which a customer's main gateway changes, 1 or more, and the fraction of its requests
+    /// sent there, 0 to 1.
     pub moves_ms: Option<u64>,
     pub home: Option<f64>,
-    /// The first planner is gone from, until.
+    /// Interval during which the first planner is down: start, end.
     pub planner_down_ms: Option<(u64, u64)>,
     pub power_cut_ms: Option<u64>,
     pub flood_ms: Option<(u64, u64)>,
     pub crash_ms: Option<u64>,
 }
 
-/// Applies to the field what is there.
+/// Sets the field to the converted value if there is one.
 fn set_if_some<T: Copy, U>(to: &mut U, from: Option<T>, convert: impl Fn(T) -> U) {
     if let Some(value) = from {
         *to = convert(value);
@@ -80,10 +82,10 @@
 }
 
 impl Change {
-    /// The world with the change.
+    /// Applies the overrides to a world and validates the result.
     ///
     /// # Errors
-    /// What is out of range, in words.
+    /// Describes the first value that is out of range.
     pub fn apply(&self, spec: &mut Spec) -> Result<(), String> {
         let ms = |n: u64| n.saturating_mul(MS);
         set_if_some(&mut spec.gateways, self.gateways, |n| n);
@@ -139,7 +141,7 @@
     spec.lease_config().validate()
 }
 
-/// One arm: its name, and what differs in it.
+/// One arm: its name and its overrides.
 #[derive(Clone, Debug, Deserialize)]
 struct Arm {
     name: String,
@@ -161,11 +163,11 @@
     arm: Vec<Arm>,
 }
 
-/// One combination of an arm and the swept values.
+/// One combination of an arm and swept values.
 #[derive(Clone, Debug)]
 pub struct Cell {
     pub arm: String,
-    /// The swept parameters by name, as they are written.
+    /// Swept parameters by name, as written in the file.
     pub point: BTreeMap<String, String>,
     pub spec: Spec,
 }
@@ -178,10 +180,10 @@
 }
 
 impl Experiment {
-    /// Reads an experiment's file.
+    /// Parses an experiment file.
     ///
     /// # Errors
-    /// One line on what is wrong with it.
+    /// Returns a one-line description of the first problem found.
     pub fn read(text: &str) -> Result<Self, String> {
         let file: File = toml::from_str(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
         let Some(world) = Spec::named(&file.world) else {
@@ -235,8 +237,8 @@
         (self.seeds.1 - self.seeds.0) as usize * self.cells.len()
     }
 
-    /// Plays all of it, so many runs side by side; `done` hears of each. Rows come in the order of cells and
-    /// seeds, whichever run was done first.
+    /// Plays all runs, `jobs` of them in parallel, and calls `done` after each. Rows are ordered by cell
+    /// and seed, regardless of completion order.
     pub fn play(&self, jobs: usize, done: impl Fn() + Sync) -> Vec<Row> {
         let seeds = (self.seeds.1 - self.seeds.0) as usize;
         let (next, rows) = (AtomicUsize::new(0), Mutex::new(Vec::with_capacity(self.runs())));
@@ -259,7 +261,7 @@
     }
 }
 
-/// One run.
+/// Result of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub experiment: String,
@@ -267,17 +269,17 @@
     pub point: BTreeMap<String, String>,
     pub seed: u64,
     pub figures: BTreeMap<String, f64>,
-    /// The rule that broke, if one did.
+    /// The violation, if a rule was broken.
     pub broken: Option<String>,
     pub digest: String,
-    /// By quantile, in milliseconds.
+    /// Latencies by quantile, in milliseconds.
     pub latency_ms: Vec<(f64, f64)>,
-    /// A line a second, of the first seed of each cell.
+    /// One entry per second, kept for the first seed of each cell only.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub seconds: Vec<Second>,
 }
 
-/// A figure's name, what it is, and whether more of it is better.
+/// Name of each figure, its description, and whether higher is better.
 pub const FIGURES: [(&str, &str, bool); 12] = [
     ("goodput", "worth answered within the aim, of what was asked inside the quotas", true),
     ("in_aim", "tries answered within the aim, of all", true),
@@ -326,19 +328,19 @@
     }
 }
 
-/// Rows as JSON lines.
+/// Parses rows from JSON lines.
 ///
 /// # Errors
-/// The number of the line that can't be read, and why.
+/// Returns the number of the first invalid line, and the reason.
 pub fn read_rows(text: &str) -> Result<Vec<Row>, String> {
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     lines.map(|(n, line)| serde_json::from_str(line).map_err(|e| format!("line {}: {e}", n + 1))).collect()
 }
 
-/// Rows as a table for other tools: arm, swept parameters, seed, figures, what broke.
+/// Writes rows as CSV: experiment, arm, swept parameters, seed, figures, violation.
 ///
 /// # Errors
-/// What the writer says.
+/// Returns the writer's error.
 pub fn write_csv(rows: &[Row], to: impl std::io::Write) -> Result<(), String> {
     let mut table = csv::Writer::from_writer(to);
     let Some(first) = rows.first() else { return Ok(()) };
--- a/crates/testing/fleet-sim/src/lib.rs
+++ b/crates/testing/fleet-sim/src/lib.rs
@@ -1,6 +1,7 @@
-//! Whole fleets on a virtual clock: engines, planners, job servers, discovery, the meter, clients and the network,
-//! from one seed. An [`observer::Observer`] watches every rule at every step and shares no code with the engine.
-//! The same seed gives the same digest on every machine and in every build.
+//! Deterministic simulation of a whole fleet on a virtual clock: engines, planners, job servers, discovery,
+//! the usage meter, clients and the network, all driven by one seed. An [`observer::Observer`] checks every
+//! rule at every step and shares no code with the engine. The same seed yields the same digest on every
+//! machine and in every build profile.
 #![forbid(unsafe_code)]
 
 pub mod compare;
--- a/crates/testing/fleet-sim/src/main.rs
+++ b/crates/testing/fleet-sim/src/main.rs
@@ -1,6 +1,6 @@
-//! `fleet-sim`: whole fleets on a virtual clock.
+//! `fleet-sim`: simulates whole fleets of gateways on a virtual clock.
 //!
-//! Exit status: 0 if every rule held, 1 if one broke, 2 for a command line that won't do.
+//! Exit status: 0 if every rule held, 1 if one was broken, 2 for an invalid command line.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
@@ -31,107 +31,108 @@
 enum Command {
     /// Prints the worlds
     List,
-    /// Prints the defects that can be planted, and the world that shows each
+    /// Prints the defects that can be planted, and the world that reveals each
     ListDefects,
-    /// Plays many seeds and watches every rule
+    /// Plays many seeds and checks every rule
     Explore {
-        /// From, and up to but without: 0..1000
+        /// Range of seeds, end exclusive: 0..1000
         #[arg(long, default_value = "0..100", value_parser = range)]
         seeds: (u64, u64),
-        /// One world; else all that have faults, and the calm one, in turn
+        /// A single world; by default, the worlds with faults and the calm one in turn
         #[arg(long)]
         world: Option<String>,
-        /// Plant this defect: a rule must break
+        /// Plant this defect: a rule must be broken
         #[arg(long)]
         defect: Option<String>,
         /// Print the figures as one JSON object on the last line
         #[arg(long)]
         json: bool,
-        /// How many run side by side; 0 for one a core
+        /// Number of parallel runs; 0 for one per core
         #[arg(long, default_value_t = 0)]
         jobs: usize,
     },
-    /// Plays one seed and tells what happened
+    /// Plays one seed and prints what happened
     Replay {
         seed: u64,
         #[arg(long, default_value = "faults")]
         world: String,
         #[arg(long)]
         defect: Option<String>,
-        /// Only lines that hold this, a request's number for instance
+        /// Print only lines that contain this text, such as a request id
         #[arg(long)]
         only: Option<String>,
-        /// The last so many lines
+        /// Number of story lines to print, from the end
         #[arg(long, default_value_t = 60)]
         lines: usize,
     },
-    /// Leaves out faults, customers and time for as long as the same rule breaks, and tells what is left
+    /// Removes faults, customers and time while the same rule is broken, and prints what is left
     Shrink {
         seed: u64,
         #[arg(long, default_value = "faults")]
         world: String,
         #[arg(long)]
         defect: Option<String>,
-        /// The last so many lines of the story
+        /// Number of story lines to print, from the end
         #[arg(long, default_value_t = 60)]
         lines: usize,
-        /// Write what is left as a story's file
+        /// Write the shrunk run as a story file
         #[arg(long)]
         out: Option<PathBuf>,
     },
-    /// Plays a story's file and tells what happens; exit 1 if its rule breaks
+    /// Replays a story file and prints what happens; exit status 1 if its rule is broken
     Story {
         file: PathBuf,
-        /// Without its defect
+        /// Do not plant its defect
         #[arg(long)]
         mended: bool,
         #[arg(long, default_value_t = 60)]
         lines: usize,
     },
-    /// Plays an experiment's file: rows as JSON lines and CSV in a folder
+    /// Runs an experiment file and writes rows as JSON lines and CSV to a folder
     Run {
         file: PathBuf,
-        /// Where the rows go; made if it is not there
+        /// Output folder; created if missing
         #[arg(long)]
         out: PathBuf,
-        /// How many run side by side; 0 for one a core
+        /// Number of parallel runs; 0 for one per core
         #[arg(long, default_value_t = 0)]
         jobs: usize,
-        /// Draw no progress bar
+        /// Show no progress bar
         #[arg(long)]
         quiet: bool,
     },
-    /// Makes report.html, which stands alone, and the plots as SVG from a folder of rows
+    /// Writes report.html, which is self-contained, and the plots as SVG from a folder of rows
     Report { dir: PathBuf },
-    /// Compares two folders of rows run by run; exit 1 if the second is worse beyond the interval
+    /// Compares two folders of rows run by run; exit status 1 if the second is worse beyond the interval
     Compare {
         first: PathBuf,
         second: PathBuf,
-        /// The arm of the first, and of the second, where there are several
+        /// The arm of the first set, and of the second, if there are several
         #[arg(long)]
         arm: Option<String>,
         #[arg(long)]
         second_arm: Option<String>,
-        /// Only these figures are judged
+        /// The figures that determine the exit status
         #[arg(long, value_delimiter = ',', default_value = "goodput")]
         judge: Vec<String>,
-        /// By so much of the first's mean it may be worse all the same, 0 to 1
+        /// Fraction of the first set's mean by which the second may be worse, 0 to 1
         #[arg(long, default_value_t = 0.0)]
         margin: f64,
         #[arg(long)]
         json: bool,
     },
-    /// Plays the same days with real processes on loopback and in virtual time; exit 1 if they differ by too much
+    /// Runs the same scenarios with real processes on loopback and in virtual time; exit status 1 if they
+    /// differ too much
     Days {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// One day; else calm, crash, cold and flood
+        /// A single scenario; by default calm, crash, cold and flood
         #[arg(long)]
         day: Option<String>,
-        /// How long each real one plays, 10 to 600
+        /// Duration of each real run in seconds, 10 to 600
         #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(10..=600))]
         seconds: u64,
-        /// Have the simulated gateways do this wrong: the two must differ
+        /// Plant this defect in the simulated gateways: the two must differ
         #[arg(long)]
         defect: Option<String>,
         #[arg(long)]
@@ -144,24 +145,24 @@
         #[arg(long, default_value = "skewed")]
         world: String,
     },
-    /// Plays a world in which gateways come back, with their snapshots, without, and with nobody killed
+    /// Plays a world in which gateways restart: with their snapshots, without, and with no gateway killed
     Comeback {
         #[arg(long, default_value = "0..40", value_parser = range)]
         seeds: (u64, u64),
         #[arg(long, default_value = "blackout")]
         world: String,
     },
-    /// Plays random days of a fleet's own view: each must end with one view within its bound
+    /// Runs random scenarios of the membership view: each must end with one view within its bound
     Members {
         #[arg(long, default_value = "0..100", value_parser = range)]
         seeds: (u64, u64),
-        /// How many members, 2 to 5000
+        /// Number of members, 2 to 5000
         #[arg(long, default_value_t = 64, value_parser = clap::value_parser!(u64).range(2..=5000))]
         size: u64,
         /// Print the figures as one JSON object on the last line
         #[arg(long)]
         json: bool,
-        /// How many run side by side; 0 for one a core
+        /// Number of parallel runs; 0 for one per core
         #[arg(long, default_value_t = 0)]
         jobs: usize,
     },
@@ -172,12 +173,12 @@
     numbers.filter(|(a, b)| a < b).ok_or_else(|| "FROM..TO is wanted, FROM below TO".into())
 }
 
-/// A line that survives whoever reads it.
+/// Prints a line, ignoring errors such as a closed pipe.
 fn print_line(line: &str) {
     let _ = writeln!(std::io::stdout(), "{line}");
 }
 
-/// Random days of the view, side by side.
+/// Runs random membership scenarios in parallel.
 fn explore_members((from, to): (u64, u64), size: usize, jobs: usize) -> Vec<members::RandomRun> {
     let (next, all) = (AtomicU64::new(from), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
@@ -247,7 +248,7 @@
     }
 }
 
-/// What a range of seeds came to.
+/// Totals over a range of seeds.
 #[derive(Default)]
 struct Sum {
     runs: u64,
@@ -290,7 +291,7 @@
     sum
 }
 
-/// How many run side by side where nothing is said: one a core.
+/// Returns the number of parallel runs: one per core unless specified.
 fn job_count(jobs: usize) -> usize {
     if jobs > 0 {
         return jobs;
@@ -336,7 +337,7 @@
     read_rows(&text).map_err(|e| format!("{}: {e}", file.display()))
 }
 
-/// The rows of a folder that belong to this arm, if one is named.
+/// Reads the rows of a folder that belong to this arm, if one is named.
 fn read(dir: &Path, arm: Option<&String>) -> Result<Vec<Row>, String> {
     let rows: Vec<Row> = rows(dir)?.into_iter().filter(|r| arm.is_none_or(|a| r.arm == *a)).collect();
     if rows.is_empty() {
@@ -358,7 +359,7 @@
     Ok(())
 }
 
-/// Plays a day both ways; whether they agree.
+/// Runs a scenario both ways; returns whether the results agree.
 fn compare_day(day: &str, seed: u64, seconds: u64, json: bool) -> Result<bool, String> {
     let Some(spec) = Spec::named(day).filter(|_| days::DAYS.contains(&day)) else {
         return Err(format!("no day is named {day:?}: {} are", days::DAYS.join(", ")));
@@ -381,7 +382,7 @@
     Ok(good)
 }
 
-/// Plays a story; whether every rule held.
+/// Replays a story; returns whether every rule held.
 fn story(file: &Path, mended: bool, lines: usize) -> Result<bool, String> {
     let text = std::fs::read_to_string(file).map_err(with_path(file))?;
     let story = Story::read(&text).map_err(|e| format!("{}: {e}", file.display()))?;
@@ -399,7 +400,7 @@
     Ok(outcome.violation.is_none())
 }
 
-/// Prints the differences; whether none that is judged is worse.
+/// Prints the differences; returns whether no judged figure is worse.
 fn print_differences(
     first: &[Row],
     second: &[Row],
--- a/crates/testing/fleet-sim/src/members.rs
+++ b/crates/testing/fleet-sim/src/members.rs
@@ -1,5 +1,6 @@
-//! The world `members`: views of a fleet on a virtual network that loses, delays, doubles, cuts and replays, with
-//! members that are killed, stopped, restarted and told to leave. Everything comes from the seed.
+//! The world `members`: membership views on a virtual network with loss, delay, duplication, partitions and
+//! replays, and with members that are killed, paused, restarted or asked to leave. Everything is determined
+//! by the seed.
 
 use membership::wire::Message;
 use membership::{Config, Input, Keys, Output, State, Time, View};
@@ -10,50 +11,50 @@
 
 pub const MS: Time = 1_000_000;
 pub const S: Time = 1_000 * MS;
-/// Members of a large world start over so long.
+/// Shared key of the simulated fleet.
 const FLEET_KEY: &[u8] = b"the key of a virtual fleet";
 
-/// A place in the fleet: one name, whatever lives there.
+/// Slot of the fleet: a fixed name, whichever process runs under it.
 pub struct Node {
     pub name: String,
     pub view: Option<View>,
     generation: u64,
-    /// While it is stopped: until when, and what comes meanwhile.
+    /// While paused: the time at which it resumes, and the datagrams received meanwhile.
     paused_until: Option<Time>,
     inbox: Vec<Vec<u8>>,
     due: Time,
     pub datagrams: u64,
     pub bytes: u64,
-    /// Versions of the settled view that were made.
+    /// Number of versions of the stable view published.
     pub versions: u64,
     pub superseded: bool,
 }
 
-/// When a datagram comes, its number, to whom, what it holds.
+/// Delivery time of a datagram, its sequence number, its recipient and its contents.
 type QueuedDatagram = (Time, u64, usize, Vec<u8>);
 
-/// Which side of a cut a node is on, and what the network does.
+/// The virtual network: partitions, link faults and datagrams in flight.
 pub struct Net {
     pub now: Time,
     pub nodes: Vec<Node>,
     pub partition: Vec<u32>,
-    /// Ordered pairs of which nothing gets through.
+    /// Ordered pairs (sender, recipient) whose datagrams are all lost.
     pub blocked_links: BTreeSet<(usize, usize)>,
-    /// Chances.
+    /// Probabilities of loss and of duplication.
     pub loss: f64,
     pub duplication: f64,
-    /// The longest way, and since when it is so slow for whom.
+    /// Maximum delay of a datagram, and the nodes whose datagrams are slower still.
     pub max_delay: Time,
     pub slow_nodes: BTreeSet<usize>,
-    /// Whether what comes to a stopped member is lost, as on a machine that is suspended.
+    /// Whether datagrams to a paused member are lost, as on a suspended machine.
     pub drops_while_paused: bool,
     rng: fastrand::Rng,
     queue: BinaryHeap<Reverse<QueuedDatagram>>,
     timers: BinaryHeap<Reverse<(Time, usize)>>,
     sent: u64,
-    /// All that was ever sent to somebody, if it is to be played again.
+    /// All datagrams sent, if they are recorded for a replay.
     pub recording: Option<Vec<(usize, Vec<u8>)>>,
-    /// Deaths believed of somebody who ran and could be reached by all: (who believes, whom).
+    /// False death reports about a member that ran and was reachable by all: (observer, subject).
     pub false_deaths: Vec<(usize, usize)>,
 }
 
@@ -71,13 +72,13 @@
     }
 }
 
-/// What a datagram of this fleet says.
+/// Decodes a datagram of this fleet.
 pub fn read(bytes: &[u8]) -> Option<Message> {
     Some(Keys::new(vec![FLEET_KEY.to_vec()]).ok()?.open(bytes).ok()?.message)
 }
 
 impl Net {
-    /// So many places, of which none runs yet.
+    /// Creates a network with `size` slots, none of them running.
     pub fn new(size: usize, seed: u64) -> Self {
         let node = |n| Node {
             name: format!("m{n:04}"),
@@ -110,7 +111,8 @@
         }
     }
 
-    /// Starts a life at this place, a later one than any before, with the first three places as seeds.
+    /// Starts a process in this slot with a later generation than any before, and the first three slots
+    /// as seeds.
     pub fn start(&mut self, n: usize) {
         let generation = (1_700_000_000_000 + self.now / MS).max(self.nodes[n].generation + 1);
         self.start_with(n, generation, &self.nodes[n].name.clone());
@@ -137,7 +139,7 @@
         self.kill(n);
     }
 
-    /// It does nothing until then, and knows nothing of it.
+    /// Pauses the member until then; the member does not notice the pause.
     pub fn pause(&mut self, n: usize, until: Time) {
         self.nodes[n].paused_until = Some(until);
         self.timers.push(Reverse((until, n)));
@@ -148,7 +150,7 @@
         (0..self.nodes.len()).filter(runs).collect()
     }
 
-    /// Gives somebody bytes from nowhere.
+    /// Delivers bytes to a member without a sender.
     pub fn inject(&mut self, to: usize, bytes: Vec<u8>) {
         self.sent += 1;
         self.queue.push(Reverse((self.now, self.sent, to, bytes)));
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Plays until then.
+    /// Advances the simulation to this time.
     pub fn advance_to(&mut self, until: Time) {
         loop {
             let next_timer = self.timers.peek().map_or(Time::MAX, |Reverse((at, _))| *at);
@@ -212,7 +214,7 @@
             if next_datagram <= next_timer {
                 let Some(Reverse((_, _, to, bytes))) = self.queue.pop() else { continue };
                 if self.nodes[to].paused_until.is_some() {
-                    // What a socket holds is bounded.
+                    // A socket buffer is bounded.
                     if self.nodes[to].inbox.len() < 200 && !self.drops_while_paused {
                         self.nodes[to].inbox.push(bytes);
                     }
@@ -236,7 +238,7 @@
         }
     }
 
-    /// Whether all that run and can reach each other see each other and nobody else.
+    /// Returns whether all running members that can reach each other see exactly each other.
     pub fn converged(&self) -> bool {
         let running = self.running();
         let groups: BTreeSet<u32> = running.iter().map(|n| self.partition[*n]).collect();
@@ -250,7 +252,7 @@
         })
     }
 
-    /// Plays on until that holds; how long it took. None if it does not within `limit`.
+    /// Advances until the views have converged. Returns the time it took, or `None` after `limit`.
     pub fn advance_until_converged(&mut self, limit: Time) -> Option<Time> {
         let started_at = self.now;
         while !self.converged() {
@@ -262,12 +264,12 @@
         Some(self.now - started_at)
     }
 
-    /// Whether this member sees all who run and nobody else.
+    /// Returns whether this member sees exactly the running members.
     pub fn sees_all_running(&self, at: usize) -> bool {
         self.disagreements().iter().all(|(who, _)| *who != at)
     }
 
-    /// Where views differ from who runs: whose, and how, in words.
+    /// Returns the differences between views and the running members: the observer, and a description.
     pub fn disagreements(&self) -> Vec<(usize, String)> {
         let running: BTreeSet<usize> = self.running().into_iter().collect();
         let mut all = Vec::new();
@@ -288,7 +290,7 @@
         all
     }
 
-    /// Whom some running member believes dead though it runs.
+    /// Counts running members that some running member considers dead.
     pub fn false_deaths(&self) -> usize {
         let running = self.running();
         let dead = |n: &usize| {
@@ -307,30 +309,34 @@
     }
 }
 
-/// What a seed came to.
+/// Result of one seed.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct RandomRun {
     pub seed: u64,
-    /// What was done, in order, with the time in milliseconds.
+    /// Faults in order, with the time in milliseconds.
     pub faults: Vec<(u64, String)>,
-    /// From the last fault until all that reach each other had one view; none: not within the bound.
+    /// Time from the end of the last fault until all members that reach each other had one view; `None`
+    /// if not within the bound.
     pub settled_ms: Option<u64>,
-    /// Fewer than an eighth are left, who can't tell at first whether they or all others are gone; later they had one
-    /// view, or each whose view is not the others' says that it is isolated: what is promised then.
+    /// Fewer than an eighth of the members are left, so that they can't tell at first whether they or all
+    /// others failed; later they had one view, or each member whose view differs reports that it is
+    /// isolated. That is the guarantee in this case.
     pub too_few: bool,
-    /// Who saw what wrongly then, if that is so.
+    /// The differences, if the views did not converge.
     pub wrong: Vec<String>,
     pub datagrams_a_second: f64,
     pub bytes_a_second: f64,
 }
 
-/// So long after the last fault there must be one view.
+/// Bound on the time from the last fault until there is one view.
 pub const CONVERGENCE_BOUND: Time = 8 * S;
 
-/// The same where fewer than an eighth are left: for most of a wave they take themselves for isolated.
+/// The same bound where fewer than an eighth are left: for most of a wave of failures they consider
+/// themselves isolated.
 pub const CONVERGENCE_BOUND_FEW: Time = 30 * S;
 
-/// A random day: so many members start, faults come and go, the last one is mended; then one view within the bound.
+/// Runs a random scenario: all members start, faults come and go, the last one ends; then there must be one
+/// view within the bound.
 pub fn random(size: usize, seed: u64) -> RandomRun {
     let (mut run, mut net) = random_net(size, seed);
     let (datagrams, bytes) = traffic(&mut net, 10 * S);
@@ -338,7 +344,7 @@
     run
 }
 
-/// The same with the network as it is then.
+/// Like [`random`], and also returns the network in its final state.
 pub fn random_net(size: usize, seed: u64) -> (RandomRun, Net) {
     let mut net = Net::new(size, seed);
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
@@ -407,7 +413,7 @@
         let next = net.now + rng.u64(200 * MS..8 * S);
         net.advance_to(next);
     }
-    // The last fault ends: whoever runs can reach everybody; nobody is stopped any more.
+    // All faults end: every running member can reach all others, and none is paused any more.
     net.partition.fill(0);
     net.blocked_links.clear();
     (net.loss, net.duplication) = (0.0, 0.0);
@@ -434,7 +440,7 @@
     (run, net)
 }
 
-/// What a running member sends in a second of so long, in the mean: datagrams and bytes.
+/// Returns the mean datagrams and bytes that a running member sends per second, measured over `time`.
 pub fn traffic(net: &mut Net, time: Time) -> (f64, f64) {
     let sum = |net: &Net| net.nodes.iter().fold((0, 0), |(d, b), n| (d + n.datagrams, b + n.bytes));
     let before = sum(net);
--- a/crates/testing/fleet-sim/src/module.rs
+++ b/crates/testing/fleet-sim/src/module.rs
@@ -1,5 +1,5 @@
-//! The decision module as a world has it: the real one, and on request one that says anything at any time, falls
-//! silent, or panics. What the engine guards must hold all the same.
+//! The decision module of a simulated gateway: the real one, optionally wrapped to inject arbitrary actions,
+//! silence and panics, or to replace its choice of server. The engine's guarantees must hold regardless.
 
 use fastrand::Rng;
 use granitehub::Gateway;
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Requests that mischief is made with: the last so many.
+/// Number of recent requests that injected actions may refer to.
 const MAX_RECENT_REQUESTS: usize = 24;
 
 pub struct SimulatedModule {
@@ -18,22 +18,22 @@
     choice: Option<ServerChooser>,
 }
 
-/// Who chooses the server: the module, or for comparison something simpler in its place, which spares no cold
-/// server. When and whether to send stays the module's.
+/// Selects the server of an attempt: the module, or a simpler baseline that does not protect cold servers.
+/// The module still decides when and whether to send.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Choice {
     #[default]
     Module,
-    /// Any that takes work.
+    /// Any available server.
     Random,
-    /// The better of two drawn, by what is in flight from here (Mitzenmacher 1996).
+    /// The better of two random servers by requests in flight from this gateway (Mitzenmacher 1996).
     Two,
-    /// The least loaded for its present speed, by what is true over all gateways.
+    /// The server with the lowest load relative to its present speed, over all gateways.
     Least,
 }
 
-/// What is in work and waiting at each server, over its present speed.
+/// Load of each server, running and queued, divided by its present speed.
 pub type TrueLoads = Rc<RefCell<Vec<f64>>>;
 
 struct ServerChooser {
@@ -90,7 +90,7 @@
             Choice::Least => {
                 let true_loads = self.true_loads.borrow();
                 let load = |n: usize| true_loads.get(n).copied().unwrap_or(0.0);
-                // From a drawn place on, so that equals share.
+                // Starts at a random position, so that ties are spread evenly.
                 let from = self.rng.usize(..all.len());
                 let rotated = all[from..].iter().chain(&all[..from]);
                 *rotated.min_by(|a, b| load(a.1).total_cmp(&load(b.1)))?
@@ -109,7 +109,8 @@
 }
 
 impl SimulatedModule {
-    /// The real module; with a seed and a number of servers, one that makes mischief.
+    /// Wraps the real module. `faults` is the seed and the number of servers for fault injection;
+    /// `choice` replaces the choice of server.
     pub fn new(
         gateway: Gateway,
         faults: Option<(u64, usize)>,
@@ -162,7 +163,7 @@
         }
         self.gateway.handle(now, events, out);
         match m.rng.u32(0..2000) {
-            // Without the hook, which would fill the log.
+            // Bypasses the panic hook, which would fill the log.
             0 => std::panic::resume_unwind(Box::new("mischief")),
             1..=20 => out.clear(),
             21..=400 => m.inject(now, out),
@@ -181,7 +182,7 @@
             0 => Action::Reject { id, advice: 0 },
             1 => Action::Fail { id },
             2 | 3 => {
-                // And at once another, as if the first had ended with it.
+                // Sends another attempt at once, as if the cancelled one had already ended.
                 out.push(Action::Cancel { id, attempt });
                 self.send(now, id)
             }
--- a/crates/testing/fleet-sim/src/observer.rs
+++ b/crates/testing/fleet-sim/src/observer.rs
@@ -1,19 +1,20 @@
-//! Sees everything and shares no code with the engine: what was taken, sent, run, answered. A rule that is broken
-//! stops the run. Each rule stands beside its words.
+//! Checks every rule from outside: requests accepted, attempts sent and run, responses. It shares no code
+//! with the engine. A violation stops the run. Each rule is quoted above the code that checks it.
 
 use engine::FinalAnswer;
 use interface::{Effect, Time};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// Nothing new to a server so long after this gateway was told that it drains or is gone.
+/// Time after a gateway is told that a server drains or is gone, from which it must send that server no new
+/// work.
 pub const DRAIN_GRACE: Time = 500_000_000;
-/// The most attempts for a request.
+/// Maximum number of attempts per request.
 pub const MAX_ATTEMPTS: u32 = 3;
-/// For so long servers drop the repeats of a key.
+/// Time for which servers deduplicate repeats of an idempotency key.
 pub const KEY_TTL: Time = 2_000_000_000;
 
-/// A broken rule.
+/// Violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     pub rule: &'static str,
@@ -27,14 +28,14 @@
     }
 }
 
-/// How an attempt that was written stands.
+/// State of an attempt that was written to a server.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum AttemptState {
-    /// Its bytes are out, and nothing has come back.
+    /// Written, with no result yet.
     InFlight,
-    /// It has ended without proof that it did not run.
+    /// Ended without proof that it did not run.
     MayHaveRun,
-    /// It is known not to have run.
+    /// Known not to have run.
     DidNotRun,
 }
 
@@ -42,18 +43,18 @@
     gateway: usize,
     generation: u64,
     effect: Effect,
-    /// The client waits until then.
+    /// Time until which the client waits.
     client_deadline: Time,
     client_left: bool,
     answered: bool,
-    /// Attempts by number: begun and not ended at the gateway, and how those written stand.
+    /// Attempts started and not ended at the gateway, and the state of those written.
     open_attempts: Vec<u32>,
     written: BTreeMap<u32, AttemptState>,
     first_written: Option<Time>,
     runs: u32,
 }
 
-/// A customer's hard ceiling: a store of the whole, full at first, with the stated slack.
+/// Hard ceiling of a customer: a token bucket for the whole fleet, full at first, with the permitted slack.
 struct Ceiling {
     level: f64,
     at: Time,
@@ -65,14 +66,14 @@
 #[derive(Default)]
 pub struct Observer {
     requests: BTreeMap<u64, RequestState>,
-    /// When a gateway's present life was told that a server takes nothing new.
+    /// Time at which a gateway, since its last start, was told that a server takes no new work.
     drain_started: BTreeMap<(usize, usize), Time>,
     ceilings: BTreeMap<usize, Ceiling>,
     pub violation: Option<Violation>,
-    /// Effects of unsafe requests, and answers, over the run.
+    /// Number of executions and of responses over the run.
     pub runs: u64,
     pub answers: u64,
-    /// How far the fullest ceiling was used beyond what it allows, in units; below nothing if none was.
+    /// Largest overuse of any ceiling, in units; negative if none was exceeded.
     pub max_over_ceiling: f64,
 }
 
@@ -81,7 +82,7 @@
         self.violation.get_or_insert(Violation { rule, at, what });
     }
 
-    /// A customer has a ceiling of this rate and depth; all gateways together keep it but for the slack.
+    /// Sets a customer's ceiling. All gateways together must keep it, within the slack.
     pub fn set_ceiling(&mut self, customer: usize, rate: f64, depth: f64, slack: f64) {
         self.ceilings.insert(customer, Ceiling { level: depth, at: 0, rate, depth, slack });
     }
@@ -102,14 +103,15 @@
         self.requests.insert(id, request);
     }
 
-    /// Its gateway hears that the client has left.
+    /// Records that the gateway was told that the client left.
     pub fn client_left(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.client_left = true;
         }
     }
 
-    /// "Any given request's attempts must not be out concurrently"; "after the answer nothing more goes out".
+    /// Checks "Any given request's attempts must not be out concurrently" and "after the answer nothing
+    /// more goes out".
     pub fn started(&mut self, now: Time, id: u64, attempt: u32) {
         let Some(request) = self.requests.get_mut(&id) else {
             return self.record_violation(
@@ -139,8 +141,9 @@
         }
     }
 
-    /// "A request that may have had its effect is sent again only as its class allows"; "once 500 ms has elapsed
-    /// since the gateway was told a server is draining or gone, that server is sent no new work".
+    /// Checks "A request that may have had its effect is sent again only as its class allows" and "once
+    /// 500 ms has elapsed since the gateway was told a server is draining or gone, that server is sent no
+    /// new work".
     pub fn written(&mut self, now: Time, id: u64, attempt: u32, server: usize) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let gateway = request.gateway;
@@ -179,7 +182,8 @@
         }
     }
 
-    /// "Of `partner`, all gateways together do not send on beyond the hard ceiling": the first attempt takes.
+    /// Checks "Of `partner`, all gateways together do not send on beyond the hard ceiling". Only the
+    /// first attempt of a request is charged.
     pub fn first_sent(&mut self, now: Time, customer: usize, units: f64) {
         let Some(ceiling) = self.ceilings.get_mut(&customer) else { return };
         let passed = (now - ceiling.at) as f64 / 1e9;
@@ -193,7 +197,7 @@
         }
     }
 
-    /// An attempt has ended at its gateway. `did_not_run`: with proof that it did not run.
+    /// Records the end of an attempt at its gateway. `did_not_run`: there is proof that it did not run.
     pub fn ended(&mut self, id: u64, attempt: u32, did_not_run: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.open_attempts.retain(|a| *a != attempt);
@@ -203,7 +207,8 @@
         self.remove_if_finished(id);
     }
 
-    /// "An effect happens once": unsafe never twice; keyed not within the servers' window.
+    /// Checks "An effect happens once": unsafe requests never run twice, keyed ones not within the
+    /// servers' window.
     pub fn ran(&mut self, now: Time, id: u64) {
         self.runs += 1;
         let Some(request) = self.requests.get_mut(&id) else { return };
@@ -213,7 +218,7 @@
         }
     }
 
-    /// "Exactly one final answer"; "a refusal only when nothing can have run".
+    /// Checks "Exactly one final answer" and "a refusal only when nothing can have run".
     pub fn answered(&mut self, now: Time, id: u64, answer: FinalAnswer) {
         self.answers += 1;
         let Some(request) = self.requests.get_mut(&id) else {
@@ -232,8 +237,8 @@
         self.remove_if_finished(id);
     }
 
-    /// The client's time is up. `gateway_ran`: its gateway ran all the while; else it may answer yet, since it does not
-    /// know that nobody waits.
+    /// Checks that a response arrived in time. `gateway_ran`: the gateway ran throughout; otherwise it
+    /// may still respond, since it does not know that the client has stopped waiting.
     pub fn time_is_up(&mut self, now: Time, id: u64, gateway_ran: bool) {
         let Some(request) = self.requests.get(&id) else { return };
         if gateway_ran && !request.answered && !request.client_left && now >= request.client_deadline {
@@ -247,7 +252,7 @@
     }
 
     fn remove_if_finished(&mut self, id: u64) {
-        // Kept while an attempt may still reach a server.
+        // Requests are kept while an attempt may still reach a server.
         let over = |s: &RequestState| {
             (s.answered || s.client_left) && s.open_attempts.is_empty() && s.written.is_empty()
         };
@@ -256,12 +261,12 @@
         }
     }
 
-    /// Forgets what is long over, so that memory is bounded by what the last seconds held.
+    /// Removes requests that ended long ago, which bounds memory to the requests of the last seconds.
     pub fn sweep(&mut self, now: Time) {
         self.requests.retain(|_, s| s.client_deadline + 10_000_000_000 > now);
     }
 
-    /// A gateway's process has gone: its connections with it.
+    /// Records that a gateway's process stopped; its connections are gone with it.
     pub fn process_stopped(&mut self, gateway: usize, generation: u64) {
         for request in
             self.requests.values_mut().filter(|s| s.gateway == gateway && s.generation == generation)
@@ -271,7 +276,7 @@
         self.drain_started.retain(|(g, _), _| *g != gateway);
     }
 
-    /// What a gateway is told of a server.
+    /// Records the state of a server as listed to a gateway.
     pub fn server_listed(&mut self, now: Time, gateway: usize, server: usize, takes_new: bool) {
         if takes_new {
             self.drain_started.remove(&(gateway, server));
@@ -280,18 +285,18 @@
         }
     }
 
-    /// "No cold server is pushed over."
+    /// Reports a violation of "No cold server is pushed over."
     pub fn server_collapsed(&mut self, now: Time, server: usize) {
         self.record_violation(now, "no cold server is pushed over", format!("server {server}"));
     }
 
-    /// "Tables are empty when all is over."
+    /// Reports a violation of "Tables are empty when all is over."
     pub fn not_idle(&mut self, now: Time, gateway: usize, held: usize) {
         let what = format!("gateway {gateway} holds {held} requests, or what belonged to one");
         self.record_violation(now, "tables are empty at the end", what);
     }
 
-    /// A deciding part panicked though no defect of its own was wanted.
+    /// Reports a panic of a decision-making part that no injected fault caused.
     pub fn panicked(&mut self, now: Time, who: String) {
         self.record_violation(now, "no panic", who);
     }
--- a/crates/testing/fleet-sim/src/quota.rs
+++ b/crates/testing/fleet-sim/src/quota.rs
@@ -1,16 +1,17 @@
-//! Quotas as one store of the whole for each customer, which no gateway can see: the yardstick.
+//! Reference accounting of quotas: one token bucket per customer for the whole fleet. No gateway has this
+//! view.
 
 use interface::{Plan, Time};
 use std::collections::BTreeMap;
 
 #[derive(Debug, Default)]
 pub struct Quotas {
-    /// What is left, in units, and as of when.
+    /// Remaining units per customer, and the time they were computed at.
     remaining: BTreeMap<usize, (f64, Time)>,
 }
 
 impl Quotas {
-    /// What is left of a customer's quota now; full at first.
+    /// Returns the customer's remaining quota at `now`. The bucket starts full.
     pub fn remaining(&mut self, customer: usize, plan: &Plan, now: Time) -> &mut f64 {
         let (level, updated_at) = self.remaining.entry(customer).or_insert((plan.depth, now));
         *level = (*level + plan.rate * now.saturating_sub(*updated_at) as f64 / 1e9).min(plan.depth);
@@ -18,7 +19,7 @@
         level
     }
 
-    /// Takes units if they are there: what goes beyond a quota takes nothing.
+    /// Takes the units if they are available. A request beyond the quota takes nothing.
     pub fn take(&mut self, customer: usize, plan: &Plan, now: Time, units: f64) -> bool {
         let remaining = self.remaining(customer, plan, now);
         let available = *remaining >= units;
--- a/crates/testing/fleet-sim/src/record.rs
+++ b/crates/testing/fleet-sim/src/record.rs
@@ -1,12 +1,12 @@
-//! What a run leaves behind beside its counts: latencies, work by server, and a line a second.
+//! Measurements of a run beside its counters: latencies, work by server, and one entry per second.
 
 use hdrhistogram::Histogram;
 use interface::Time;
 use serde::{Deserialize, Serialize};
 
-/// Latencies are told up to a minute, in microseconds, to three digits.
+/// Histogram limit: latencies up to one minute in microseconds, with three significant digits.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Where a distribution is written down.
+/// Quantiles at which a latency distribution is written out.
 pub const QUANTILES: [f64; 15] =
     [0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.99, 0.999, 1.0];
 
@@ -22,9 +22,9 @@
 
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// From a request's first try to its answer, of those served, in microseconds.
+    /// Time from a request's first try to its response, of requests served, in microseconds.
     pub latency: Histogram<u64>,
-    /// Work that each server did, in nanoseconds of a warm core.
+    /// Work performed by each server, in nanoseconds of a warm core.
     pub work: Vec<f64>,
     pub seconds: Vec<Second>,
 }
@@ -41,7 +41,7 @@
         Record { latency, work: vec![0.0; servers], seconds: Vec::new() }
     }
 
-    /// The second that this moment is in.
+    /// Returns the entry for the second that contains `now`.
     pub fn second(&mut self, now: Time) -> &mut Second {
         let n = (now / 1_000_000_000) as usize;
         if self.seconds.len() <= n {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The busiest server's work over the mean of all; 0 if nothing was done.
+    /// Returns the busiest server's work divided by the mean of all servers; 0 if no work was done.
     pub fn spread(&self) -> f64 {
         let sum: f64 = self.work.iter().sum();
         let busiest = self.work.iter().fold(0.0, |a: f64, b| a.max(*b));
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A quantile of the latency, in milliseconds.
+    /// Returns a quantile of the latency, in milliseconds.
     pub fn quantile(&self, q: f64) -> f64 {
         self.latency.value_at_quantile(q) as f64 / 1000.0
     }
--- a/crates/testing/fleet-sim/src/report.rs
+++ b/crates/testing/fleet-sim/src/report.rs
@@ -1,4 +1,4 @@
-//! A report of an experiment: plots as SVG, and a page that stands alone with all of them in it.
+//! Report of an experiment: SVG plots, and a self-contained HTML page that includes them.
 
 use crate::experiment::{Row, FIGURES};
 use crate::record::Second;
@@ -8,19 +8,19 @@
 use std::fmt::Write as _;
 
 const SIZE: (u32, u32) = (760, 340);
-/// Figures that get a plot; the table has all.
+/// Figures with a plot of their own; the table lists all figures.
 const PLOTTED: [&str; 6] =
     ["goodput", "refused_with_room", "attempts", "p99_ms", "load_spread", "over_ceiling"];
 
-/// A plot by the name of its file, without the ending.
+/// SVG plots with their file names, without the extension.
 pub type Plots = Vec<(String, String)>;
 
 type PlotError = Box<dyn std::error::Error>;
 
-/// Rows by arm, and by the swept values.
+/// Rows grouped by arm and by swept values.
 struct Table<'a> {
     arms: Vec<&'a str>,
-    /// The parameter on the x axis: the first that has several values.
+    /// Parameter on the x axis: the first with more than one value.
     swept: Option<&'a str>,
     cells: BTreeMap<(usize, Vec<&'a str>), Vec<&'a Row>>,
 }
@@ -45,7 +45,7 @@
         Table { arms, swept, cells }
     }
 
-    /// A figure's estimates along the swept parameter, over whatever else is swept.
+    /// Returns a figure's estimates along the swept parameter, pooled over the other swept parameters.
     fn along(&self, arm: usize, figure: &str) -> Vec<(f64, Estimate)> {
         let Some(swept) = self.swept else { return Vec::new() };
         let mut by: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
@@ -62,7 +62,7 @@
     }
 }
 
-/// The range of some values, a little widened; never empty.
+/// Returns the range of the values with a small margin; never empty.
 fn range(values: impl Iterator<Item = f64>, from_zero: bool) -> std::ops::Range<f64> {
     let (mut low, mut high) = (f64::INFINITY, f64::NEG_INFINITY);
     for v in values.filter(|v| v.is_finite()) {
@@ -78,7 +78,7 @@
     (if from_zero && low == 0.0 { 0.0 } else { low - padding })..high + padding
 }
 
-/// One line of a plot: its name, its points, and the interval of each if it has one.
+/// One line of a plot: its name, its points, and their interval bars if any.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
@@ -138,10 +138,10 @@
     plot(&format!("one run, {arm}: tries a second"), "seconds", &lines, true)
 }
 
-/// All plots of these rows.
+/// Renders all plots of these rows.
 ///
 /// # Errors
-/// What the plotting library says.
+/// Returns the plotting library's error.
 pub fn plots(rows: &[Row]) -> Result<Plots, PlotError> {
     let table = Table::new(rows);
     let mut all = Plots::new();
@@ -189,7 +189,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// The page: tables of all cells and of paired differences to the first arm, and the plots.
+/// Renders the HTML page: a table of all cells, paired differences to the first arm, and the plots.
 pub fn page(rows: &[Row], plots: &Plots) -> String {
     let table = Table::new(rows);
     let name = rows.first().map_or("", |r| r.experiment.as_str());
@@ -258,7 +258,7 @@
     html
 }
 
-/// Four digits that count.
+/// Formats a value with four significant digits.
 fn format_significant(v: f64) -> String {
     let digits = (3 - v.abs().max(1e-12).log10().floor() as i32).clamp(0, 5) as usize;
     format!("{v:.digits$}")
--- a/crates/testing/fleet-sim/src/servers.rs
+++ b/crates/testing/fleet-sim/src/servers.rs
@@ -1,16 +1,18 @@
-//! Job servers: cores, a waiting room, a cold start, and what can go wrong with them. No network here.
+//! Model of a job server: cores, a bounded queue, a cold start, and its failure modes. The network is
+//! modelled elsewhere.
 
 use interface::Time;
 use std::collections::VecDeque;
 
-/// Capacity of a server that has just started, as a part of the whole, and how long until it is warm.
+/// Initial speed of a newly started server as a fraction of a warm one, and the time until it is fully warm.
 pub const INITIAL_WARMTH: f64 = 0.19;
 pub const WARM_UP_TIME: Time = 15_000_000_000;
-/// Sent more than so many times what it can do, for so long, a cold server falls over and stays down.
+/// A cold server that receives more than this multiple of its capacity within the window collapses and stays
+/// down.
 pub const COLLAPSE_MULTIPLE: f64 = 3.0;
 pub const COLLAPSE_WINDOW: Time = 1_500_000_000;
 
-/// One attempt as it reached a server.
+/// One attempt that reached a server.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub gateway: usize,
@@ -19,20 +21,20 @@
     pub attempt: u32,
     /// Work in nanoseconds of one warm core.
     pub work: f64,
-    /// Numbers the jobs of the world.
+    /// Number of the job, unique within the world.
     pub number: u64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Condition {
     Healthy,
-    /// Quickly fails this part of what it gets.
+    /// Fails this fraction of its jobs quickly.
     FailsFast(f64),
-    /// Takes everything and answers nothing.
+    /// Accepts every job and never responds.
     Silent,
 }
 
-/// What the list says of it.
+/// State of a server in the discovery list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listed {
     Up,
@@ -43,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct Server {
     pub listed: Listed,
-    /// Whether its process runs; and whether it fell over from too much work when it was cold.
+    /// Whether the process runs, and whether it collapsed under load while cold.
     pub running: bool,
     pub collapsed: bool,
     pub condition: Condition,
@@ -52,24 +54,24 @@
     queue_capacity: usize,
     busy: usize,
     queue: VecDeque<Job>,
-    /// Work sent to it lately while it was cold, and when.
+    /// Work received within the collapse window while cold, with its arrival time.
     recent_work: VecDeque<(Time, f64)>,
 }
 
-/// What becomes of a job that comes.
+/// Outcome of admitting a job.
 #[derive(Debug)]
 pub enum Admission {
-    /// It runs from now on, for so long.
+    /// The job starts now and runs for this long.
     Started(Job, Time),
     Queued,
-    /// Turned away unseen.
+    /// The queue is full; the job is rejected unexamined.
     Full,
-    /// The server fell over from it: what it held is cut.
+    /// The server collapsed under this job; its other jobs are interrupted.
     Collapsed,
 }
 
 impl Server {
-    /// One that has been warm for long.
+    /// Creates a fully warm server.
     pub fn new(cores: usize, queue_capacity: usize) -> Self {
         Server {
             listed: Listed::Up,
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Its process starts, with nothing, and cold.
+    /// Restarts the process: empty and cold.
     pub fn start(&mut self, now: Time) {
         let (cores, queue_capacity) = (self.cores, self.queue_capacity);
         *self = Server { started_at: now.max(1), ..Server::new(cores, queue_capacity) };
@@ -98,7 +100,7 @@
         self.recent_work.clear();
     }
 
-    /// What one of its cores does now, as a part of a warm one's.
+    /// Returns the speed of one core as a fraction of a warm core's.
     pub fn speed(&self, now: Time) -> f64 {
         if self.started_at == 0 {
             return 1.0;
@@ -137,7 +139,7 @@
         Admission::Queued
     }
 
-    /// One that ran is done; the next that runs, and for how long.
+    /// Completes a running job. Returns the next job to run, and its duration.
     pub fn done(&mut self, now: Time) -> Option<(Job, Time)> {
         self.busy = self.busy.saturating_sub(1);
         let job = self.queue.pop_front()?;
--- a/crates/testing/fleet-sim/src/shrink.rs
+++ b/crates/testing/fleet-sim/src/shrink.rs
@@ -1,24 +1,25 @@
-//! Makes a story small: faults, customers and time are taken out for as long as the same rule breaks.
+//! Reduces a failing run: removes faults, customers and time while the same rule still breaks.
 
 use crate::spec::Spec;
 use crate::world::play_with_cuts;
 use crate::Violation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A wait of four seconds is 31 ms then.
+/// Maximum number of halvings of a delay: 7 halvings turn 4 s into 31 ms.
 const MAX_HALVINGS: u32 = 7;
 
-/// What is left out of a world. Each fault and each request has chance of its own, so that what is left is the same.
+/// Parts removed from a world. Each fault and each request has a random stream of its own, so removing one
+/// leaves the others unchanged.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Cuts {
-    /// Faults by their number, from 0.
+    /// Removed faults by number, counted from 0.
     pub faults: BTreeSet<u64>,
     pub customers: BTreeSet<usize>,
-    /// By how many halvings what a fault leads to comes sooner, by the fault's number.
+    /// Number of times the delays that follow a fault are halved, keyed by the fault's number.
     pub delay_halvings: BTreeMap<u64, u32>,
 }
 
-/// The smallest story that was found, and how often a world was played for it.
+/// The smallest failing run found, and the number of runs it took to find it.
 #[derive(Debug)]
 pub struct ShrunkStory {
     pub spec: Spec,
@@ -29,7 +30,7 @@
     pub plays: u64,
 }
 
-/// Shrinks what this seed breaks; none if it breaks nothing.
+/// Shrinks the run of this seed; `None` if it breaks no rule.
 pub fn shrink(spec: &Spec, seed: u64) -> Option<ShrunkStory> {
     let first = play_with_cuts(spec, seed, false, &Cuts::default());
     let violation = first.violation?;
@@ -41,7 +42,7 @@
         customers_left: spec.customers,
         plays: 1,
     };
-    // Nothing behind it counts.
+    // Time after the violation is irrelevant.
     let seconds = small.violation.at / 1_000_000_000 + 1;
     let spec = Spec { seconds: seconds.min(spec.seconds), ..spec.clone() };
     small.try_cuts(seed, spec, Cuts::default());
@@ -56,7 +57,7 @@
 }
 
 impl ShrunkStory {
-    /// Takes these cuts if the same rule breaks with them.
+    /// Adopts these cuts if the same rule still breaks with them.
     fn try_cuts(&mut self, seed: u64, spec: Spec, cuts: Cuts) -> bool {
         self.plays += 1;
         let found = play_with_cuts(&spec, seed, false, &cuts).violation;
@@ -69,7 +70,7 @@
         }
     }
 
-    /// What the faults that are left lead to comes sooner, by halves, while the rule still breaks.
+    /// Halves the delays that follow each remaining fault, as long as the rule still breaks.
     fn shorten_delays(&mut self, seed: u64, faults: u64) {
         for fault in (0..faults).filter(|n| !self.cuts.faults.contains(n)).collect::<Vec<_>>() {
             for halvings in 1..=MAX_HALVINGS {
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Halves first, then smaller parts, down to one at a time (delta debugging, Zeller and Hildebrandt 2002).
+    /// Removes halves first, then smaller chunks, down to single items (delta debugging, Zeller and
+    /// Hildebrandt 2002).
     fn remove_chunks(&mut self, seed: u64, all: &[u64], cut: fn(&mut Cuts, u64)) {
         let mut part = all.len().div_ceil(2);
         while part > 0 {
--- a/crates/testing/fleet-sim/src/spec.rs
+++ b/crates/testing/fleet-sim/src/spec.rs
@@ -1,4 +1,4 @@
-//! What a world is made of. Named worlds are the usual ones; a seed draws the rest.
+//! Specification of a simulated world. The usual worlds are named; the seed determines everything else.
 
 use crate::module::Choice;
 use interface::{Class, Effect, Group, Plan, Settings, Time};
@@ -6,55 +6,59 @@
 
 pub const MS: Time = 1_000_000;
 
-/// The ingredients of a world.
+/// Parameters of a world.
 #[derive(Clone, Debug)]
 pub struct Spec {
     pub name: &'static str,
     pub about: &'static str,
     pub gateways: usize,
     pub servers: usize,
-    /// 0: every gateway guesses from the meter.
+    /// With 0, every gateway estimates usage from the meter.
     pub planners: usize,
     pub customers: usize,
-    /// Requests a second, all together.
+    /// Requests per second over all gateways.
     pub rate: f64,
     pub seconds: u64,
-    /// Mean time between two faults, or none.
+    /// Mean time between faults, if faults are injected.
     pub fault_every: Option<Time>,
-    /// The part of all requests that comes through the first gateway; 0 for an even spread.
+    /// Fraction of all requests that arrive at the first gateway; 0 spreads them evenly.
     pub skew: f64,
-    /// Whether planners' placement reaches the module.
+    /// Whether the planners' placement reaches the module.
     pub placement: bool,
-    /// Whether the module makes mischief. What it alone guards, ceilings and cold servers, is not watched then.
+    /// Whether the module injects faults. Ceilings and cold servers, which only the module
+    /// protects, are not checked then.
     pub faulty_module: bool,
-    /// Who chooses the server. Cold servers that fall over are counted, not watched, where it is not the module.
+    /// Selects the server of an attempt. If it is not the module, collapses of cold servers are counted
+    /// but are no violation.
     pub choice: Choice,
-    /// A partner's quota: units a second, and units. Its ceiling is 60 and 80.
+    /// Quota of the partner plan: units per second, and bucket depth in units. Its ceiling is 60 and 80.
     pub partner_quota: (f64, f64),
-    /// A planner's lease, a loan and the time between two reports.
+    /// TTL of a planner's lease, TTL of a loan, and the interval between reports.
     pub lease_ttl: Time,
     pub loan_ttl: Time,
     pub tick: Time,
-    /// How often the gateway changes that most of a customer's requests come through, and their part.
+    /// Interval at which a customer's main gateway changes, and the fraction of its requests sent there.
     pub home_change_every: Time,
     pub home_share: f64,
-    /// The first planner is gone from the first of these to the second.
+    /// Interval during which the first planner is down: start, end.
     pub planner_down: Option<(Time, Time)>,
-    /// All servers stop at this moment and are back a second later, cold.
+    /// Time at which servers stop; they restart cold a second later.
     pub power_cut: Option<Time>,
-    /// How many servers in ten it hits.
+    /// Tenths of the servers that the power cut hits.
     pub power_cut_tenths: usize,
-    /// The first partner asks for twice as much as all others, from the first of these to the second.
+    /// Interval during which the first partner sends twice as many requests as all others: start, end.
     pub flood: Option<(Time, Time)>,
-    /// Mean time between two lies to each gateway about who lives, or none.
+    /// Mean time between false reports to each gateway of its position and the number of live gateways,
+    /// if any.
     pub false_position_every: Option<Time>,
-    /// The first gateway dies at this moment and is back two seconds later.
+    /// Time at which the first gateway crashes; it restarts two seconds later.
     pub crash: Option<Time>,
-    /// So many gateways in ten are killed at each of these moments, and back a second later.
+    /// Times at which gateways are killed, with the tenths of the gateways affected; they restart a
+    /// second later.
     pub blackouts: [Option<(Time, usize)>; 2],
-    /// How often each gateway leaves a snapshot for its next life; none: it begins with nothing.
+    /// Interval at which each gateway saves a snapshot for its next start; if none, it starts empty.
     pub snapshot_every: Option<Time>,
-    /// Snapshots are damaged, lost, old or another's now and then.
+    /// Whether snapshots are occasionally damaged, lost, outdated or those of another gateway.
     pub bad_disks: bool,
 }
 
@@ -122,7 +126,7 @@
         planners: 2,
         customers: 8,
         rate: 200.0,
-        // So that the ceiling binds.
+        // High enough that the ceiling is the binding limit.
         partner_quota: (150.0, 200.0),
         fault_every: Some(400 * MS),
         ..CALM
@@ -256,7 +260,7 @@
         ALL.iter().find(|s| s.name == name).cloned()
     }
 
-    /// What its planners and forwarders share.
+    /// Returns the lease configuration that planners and gateways share.
     pub fn lease_config(&self) -> LeaseConfig {
         let settings = self.settings(0);
         let allowance = |p: &Plan| Allowance {
@@ -277,7 +281,7 @@
         }
     }
 
-    /// What every gateway of it is told at its start.
+    /// Returns the settings that a gateway receives at its start.
     pub fn settings(&self, me: usize) -> Settings {
         let class =
             |name, aim, deadline, effect| Class::new(name, aim * MS, deadline * MS, effect, Group::All);
@@ -316,7 +320,7 @@
     }
 }
 
-/// Which plan a customer is on: one in four is a partner.
+/// Returns the index of a customer's plan: one customer in four is a partner.
 pub fn plan_of(customer: usize) -> usize {
     usize::from(customer.is_multiple_of(4))
 }
--- a/crates/testing/fleet-sim/src/statistics.rs
+++ b/crates/testing/fleet-sim/src/statistics.rs
@@ -1,23 +1,24 @@
-//! Means with bootstrap intervals (Efron 1979: percentile method), and paired differences.
+//! Means with bootstrap confidence intervals (Efron 1979: percentile method), also used for paired
+//! differences.
 
 use fastrand::Rng;
 
-/// How often a sample is drawn anew.
+/// Number of bootstrap resamples.
 const RESAMPLES: usize = 2000;
-/// The part of the draws inside an interval.
+/// Confidence level: the fraction of resampled means inside the interval.
 const CONFIDENCE: f64 = 0.95;
 
-/// A mean, and the interval that 95% of the redrawn means lie in.
+/// Mean of a sample, with the interval that contains 95% of the resampled means.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
     pub mean: f64,
     pub low: f64,
     pub high: f64,
-    /// How many values it is the mean of.
+    /// Sample size.
     pub count: usize,
 }
 
-/// The mean of these values with its interval. The same values give the same interval.
+/// Returns the mean of these values with its interval. The same values yield the same interval.
 pub fn estimate(values: &[f64]) -> Estimate {
     let count = values.len();
     if count == 0 {
--- a/crates/testing/fleet-sim/src/statistics/tests.rs
+++ b/crates/testing/fleet-sim/src/statistics/tests.rs
@@ -11,7 +11,7 @@
     assert_eq!(estimate(&[]).count, 0);
 }
 
-/// One in twenty intervals of a known mean may miss it; far more would be a fault.
+/// One in twenty intervals may miss a known mean; far more misses indicate a fault.
 #[test]
 fn intervals_cover_the_true_mean_about_as_often_as_they_say() {
     let mut rng = Rng::with_seed(3);
--- a/crates/testing/fleet-sim/src/story.rs
+++ b/crates/testing/fleet-sim/src/story.rs
@@ -1,4 +1,4 @@
-//! A story that breaks a rule, as a file: what a shrunk seed leaves, to be played again and kept as a test.
+//! A story: the file form of a shrunk run that breaks a rule, to be replayed and kept as a regression test.
 
 use crate::shrink::Cuts;
 use crate::spec::{Spec, MS};
@@ -11,25 +11,26 @@
 pub struct Story {
     pub world: String,
     pub seed: u64,
-    /// Until when requests come, 1 to 3600.
+    /// Duration of the request load in seconds, 1 to 3600.
     pub seconds: u64,
-    /// The rule that breaks, and when, in virtual milliseconds.
+    /// The rule that is broken, and the virtual time of the violation in milliseconds.
     pub rule: String,
     pub at_ms: f64,
-    /// The defect without which it holds, if one was planted.
+    /// The planted defect, if any. Without it the rule holds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub defect: Option<String>,
     #[serde(default)]
     pub faults_left_out: BTreeSet<u64>,
     #[serde(default)]
     pub customers_left_out: BTreeSet<usize>,
-    /// By how many halvings what a fault leads to comes sooner, by the fault's number.
+    /// Number of times the delays that follow a fault are halved, keyed by the fault's number. The files
+    /// name this key `sooner`.
     #[serde(default, rename = "sooner")]
     pub delay_halvings: BTreeMap<String, u32>,
 }
 
 impl Story {
-    /// What is left of a world after shrinking.
+    /// Creates the story of a shrunk world.
     pub fn new(spec: &Spec, seed: u64, cuts: &Cuts, broken: &crate::Violation, defect: Option<&str>) -> Self {
         Story {
             world: spec.name.into(),
@@ -44,10 +45,10 @@
         }
     }
 
-    /// Reads a story's file.
+    /// Parses a story file.
     ///
     /// # Errors
-    /// One line on what is wrong with it.
+    /// Returns a one-line description of the first problem found.
     pub fn read(text: &str) -> Result<Self, String> {
         let story: Story = toml::from_str(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
         if Spec::named(&story.world).is_none() {
@@ -63,15 +64,15 @@
         Ok(story)
     }
 
-    /// The file's text.
+    /// Serialises the story as the text of its file.
     ///
     /// # Errors
-    /// What the writer says.
+    /// Returns the serialiser's error.
     pub fn write(&self) -> Result<String, String> {
         toml::to_string(self).map_err(|e| e.to_string())
     }
 
-    /// Plays it; the defect is the caller's to plant.
+    /// Replays the story. The caller plants the defect.
     pub fn play(&self, keep_story: bool) -> Option<Outcome> {
         let spec = Spec { seconds: self.seconds, ..Spec::named(&self.world)? };
         let cuts = Cuts {
--- a/crates/testing/fleet-sim/src/trace.rs
+++ b/crates/testing/fleet-sim/src/trace.rs
@@ -1,11 +1,11 @@
-//! What happened, as a digest that two runs can be compared by, and as a story that a person can read.
+//! Trace of a run: a digest for comparing two runs, and optionally a human-readable story.
 
 use interface::Time;
 use sha2::{Digest, Sha256};
 use std::fmt::Write as _;
 
 const FLUSH_BYTES: usize = 1 << 16;
-/// The most lines of a story that are kept: the last ones.
+/// Maximum number of story lines kept; older lines are dropped.
 const MAX_STORY_LINES: usize = 200_000;
 
 #[derive(Default)]
@@ -17,12 +17,12 @@
 }
 
 impl Trace {
-    /// With a story, which costs time and memory.
+    /// Creates a trace that also keeps a story, which costs time and memory.
     pub fn with_story() -> Self {
         Trace { story: Some(Default::default()), ..Trace::default() }
     }
 
-    /// Notes a step by plain numbers.
+    /// Adds a step to the digest as plain numbers.
     pub fn note(&mut self, words: &[u64]) {
         self.steps += 1;
         words.iter().for_each(|w| self.buffer.extend_from_slice(&w.to_be_bytes()));
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Adds a line to the story, if there is one.
+    /// Appends a line to the story, if one is kept.
     pub fn log(&mut self, now: Time, line: impl FnOnce() -> String) {
         if let Some(story) = &mut self.story {
             if story.len() >= MAX_STORY_LINES {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The digest so far, and the story's lines.
+    /// Returns the digest and the story's lines.
     pub fn finish(mut self) -> (String, Vec<String>) {
         self.hash.update(&self.buffer);
         let mut text = String::new();
--- a/crates/testing/fleet-sim/src/world.rs
+++ b/crates/testing/fleet-sim/src/world.rs
@@ -1,5 +1,5 @@
-//! The world: everything that happens, in virtual time. What decides is the engine's and the planners'; here is
-//! only what surrounds them.
+//! The simulated world, in virtual time. Engines and planners decide; this module provides only their
+//! environment.
 
 mod backends;
 mod clients;
@@ -32,15 +32,16 @@
 
 const TIMING: Timing =
     Timing { way_back: 20 * MS, module_grace: 5 * MS, key_margin: 20 * MS, min_batch_interval: 2 * MS };
-/// Where clocks stand at the start, at the least.
+/// Lower bound of the processes' clock readings at the start.
 const MIN_CLOCK_OFFSET: Time = 1_000_000_000 * MS;
-/// After the last request all is over within so long: the longest deadline, and the way of what is still out.
+/// Time after the last request by which all must be over: the longest deadline, plus the way back of
+/// outstanding attempts.
 const DRAIN_TIME: Time = 12_000 * MS;
 const METER_PERIOD: Time = 500 * MS;
-/// Mean work of a request, of one warm core.
+/// Mean work of a request, in nanoseconds of one warm core.
 pub(crate) const MEAN_WORK: f64 = 85e6;
 
-/// Counts of a run.
+/// Counters of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Stats {
     pub asked: u64,
@@ -51,26 +52,26 @@
     pub attempts: u64,
     /// Attempts that reached a server.
     pub reached: u64,
-    /// Attempts that a full server turned away.
+    /// Attempts rejected by a full server.
     pub turned_away: u64,
-    /// Cold servers that fell over.
+    /// Cold servers that collapsed.
     pub collapsed: u64,
     pub faults: u64,
-    /// Tries refused before anything was sent though the quota, counted over all gateways, had room for them.
+    /// Tries refused before anything was sent although the quota, counted over all gateways, had room.
     pub refused_with_room: u64,
     pub max_over_ceiling: f64,
-    /// Units that were sent first, and those of them for which the quota, counted over all gateways, had no room.
+    /// Units of first attempts sent, and those of them beyond the quota counted over all gateways.
     pub sent_units: f64,
     pub units_over_quota: f64,
-    /// Of the attempts that reached a server, the mean of those before them there, for each core.
+    /// Mean number of jobs per core already at the server when an attempt reaches it.
     pub mean_queue: f64,
-    /// Worth of first tries inside the quotas, as one gateway that saw them all would count, and what of it was
-    /// answered within the aim.
+    /// Value of first tries inside the quotas, as counted by a single observer of all gateways, and the
+    /// part of it served within the latency target.
     pub worth_asked: f64,
     pub worth_served: f64,
 }
 
-/// How a run ended.
+/// Result of a run.
 #[derive(Debug)]
 pub struct Outcome {
     pub violation: Option<Violation>,
@@ -78,17 +79,17 @@
     pub digest: String,
     pub steps: u64,
     pub story: Vec<String>,
-    /// Virtual time that has passed.
+    /// Virtual time at the end.
     pub time: Time,
     pub record: Record,
 }
 
-/// Plays a world to its end, or to the first broken rule.
+/// Plays a world to its end, or to the first violation.
 pub fn play(spec: &Spec, seed: u64, keep_story: bool) -> Outcome {
     play_with_cuts(spec, seed, keep_story, &Cuts::default())
 }
 
-/// The same with some of it left out.
+/// Plays a world with parts of it removed.
 pub fn play_with_cuts(spec: &Spec, seed: u64, keep_story: bool, cuts: &Cuts) -> Outcome {
     let mut world = World::new(spec.clone(), seed, keep_story, cuts.clone());
     world.run();
@@ -104,27 +105,27 @@
     }
 }
 
-/// What comes to a gateway's process.
+/// Event delivered to a gateway's process.
 #[derive(Clone, Debug)]
 enum GatewayEvent {
     Connected {
         id: u64,
         attempt: u32,
     },
-    /// What came back, or that nothing will.
+    /// Result of an attempt, including a failure to reach the server.
     AttemptResult {
         id: u64,
         attempt: u32,
         ending: Ending,
         facts: AttemptFacts,
     },
-    /// An attempt was told to stop.
+    /// An attempt was withheld or aborted.
     Stopped {
         id: u64,
         attempt: u32,
         written: bool,
     },
-    /// An attempt's time is up.
+    /// An attempt's deadline has passed.
     AttemptTimeout {
         id: u64,
         attempt: u32,
@@ -163,7 +164,7 @@
     Sweep,
 }
 
-/// What a world has go wrong at a stated time.
+/// Fault that a world schedules at a fixed time.
 #[derive(Clone, Copy, Debug)]
 enum PlannedFault {
     PlannerDown(Time),
@@ -173,7 +174,7 @@
     Blackout(usize),
 }
 
-/// What heals, or comes back.
+/// End of a fault.
 #[derive(Clone, Debug)]
 enum Recovery {
     Server(usize),
@@ -185,7 +186,7 @@
     Flood,
 }
 
-/// A client's try.
+/// One try of a client.
 #[derive(Clone, Debug)]
 struct ClientTry {
     customer: usize,
@@ -193,9 +194,9 @@
     units: f64,
     tries: u32,
     first_try_at: Time,
-    /// Chance of its own: what happens to others changes nothing in it.
+    /// Seed of the try's own random stream, independent of all other tries.
     seed: u64,
-    /// What it is worth, if it was inside the quota when it was first asked.
+    /// Value of the request, if it was inside the quota at its first try.
     worth: f64,
 }
 
@@ -206,7 +207,7 @@
     since: Time,
 }
 
-/// An attempt that is out, as its gateway's sockets know it.
+/// Open attempt, as the gateway's sockets see it.
 struct OpenAttempt {
     attempt: u32,
     server: usize,
@@ -219,16 +220,16 @@
     generation: u64,
     running: bool,
     paused_until: Time,
-    /// Its clock: where it stood at the start, and its rate.
+    /// The process's clock: its offset at the start, and its rate.
     offset: Time,
     rate: f64,
     open_attempts: BTreeMap<u64, OpenAttempt>,
-    /// The last list that it was told.
+    /// Revision and contents of the last server list received.
     rev: u64,
     list: Vec<(usize, Listed, Time)>,
     wake: u64,
     wake_at: Option<Time>,
-    /// Snapshots on its disk, the last one last. A disk that lies may have lost some.
+    /// Snapshots on disk, newest last. A faulty disk may return an older one.
     saved_snapshots: VecDeque<Vec<u8>>,
 }
 
@@ -237,7 +238,7 @@
         self.offset + (now as f64 * self.rate) as Time
     }
 
-    /// When its clock will have reached that.
+    /// Returns the virtual time at which the process's clock reaches `at`.
     fn world(&self, at: Time) -> Time {
         (at.saturating_sub(self.offset) as f64 / self.rate).ceil() as Time + 1
     }
@@ -264,25 +265,26 @@
     processes: Vec<Process>,
     planners: Vec<PlannerProcess>,
     lease_config: LeaseConfig,
-    /// By gateway and planner: whether reports and whether grants get through.
+    /// Whether reports and grants get through, by gateway and planner.
     links: Vec<Vec<(bool, bool)>>,
     servers: Vec<Server>,
     rev: u64,
-    /// When keyed requests ran first.
+    /// Time of the first execution of each keyed request.
     keys: BTreeMap<u64, Time>,
-    /// Units that each customer used, by period.
+    /// Units used by each customer, by metering period.
     meter: BTreeMap<(usize, u64), f64>,
     waiting: BTreeMap<u64, WaitingClient>,
-    /// What is left of each customer's quota over all gateways, and as of when.
+    /// True load of each server, for the baseline that uses it.
     true_loads: TrueLoads,
+    /// Remaining quota of each customer over all gateways, and the time it was computed at.
     quotas: Quotas,
-    /// The same if all first tries were sent.
+    /// Quotas as they would be if every first try were sent.
     offers: Quotas,
     record: Record,
-    /// What a request asks: customer, class, units.
+    /// Customer, class and units of each request.
     requests: BTreeMap<u64, (usize, usize, f64)>,
     flood: Option<usize>,
-    /// By how many halvings the present fault's waits are cut short.
+    /// Number of times the delays of the present fault are halved.
     delay_halvings: u32,
     next_id: u64,
     jobs: u64,
@@ -353,7 +355,8 @@
         let mut observer = Observer::default();
         let partner = &spec.settings(0).plans[1];
         for customer in (0..spec.customers).filter(|c| plan_of(*c) == 1) {
-            // Leases keep it but for the drift of clocks; who guesses has the rule's slack.
+            // With planners the ceiling is kept except for clock drift; gateways that estimate
+            // usage have the slack that the rule permits.
             let slack = if spec.planners > 0 { 1.0 } else { (0.1 * partner.hard_limit_burst).max(8.0) };
             let slack = if spec.faulty_module { f64::INFINITY } else { slack };
             observer.set_ceiling(customer, partner.hard_limit_rate, partner.hard_limit_burst, slack);
@@ -406,7 +409,7 @@
                 world.schedule(first, Event::AtGateway { gateway, generation: 1, event: GatewayEvent::Tick });
             }
         }
-        // Loans are made, and stores fill, before the first request.
+        // Loans are granted and buckets fill before the first request.
         world.schedule(if world.spec.planners > 0 { 4000 * MS } else { 100 * MS }, Event::Arrival);
         if let Some(every) = world.spec.fault_every {
             world.schedule(5000 * MS + every, Event::Fault);
@@ -431,7 +434,7 @@
         self.spec.seconds * 1000 * MS
     }
 
-    /// Events at one instant come in an order that chance settles.
+    /// Schedules an event. Events at the same instant are ordered randomly, by the seed.
     fn schedule(&mut self, at: Time, event: Event) {
         self.number += 1;
         self.events.insert((at.max(self.now), self.tie_rng.u32(..), self.number), event);
@@ -487,7 +490,7 @@
     }
 }
 
-/// A gateway's engine that begins now by its clock.
+/// Creates a gateway's engine, started at this reading of its clock.
 fn new_engine(
     spec: &Spec,
     lease_config: &LeaseConfig,
@@ -520,7 +523,7 @@
     Planner::new(lease_config.clone(), restart_rng.u64(1..), 100_000).expect("the terms of a world are sound")
 }
 
-/// The list as an engine takes it.
+/// Converts the process's server list to the engine's input.
 fn server_list(p: &Process) -> Vec<ListEntry> {
     let entry = |(n, listed, started_at): &(usize, Listed, Time)| {
         let health = match listed {
--- a/crates/testing/fleet-sim/src/world/backends.rs
+++ b/crates/testing/fleet-sim/src/world/backends.rs
@@ -1,4 +1,4 @@
-//! Attempts at job servers, and what comes back.
+//! Attempts at job servers, and their results.
 
 use super::*;
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Notes a server's load for whoever is to know the truth.
+    /// Records a server's load for the baseline that uses the true loads.
     fn record_true_load(&self, server: usize) {
         if self.spec.choice == Choice::Least {
             let s = &self.servers[server];
@@ -81,7 +81,7 @@
         let next = s.done(self.now);
         self.record_true_load(server);
         let (customer, _, units) = self.requests.get(&job.id).copied().unwrap_or_default();
-        // The last finished period, told late.
+        // Usage of the last complete metering period, reported late.
         let late = self.network_rng.u64(340..1100) * MS;
         let period = (self.now.saturating_sub(late) / METER_PERIOD).checked_sub(1);
         let used = period.and_then(|p| self.meter.get(&(customer, p)).copied()).unwrap_or(0.0);
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A server's process has gone: whoever waits for it sees the connection break.
+    /// Breaks a stopped server's connections: attempts waiting for it are interrupted.
     pub(super) fn break_connections(&mut self, server: usize) {
         let mut broken = Vec::new();
         for (gateway, p) in self.processes.iter().enumerate() {
--- a/crates/testing/fleet-sim/src/world/clients.rs
+++ b/crates/testing/fleet-sim/src/world/clients.rs
@@ -1,8 +1,8 @@
-//! Clients: they arrive, ask, wait, and come again.
+//! Clients: arrivals, tries, timeouts and retries.
 
 use super::*;
 
-/// Through so many gateways a customer's requests come at the most.
+/// Maximum number of gateways that a customer's requests use.
 const GATEWAY_SET_SIZE: usize = 3;
 
 impl World {
@@ -20,7 +20,7 @@
         let client_try =
             ClientTry { customer, class, units, tries: 0, first_try_at: self.now, seed, worth: 0.0 };
         if let Some(flooder) = self.flood {
-            // A member that floods adds twice as much again.
+            // A flooding customer adds twice the regular load.
             for n in 1..3 {
                 let client_try =
                     ClientTry { customer: flooder, seed: seed.wrapping_add(n), ..client_try.clone() };
@@ -30,7 +30,8 @@
         self.start_try(client_try);
     }
 
-    /// Most of a customer's requests come through one gateway of its set. The set stands; which one it is changes.
+    /// Returns the gateway for a try. Most of a customer's requests use one gateway of its set; the set
+    /// is fixed, the main gateway changes over time.
     pub(super) fn route(&self, customer: usize, rng: &mut Rng) -> usize {
         let n = self.spec.gateways;
         if self.spec.skew > 0.0 && rng.f64() < self.spec.skew {
@@ -41,7 +42,7 @@
         (customer * 7 + (turn + draw) % set) % n
     }
 
-    /// Where a client goes whose connection was refused there: round in its set.
+    /// Returns the next gateway of the customer's set after a refused connection.
     fn next_in_set(&self, customer: usize, gateway: usize) -> usize {
         let n = self.spec.gateways;
         let (set, first) = (n.min(GATEWAY_SET_SIZE), customer * 7 % n);
@@ -50,7 +51,7 @@
     }
 
     pub(super) fn start_try(&mut self, mut client_try: ClientTry) {
-        // Nor does who was told to come back later: the rest of the time is for what is in hand.
+        // Retries also stop at the end of the load: the remaining time is for requests in progress.
         if self.now >= self.end() || self.cuts.customers.contains(&client_try.customer) {
             return;
         }
@@ -60,7 +61,7 @@
         }
         let mut rng = Rng::with_seed(client_try.seed ^ u64::from(client_try.tries));
         let mut gateway = self.route(client_try.customer, &mut rng);
-        // A connection that is refused is tried elsewhere at once.
+        // A refused connection is retried at another gateway at once.
         for _ in 0..GATEWAY_SET_SIZE {
             if self.processes[gateway].running {
                 break;
@@ -98,7 +99,8 @@
         });
         self.observer.taken(id, gateway, generation, class.effect, now + timeout + MS);
         self.requests.insert(id, (client_try.customer, client_try.class, client_try.units));
-        // The client's clock is true: what is a little longer by the gateway's is the way back's.
+        // The client's clock is exact; a timeout slightly longer by the gateway's clock is covered by
+        // the allowance for the way back.
         self.schedule(now + timeout + MS, Event::ClientTimeout { id });
         if rng.u32(0..100) == 0 {
             let at = now + rng.u64(0..timeout);
@@ -111,7 +113,8 @@
         self.handle_input(gateway, Input::Received(incoming));
     }
 
-    /// What a first try is worth: nothing beyond the quota, by what all first tries ask of it.
+    /// Returns the value of a first try: zero if it is beyond the quota, which all first tries are
+    /// charged to.
     fn worth(&mut self, client_try: &ClientTry) -> f64 {
         let settings = self.spec.settings(0);
         let plan = &settings.plans[plan_of(client_try.customer)];
@@ -124,12 +127,12 @@
         }
     }
 
-    /// The quota that a customer's tries are taken from.
+    /// Returns the plan whose quota a customer's tries are charged to.
     pub(super) fn plan(&self, customer: usize) -> interface::Plan {
         self.spec.settings(0).plans.swap_remove(plan_of(customer))
     }
 
-    /// A client has its answer.
+    /// Delivers a response to its client, which may retry.
     pub(super) fn answered(&mut self, id: u64, answer: FinalAnswer) {
         self.observer.answered(self.now, id, answer);
         self.trace.log(self.now, || format!("  {id:x} is answered: {answer:?}"));
@@ -153,7 +156,8 @@
                 let left = *self.quotas.remaining(client_try.customer, &plan, self.now);
                 let room = !tried && left >= client_try.units;
                 self.counts.refused_with_room += u64::from(room);
-                // Some obey, some come again at once, some after a while.
+                // A third of the customers follow the advised delay, a third retry at once, a
+                // third after a fixed delay.
                 match client_try.customer % 3 {
                     0 => advice.max(10 * MS),
                     1 => 5 * MS,
@@ -163,7 +167,7 @@
             FinalAnswer::Failed { .. } => {
                 self.counts.failed += 1;
                 self.record.second(self.now).failed += 1;
-                // Nobody knows whether it ran.
+                // The request may have run, so an unsafe one isn't retried.
                 if client_try.class == 2 {
                     return;
                 }
@@ -181,7 +185,7 @@
         self.requests.remove(&id);
         if let Some(w) = waiting {
             let p = &self.processes[w.gateway];
-            // One that stood still can't have answered.
+            // A paused gateway could not respond.
             let gateway_ran = p.running && p.generation == w.generation && p.paused_until < w.since;
             self.observer.time_is_up(self.now, id, gateway_ran);
             self.schedule(
--- a/crates/testing/fleet-sim/src/world/faults.rs
+++ b/crates/testing/fleet-sim/src/world/faults.rs
@@ -1,9 +1,9 @@
-//! What goes wrong, and what mends it.
+//! Fault injection and recovery.
 
 use super::*;
 
 impl World {
-    /// Puts in what the world has planned.
+    /// Schedules the faults that the world specifies at fixed times.
     pub(super) fn schedule_planned_faults(&mut self) {
         let (from, until) = self.spec.planner_down.unzip();
         let flood = self.spec.flood.unzip();
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Some gateway's view of the fleet says whatever it likes: no rule may rest on it.
+    /// Reports an arbitrary position and fleet size to one gateway: no rule may depend on this view.
     pub(super) fn inject_false_position(&mut self) {
         let Some(every) = self.spec.false_position_every.filter(|_| self.now < self.end()) else { return };
         let gap = exponential(&mut self.fault_rng, every as f64 / self.processes.len() as f64) as Time;
@@ -91,7 +91,8 @@
         if self.cuts.faults.contains(&number) {
             return;
         }
-        // Each has chance of its own: one that is left out changes nothing in the others.
+        // Each fault has a random stream of its own, so that removing one leaves the others
+        // unchanged.
         self.delay_halvings = self.cuts.delay_halvings.get(&number).copied().unwrap_or(0);
         let whole = std::mem::replace(&mut self.fault_rng, stream(self.seed, &format!("fault {number}")));
         self.inject_fault();
@@ -145,14 +146,16 @@
             6 => {
                 let until = self.now + wait(&mut self.fault_rng, 20..1500);
                 let p = &mut self.processes[g];
-                // What it was to find when it goes on waits till then: a second pause only makes it longer.
+                // Events held back until the gateway resumes wait for that time, so a second
+                // pause may only extend the first.
                 p.paused_until = p.paused_until.max(until);
             }
             7 => {
-                // A partner: they have ceilings.
+                // Selects a partner, since only partners have ceilings.
                 self.flood = Some(self.fault_rng.usize(0..self.spec.customers) / 4 * 4);
                 if self.spec.bad_disks {
-                    // What it spends in its first moments no snapshot has seen.
+                    // The gateways are killed in the first moments of the flood, whose
+                    // usage no snapshot contains.
                     let at = self.now + self.snapshot_rng.u64(50..700) * MS;
                     self.schedule(at, Event::PlannedFault(PlannedFault::Blackout(10)));
                 }
@@ -214,7 +217,7 @@
         }
     }
 
-    /// A gateway comes back with nothing but its last list.
+    /// Restarts a gateway, which keeps only its last server list.
     pub(super) fn restart(&mut self, g: usize) {
         let (spec, lease_config, now) = (&self.spec, &self.lease_config, self.now);
         let p = &mut self.processes[g];
@@ -237,7 +240,7 @@
         if self.spec.planners > 0 {
             self.schedule(now, Event::AtGateway { gateway: g, generation, event: GatewayEvent::Tick });
         }
-        // Discovery is asked anew.
+        // The gateway fetches the server list from discovery again.
         let event = GatewayEvent::ServerListUpdate { rev: self.rev, entries: self.entries() };
         let at = now + self.network_rng.u64(50..1500) * MS;
         self.schedule(at, Event::AtGateway { gateway: g, generation, event });
--- a/crates/testing/fleet-sim/src/world/gateways.rs
+++ b/crates/testing/fleet-sim/src/world/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateways' processes: what reaches them, and what they order.
+//! Gateway processes: delivery of their events, and execution of their outputs.
 
 use super::*;
 
@@ -9,7 +9,7 @@
             return;
         }
         if p.paused_until > self.now {
-            // It finds it when it goes on.
+            // A paused process handles the event when it resumes.
             let at = p.paused_until;
             return self.schedule(at, Event::AtGateway { gateway, generation, event });
         }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// An attempt has come to its end at its gateway.
+    /// Ends an attempt at its gateway.
     pub(super) fn finish_attempt(
         &mut self,
         gateway: usize,
@@ -90,12 +90,13 @@
         self.handle_input(gateway, Input::AttemptEnded { id, attempt, ending, reply, facts });
     }
 
-    /// Hands a gateway an input and carries out what it orders.
+    /// Passes an input to a gateway's engine and executes its outputs.
     pub(super) fn handle_input(&mut self, gateway: usize, input: Input) {
         let mut outputs = std::mem::take(&mut self.outputs);
         let p = &mut self.processes[gateway];
         let clock = p.clock(self.now);
-        // What tells of something that is over already is no fault here: the world is late as sockets are.
+        // Inputs about something that has already ended are no fault here: the simulated sockets
+        // report as late as real ones.
         let _ = p.engine.handle(clock, input, &mut outputs);
         let mut written_attempts = Vec::new();
         for output in outputs.drain(..) {
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Has a gateway woken when it wants to be, no sooner than its module may be called.
+    /// Schedules the engine's next wake-up, no earlier than its module may be called.
     pub(super) fn schedule_wake(&mut self, gateway: usize) {
         let p = &mut self.processes[gateway];
         let Some(due) = p.engine.next_due() else { return };
--- a/crates/testing/fleet-sim/src/world/planning.rs
+++ b/crates/testing/fleet-sim/src/world/planning.rs
@@ -1,4 +1,4 @@
-//! Discovery and planners: who is told what, and when.
+//! Discovery and planners: delivery of server lists, reports and grants.
 
 use super::*;
 
@@ -7,7 +7,7 @@
         self.servers.iter().enumerate().map(|(n, s)| (n, s.listed, s.started_at)).collect()
     }
 
-    /// The list has changed: every gateway hears of it, late.
+    /// Publishes the changed server list to every gateway, after a random delay.
     pub(super) fn publish(&mut self) {
         self.rev += 1;
         let (rev, entries) = (self.rev, self.entries());
@@ -26,7 +26,7 @@
         entries: Vec<(usize, Listed, Time)>,
     ) {
         let p = &mut self.processes[gateway];
-        // A later one has overtaken it.
+        // A newer list has already arrived.
         if rev <= p.rev {
             return;
         }
@@ -38,7 +38,7 @@
         self.handle_input(gateway, Input::ServerList { scope: Scope::Full, rev, entries });
     }
 
-    /// Whether a message gets through, and after how long.
+    /// Returns the delay of a message, or `None` if it is lost.
     pub(super) fn message(&mut self, open: bool) -> Option<Time> {
         if !open || self.spec.fault_every.is_some() && self.network_rng.u32(0..100) < 2 {
             return None;
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Now and then a message comes twice.
+    /// Returns the number of copies to deliver: messages are occasionally duplicated.
     pub(super) fn copies(&mut self) -> usize {
         1 + usize::from(self.spec.fault_every.is_some() && self.network_rng.u32(0..100) < 2)
     }
--- a/crates/testing/fleet-sim/src/world/snapshots.rs
+++ b/crates/testing/fleet-sim/src/world/snapshots.rs
@@ -1,10 +1,10 @@
-//! What a gateway leaves on its disk while it lives, and what its next life makes of it.
+//! Snapshots that a gateway saves to disk, and their restoration at its next start.
 
 use super::*;
 use snapshot::age::{join, split, Quota, Times};
 use snapshot::{decode, encode, Author, Kind, Section};
 
-/// So many snapshots back a disk that lies about syncs may go.
+/// Number of snapshots kept: a disk that loses acknowledged writes may return one this old.
 const MAX_SAVED_SNAPSHOTS: usize = 8;
 
 fn name(g: usize) -> String {
@@ -29,7 +29,8 @@
         }
     }
 
-    /// The next life reads what is on its disk, or on what it takes for its disk.
+    /// Restores a snapshot at a gateway's start. A faulty disk may return a damaged, lost or outdated
+    /// one, or another gateway's.
     pub(super) fn restore_snapshot(&mut self, g: usize) {
         let disk_fault = if self.spec.bad_disks { self.snapshot_rng.u32(0..8) } else { 7 };
         let owner = if disk_fault == 0 { self.snapshot_rng.usize(0..self.processes.len()) } else { g };
--- a/crates/testing/fleet-sim/tests/members.rs
+++ b/crates/testing/fleet-sim/tests/members.rs
@@ -1,12 +1,12 @@
-//! Stories of a fleet's view on a virtual network, each with the bound that it promises; and that each planted defect
-//! is seen by one of them.
+//! Scenarios of membership views on a virtual network, each with its guaranteed bound, and a check that each
+//! planted defect is detected by one of them.
 
 use fleet_sim::members::{address, random, read, traffic, Net, MS, S};
 use membership::defects::{plant, Defect, ALL};
 use membership::wire::Message;
 use membership::State;
 
-/// So many that have found each other.
+/// Starts a fleet of this size and waits until its views have converged.
 fn fleet(size: usize, seed: u64) -> Result<Net, String> {
     let mut net = Net::new(size, seed);
     (0..size).for_each(|n| net.start(n));
@@ -51,7 +51,7 @@
     (0..17).for_each(|n| net.kill(n));
     within(&mut net, 4000, "seven in ten are killed")?;
     net.advance_to(net.now + 3 * S);
-    // A wave is few versions, not one for each of the dead.
+    // A wave of failures makes few versions, not one for each dead member.
     let made = net.nodes.iter().map(|n| n.versions).sum::<u64>() - versions;
     ensure(made <= 7 * 3, format!("{made} versions at seven members"))
 }
@@ -61,7 +61,7 @@
     net.advance_to(5 * S);
     (0..24).for_each(|n| net.partition[n] = n as u32 % 2);
     net.advance_to(9 * S);
-    // Joins and deaths on both sides meanwhile.
+    // Members die and join on both sides meanwhile.
     net.kill(3);
     net.kill(14);
     net.advance_to(11 * S);
@@ -74,7 +74,7 @@
     ensure(false_deaths > 0, "they had given each other up")
 }
 
-/// What the other half holds for dead is asked, not buried.
+/// A member that the other half reports dead is asked first, not declared dead.
 fn halves_that_meet_bury_nobody_of_their_own(seed: u64) -> Result<(), String> {
     let mut net = fleet(24, seed)?;
     net.advance_to(5 * S);
@@ -112,7 +112,7 @@
     within(&mut net, 2500, "a new life")?;
     let new = net.nodes[5].view.as_ref().map(|v| v.members().next().map(|m| m.record.generation));
     ensure(old < new, "its life is a later one")?;
-    // And stays: nobody goes back to the older.
+    // The new generation stays: no member reverts to the older one.
     for _ in 0..50 {
         net.advance_to(net.now + 100 * MS);
         ensure(net.converged(), "the old life is void")?;
@@ -136,7 +136,8 @@
 fn one_that_does_not_hear_another_has_others_ask(seed: u64) -> Result<(), String> {
     let mut net = fleet(12, seed)?;
     net.advance_to(5 * S);
-    // A hears B, B hears C, C not A, and not the other way round either.
+    // One-way and two-way losses between single pairs: A hears B, B hears C, C does not hear A, nor in
+    // reverse.
     for (a, b) in [(1, 2), (2, 1), (2, 3), (4, 1), (6, 7), (7, 6), (8, 9)] {
         net.blocked_links.insert((a, b));
     }
@@ -144,7 +145,7 @@
         net.advance_to(net.now + 100 * MS);
         ensure(net.false_deaths() == 0, "helpers reach whom one does not")?;
     }
-    // Seldom even suspected: others were asked.
+    // Suspicions are rare, since other members were asked to ping.
     let suspected = |net: &Net| {
         (0..12)
             .map(|n| {
@@ -190,7 +191,7 @@
     net.advance_to(5 * S);
     for round in 0..4 {
         net.pause(6, net.now + 5 * S);
-        // Somebody dies before it sleeps, so that it falls asleep with suspicions.
+        // The pause may begin while the member holds suspicions.
         net.advance_to(net.now + 5 * S + 5 * MS);
         let view = net.nodes[6].view.as_ref().ok_or("it runs")?;
         let blamed = view.members().filter(|m| m.record.state != State::Alive).count();
@@ -220,7 +221,8 @@
     net.pause(2, net.now + 400 * MS);
     net.advance_to(net.now + 350 * MS);
     let before = state(&net, 6, "m0002");
-    // So short that those whom it heard before still count as heard: it is not isolated in its own eyes.
+    // Short enough that members it heard before the pause still count as heard: it does not consider
+    // itself isolated.
     net.pause(6, net.now + 1500 * MS);
     net.advance_to(net.now + 1500 * MS);
     let dead = state(&net, 6, "m0002") == Some(State::Dead);
@@ -265,12 +267,12 @@
     net.recording = Some(Vec::new());
     (0..8).for_each(|n| net.start(n));
     net.advance_to(3 * S);
-    // A member that is gone for good, known in all that is on the tape.
+    // A member that never returns, known in all recorded datagrams.
     net.kill(6);
     net.advance_to(10 * S);
     let recording = net.recording.take().ok_or("a tape")?;
     let sent = |net: &Net| net.nodes.iter().map(|n| n.datagrams).sum::<u64>();
-    // Longer than the dead are kept.
+    // Longer than records of dead members are kept.
     net.advance_to(700 * S);
     let (before, took) = (sent(&net), net.now);
     net.advance_to(took + S);
@@ -296,7 +298,7 @@
     net.recording = Some(Vec::new());
     (0..4).for_each(|n| net.start(n));
     net.advance_to(3 * S);
-    // Somebody with the key whom no answer reaches.
+    // A process with the key that no reply reaches.
     net.partition[5] = 1;
     net.start(5);
     net.advance_to(3 * S + 400 * MS);
@@ -401,7 +403,8 @@
     assert!(!membership::defects::active(Defect::LeaveNotTold));
 }
 
-/// Beliefs in a death of somebody healthy in half a minute of 20% loss, and how long a crash took to be known (ms).
+/// Returns false death reports in half a minute of 20% loss, and the time until a crash was known to all
+/// (ms).
 fn under_loss(seed: u64) -> (usize, Option<u64>) {
     let mut net = fleet(24, seed).expect("they find each other");
     net.advance_to(5 * S);
@@ -416,7 +419,7 @@
     (false_deaths, crash)
 }
 
-/// The same seeds, the same network, the same carrier.
+/// Compares with plain SWIM over the same seeds, network and message transport.
 #[test]
 fn plain_swim_that_sees_a_crash_as_soon_buries_the_healthy_under_loss() {
     let seeds = 0..seeds("PLAIN", 4);
@@ -458,7 +461,8 @@
     let mut rng = fastrand::Rng::with_seed(1);
     let (mut down, mut false_deaths, mut changes) = (Vec::new(), 0, 0);
     while changes < 1000 {
-        // Sixteen or seventeen a second: somebody is killed, comes back, leaves or restarts at once.
+        // Sixteen or seventeen changes per second: a member is killed, returns, leaves or restarts at
+        // once.
         net.advance_to(net.now + 60 * MS);
         changes += 1;
         let n = rng.usize(3..100);
@@ -489,7 +493,7 @@
         }
     }
     assert_eq!(false_deaths, 0, "somebody who runs is held for dead");
-    // Each consumer's versions are few beside a thousand.
+    // The versions that each consumer sees are few compared with a thousand changes.
     let versions = net.nodes[0].versions;
     assert!((15..=70).contains(&versions), "{versions} versions in a minute");
     let took = net.advance_until_converged(4 * S).map(|t| t / MS);
@@ -497,14 +501,15 @@
     assert!(took.is_some(), "no one view within 4 s");
 }
 
-/// Bytes and datagrams of a member don't grow with the fleet.
+/// Bytes and datagrams sent by a member don't grow with the fleet.
 #[test]
 fn traffic_of_a_member_is_the_same_in_a_small_and_a_large_fleet() {
     let of = |size| {
         let mut net = Net::new(size, 1);
         (0..size).for_each(|n| net.start(n));
         net.advance_until_converged(20 * S).expect("one view");
-        // Until all has been told that there was to tell: each member 3 log2(n) times, some fifteen a datagram.
+        // Waits until all gossip has been spread: each update is sent 3 log2(n) times per member,
+        // with some fifteen per datagram.
         net.advance_to(net.now + 90 * S * (size as u64).div_ceil(200).min(8));
         traffic(&mut net, 5 * S)
     };
@@ -512,7 +517,7 @@
     println!("20: {small:?}, 200: {large:?}");
     assert!((large.0 / small.0 - 1.0).abs() < 0.1, "{small:?} {large:?}");
     assert!((large.1 / small.1 - 1.0).abs() < 0.1, "{small:?} {large:?}");
-    // Some minutes: by hand.
+    // Takes some minutes; run by hand.
     if seeds("LARGE", 0) > 0 {
         let vast = of(2000);
         println!("2000: {vast:?}");
--- a/crates/testing/fleet-sim/tests/sim.rs
+++ b/crates/testing/fleet-sim/tests/sim.rs
@@ -1,4 +1,5 @@
-//! The simulator holds the rules over a small set of seeds, sees what is planted, and does the same twice.
+//! Checks that the rules hold over a small set of seeds, that planted defects are detected, and that runs are
+//! reproducible.
 
 use fleet_sim::shrink::shrink;
 use fleet_sim::story::Story;
@@ -6,7 +7,7 @@
 use fleet_sim::{defects, play, Spec};
 use std::sync::{Mutex, PoisonError};
 
-/// Defects are the process's, so that one test runs at a time.
+/// Defects are planted process-wide, so only one test runs at a time.
 static ONE: Mutex<()> = Mutex::new(());
 
 fn world(name: &str) -> Spec {
@@ -26,9 +27,9 @@
     }
 }
 
-/// Nothing may turn on a process's own chance: hash maps, addresses, the clock. The digest is written down, so
-/// that a debug and a release build, and another machine, must come to the same. Whatever changes what is decided
-/// changes it.
+/// Nothing may depend on per-process state: hash map order, addresses, the system clock. The digest is stored
+/// in a file, so that debug and release builds and other machines must produce the same. Any change of
+/// decisions changes it.
 #[test]
 fn one_seed_is_one_run() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
@@ -40,7 +41,7 @@
     assert_eq!(runs[0].0, include_str!("digest").trim(), "the digest of planners, seed 7, 10 s");
 }
 
-/// A few of those that are quickly found; `fleet-sim explore --defect NAME` finds the others.
+/// A few defects that are found quickly; `fleet-sim explore --defect NAME` finds the others.
 #[test]
 fn planted_defects_break_a_rule() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
@@ -67,7 +68,7 @@
     assert!(play(&Spec { seconds: 1, ..world("calm") }, 1, false).story.is_empty());
 }
 
-/// A story is made small while the same rule breaks, and what is left is played to the same end again.
+/// A failing run is shrunk while the same rule breaks, and replaying the result ends the same way.
 #[test]
 fn a_story_is_shrunk_to_what_matters() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
@@ -86,7 +87,7 @@
     assert_eq!(shrink(&spec, seed).map(|s| s.violation), None, "without the defect nothing breaks");
 }
 
-/// Every story in `tests/stories` breaks its rule with its defect, and holds without it.
+/// Every story in `tests/stories` breaks its rule with its defect planted, and holds without it.
 #[test]
 fn stories_break_with_their_defect_and_hold_without() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
@@ -107,7 +108,7 @@
     assert!(played >= 4, "{played} stories");
 }
 
-/// A planned day changes what is meant to, and no rule breaks.
+/// A scenario with a scheduled fault has its intended effect, and no rule is broken.
 #[test]
 fn planned_days_hold_the_rules_and_leave_their_mark() {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/testing/fleet-sim/tests/vast.rs
+++ b/crates/testing/fleet-sim/tests/vast.rs
@@ -1,5 +1,5 @@
-//! A hundred gateways before sixty servers of which six in ten start cold: what each does by itself must be right for
-//! all of them together.
+//! A hundred gateways in front of sixty servers, six in ten of which start cold: the gateways' independent
+//! decisions must be right for the whole fleet.
 
 use fleet_sim::{play, Spec};
 
@@ -18,6 +18,6 @@
     assert!(goodput > BOUND, "{goodput} of the worth asked inside quotas is served within the aim");
 }
 
-/// The fleet reaches 0.805; while cold servers got only what warm ones left it was 0.749, and with 16 servers drawn
-/// anew for each request 0.727.
+/// Measured goodput is 0.805. It was 0.749 when cold servers received only what warm ones could not take, and
+/// 0.727 with 16 servers drawn anew for each request.
 const BOUND: f64 = 0.775;
