--- a/crates/testing/fleet-sim/src/compare.rs
+++ b/crates/testing/fleet-sim/src/compare.rs
@@ -26,7 +26,7 @@
         for row in rows {
             let key = (row.point.clone(), row.seed);
             if index.insert(key, (*row).clone()).is_some() {
-                return Err(format!("seed {} stands twice: name one arm of each", row.seed));
+                return Err(format!("seed {} occurs twice: select one arm of each set", row.seed));
             }
         }
         Ok(index)
@@ -34,7 +34,7 @@
     let (a, b) = (index(first)?, index(second)?);
     let pairs: Vec<(&Row, &Row)> = a.iter().filter_map(|(key, row)| Some((row, b.get(key)?))).collect();
     if pairs.is_empty() {
-        return Err("no run of one has its like in the other".into());
+        return Err("the two sets have no run in common".into());
     }
     let difference = |(figure, _, more): &(&'static str, &str, bool)| {
         let value = |row: &Row| row.figures.get(*figure).copied().unwrap_or(0.0);
--- a/crates/testing/fleet-sim/src/days.rs
+++ b/crates/testing/fleet-sim/src/days.rs
@@ -42,6 +42,7 @@
 }
 
 impl Shares {
+    /// Computes the shares from a run's counters.
     pub fn of(s: &Stats) -> Self {
         let share = |n: u64| n as f64 / s.asked.max(1) as f64;
         Shares {
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Returns the shares with their names.
     pub fn named(&self) -> [(&'static str, f64); 4] {
         [
             ("goodput", self.goodput),
--- a/crates/testing/fleet-sim/src/experiment.rs
+++ b/crates/testing/fleet-sim/src/experiment.rs
@@ -121,7 +121,7 @@
         if (min..=max).contains(&value) {
             return Ok(());
         }
-        Err(format!("{name} is {value}: {min} to {max} is wanted"))
+        Err(format!("{name} is {value}: must be {min} to {max}"))
     };
     within("gateways", spec.gateways as f64, 1.0, 4096.0)?;
     within("servers", spec.servers as f64, 1.0, 10_000.0)?;
@@ -191,7 +191,7 @@
         };
         let (from, until) = file.seeds;
         if from >= until {
-            return Err("seeds: from, and up to but without, is wanted".into());
+            return Err("seeds: must be a start and a greater, exclusive end".into());
         }
         let mut arms = file.arm;
         if arms.is_empty() {
@@ -199,7 +199,7 @@
         }
         let names: std::collections::BTreeSet<&str> = arms.iter().map(|a| a.name.as_str()).collect();
         if names.len() < arms.len() {
-            return Err("two arms have one name".into());
+            return Err("two arms have the same name".into());
         }
         let mut points = vec![toml::Table::new()];
         for (name, values) in &file.sweep {
@@ -213,7 +213,7 @@
         }
         let runs = ((until - from) as usize).saturating_mul(points.len()).saturating_mul(arms.len());
         if runs == 0 || runs > MAX_RUNS {
-            return Err(format!("{runs} runs: 1 to {MAX_RUNS} are wanted"));
+            return Err(format!("{runs} runs: must be 1 to {MAX_RUNS}"));
         }
         let mut cells = Vec::new();
         for arm in &arms {
@@ -233,6 +233,7 @@
         Ok(Experiment { name: file.name, seeds: file.seeds, cells })
     }
 
+    /// Returns the number of runs.
     pub fn runs(&self) -> usize {
         (self.seeds.1 - self.seeds.0) as usize * self.cells.len()
     }
--- a/crates/testing/fleet-sim/src/main.rs
+++ b/crates/testing/fleet-sim/src/main.rs
@@ -170,7 +170,7 @@
 
 fn range(text: &str) -> Result<(u64, u64), String> {
     let numbers = text.split_once("..").and_then(|(a, b)| Some((a.parse().ok()?, b.parse().ok()?)));
-    numbers.filter(|(a, b)| a < b).ok_or_else(|| "FROM..TO is wanted, FROM below TO".into())
+    numbers.filter(|(a, b)| a < b).ok_or_else(|| "must be FROM..TO, with FROM below TO".into())
 }
 
 /// Prints a line, ignoring errors such as a closed pipe.
@@ -238,6 +238,7 @@
     ExitCode::from(2)
 }
 
+/// Returns the named world, or the default worlds in turn if no name is given.
 fn worlds(name: Option<&str>) -> Option<Vec<Spec>> {
     match name {
         Some(name) => Spec::named(name).map(|s| vec![s]),
@@ -362,7 +363,7 @@
 /// Runs a scenario both ways; returns whether the results agree.
 fn compare_day(day: &str, seed: u64, seconds: u64, json: bool) -> Result<bool, String> {
     let Some(spec) = Spec::named(day).filter(|_| days::DAYS.contains(&day)) else {
-        return Err(format!("no day is named {day:?}: {} are", days::DAYS.join(", ")));
+        return Err(format!("no scenario is named {day:?}; the names are {}", days::DAYS.join(", ")));
     };
     let spec = Spec { seconds, ..spec };
     let real = days::real(&spec, seed)?;
@@ -388,9 +389,9 @@
     let story = Story::read(&text).map_err(|e| format!("{}: {e}", file.display()))?;
     let defect = story.defect.as_deref().filter(|_| !mended);
     if !defects::plant(defect) {
-        return Err(format!("{}: no defect has this name", file.display()));
+        return Err(format!("{}: unknown defect", file.display()));
     }
-    let Some(outcome) = story.play(true) else { return Err("the world is gone".into()) };
+    let Some(outcome) = story.play(true) else { return Err("the story's world does not exist".into()) };
     let all = &outcome.story;
     all[all.len().saturating_sub(lines)..].iter().for_each(|line| print_line(line));
     match &outcome.violation {
@@ -444,11 +445,11 @@
         Command::Explore { seeds, world, defect, json, jobs } => {
             let known = defects::ALL.iter().find(|(name, _)| Some(*name) == defect.as_deref());
             if defect.is_some() && known.is_none() {
-                return command_error("no defect has this name; list-defects prints the names");
+                return command_error("unknown defect; list-defects prints the names");
             }
             let world = world.as_deref().or(known.map(|(_, world)| *world));
             let Some(worlds) = worlds(world) else {
-                return command_error("no world has this name; list prints them");
+                return command_error("unknown world; list prints the names");
             };
             defects::plant(defect.as_deref());
             let begun = Instant::now();
@@ -471,9 +472,9 @@
             ExitCode::from(u8::from(!sum.broken.is_empty()))
         }
         Command::Replay { seed, world, defect, only, lines } => {
-            let Some(spec) = Spec::named(&world) else { return command_error("no world has this name") };
+            let Some(spec) = Spec::named(&world) else { return command_error("unknown world") };
             if !defects::plant(defect.as_deref()) {
-                return command_error("no defect has this name");
+                return command_error("unknown defect");
             }
             let outcome = play(&spec, seed, true);
             let wanted = |line: &&String| only.as_ref().is_none_or(|only| line.contains(only));
@@ -488,9 +489,9 @@
         }
         Command::Story { file, mended, lines } => exit_code(story(&file, mended, lines)),
         Command::Shrink { seed, world, defect, lines, out } => {
-            let Some(spec) = Spec::named(&world) else { return command_error("no world has this name") };
+            let Some(spec) = Spec::named(&world) else { return command_error("unknown world") };
             if !defects::plant(defect.as_deref()) {
-                return command_error("no defect has this name");
+                return command_error("unknown defect");
             }
             let Some(small) = shrink(&spec, seed) else {
                 print_line("every rule held: there is nothing to shrink");
@@ -523,7 +524,7 @@
         }
         Command::Days { seed, day, seconds, defect, json } => {
             if !defects::plant(defect.as_deref()) {
-                return command_error("no defect has this name");
+                return command_error("unknown defect");
             }
             let names: Vec<&str> = day.as_deref().map_or(days::DAYS.to_vec(), |day| vec![day]);
             exit_code(
@@ -534,7 +535,7 @@
             members_figures(&explore_members(seeds, size as usize, jobs), json)
         }
         Command::Comeback { seeds, world } => {
-            let Some(with) = Spec::named(&world) else { return command_error("no world has this name") };
+            let Some(with) = Spec::named(&world) else { return command_error("unknown world") };
             let without = Spec { snapshot_every: None, ..with.clone() };
             let calm = Spec { blackouts: [None; 2], power_cut: None, fault_every: None, ..with.clone() };
             let mut broken = 0;
@@ -565,7 +566,7 @@
             ExitCode::from(u8::from(broken > 0))
         }
         Command::Placement { seeds, world } => {
-            let Some(with) = Spec::named(&world) else { return command_error("no world has this name") };
+            let Some(with) = Spec::named(&world) else { return command_error("unknown world") };
             let without = Spec { placement: false, ..with.clone() };
             let mut sums = [Stats::default(); 2];
             for seed in seeds.0..seeds.1 {
--- a/crates/testing/fleet-sim/src/members.rs
+++ b/crates/testing/fleet-sim/src/members.rs
@@ -58,6 +58,7 @@
     pub false_deaths: Vec<(usize, usize)>,
 }
 
+/// Returns the address of a slot.
 pub fn address(n: usize) -> SocketAddr {
     (Ipv4Addr::new(10, 0, (n / 250) as u8, (n % 250) as u8 + 1), 7000).into()
 }
@@ -118,6 +119,7 @@
         self.start_with(n, generation, &self.nodes[n].name.clone());
     }
 
+    /// Starts a process in this slot with a given generation and name.
     pub fn start_with(&mut self, n: usize, generation: u64, name: &str) {
         let mut config = Config::new(name, generation, address(n));
         config.seeds = (0..3).map(address).collect();
@@ -130,10 +132,12 @@
         self.schedule(n);
     }
 
+    /// Kills the slot's process without a leave message.
     pub fn kill(&mut self, n: usize) {
         self.nodes[n].view = None;
     }
 
+    /// Has the member announce its leave, then stops it.
     pub fn leave(&mut self, n: usize) {
         self.deliver(n, Input::Leave);
         self.kill(n);
@@ -145,6 +149,7 @@
         self.timers.push(Reverse((until, n)));
     }
 
+    /// Returns the members that run and are not paused.
     pub fn running(&self) -> Vec<usize> {
         let runs = |n: &usize| self.nodes[*n].view.is_some() && self.nodes[*n].paused_until.is_none();
         (0..self.nodes.len()).filter(runs).collect()
--- a/crates/testing/fleet-sim/src/module.rs
+++ b/crates/testing/fleet-sim/src/module.rs
@@ -12,6 +12,7 @@
 /// Number of recent requests that injected actions may refer to.
 const MAX_RECENT_REQUESTS: usize = 24;
 
+/// Decision module of a simulated gateway, with optional fault injection or choice of server.
 pub struct SimulatedModule {
     gateway: Gateway,
     faults: Option<FaultInjection>,
--- a/crates/testing/fleet-sim/src/observer.rs
+++ b/crates/testing/fleet-sim/src/observer.rs
@@ -63,6 +63,7 @@
     slack: f64,
 }
 
+/// Checks the rules over one run.
 #[derive(Default)]
 pub struct Observer {
     requests: BTreeMap<u64, RequestState>,
@@ -87,6 +88,7 @@
         self.ceilings.insert(customer, Ceiling { level: depth, at: 0, rate, depth, slack });
     }
 
+    /// Records that a gateway accepted a request.
     pub fn taken(&mut self, id: u64, gateway: usize, generation: u64, effect: Effect, client_deadline: Time) {
         let request = RequestState {
             gateway,
--- a/crates/testing/fleet-sim/src/quota.rs
+++ b/crates/testing/fleet-sim/src/quota.rs
@@ -4,6 +4,7 @@
 use interface::{Plan, Time};
 use std::collections::BTreeMap;
 
+/// Token buckets by customer.
 #[derive(Debug, Default)]
 pub struct Quotas {
     /// Remaining units per customer, and the time they were computed at.
--- a/crates/testing/fleet-sim/src/record.rs
+++ b/crates/testing/fleet-sim/src/record.rs
@@ -20,6 +20,7 @@
     pub failed: u64,
 }
 
+/// Measurements of one run.
 #[derive(Clone, Debug)]
 pub struct Record {
     /// Time from a request's first try to its response, of requests served, in microseconds.
@@ -50,6 +51,7 @@
         &mut self.seconds[n]
     }
 
+    /// Records a request served.
     pub fn served(&mut self, now: Time, took: Time, in_aim: bool) {
         self.latency.saturating_record(took / 1000);
         let second = self.second(now);
--- a/crates/testing/fleet-sim/src/servers.rs
+++ b/crates/testing/fleet-sim/src/servers.rs
@@ -25,6 +25,7 @@
     pub number: u64,
 }
 
+/// Health of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Condition {
     Healthy,
@@ -42,6 +43,7 @@
     Gone,
 }
 
+/// Model of one job server.
 #[derive(Clone, Debug)]
 pub struct Server {
     pub listed: Listed,
@@ -93,6 +95,7 @@
         *self = Server { started_at: now.max(1), ..Server::new(cores, queue_capacity) };
     }
 
+    /// Stops the process; its jobs are lost.
     pub fn stop(&mut self) {
         self.running = false;
         self.busy = 0;
@@ -115,6 +118,7 @@
         Admission::Started(job, time)
     }
 
+    /// Admits a job: runs it, queues it or rejects it.
     pub fn admit(&mut self, now: Time, job: Job) -> Admission {
         let speed = self.speed(now);
         if speed < 1.0 {
@@ -149,6 +153,7 @@
         }
     }
 
+    /// Returns the number of jobs running or queued.
     pub fn load(&self) -> usize {
         self.busy + self.queue.len()
     }
--- a/crates/testing/fleet-sim/src/story.rs
+++ b/crates/testing/fleet-sim/src/story.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A shrunk failing run: the world, the seed, the parts removed and the rule that is broken.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Story {
@@ -55,11 +56,11 @@
             return Err(format!("no world is named {:?}", story.world));
         }
         if !(1..=3600).contains(&story.seconds) {
-            return Err(format!("seconds is {}: 1 to 3600 is wanted", story.seconds));
+            return Err(format!("seconds is {}: must be 1 to 3600", story.seconds));
         }
         if let Some(bad) = story.delay_halvings.iter().find(|(n, by)| n.parse::<u64>().is_err() || **by > 20)
         {
-            return Err(format!("sooner: {} = {}: a fault's number and 0 to 20 are wanted", bad.0, bad.1));
+            return Err(format!("sooner: {} = {}: must be a fault's number and 0 to 20", bad.0, bad.1));
         }
         Ok(story)
     }
