--- a/crates/testing/fleet-sim/tests/members.rs
+++ b/crates/testing/fleet-sim/tests/members.rs
@@ -71,7 +71,7 @@
     net.partition.fill(0);
     let false_deaths = net.false_deaths();
     within(&mut net, 4000, "the halves meet")?;
-    ensure(false_deaths > 0, "they had given each other up")
+    ensure(false_deaths > 0, "each half considered the other dead")
 }
 
 /// A member that the other half reports dead is asked first, not declared dead.
@@ -85,7 +85,7 @@
         net.advance_to(net.now + 20 * MS);
         for (a, b) in (0..24).flat_map(|a| (0..24).map(move |b| (a, b))).filter(|(a, b)| a % 2 == b % 2) {
             let dead = state(&net, a, &format!("m{b:04}")) == Some(State::Dead);
-            ensure(!dead, format!("{a} buries {b}, which it has heard all the time"))?;
+            ensure(!dead, format!("{a} declares {b} dead although it heard it throughout"))?;
         }
     }
     ensure(net.converged(), "the halves meet")
@@ -109,13 +109,13 @@
     net.kill(5);
     net.advance_to(net.now + 300 * MS);
     net.start(5);
-    within(&mut net, 2500, "a new life")?;
+    within(&mut net, 2500, "a new generation")?;
     let new = net.nodes[5].view.as_ref().map(|v| v.members().next().map(|m| m.record.generation));
-    ensure(old < new, "its life is a later one")?;
+    ensure(old < new, "its generation is a later one")?;
     // The new generation stays: no member reverts to the older one.
     for _ in 0..50 {
         net.advance_to(net.now + 100 * MS);
-        ensure(net.converged(), "the old life is void")?;
+        ensure(net.converged(), "the old generation does not return")?;
     }
     Ok(())
 }
@@ -126,7 +126,7 @@
     for _ in 0..300 {
         net.advance_to(net.now + 100 * MS);
         let false_deaths = net.false_deaths();
-        ensure(false_deaths == 0, format!("{false_deaths} beliefs in a death of somebody healthy"))?;
+        ensure(false_deaths == 0, format!("{false_deaths} reports of a healthy member as dead"))?;
     }
     net.loss = 0.0;
     within(&mut net, 4000, "after the loss")?;
@@ -143,7 +143,7 @@
     }
     for _ in 0..200 {
         net.advance_to(net.now + 100 * MS);
-        ensure(net.false_deaths() == 0, "helpers reach whom one does not")?;
+        ensure(net.false_deaths() == 0, "indirect pings reach a member that one member can't reach")?;
     }
     // Suspicions are rare, since other members were asked to ping.
     let suspected = |net: &Net| {
@@ -161,7 +161,7 @@
         net.advance_to(net.now + 100 * MS);
         seen += suspected(&net);
     }
-    ensure(seen < 40, format!("{seen} suspicions in a hundred looks"))
+    ensure(seen < 40, format!("{seen} suspicions in a hundred checks"))
 }
 
 fn one_that_is_cut_off_says_so_and_buries_nobody(seed: u64) -> Result<(), String> {
@@ -170,9 +170,9 @@
     net.partition[4] = 1;
     net.advance_to(20 * S);
     let view = net.nodes[4].view.as_ref().ok_or("it runs")?;
-    ensure(view.health().isolated_since.is_some(), "it says that it is cut off")?;
+    ensure(view.health().isolated_since.is_some(), "it reports that it is isolated")?;
     let dead = view.members().filter(|m| m.record.state == State::Dead).count();
-    ensure(dead <= 1, format!("it holds {dead} for dead"))?;
+    ensure(dead <= 1, format!("it considers {dead} dead"))?;
     ensure(
         net.nodes[5].view.as_ref().is_some_and(|v| v.health().isolated_since.is_none()),
         "the others don't",
@@ -182,7 +182,7 @@
     net.advance_to(net.now + S);
     ensure(
         net.nodes[4].view.as_ref().is_some_and(|v| v.health().isolated_since.is_none()),
-        "and says so no more",
+        "it no longer reports isolation",
     )
 }
 
@@ -195,12 +195,12 @@
         net.advance_to(net.now + 5 * S + 5 * MS);
         let view = net.nodes[6].view.as_ref().ok_or("it runs")?;
         let blamed = view.members().filter(|m| m.record.state != State::Alive).count();
-        ensure(blamed == 0, format!("round {round}: it wakes and blames {blamed}"))?;
+        ensure(blamed == 0, format!("round {round}: after resuming, {blamed} are not alive in its view"))?;
         for _ in 0..20 {
             net.advance_to(net.now + 50 * MS);
             let view = net.nodes[6].view.as_ref().ok_or("it runs")?;
             let dead = view.members().filter(|m| m.record.state == State::Dead).count();
-            ensure(dead == 0, format!("round {round}: it holds {dead} for dead"))?;
+            ensure(dead == 0, format!("round {round}: it considers {dead} dead"))?;
         }
         within(&mut net, 4000, "it is back")?;
     }
@@ -226,7 +226,7 @@
     net.pause(6, net.now + 1500 * MS);
     net.advance_to(net.now + 1500 * MS);
     let dead = state(&net, 6, "m0002") == Some(State::Dead);
-    ensure(!dead || before == Some(State::Dead), "it was asleep, not the other dead")?;
+    ensure(!dead || before == Some(State::Dead), "it was paused, the other was not dead")?;
     within(&mut net, 4000, "it is back")?;
     Ok(())
 }
@@ -236,7 +236,7 @@
     net.advance_to(5 * S);
     net.leave(9);
     within(&mut net, 1200, "one leaves")?;
-    ensure(state(&net, 3, "m0009") == Some(State::Left), "it is not held for dead")
+    ensure(state(&net, 3, "m0009") == Some(State::Left), "it is not considered dead")
 }
 
 fn of_two_with_one_name_the_later_stands(seed: u64) -> Result<(), String> {
@@ -306,7 +306,7 @@
     net.kill(5);
     let hello: Vec<_> =
         recording.into_iter().filter(|(_, b)| matches!(read(b), Some(Message::Hello { .. }))).collect();
-    ensure(!hello.is_empty(), "it has greeted its seeds")?;
+    ensure(!hello.is_empty(), "it has sent a hello to its seeds")?;
     let sent = net.nodes[0].bytes;
     let (mut took, mut got) = (0, 0);
     for (_, bytes) in hello {
@@ -315,8 +315,11 @@
         got += 1;
     }
     net.advance_to(net.now + MS);
-    ensure(net.nodes[0].bytes - sent <= took, format!("{got} greetings are answered by more"))?;
-    ensure(state(&net, 0, "m0005").is_none(), "nothing is kept of it")
+    ensure(
+        net.nodes[0].bytes - sent <= took,
+        format!("the replies to {got} hellos are larger than the hellos"),
+    )?;
+    ensure(state(&net, 0, "m0005").is_none(), "no record of it is kept")
 }
 
 fn any_bytes_are_dropped_and_counted(seed: u64) -> Result<(), String> {
@@ -443,7 +446,12 @@
     assert_eq!(ours.0, 0);
     assert!(plain.0 > 0);
     assert_eq!(ours.1.len(), seeds.count());
-    assert!(mean(&ours.1) < mean(&plain.1) * 3 / 2, "no dearer: {:?} beside {:?}", ours.1, plain.1);
+    assert!(
+        mean(&ours.1) < mean(&plain.1) * 3 / 2,
+        "crash detection not much slower: {:?} beside {:?}",
+        ours.1,
+        plain.1
+    );
 }
 
 #[test]
@@ -492,7 +500,7 @@
             false_deaths += net.false_deaths();
         }
     }
-    assert_eq!(false_deaths, 0, "somebody who runs is held for dead");
+    assert_eq!(false_deaths, 0, "a running member is considered dead");
     // The versions that each consumer sees are few compared with a thousand changes.
     let versions = net.nodes[0].versions;
     assert!((15..=70).contains(&versions), "{versions} versions in a minute");
