--- a/crates/testing/test-harness/src/local_cluster.rs
+++ b/crates/testing/test-harness/src/local_cluster.rs
@@ -1,6 +1,6 @@
-//! The whole system on loopback: three control nodes, three gateways, stand-in backends that heartbeat, an operator.
-//! One control node is killed in the middle, a configuration changes, a backend leaves; what is counted is counted at
-//! clients and backends.
+//! The whole system on loopback: three control nodes, three gateways, stand-in backends that send heartbeats, and an
+//! operator. During the run a backend drains, a control node is killed, the configuration changes and a gateway is
+//! restarted. All counts are taken at clients and backends.
 
 use crate::fleet::{lock, serve};
 use crate::peers::{Client, Message};
@@ -19,41 +19,45 @@
 
 pub const SCENARIO: Scenario = Scenario {
     name: "cluster",
-    about: "the whole system: a backend leaves, a control node is killed, a gateway told to end, a configuration changed",
+    about: "the whole system: a backend drains, a control node is killed, a gateway is restarted, the configuration changes",
     seconds: 12,
     test_seconds: 7,
     defects: &[
-        ("runs-twice", "the client sends each payment once more under the same id"),
-        ("works-on", "the backend that left is asked by the client itself after its drain"),
+        ("runs-twice", "the client sends each payment a second time under the same id"),
+        ("works-on", "the client itself sends a request to the drained backend"),
     ],
-    planted: &[],
+    program_defects: &[],
     run,
 };
 
+/// Machines of the system, each with a control node and a gateway.
 pub const MACHINES: usize = 3;
 const BACKENDS: usize = 4;
 const HEARTBEAT_MS: u64 = 500;
-/// So long after its drain was acknowledged a backend must get nothing more.
-const DRAIN: Duration = Duration::from_millis(1500);
-/// A gateway that was told to end has so long.
-const GRACE: Duration = Duration::from_secs(6);
+/// Time after the acknowledgement of its drain from which a backend must get no more requests.
+const DRAIN_GRACE: Duration = Duration::from_millis(1500);
+/// Time in which a gateway must end after SIGTERM.
+const SHUTDOWN_GRACE: Duration = Duration::from_secs(6);
+/// API key of the tenant `members`.
 pub const KEY: &str = "2b9wu3fexd9dnn2ctnfz";
-/// The other tenant's, where there is one.
-pub const TRIAL_TENANT: &str = "s989anu6wsjnbanfqasn";
+/// API key of the tenant `guest`, where there is one.
+pub const TRIAL_KEY: &str = "s989anu6wsjnbanfqasn";
 
-/// What all backends saw.
+/// Counts over all backends.
 #[derive(Default)]
-pub struct Seen {
-    /// Runs of payments by their id.
+pub struct BackendCounts {
+    /// Number of runs of each payment, by its id.
     pub runs: Mutex<HashMap<String, u32>>,
-    /// Of so many payments one is run and not answered; 0: none.
+    /// One payment in this many is run and not answered; 0 for none.
     pub unanswered: AtomicU64,
     twice: AtomicU32,
-    /// Requests with the key, or without the tenant's name.
-    exposed: AtomicU32,
-    late: AtomicU32,
+    /// Requests that arrived with the API key, or without the tenant's name.
+    exposed_requests: AtomicU32,
+    /// Requests that arrived after the backend's drain.
+    after_drain: AtomicU32,
 }
 
+/// A stand-in backend.
 pub struct Backend {
     id: String,
     address: SocketAddr,
@@ -62,6 +66,7 @@
     drained: Arc<Mutex<Option<Instant>>>,
 }
 
+/// The processes of one machine.
 struct Machine {
     ip: String,
     folder: PathBuf,
@@ -72,19 +77,19 @@
 impl Drop for Machine {
     fn drop(&mut self) {
         for child in [&mut self.control_plane, &mut self.gateway] {
-            // It may have ended.
+            // It may have ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// The whole system, running.
+/// The running control nodes and gateways.
 pub struct LocalCluster {
     machines: Vec<Machine>,
     front: u16,
     control: u16,
-    inner: u16,
+    internal: u16,
     control_plane_program: PathBuf,
     data_plane_program: PathBuf,
     folder: PathBuf,
@@ -97,16 +102,21 @@
     }
 }
 
-/// Ports that are free on the machines' addresses too, as far as can be known beforehand.
+/// Returns four ports that are free on all the machines' addresses at the time of the call.
 fn ports(ips: &[String]) -> Result<[u16; 4], String> {
     let free = |port: u16| ips.iter().all(|ip| TcpListener::bind((ip.as_str(), port)).is_ok());
     let mut found = Vec::new();
     while found.len() < 4 {
-        let any = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
-        // Gateways let each other through, and probe each other, on the two behind the internal one.
-        let behind = found.len() < 3 || free(any.port() + 1) && free(any.port() + 2);
-        if any.port() < u16::MAX - 2 && free(any.port()) && behind && !found.contains(&any.port()) {
-            found.push(any.port());
+        let candidate =
+            TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).map_err(|e| e.to_string())?;
+        // The two ports after the internal one are for requests and probes between gateways.
+        let following_free = found.len() < 3 || free(candidate.port() + 1) && free(candidate.port() + 2);
+        if candidate.port() < u16::MAX - 2
+            && free(candidate.port())
+            && following_free
+            && !found.contains(&candidate.port())
+        {
+            found.push(candidate.port());
         }
     }
     Ok([found[0], found[1], found[2], found[3]])
@@ -123,28 +133,28 @@
 }
 
 impl LocalCluster {
-    /// Starts all of it, for the first time.
+    /// Starts all processes, as an initial start.
     ///
     /// # Errors
-    /// One line, if it can't be built or started.
+    /// The programs cannot be built or started. The message is one line.
     pub fn open(seed: u64) -> Result<LocalCluster, String> {
         LocalCluster::open_with(seed, MACHINES, HEARTBEAT_MS)
     }
 
-    /// The same with so many machines, each in a zone of its own, and so long between two heartbeats of a backend.
+    /// Starts this number of machines, each in its own zone, with this heartbeat interval of the backends.
     ///
     /// # Errors
-    /// One line, if it can't be built or started.
-    pub fn open_with(seed: u64, machines: usize, beat_ms: u64) -> Result<LocalCluster, String> {
+    /// The programs cannot be built or started. The message is one line.
+    pub fn open_with(seed: u64, machines: usize, heartbeat_ms: u64) -> Result<LocalCluster, String> {
         let (data_plane, control_plane) = locate_system()?;
-        // Tests may run beside each other: each has addresses of its own.
+        // Tests may run at the same time: each uses its own addresses.
         static NEXT: AtomicU64 = AtomicU64::new(0);
-        let net = 100 + (u64::from(std::process::id()) + NEXT.fetch_add(1, Relaxed)) % 100;
-        let ips: Vec<String> = (1..=machines).map(|n| format!("127.0.{net}.{n}")).collect();
-        let [front, readiness, control, inner] = ports(&ips)?;
-        let folder =
-            std::env::temp_dir().join(format!("granitethread-cluster-{}-{net}-{seed}", std::process::id()));
-        // As the operator's files name them.
+        let subnet = 100 + (u64::from(std::process::id()) + NEXT.fetch_add(1, Relaxed)) % 100;
+        let ips: Vec<String> = (1..=machines).map(|n| format!("127.0.{subnet}.{n}")).collect();
+        let [front, readiness, control, internal] = ports(&ips)?;
+        let folder = std::env::temp_dir()
+            .join(format!("granitethread-cluster-{}-{subnet}-{seed}", std::process::id()));
+        // In the notation of the settings file.
         let seeds: Vec<String> = ips.iter().take(3).map(|ip| format!("\"{ip}:{control}\"")).collect();
         let seeds = seeds.join(", ");
         let zones: String = (0..machines).map(|n| format!("zone-{n} = \"r\"\n")).collect();
@@ -152,7 +162,7 @@
             machines: Vec::new(),
             front,
             control,
-            inner,
+            internal,
             control_plane_program: control_plane,
             data_plane_program: data_plane,
             folder,
@@ -160,13 +170,13 @@
         for (n, ip) in ips.into_iter().enumerate() {
             let folder = cluster.folder.join(n.to_string());
             std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
-            let (data, last) = (folder.join("data"), inner + 2);
+            let (data, last) = (folder.join("data"), internal + 2);
             let text = format!(
                 "[ownIdentity]\nnodeName = \"edge-{n}\"\nipAddress = \"{ip}\"\nzone = \"zone-{n}\"\n\
-                 initialStart = true\ndataDirectory = {:?}\n[networkTerms]\ninternalPortRange = [{inner}, {last}]\n\
+                 initialStart = true\ndataDirectory = {:?}\n[networkTerms]\ninternalPortRange = [{internal}, {last}]\n\
                  seedNodes = [{seeds}]\n[networkTerms.listenAddresses]\nfrontHttp1 = \"{ip}:{front}\"\n\
                  readiness = \"{ip}:{readiness}\"\ncontrolPlane = \"{ip}:{control}\"\n[networkTerms.zones]\n\
-                 {zones}[platformTerms]\nheartbeatIntervalMs = {beat_ms}\n",
+                 {zones}[platformTerms]\nheartbeatIntervalMs = {heartbeat_ms}\n",
                 data.display().to_string()
             );
             let settings = folder.join("settings.toml");
@@ -181,42 +191,44 @@
         Ok(cluster)
     }
 
+    /// Addresses at which gateways serve clients.
     pub fn fronts(&self) -> Vec<SocketAddr> {
-        self.at(self.front)
+        self.addresses(self.front)
     }
 
+    /// Addresses at which control nodes serve operators and backends.
     pub fn controls(&self) -> Vec<SocketAddr> {
-        self.at(self.control)
+        self.addresses(self.control)
     }
 
-    /// Where control nodes hear gateways and each other.
-    pub fn inners(&self) -> Vec<SocketAddr> {
-        self.at(self.inner)
+    /// Addresses at which control nodes accept gateways and each other.
+    pub fn internal_addresses(&self) -> Vec<SocketAddr> {
+        self.addresses(self.internal)
     }
 
-    /// The processes of each machine: its control node, its gateway.
+    /// Process ids of each machine: its control node, its gateway.
     pub fn children(&self) -> Vec<(u32, u32)> {
         self.machines.iter().map(|m| (m.control_plane.id(), m.gateway.id())).collect()
     }
 
-    fn at(&self, port: u16) -> Vec<SocketAddr> {
+    fn addresses(&self, port: u16) -> Vec<SocketAddr> {
         let all = self.machines.iter().filter_map(|m| format!("{}:{port}", m.ip).parse().ok());
         all.collect()
     }
 
-    /// Tells a gateway to end, waits until it has, and starts it again. How long it took; none if it had to be killed.
+    /// Restarts a gateway with SIGTERM. Returns how long it took to end, or `None` if it had to be killed or failed.
     ///
     /// # Errors
-    /// One line, if that can't be done.
-    pub fn roll(&mut self, n: usize) -> Result<Option<Duration>, String> {
+    /// The signal cannot be sent, or the gateway cannot be started. The message is one line.
+    pub fn restart_gateway(&mut self, n: usize) -> Result<Option<Duration>, String> {
         let machine = &mut self.machines[n];
         let began = Instant::now();
-        let told = Command::new("kill").args(["-TERM", &machine.gateway.id().to_string()]).status();
-        told.map_err(|e| format!("kill: {e}"))?;
+        let kill_status = Command::new("kill").args(["-TERM", &machine.gateway.id().to_string()]).status();
+        kill_status.map_err(|e| format!("kill: {e}"))?;
         let ended = loop {
             match machine.gateway.try_wait() {
                 Ok(Some(status)) if status.success() => break Some(began.elapsed()),
-                Ok(None) if began.elapsed() < GRACE => thread::sleep(Duration::from_millis(20)),
+                Ok(None) if began.elapsed() < SHUTDOWN_GRACE => thread::sleep(Duration::from_millis(20)),
                 _ => break None,
             }
         };
@@ -227,23 +239,23 @@
         Ok(ended)
     }
 
-    /// Stops a machine's gateway or control node where it stands, or lets it go on.
+    /// Suspends a machine's gateway or control node with SIGSTOP, or resumes it.
     ///
     /// # Errors
-    /// One line, if no signal can be sent.
-    pub fn freeze(&self, n: usize, gateway: bool, frozen: bool) -> Result<(), String> {
+    /// The signal cannot be sent. The message is one line.
+    pub fn set_suspended(&self, n: usize, gateway: bool, suspended: bool) -> Result<(), String> {
         let machine = &self.machines[n];
         let child = if gateway { &machine.gateway } else { &machine.control_plane };
-        let signal = if frozen { "-STOP" } else { "-CONT" };
-        let told = Command::new("kill").args([signal, &child.id().to_string()]).status();
-        told.map(|_| ()).map_err(|e| format!("kill: {e}"))
+        let signal = if suspended { "-STOP" } else { "-CONT" };
+        let kill_status = Command::new("kill").args([signal, &child.id().to_string()]).status();
+        kill_status.map(|_| ()).map_err(|e| format!("kill: {e}"))
     }
 
-    /// Kills a control node and starts it again, no more for the first time.
+    /// Kills a control node and starts it again, with `initialStart = false`.
     ///
     /// # Errors
-    /// One line, if that can't be done.
-    pub fn kill(&mut self, n: usize) -> Result<(), String> {
+    /// The process cannot be killed or started, or its settings cannot be changed. The message is one line.
+    pub fn restart_control_node(&mut self, n: usize) -> Result<(), String> {
         let machine = &mut self.machines[n];
         machine
             .control_plane
@@ -260,7 +272,8 @@
     }
 }
 
-/// Calls one after another until one gives a clear answer, as operators and backends do.
+/// Sends a request to one control node after another until one gives a conclusive response, as operators and backends
+/// do. Follows redirects; a 5xx status or a lost connection is retried at the next control node.
 pub fn call(controls: &[SocketAddr], method: &str, path: &str, body: &str, tries: usize) -> Option<Message> {
     let mut next = 0;
     let mut at = None;
@@ -298,19 +311,19 @@
     }
 }
 
-fn backend(n: usize, seen: &Arc<Seen>) -> Result<Backend, String> {
+fn backend(n: usize, seen: &Arc<BackendCounts>) -> Result<Backend, String> {
     let drained: Arc<Mutex<Option<Instant>>> = Arc::default();
-    let (id, over, seen) = (format!("i-{n}"), drained.clone(), seen.clone());
-    let me = id.clone();
+    let (id, drained_since, seen) = (format!("i-{n}"), drained.clone(), seen.clone());
+    let own_id = id.clone();
     let script = move |m: &Message, to: &mut TcpStream| {
-        if m.header("target-instance") != Some(&me) {
+        if m.header("target-instance") != Some(&own_id) {
             return to.write_all(b"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n").is_ok();
         }
-        if lock(&over).is_some_and(|at| at.elapsed() > DRAIN) {
-            seen.late.fetch_add(1, Relaxed);
+        if lock(&drained_since).is_some_and(|at| at.elapsed() > DRAIN_GRACE) {
+            seen.after_drain.fetch_add(1, Relaxed);
         }
         if m.header("credential").is_some() || !matches!(m.header("tenant-name"), Some("members" | "guest")) {
-            seen.exposed.fetch_add(1, Relaxed);
+            seen.exposed_requests.fetch_add(1, Relaxed);
         }
         let attempt = m.header("attempt-id").unwrap_or_default().to_string();
         if m.start.starts_with("POST") {
@@ -320,13 +333,13 @@
             if *count > 1 {
                 seen.twice.fetch_add(1, Relaxed);
             }
-            let lost = seen.unanswered.load(Relaxed);
-            if lost > 0 && (runs.len() as u64).is_multiple_of(lost) {
+            let unanswered_interval = seen.unanswered.load(Relaxed);
+            if unanswered_interval > 0 && (runs.len() as u64).is_multiple_of(unanswered_interval) {
                 return false;
             }
         }
         thread::sleep(Duration::from_millis(15));
-        let body = format!("by {me}\n");
+        let body = format!("by {own_id}\n");
         let answer = format!(
             "HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\nServer-Seal: stand-in\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -340,11 +353,16 @@
 fn configuration(base: u32, version: u32, prefixes: &[&str]) -> String {
     let members =
         json!({"name": "members", "apiKeys": [KEY], "priority": 1, "ratePerS": 400, "burstSize": 400});
-    configured(base, version, prefixes, &[members])
+    configuration_with_tenants(base, version, prefixes, &[members])
 }
 
-/// The same with these tenants.
-pub fn configured(base: u32, version: u32, prefixes: &[&str], tenants: &[serde_json::Value]) -> String {
+/// Returns a configuration with these tenants.
+pub fn configuration_with_tenants(
+    base: u32,
+    version: u32,
+    prefixes: &[&str],
+    tenants: &[serde_json::Value],
+) -> String {
     let route = |prefix: &&str| {
         json!({"name": format!("r{prefix}"), "host": "desk.example", "pathPrefix": prefix,
             "routeKind": if prefix.contains("pay") { "unsafe" } else { "safe" }, "timeoutMs": 2000,
@@ -357,12 +375,12 @@
     .to_string()
 }
 
-/// A request of a client, as text.
+/// Returns the text of a client's request.
 fn request(path: &str, id: u64) -> String {
     request_by(KEY, path, id)
 }
 
-/// The same with another key.
+/// Returns the text of a client's request with this API key.
 pub fn request_by(key: &str, path: &str, id: u64) -> String {
     let (method, rest) = match path.contains("pay") {
         true => ("POST", "Content-Length: 5\r\n\r\nhello"),
@@ -374,6 +392,7 @@
     )
 }
 
+/// Requests of the clients, by outcome.
 #[derive(Default)]
 struct Counts {
     asked: u64,
@@ -382,54 +401,54 @@
     failed: u64,
 }
 
-/// Backends that heartbeat until they are stopped; the operator's first configuration.
-pub struct Running {
+/// A cluster with its first configuration, and backends that send heartbeats until it is dropped.
+pub struct RunningCluster {
     pub cluster: LocalCluster,
-    pub seen: Arc<Seen>,
+    pub seen: Arc<BackendCounts>,
     backends: Arc<Mutex<Vec<Backend>>>,
     stop: Arc<AtomicBool>,
-    beating: Option<thread::JoinHandle<()>>,
+    heartbeat_thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Drop for Running {
+impl Drop for RunningCluster {
     fn drop(&mut self) {
         self.stop.store(true, Relaxed);
-        if let Some(thread) = self.beating.take() {
+        if let Some(thread) = self.heartbeat_thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-fn begin(seed: u64) -> Result<Running, String> {
-    begin_with(seed, &configuration(0, 1, &["/look/", "/pay/"]))
+fn start_cluster(seed: u64) -> Result<RunningCluster, String> {
+    start_cluster_with(seed, &configuration(0, 1, &["/look/", "/pay/"]))
 }
 
-/// The same with this first configuration.
+/// Starts a cluster and its backends with this first configuration, and waits until every gateway serves.
 ///
 /// # Errors
-/// One line, if the system can't be built or does not come up.
-pub fn begin_with(seed: u64, first: &str) -> Result<Running, String> {
+/// The programs cannot be built or do not start. The message is one line.
+pub fn start_cluster_with(seed: u64, first: &str) -> Result<RunningCluster, String> {
     let cluster = LocalCluster::open(seed)?;
     let controls = cluster.controls();
-    let seen: Arc<Seen> = Arc::default();
+    let seen: Arc<BackendCounts> = Arc::default();
     let all: Result<Vec<Backend>, String> = (0..BACKENDS).map(|n| backend(n, &seen)).collect();
     let backends = Arc::new(Mutex::new(all?));
     let stop: Arc<AtomicBool> = Arc::default();
     let taken = call(&controls, "POST", "/-/Configuration.Replace", first, 150);
     if taken.is_none_or(|a| a.status() != 200) {
-        return Err("the first configuration was not taken".into());
+        return Err("the first configuration was not accepted".into());
     }
-    let (beats, to, over) = (backends.clone(), controls, stop.clone());
-    let beating = thread::spawn(move || {
-        while !over.load(Relaxed) {
-            for backend in lock(&beats).iter_mut().filter(|b| b.state == "ready") {
-                // One that is lost is made good by the next.
+    let (heartbeat_backends, to, stop_flag) = (backends.clone(), controls, stop.clone());
+    let heartbeat_thread = thread::spawn(move || {
+        while !stop_flag.load(Relaxed) {
+            for backend in lock(&heartbeat_backends).iter_mut().filter(|b| b.state == "ready") {
+                // The next heartbeat makes up for a lost one.
                 backend.send_heartbeat(&to, 6);
             }
             thread::sleep(Duration::from_millis(HEARTBEAT_MS / 2));
         }
     });
-    let running = Running { cluster, seen, backends, stop, beating: Some(beating) };
+    let running = RunningCluster { cluster, seen, backends, stop, heartbeat_thread: Some(heartbeat_thread) };
     let until = Instant::now() + Duration::from_secs(15);
     for (n, front) in running.cluster.fronts().into_iter().enumerate() {
         let serves = || {
@@ -445,7 +464,7 @@
     Ok(running)
 }
 
-/// Clients that ask through all gateways in turn until `stop`; each asks again, a few times, what was refused.
+/// Starts clients that send requests to all gateways in turn until `stop`, and send a refused one up to three times.
 fn clients(
     fronts: &[SocketAddr],
     stop: &Arc<AtomicBool>,
@@ -462,7 +481,7 @@
                 let mut status = None;
                 for _ in 0..3 {
                     id += 1;
-                    // As the entry would: where nobody listens it goes to the next.
+                    // As the entry proxy would: if a connection is refused it tries the next gateway.
                     let on = |n: u64| Client::try_connect(fronts[((id + n) as usize) % fronts.len()]);
                     let ask = || (0..3).find_map(on).and_then(|mut c| c.try_ask(&request(path, id)));
                     status = ask().map(|a| a.status());
@@ -491,94 +510,95 @@
 }
 
 fn run(play: &Play) -> Result<Figures, String> {
-    let mut running = begin(play.seed)?;
+    let mut running = start_cluster(play.seed)?;
     let controls = running.cluster.controls();
     let stop: Arc<AtomicBool> = Arc::default();
     let (counts, threads) = clients(&running.cluster.fronts(), &stop, play.has("runs-twice"));
     let third = play.time / 3;
     let mut figures = Figures::default();
     thread::sleep(third);
-    // A backend leaves, and the machine that may have heard of it first dies at once.
+    // A backend drains, and the control node that may have heard of it first is killed at once.
     let (left, drained, address) = {
         let mut backends = lock(&running.backends);
         let one = &mut backends[(play.seed % BACKENDS as u64) as usize];
         one.state = "draining";
         let acknowledged = one.send_heartbeat(&controls, 40);
         *lock(&one.drained) = acknowledged.then(Instant::now);
-        figures.none("drains not acknowledged", usize::from(!acknowledged));
+        figures.expect_zero("drains not acknowledged", usize::from(!acknowledged));
         (one.id.clone(), one.drained.clone(), one.address)
     };
-    running.cluster.kill((play.seed % MACHINES as u64) as usize)?;
+    running.cluster.restart_control_node((play.seed % MACHINES as u64) as usize)?;
     let began = Instant::now();
     let second = configuration(1, 2, &["/look/", "/pay/", "/new/"]);
     let taken = call(&controls, "POST", "/-/Configuration.Replace", &second, 150).map_or(0, |a| a.status());
-    figures.none("changes not taken", usize::from(taken != 200));
+    figures.expect_zero("changes not taken", usize::from(taken != 200));
     figures.set("a change past a killed control node, ms", began.elapsed().as_millis() as u64);
     let again = call(&controls, "POST", "/-/Configuration.Replace", &second, 50).map_or(0, |a| a.status());
-    figures.none("the same change once more, not taken", usize::from(again != 200));
+    figures.expect_zero("the same change once more, not taken", usize::from(again != 200));
     let other = configuration(1, 3, &["/look/"]);
-    let raced = call(&controls, "POST", "/-/Configuration.Replace", &other, 50).map_or(0, |a| a.status());
-    figures.none("another on the same base, taken", usize::from(raced != 412));
-    // A gateway is told to end while all this goes on.
-    let rolled = running.cluster.roll(((play.seed + 1) % MACHINES as u64) as usize)?;
-    figures.none("gateways that did not end by themselves", usize::from(rolled.is_none()));
+    let conflicting =
+        call(&controls, "POST", "/-/Configuration.Replace", &other, 50).map_or(0, |a| a.status());
+    figures.expect_zero("another on the same base, taken", usize::from(conflicting != 412));
+    // A gateway is restarted meanwhile.
+    let rolled = running.cluster.restart_gateway(((play.seed + 1) % MACHINES as u64) as usize)?;
+    figures.expect_zero("gateways that did not end by themselves", usize::from(rolled.is_none()));
     figures.set("a gateway's end, ms", rolled.map_or(0, |d| d.as_millis() as u64));
     thread::sleep(third);
     if play.has("works-on") {
-        thread::sleep(DRAIN);
+        thread::sleep(DRAIN_GRACE);
         let text =
             request("/look/1", 7).replace("Credential", &format!("Target-Instance: {left}\r\nCredential"));
         Client::try_connect(address).and_then(|mut c| c.try_ask(&text));
     }
     let fronts = running.cluster.fronts();
-    let news = fronts.iter().filter(|front| {
+    let lacking = fronts.iter().filter(|front| {
         let answer = Client::try_connect(**front).and_then(|mut c| c.try_ask(&request("/new/1", 0xbeef)));
         answer.is_none_or(|a| a.status() != 200)
     });
-    figures.none("gateways without the new route", news.count());
+    figures.expect_zero("gateways without the new route", lacking.count());
     thread::sleep(third);
     stop.store(true, Relaxed);
     threads.into_iter().for_each(|t| drop(t.join()));
     let read = call(&controls, "GET", "/-/Configuration.Read", "", 50);
     let same = read.is_some_and(|a| a.body == second.as_bytes());
-    figures.none("configurations read back that differ", usize::from(!same));
+    figures.expect_zero("configurations read back that differ", usize::from(!same));
     let counts = lock(&counts);
     figures.set("asked", counts.asked);
     figures.set("refused", counts.refused);
-    figures.none("left without an answer", counts.failed as usize);
+    figures.expect_zero("left without an answer", counts.failed as usize);
     figures.bound("served", counts.served as f64 / counts.asked.max(1) as f64, 0.95, 1.0);
     let seen = &running.seen;
-    figures.none("payments that ran twice", seen.twice.load(Relaxed) as usize);
-    figures.none("requests with the key, or without the tenant's name", exposed(seen, play));
-    figures.none("requests to who had left", seen.late.load(Relaxed) as usize);
+    figures.expect_zero("payments that ran twice", seen.twice.load(Relaxed) as usize);
+    figures.expect_zero("requests with the key, or without the tenant's name", exposed_requests(seen, play));
+    figures.expect_zero("requests to who had left", seen.after_drain.load(Relaxed) as usize);
     figures.set("left", lock(&drained).is_some());
     let ids: HashSet<String> = lock(&running.backends).iter().map(|b| b.id.clone()).collect();
     figures.set("backends", ids.len());
     Ok(figures)
 }
 
-/// What the client itself sent past the gateways is not theirs.
-fn exposed(seen: &Seen, play: &Play) -> usize {
-    let count = seen.exposed.load(Relaxed) as usize;
+/// Returns the exposed requests, without the one that the client itself sent directly to a backend.
+fn exposed_requests(seen: &BackendCounts, play: &Play) -> usize {
+    let count = seen.exposed_requests.load(Relaxed) as usize;
     count.saturating_sub(usize::from(play.has("works-on")))
 }
 
-/// Runs until `stop`, printing a line each second.
+/// Runs the system until `stop`, printing a line each second.
 ///
 /// # Errors
-/// One line, if the system can't be built or does not come up.
+/// The programs cannot be built or do not start. The message is one line.
 pub fn demo(stop: &Arc<AtomicBool>, mut say: impl FnMut(&str)) -> Result<(), String> {
-    let running = begin(1)?;
-    say("three control nodes and three gateways before four stand-in backends; try it, or press Ctrl-C to end:");
+    let running = start_cluster(1)?;
+    say("three control nodes and three gateways in front of four stand-in backends; try it, or press Ctrl-C to end:");
     let front = running.cluster.fronts()[0];
     say(&format!(
         "  curl -i http://{front}/look/1 -H 'Host: desk.example' -H 'Attempt-Id: 00000000000000ff' \
          -H 'Remaining-Time: 2000' -H 'Credential: {KEY}'"
     ));
     say(&format!("  curl -iL http://{}/-/Configuration.Read", running.cluster.controls()[0]));
-    let inner = running.cluster.inners()[0];
+    let internal = running.cluster.internal_addresses()[0];
     say(&format!(
-        "  cargo run --release -q -p granitethread-ctl -- -a {inner} -c status    # or backends, gateways, configuration"
+        "  cargo run --release -q -p granitethread-ctl -- -a {internal} -c status    # or backends, gateways, configuration"
     ));
     let (counts, threads) = clients(&running.cluster.fronts(), stop, false);
     let mut second = 0;
--- a/crates/testing/test-harness/src/program.rs
+++ b/crates/testing/test-harness/src/program.rs
@@ -10,47 +10,50 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The example of a gateway's own file that stands in the repository.
+/// Example of a gateway's configuration file, from the repository.
 pub const EXAMPLE: &str = include_str!("../../../../deploy/gateway.example.json");
 
-/// Where the program stands: beside this one, built first when cargo started this one.
+/// Returns the path of the gateway's program, in the folder of this program. Builds it first if cargo started this
+/// program.
 ///
 /// # Errors
-/// One line, if it can't be built or is not there.
+/// The program cannot be built or does not exist. The message is one line.
 pub fn locate() -> Result<PathBuf, String> {
-    let (program, build) = beside()?;
-    // A test's programs were built with it.
+    let (program, build) = program_and_build()?;
+    // Cargo has already built the programs that a test needs.
     if let Some(mut build) = build {
-        cargo(&mut build)?;
+        run_cargo(&mut build)?;
     }
-    there(program)
+    require_existing(program)
 }
 
-/// The same program with planted defects, in a folder of its own so that it is never taken for the other.
+/// Returns the path of the gateway's program with planted defects. It has its own target folder, so that it cannot be
+/// mistaken for the program without defects.
 ///
 /// # Errors
-/// One line, if it can't be built: that takes cargo, or an earlier run that had it.
+/// The program cannot be built, or this program was not started by cargo and no earlier run has built it. The message
+/// is one line.
 pub fn locate_with_defects() -> Result<PathBuf, String> {
-    let (program, _) = beside()?;
+    let (program, _) = program_and_build()?;
     let folder = program.parent().unwrap_or(Path::new("."));
     let profile = folder.file_name().unwrap_or_default();
     let target = folder.parent().unwrap_or(folder).join("defects");
-    if let Some(mut build) = build(profile == "release", &GATEWAY) {
+    if let Some(mut build) = build(profile == "release", &GATEWAY_BUILD_ARGUMENTS) {
         build.args(["--features", "defects", "--target-dir"]).arg(&target);
-        cargo(&mut build)?;
+        run_cargo(&mut build)?;
     }
-    there(target.join(profile).join("granitethread"))
+    require_existing(target.join(profile).join("granitethread"))
 }
 
-fn there(program: PathBuf) -> Result<PathBuf, String> {
+fn require_existing(program: PathBuf) -> Result<PathBuf, String> {
     if program.exists() {
         Ok(program)
     } else {
-        Err(format!("{} is not there: cargo build --release builds it", program.display()))
+        Err(format!("{} does not exist: build it with cargo build --release", program.display()))
     }
 }
 
-fn cargo(build: &mut Command) -> Result<(), String> {
+fn run_cargo(build: &mut Command) -> Result<(), String> {
     let status = build.status().map_err(|e| format!("cargo: {e}"))?;
     if status.success() {
         Ok(())
@@ -59,25 +62,25 @@
     }
 }
 
-/// Where the whole system's programs stand, built first like the gateway's: the data plane's and the control plane's.
+/// Returns the paths of the data plane's and the control plane's program. Builds them first, like the gateway's.
 ///
 /// # Errors
-/// One line, if they can't be built or are not there.
+/// The programs cannot be built or do not exist. The message is one line.
 pub fn locate_system() -> Result<(PathBuf, PathBuf), String> {
-    let (gateway, testing) = place()?;
+    let (gateway, is_test) = program_path()?;
     let folder = gateway.parent().unwrap_or(Path::new("."));
-    let both = [folder.join("granitethread-data-plane"), folder.join("granitethread-control-plane")];
+    let programs = [folder.join("granitethread-data-plane"), folder.join("granitethread-control-plane")];
     let packages = &["--package", "data-plane", "--package", "control-plane"];
-    if !testing || !both.iter().all(|p| p.exists()) {
+    if !is_test || !programs.iter().all(|p| p.exists()) {
         if let Some(mut build) = build(folder.ends_with("release"), packages) {
-            cargo(&mut build)?;
+            run_cargo(&mut build)?;
         }
     }
-    let [data_plane, control_plane] = both;
-    Ok((there(data_plane)?, there(control_plane)?))
+    let [data_plane, control_plane] = programs;
+    Ok((require_existing(data_plane)?, require_existing(control_plane)?))
 }
 
-/// What builds it, if cargo started this program.
+/// Returns the command that builds these packages, if cargo started this program.
 fn build(release: bool, packages: &[&str]) -> Option<Command> {
     let mut build = Command::new(env::var_os("CARGO")?);
     build.args(["build", "--quiet", "--locked"]).args(packages);
@@ -88,30 +91,31 @@
     Some(build)
 }
 
-/// What builds the gateway in service.
-const GATEWAY: [&str; 4] = ["--package", "granitehub", "--bin", "granitethread"];
+/// Cargo's arguments for the gateway's program.
+const GATEWAY_BUILD_ARGUMENTS: [&str; 4] = ["--package", "granitehub", "--bin", "granitethread"];
 
-/// Where it stands, and whether a test asks.
-fn place() -> Result<(PathBuf, bool), String> {
-    let me = env::current_exe().map_err(|e| format!("where this program stands: {e}"))?;
-    let mut folder = me.parent().unwrap_or(Path::new("."));
-    let testing = folder.ends_with("deps");
-    if testing {
+/// Returns the path of the gateway's program, and whether the caller is a test.
+fn program_path() -> Result<(PathBuf, bool), String> {
+    let current_program = env::current_exe().map_err(|e| format!("the path of this program: {e}"))?;
+    let mut folder = current_program.parent().unwrap_or(Path::new("."));
+    let is_test = folder.ends_with("deps");
+    if is_test {
         folder = folder.parent().unwrap_or(folder);
     }
-    Ok((folder.join("granitethread"), testing))
+    Ok((folder.join("granitethread"), is_test))
 }
 
-/// Where it stands, and what builds it if that is wanted.
-fn beside() -> Result<(PathBuf, Option<Command>), String> {
-    let (program, testing) = place()?;
+/// Returns the path of the gateway's program, and the command that builds it if it has to be built.
+fn program_and_build() -> Result<(PathBuf, Option<Command>), String> {
+    let (program, is_test) = program_path()?;
     let folder = program.parent().unwrap_or(Path::new("."));
-    let build = build(folder.ends_with("release"), &GATEWAY).filter(|_| !testing || !program.exists());
+    let build = build(folder.ends_with("release"), &GATEWAY_BUILD_ARGUMENTS)
+        .filter(|_| !is_test || !program.exists());
     Ok((program, build))
 }
 
-/// What an upgrade in service hands to each process of one gateway.
-pub struct Shared<'a> {
+/// Listening socket and folder that the processes of one gateway share during an upgrade.
+pub struct SharedListener<'a> {
     pub socket: &'a TcpListener,
     pub folder: &'a Path,
 }
@@ -120,7 +124,7 @@
 pub struct Program {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where it takes operators' calls, if it does.
+    /// Address of its operator listener, if it has one.
     pub operators: Option<SocketAddr>,
     /// Lines of its log.
     pub log: Receiver<String>,
@@ -129,19 +133,19 @@
 }
 
 impl Program {
-    /// Starts one on a port of its own with this configuration and discovery.
+    /// Starts a gateway on its own port with this configuration and discovery.
     ///
     /// # Errors
-    /// One line, if it does not come up.
+    /// It does not start. The message is one line.
     pub fn start(program: &Path, config: &str, discovery: SocketAddr) -> Result<Self, String> {
-        Program::start_as(program, config, discovery, None)
+        Program::start_with_operator_file(program, config, discovery, None)
     }
 
-    /// The same with an operators' file.
+    /// Starts a gateway that also reads an operator's file.
     ///
     /// # Errors
-    /// One line, if it does not come up.
-    pub fn start_as(
+    /// It does not start. The message is one line.
+    pub fn start_with_operator_file(
         program: &Path,
         config: &str,
         discovery: SocketAddr,
@@ -151,18 +155,19 @@
         if let Some(operator) = operator {
             command.env("GRANITETHREAD_OPERATOR", operator);
         }
-        Program::from(command, file)
+        Program::spawn_from(command, file)
     }
 
-    /// One that takes operators' calls too, on a port of its own, and may share its socket with another.
+    /// Starts a gateway with an operator listener on its own port, which may share its listening socket with another
+    /// process.
     ///
     /// # Errors
-    /// One line, if it does not come up.
-    pub fn start_operated(
+    /// It does not start. The message is one line.
+    pub fn start_with_operator_listener(
         program: &Path,
         config: &str,
         discovery: SocketAddr,
-        shared: Option<&Shared<'_>>,
+        shared: Option<&SharedListener<'_>>,
     ) -> Result<Self, String> {
         let (mut command, file) = command(program, config, discovery)?;
         command.env("LB_OPERATOR", "127.0.0.1:0");
@@ -171,13 +176,14 @@
             command.env("LB_INHERITED_FD", "0").env("TMPDIR", shared.folder);
             command.stdin(Stdio::from(OwnedFd::from(socket)));
         }
-        Program::from(command, file)
+        Program::spawn_from(command, file)
     }
 
-    /// One with an operators' file that takes operators' calls too; `defect` is for what was built with them.
+    /// Starts a gateway with an operator's file and an operator listener. `defect` needs a program that was built
+    /// with planted defects.
     ///
     /// # Errors
-    /// One line, if it does not come up.
+    /// It does not start. The message is one line.
     pub fn start_member(
         program: &Path,
         config: &str,
@@ -190,22 +196,23 @@
         if let Some(defect) = defect {
             command.env("GRANITETHREAD_DEFECT", defect);
         }
-        Program::from(command, file)
+        Program::spawn_from(command, file)
     }
 
-    fn from(mut command: Command, config: PathBuf) -> Result<Self, String> {
+    fn spawn_from(mut command: Command, config: PathBuf) -> Result<Self, String> {
         match spawn(&mut command) {
             Ok((child, address, operators, log)) => {
                 Ok(Program { child, address, operators, log, config, command })
             }
-            Err(what) => {
+            Err(error) => {
                 let _ = std::fs::remove_file(&config);
-                Err(what)
+                Err(error)
             }
         }
     }
 
-    /// An operator's call: its status and body, if an answer came within a second.
+    /// Sends a request to the operator listener. Returns the status and body of the response, if it arrives within 1
+    /// s.
     pub fn call(&self, start: &str, body: &str) -> Option<(u16, Vec<u8>)> {
         let text = format!("{start} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let mut client = crate::peers::Client::try_connect(self.operators?)?;
@@ -214,43 +221,44 @@
         Some((answer.status(), answer.body))
     }
 
-    /// Its open descriptors, and the most memory that it has had, in kB. None once it has ended.
-    pub fn held(&self) -> Option<(usize, usize)> {
+    /// Returns its number of open descriptors and its peak resident memory in kB, or `None` once it has ended.
+    pub fn resource_usage(&self) -> Option<(usize, usize)> {
         let open = std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).ok()?.count();
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).ok()?;
         let line = status.lines().find(|l| l.starts_with("VmHWM"))?;
         Some((open, line.split_whitespace().nth(1)?.parse().ok()?))
     }
 
-    /// Kills it and starts another on the same address, with the same files.
+    /// Kills the process and starts another on the same address, with the same files.
     ///
     /// # Errors
-    /// One line, if it does not come up.
-    pub fn start_again(&mut self) -> Result<(), String> {
+    /// It does not start. The message is one line.
+    pub fn restart(&mut self) -> Result<(), String> {
         self.kill();
         self.command.env("LB_LISTEN", self.address.to_string());
         (self.child, self.address, self.operators, self.log) = spawn(&mut self.command)?;
         Ok(())
     }
 
+    /// Kills the process and waits for its end.
     pub fn kill(&mut self) {
         let _ = (self.child.kill(), self.child.wait());
     }
 
-    /// Sends it a signal, by its name with a dash.
+    /// Sends a signal, given as an option of `kill`, such as `-STOP`.
     pub fn signal(&self, name: &str) {
         let _ = Command::new("kill").args([name, &self.child.id().to_string()]).status();
     }
 
-    /// Asks it to drain and waits until it has gone.
+    /// Sends SIGTERM, which starts the drain, and waits for the end of the process.
     ///
     /// # Errors
-    /// One line, if it has not gone within `limit`.
+    /// It has not ended within `limit`. The message is one line.
     pub fn drain(&mut self, limit: Duration) -> Result<ExitStatus, String> {
         let id = self.child.id().to_string();
-        let told = Command::new("kill").args(["-TERM", &id]).status();
-        if !told.is_ok_and(|s| s.success()) {
-            return Err("it could not be told to end".into());
+        let signalled = Command::new("kill").args(["-TERM", &id]).status();
+        if !signalled.is_ok_and(|s| s.success()) {
+            return Err("SIGTERM could not be sent".into());
         }
         let until = Instant::now() + limit;
         loop {
@@ -264,7 +272,7 @@
     }
 }
 
-/// What starts it, with its configuration in a file of its own.
+/// Returns the command that starts a gateway, and the file to which its configuration was written.
 fn command(program: &Path, config: &str, discovery: SocketAddr) -> Result<(Command, PathBuf), String> {
     let number = crate::peers::NUMBER.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
     let name = format!("test-harness-{}-{number}.json", std::process::id());
@@ -283,27 +291,29 @@
     Ok((command, file))
 }
 
-type Started = (Child, SocketAddr, Option<SocketAddr>, Receiver<String>);
+type SpawnedProgram = (Child, SocketAddr, Option<SocketAddr>, Receiver<String>);
 
-/// Starts it, and waits until it says where it listens.
-fn spawn(command: &mut Command) -> Result<Started, String> {
-    let operated = command.get_envs().any(|(name, value)| name == "LB_OPERATOR" && value.is_some());
+/// Starts the process, and waits until it logs its addresses.
+fn spawn(command: &mut Command) -> Result<SpawnedProgram, String> {
+    let has_operator_listener =
+        command.get_envs().any(|(name, value)| name == "LB_OPERATOR" && value.is_some());
     let mut child =
         command.spawn().map_err(|e| format!("{}: {e}", command.get_program().to_string_lossy()))?;
-    let Some(stderr) = child.stderr.take() else { return Err("its log is lost".into()) };
+    let Some(stderr) = child.stderr.take() else { return Err("its standard error is not piped".into()) };
     let mut lines = BufReader::new(stderr).lines();
-    let mut told = |before: &str| -> Result<SocketAddr, String> {
+    let mut read_address = |before: &str| -> Result<SocketAddr, String> {
         let line = lines.next().and_then(Result::ok).unwrap_or_default();
         let address = line.strip_prefix(before).and_then(|a| a.parse().ok());
         address.ok_or_else(|| format!("it did not start: {line}"))
     };
-    let address = told("listening on ");
-    let operators = if operated { told("operators' calls on ").map(Some) } else { Ok(None) };
+    let address = read_address("listening on ");
+    let operators =
+        if has_operator_listener { read_address("operators' calls on ").map(Some) } else { Ok(None) };
     let (address, operators) = match (address, operators) {
         (Ok(address), Ok(operators)) => (address, operators),
-        (Err(what), _) | (_, Err(what)) => {
+        (Err(error), _) | (_, Err(error)) => {
             let _ = (child.kill(), child.wait());
-            return Err(what);
+            return Err(error);
         }
     };
     let (line, log) = channel();
