--- a/crates/testing/fleet-sim/src/experiment.rs
+++ b/crates/testing/fleet-sim/src/experiment.rs
@@ -1,23 +1,24 @@
-//! Experiments: a base world, sweeps over its parameters, arms side by side, over many seeds. One row a run.
+//! Experiments: a base world, parameter sweeps, and arms to compare, over many seeds. Each run yields one
+//! row.
 //!
-//! A file such as
+//! Example of an experiment file:
 //!
 //! ```toml
 //! name = "lease-length"
 //! world = "leases"
-//! seeds = [0, 40]            # from, and up to but without
-//! [base]                     # what differs from the world in all runs
+//! seeds = [0, 40]            # first seed, and the end (exclusive)
+//! [base]                     # overrides of the world in all runs
 //! seconds = 20
-//! [sweep]                    # every combination is played
+//! [sweep]                    # every combination is run
 //! lease_ms = [100, 500, 2000]
-//! [[arm]]                    # all of that for each arm, over the same seeds
+//! [[arm]]                    # each arm runs all combinations over the same seeds
 //! name = "calm"
 //! [[arm]]
 //! name = "a planner is lost"
 //! planner_down_ms = [8000, 12000]
 //! ```
 
-use crate::mind::Choice;
+use crate::module::Choice;
 use crate::record::{Second, QUANTILES};
 use crate::spec::MS;
 use crate::{play, Outcome, Spec};
@@ -27,10 +28,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// The most runs of one experiment.
-pub const MOST_RUNS: usize = 1_000_000;
+/// Maximum number of runs of one experiment.
+pub const MAX_RUNS: usize = 1_000_000;
 
-/// What differs from a named world. What is absent stays as it is.
+/// Overrides of a named world's parameters. Absent fields keep the world's value.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
@@ -38,88 +39,89 @@
     pub gateways: Option<usize>,
     /// 1 to 10,000.
     pub servers: Option<usize>,
-    /// 0 to 16; 0: gateways guess from the meter.
+    /// 0 to 16; with 0, gateways estimate usage from the meter.
     pub planners: Option<usize>,
     /// 1 to 10 million.
     pub customers: Option<usize>,
-    /// Requests a second, above 0 to 1 million.
+    /// Requests per second, above 0 to 1 million.
     pub rate: Option<f64>,
     /// 1 to 3600.
     pub seconds: Option<u64>,
-    /// Mean time between two faults; 0 for none.
+    /// Mean time between faults; 0 disables them.
     pub fault_every_ms: Option<u64>,
-    /// The part of all requests that comes through the first gateway, 0 to 1.
+    /// Fraction of all requests that arrive at the first gateway, 0 to 1.
     pub skew: Option<f64>,
     pub placement: Option<bool>,
     /// "module", "random", "two" or "least".
     pub choice: Option<Choice>,
-    /// A partner's quota, units a second and units; above 0.
+    /// Quota of the partner plan: units per second and bucket depth in units; above 0.
     pub partner_rate: Option<f64>,
     pub partner_depth: Option<f64>,
-    /// The planners' terms; those that contradict each other are refused.
+    /// Lease configuration of the planners; contradictory values are rejected.
     pub lease_ms: Option<u64>,
     pub loan_ms: Option<u64>,
-    /// A loan's life in leases, in place of loan_ms.
+    /// Loan TTL as a multiple of the lease TTL; replaces loan_ms.
     pub loan_leases: Option<u64>,
     pub tick_ms: Option<u64>,
-    /// How often a customer's main gateway changes, 1 or more, and the part of its requests there, 0 to 1.
+    /// Interval at which a customer's main gateway changes, 1 or more, and the fraction of its requests
+    /// sent there, 0 to 1.
     pub moves_ms: Option<u64>,
     pub home: Option<f64>,
-    /// The first planner is gone from, until.
+    /// Interval during which the first planner is down: start, end.
     pub planner_down_ms: Option<(u64, u64)>,
     pub power_cut_ms: Option<u64>,
     pub flood_ms: Option<(u64, u64)>,
     pub crash_ms: Option<u64>,
 }
 
-/// Applies to the field what is there.
-fn put<T: Copy, U>(to: &mut U, from: Option<T>, how: impl Fn(T) -> U) {
+/// Sets the field to the converted value if there is one.
+fn set_if_some<T: Copy, U>(to: &mut U, from: Option<T>, convert: impl Fn(T) -> U) {
     if let Some(value) = from {
-        *to = how(value);
+        *to = convert(value);
     }
 }
 
 impl Change {
-    /// The world with the change.
+    /// Applies the overrides to a world and validates the result.
     ///
     /// # Errors
-    /// What is out of range, in words.
+    /// Describes the first value that is out of range.
     pub fn apply(&self, spec: &mut Spec) -> Result<(), String> {
         let ms = |n: u64| n.saturating_mul(MS);
-        put(&mut spec.gateways, self.gateways, |n| n);
-        put(&mut spec.servers, self.servers, |n| n);
-        put(&mut spec.planners, self.planners, |n| n);
-        put(&mut spec.customers, self.customers, |n| n);
-        put(&mut spec.rate, self.rate, |n| n);
-        put(&mut spec.seconds, self.seconds, |n| n);
-        put(&mut spec.fault_every, self.fault_every_ms, |n| (n > 0).then(|| ms(n)));
-        put(&mut spec.skew, self.skew, |n| n);
-        put(&mut spec.placement, self.placement, |n| n);
-        put(&mut spec.choice, self.choice, |n| n);
-        put(&mut spec.partner.0, self.partner_rate, |n| n);
-        put(&mut spec.partner.1, self.partner_depth, |n| n);
-        put(&mut spec.lease, self.lease_ms, ms);
-        put(&mut spec.loan, self.loan_ms, ms);
-        let lease = spec.lease;
-        put(&mut spec.loan, self.loan_leases, |n| lease.saturating_mul(n));
-        put(&mut spec.tick, self.tick_ms, ms);
-        put(&mut spec.moves, self.moves_ms, ms);
-        put(&mut spec.home, self.home, |n| n);
+        set_if_some(&mut spec.gateways, self.gateways, |n| n);
+        set_if_some(&mut spec.servers, self.servers, |n| n);
+        set_if_some(&mut spec.planners, self.planners, |n| n);
+        set_if_some(&mut spec.customers, self.customers, |n| n);
+        set_if_some(&mut spec.rate, self.rate, |n| n);
+        set_if_some(&mut spec.seconds, self.seconds, |n| n);
+        set_if_some(&mut spec.fault_every, self.fault_every_ms, |n| (n > 0).then(|| ms(n)));
+        set_if_some(&mut spec.skew, self.skew, |n| n);
+        set_if_some(&mut spec.placement, self.placement, |n| n);
+        set_if_some(&mut spec.choice, self.choice, |n| n);
+        set_if_some(&mut spec.partner_quota.0, self.partner_rate, |n| n);
+        set_if_some(&mut spec.partner_quota.1, self.partner_depth, |n| n);
+        set_if_some(&mut spec.lease_ttl, self.lease_ms, ms);
+        set_if_some(&mut spec.loan_ttl, self.loan_ms, ms);
+        let lease = spec.lease_ttl;
+        set_if_some(&mut spec.loan_ttl, self.loan_leases, |n| lease.saturating_mul(n));
+        set_if_some(&mut spec.tick, self.tick_ms, ms);
+        set_if_some(&mut spec.home_change_every, self.moves_ms, ms);
+        set_if_some(&mut spec.home_share, self.home, |n| n);
         let pair = |(a, b): (u64, u64)| Some((ms(a), ms(b)));
-        put(&mut spec.planner_down, self.planner_down_ms, pair);
-        put(&mut spec.power_cut, self.power_cut_ms, |n| Some(ms(n)));
-        put(&mut spec.flood, self.flood_ms, pair);
-        put(&mut spec.crash, self.crash_ms, |n| Some(ms(n)));
+        set_if_some(&mut spec.planner_down, self.planner_down_ms, pair);
+        set_if_some(&mut spec.power_cut, self.power_cut_ms, |n| Some(ms(n)));
+        set_if_some(&mut spec.flood, self.flood_ms, pair);
+        set_if_some(&mut spec.crash, self.crash_ms, |n| Some(ms(n)));
         check(spec)
     }
 }
 
 fn check(spec: &Spec) -> Result<(), String> {
-    let within = |name: &str, value: f64, least: f64, most: f64| {
-        if (least..=most).contains(&value) {
+    let within = |name: &str, value: f64, min: f64, max: f64| {
+        if (min..=max).contains(&value) {
             return Ok(());
         }
-        Err(format!("{name} is {value}: {least} to {most} is wanted"))
+        Err(format!("{name} is {value}: must be {min} to {max}"))
     };
     within("gateways", spec.gateways as f64, 1.0, 4096.0)?;
     within("servers", spec.servers as f64, 1.0, 10_000.0)?;
@@ -128,18 +130,18 @@
     within("rate", spec.rate, 1e-3, 1e6)?;
     within("seconds", spec.seconds as f64, 1.0, 3600.0)?;
     within("skew", spec.skew, 0.0, 1.0)?;
-    within("home", spec.home, 0.0, 1.0)?;
-    within("partner_rate", spec.partner.0, 1e-3, 1e6)?;
-    within("partner_depth", spec.partner.1, 1e-3, 1e6)?;
-    within("moves_ms", (spec.moves / MS) as f64, 1.0, 1e9)?;
+    within("home", spec.home_share, 0.0, 1.0)?;
+    within("partner_rate", spec.partner_quota.0, 1e-3, 1e6)?;
+    within("partner_depth", spec.partner_quota.1, 1e-3, 1e6)?;
+    within("moves_ms", (spec.home_change_every / MS) as f64, 1.0, 1e9)?;
     let ordered = |span: Option<(Time, Time)>| span.is_none_or(|(from, until)| from <= until);
     if !ordered(spec.planner_down) || !ordered(spec.flood) {
         return Err("a span ends before it begins".into());
     }
-    spec.terms().validate()
+    spec.lease_config().validate()
 }
 
-/// One arm: its name, and what differs in it.
+/// One arm: its name and its overrides.
 #[derive(Clone, Debug, Deserialize)]
 struct Arm {
     name: String,
@@ -161,11 +163,11 @@
     arm: Vec<Arm>,
 }
 
-/// One combination of an arm and the swept values.
+/// One combination of an arm and swept values.
 #[derive(Clone, Debug)]
 pub struct Cell {
     pub arm: String,
-    /// The swept parameters by name, as they are written.
+    /// Swept parameters by name, as written in the file.
     pub point: BTreeMap<String, String>,
     pub spec: Spec,
 }
@@ -178,10 +180,10 @@
 }
 
 impl Experiment {
-    /// Reads an experiment's file.
+    /// Parses an experiment file.
     ///
     /// # Errors
-    /// One line on what is wrong with it.
+    /// Returns a one-line description of the first problem found.
     pub fn read(text: &str) -> Result<Self, String> {
         let file: File = toml::from_str(text).map_err(|e| e.to_string().trim().replace('\n', " "))?;
         let Some(world) = Spec::named(&file.world) else {
@@ -189,7 +191,7 @@
         };
         let (from, until) = file.seeds;
         if from >= until {
-            return Err("seeds: from, and up to but without, is wanted".into());
+            return Err("seeds: must be a start and a greater, exclusive end".into());
         }
         let mut arms = file.arm;
         if arms.is_empty() {
@@ -197,7 +199,7 @@
         }
         let names: std::collections::BTreeSet<&str> = arms.iter().map(|a| a.name.as_str()).collect();
         if names.len() < arms.len() {
-            return Err("two arms have one name".into());
+            return Err("two arms have the same name".into());
         }
         let mut points = vec![toml::Table::new()];
         for (name, values) in &file.sweep {
@@ -210,8 +212,8 @@
                 points.iter().flat_map(|p| values.iter().map(|v| with(p, v)).collect::<Vec<_>>()).collect();
         }
         let runs = ((until - from) as usize).saturating_mul(points.len()).saturating_mul(arms.len());
-        if runs == 0 || runs > MOST_RUNS {
-            return Err(format!("{runs} runs: 1 to {MOST_RUNS} are wanted"));
+        if runs == 0 || runs > MAX_RUNS {
+            return Err(format!("{runs} runs: must be 1 to {MAX_RUNS}"));
         }
         let mut cells = Vec::new();
         for arm in &arms {
@@ -219,11 +221,11 @@
                 let mut change = file.base.clone();
                 change.extend(arm.change.clone());
                 change.extend(point.clone());
-                let of = |e: String| format!("arm {:?}: {e}", arm.name);
+                let in_arm = |e: String| format!("arm {:?}: {e}", arm.name);
                 let change: Change =
-                    change.try_into().map_err(|e| of(e.to_string().trim().replace('\n', " ")))?;
+                    change.try_into().map_err(|e| in_arm(e.to_string().trim().replace('\n', " ")))?;
                 let mut spec = world.clone();
-                change.apply(&mut spec).map_err(of)?;
+                change.apply(&mut spec).map_err(in_arm)?;
                 let point = point.iter().map(|(k, v)| (k.clone(), v.to_string())).collect();
                 cells.push(Cell { arm: arm.name.clone(), point, spec });
             }
@@ -231,12 +233,13 @@
         Ok(Experiment { name: file.name, seeds: file.seeds, cells })
     }
 
+    /// Returns the number of runs.
     pub fn runs(&self) -> usize {
         (self.seeds.1 - self.seeds.0) as usize * self.cells.len()
     }
 
-    /// Plays all of it, so many runs side by side; `done` hears of each. Rows come in the order of cells and
-    /// seeds, whichever run was done first.
+    /// Plays all runs, `jobs` of them in parallel, and calls `done` after each. Rows are ordered by cell
+    /// and seed, regardless of completion order.
     pub fn play(&self, jobs: usize, done: impl Fn() + Sync) -> Vec<Row> {
         let seeds = (self.seeds.1 - self.seeds.0) as usize;
         let (next, rows) = (AtomicUsize::new(0), Mutex::new(Vec::with_capacity(self.runs())));
@@ -259,7 +262,7 @@
     }
 }
 
-/// One run.
+/// Result of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub experiment: String,
@@ -267,17 +270,17 @@
     pub point: BTreeMap<String, String>,
     pub seed: u64,
     pub figures: BTreeMap<String, f64>,
-    /// The rule that broke, if one did.
+    /// The violation, if a rule was broken.
     pub broken: Option<String>,
     pub digest: String,
-    /// By quantile, in milliseconds.
+    /// Latencies by quantile, in milliseconds.
     pub latency_ms: Vec<(f64, f64)>,
-    /// A line a second, of the first seed of each cell.
+    /// One entry per second, kept for the first seed of each cell only.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub seconds: Vec<Second>,
 }
 
-/// A figure's name, what it is, and whether more of it is better.
+/// Name of each figure, its description, and whether higher is better.
 pub const FIGURES: [(&str, &str, bool); 12] = [
     ("goodput", "worth answered within the aim, of what was asked inside the quotas", true),
     ("in_aim", "tries answered within the aim, of all", true),
@@ -308,8 +311,8 @@
             record.quantile(0.5),
             record.quantile(0.99),
             record.spread(),
-            s.fallen as f64,
-            s.most_over,
+            s.collapsed as f64,
+            s.max_over_ceiling,
         ];
         let figures = FIGURES.iter().zip(values).map(|((name, ..), v)| ((*name).to_string(), v)).collect();
         Row {
@@ -326,19 +329,19 @@
     }
 }
 
-/// Rows as JSON lines.
+/// Parses rows from JSON lines.
 ///
 /// # Errors
-/// The number of the line that can't be read, and why.
+/// Returns the number of the first invalid line, and the reason.
 pub fn read_rows(text: &str) -> Result<Vec<Row>, String> {
     let lines = text.lines().enumerate().filter(|(_, line)| !line.trim().is_empty());
     lines.map(|(n, line)| serde_json::from_str(line).map_err(|e| format!("line {}: {e}", n + 1))).collect()
 }
 
-/// Rows as a table for other tools: arm, swept parameters, seed, figures, what broke.
+/// Writes rows as CSV: experiment, arm, swept parameters, seed, figures, violation.
 ///
 /// # Errors
-/// What the writer says.
+/// Returns the writer's error.
 pub fn write_csv(rows: &[Row], to: impl std::io::Write) -> Result<(), String> {
     let mut table = csv::Writer::from_writer(to);
     let Some(first) = rows.first() else { return Ok(()) };
--- a/crates/testing/fleet-sim/src/record.rs
+++ b/crates/testing/fleet-sim/src/record.rs
@@ -1,12 +1,12 @@
-//! What a run leaves behind beside its counts: latencies, work by server, and a line a second.
+//! Measurements of a run beside its counters: latencies, work by server, and one entry per second.
 
 use hdrhistogram::Histogram;
 use interface::Time;
 use serde::{Deserialize, Serialize};
 
-/// Latencies are told up to a minute, in microseconds, to three digits.
-const LONGEST: u64 = 60_000_000;
-/// Where a distribution is written down.
+/// Histogram limit: latencies up to one minute in microseconds, with three significant digits.
+const MAX_LATENCY_US: u64 = 60_000_000;
+/// Quantiles at which a latency distribution is written out.
 pub const QUANTILES: [f64; 15] =
     [0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.99, 0.999, 1.0];
 
@@ -20,11 +20,12 @@
     pub failed: u64,
 }
 
+/// Measurements of one run.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// From a request's first try to its answer, of those served, in microseconds.
+    /// Time from a request's first try to its response, of requests served, in microseconds.
     pub latency: Histogram<u64>,
-    /// Work that each server did, in nanoseconds of a warm core.
+    /// Work performed by each server, in nanoseconds of a warm core.
     pub work: Vec<f64>,
     pub seconds: Vec<Second>,
 }
@@ -37,11 +38,11 @@
 
 impl Record {
     pub fn new(servers: usize) -> Self {
-        let latency = Histogram::new_with_max(LONGEST, 3).expect("these bounds are sound");
+        let latency = Histogram::new_with_max(MAX_LATENCY_US, 3).expect("these bounds are sound");
         Record { latency, work: vec![0.0; servers], seconds: Vec::new() }
     }
 
-    /// The second that this moment is in.
+    /// Returns the entry for the second that contains `now`.
     pub fn second(&mut self, now: Time) -> &mut Second {
         let n = (now / 1_000_000_000) as usize;
         if self.seconds.len() <= n {
@@ -50,6 +51,7 @@
         &mut self.seconds[n]
     }
 
+    /// Records a request served.
     pub fn served(&mut self, now: Time, took: Time, in_aim: bool) {
         self.latency.saturating_record(took / 1000);
         let second = self.second(now);
@@ -60,18 +62,18 @@
         }
     }
 
-    /// The busiest server's work over the mean of all; 0 if nothing was done.
+    /// Returns the busiest server's work divided by the mean of all servers; 0 if no work was done.
     pub fn spread(&self) -> f64 {
         let sum: f64 = self.work.iter().sum();
-        let most = self.work.iter().fold(0.0, |a: f64, b| a.max(*b));
+        let busiest = self.work.iter().fold(0.0, |a: f64, b| a.max(*b));
         if sum > 0.0 {
-            most * self.work.len() as f64 / sum
+            busiest * self.work.len() as f64 / sum
         } else {
             0.0
         }
     }
 
-    /// A quantile of the latency, in milliseconds.
+    /// Returns a quantile of the latency, in milliseconds.
     pub fn quantile(&self, q: f64) -> f64 {
         self.latency.value_at_quantile(q) as f64 / 1000.0
     }
--- a/crates/testing/fleet-sim/src/report.rs
+++ b/crates/testing/fleet-sim/src/report.rs
@@ -1,4 +1,4 @@
-//! A report of an experiment: plots as SVG, and a page that stands alone with all of them in it.
+//! Report of an experiment: SVG plots, and a self-contained HTML page that includes them.
 
 use crate::experiment::{Row, FIGURES};
 use crate::record::Second;
@@ -8,19 +8,19 @@
 use std::fmt::Write as _;
 
 const SIZE: (u32, u32) = (760, 340);
-/// Figures that get a plot; the table has all.
+/// Figures with a plot of their own; the table lists all figures.
 const PLOTTED: [&str; 6] =
     ["goodput", "refused_with_room", "attempts", "p99_ms", "load_spread", "over_ceiling"];
 
-/// A plot by the name of its file, without the ending.
+/// SVG plots with their file names, without the extension.
 pub type Plots = Vec<(String, String)>;
 
-type Failed = Box<dyn std::error::Error>;
+type PlotError = Box<dyn std::error::Error>;
 
-/// Rows by arm, and by the swept values.
+/// Rows grouped by arm and by swept values.
 struct Table<'a> {
     arms: Vec<&'a str>,
-    /// The parameter on the x axis: the first that has several values.
+    /// Parameter on the x axis: the first with more than one value.
     swept: Option<&'a str>,
     cells: BTreeMap<(usize, Vec<&'a str>), Vec<&'a Row>>,
 }
@@ -45,7 +45,7 @@
         Table { arms, swept, cells }
     }
 
-    /// A figure's estimates along the swept parameter, over whatever else is swept.
+    /// Returns a figure's estimates along the swept parameter, pooled over the other swept parameters.
     fn along(&self, arm: usize, figure: &str) -> Vec<(f64, Estimate)> {
         let Some(swept) = self.swept else { return Vec::new() };
         let mut by: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
@@ -54,15 +54,15 @@
                 by.entry(x).or_default().push(*y);
             }
         }
-        let place =
+        let to_point =
             |(n, (x, values)): (usize, (&&str, &Vec<f64>))| (x.parse().unwrap_or(n as f64), estimate(values));
-        let mut line: Vec<(f64, Estimate)> = by.iter().enumerate().map(place).collect();
+        let mut line: Vec<(f64, Estimate)> = by.iter().enumerate().map(to_point).collect();
         line.sort_by(|a, b| a.0.total_cmp(&b.0));
         line
     }
 }
 
-/// The range of some values, a little widened; never empty.
+/// Returns the range of the values with a small margin; never empty.
 fn range(values: impl Iterator<Item = f64>, from_zero: bool) -> std::ops::Range<f64> {
     let (mut low, mut high) = (f64::INFINITY, f64::NEG_INFINITY);
     for v in values.filter(|v| v.is_finite()) {
@@ -74,18 +74,18 @@
     if from_zero {
         low = low.min(0.0);
     }
-    let room = ((high - low) * 0.05).max(high.abs() * 0.01).max(1e-6);
-    (if from_zero && low == 0.0 { 0.0 } else { low - room })..high + room
+    let padding = ((high - low) * 0.05).max(high.abs() * 0.01).max(1e-6);
+    (if from_zero && low == 0.0 { 0.0 } else { low - padding })..high + padding
 }
 
-/// One line of a plot: its name, its points, and the interval of each if it has one.
+/// One line of a plot: its name, its points, and their interval bars if any.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
     bars: Vec<(f64, f64, f64)>,
 }
 
-fn plot(title: &str, x: &str, lines: &[Line], from_zero: bool) -> Result<String, Failed> {
+fn plot(title: &str, x: &str, lines: &[Line], from_zero: bool) -> Result<String, PlotError> {
     let mut svg = String::new();
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -122,7 +122,7 @@
     Ok(svg)
 }
 
-fn timeline(arm: &str, seconds: &[Second]) -> Result<String, Failed> {
+fn timeline(arm: &str, seconds: &[Second]) -> Result<String, PlotError> {
     let line = |name: &str, of: fn(&Second) -> u64| Line {
         name: name.into(),
         points: seconds.iter().enumerate().map(|(n, s)| (n as f64, of(s) as f64)).collect(),
@@ -138,11 +138,11 @@
     plot(&format!("one run, {arm}: tries a second"), "seconds", &lines, true)
 }
 
-/// All plots of these rows.
+/// Renders all plots of these rows.
 ///
 /// # Errors
-/// What the plotting library says.
-pub fn plots(rows: &[Row]) -> Result<Plots, Failed> {
+/// Returns the plotting library's error.
+pub fn plots(rows: &[Row]) -> Result<Plots, PlotError> {
     let table = Table::new(rows);
     let mut all = Plots::new();
     if let Some(swept) = table.swept {
@@ -189,7 +189,7 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;").replace('"', "&quot;")
 }
 
-/// The page: tables of all cells and of paired differences to the first arm, and the plots.
+/// Renders the HTML page: a table of all cells, paired differences to the first arm, and the plots.
 pub fn page(rows: &[Row], plots: &Plots) -> String {
     let table = Table::new(rows);
     let name = rows.first().map_or("", |r| r.experiment.as_str());
@@ -220,7 +220,13 @@
         for (figure, ..) in FIGURES {
             let values: Vec<f64> = rows.iter().filter_map(|r| r.figures.get(figure).copied()).collect();
             let e = estimate(&values);
-            let _ = write!(html, "<td>{} [{}, {}]", short(e.mean), short(e.low), short(e.high));
+            let _ = write!(
+                html,
+                "<td>{} [{}, {}]",
+                format_significant(e.mean),
+                format_significant(e.low),
+                format_significant(e.high)
+            );
         }
     }
     html.push_str("</table>");
@@ -237,11 +243,11 @@
                 html,
                 "<tr{class}><td>{}<td>{} to {}<td>{} [{}, {}]",
                 d.figure,
-                short(d.first),
-                short(d.second),
-                short(d.by.mean),
-                short(d.by.low),
-                short(d.by.high)
+                format_significant(d.first),
+                format_significant(d.second),
+                format_significant(d.change.mean),
+                format_significant(d.change.low),
+                format_significant(d.change.high)
             );
         }
         html.push_str("</table>");
@@ -252,8 +258,8 @@
     html
 }
 
-/// Four digits that count.
-fn short(v: f64) -> String {
+/// Formats a value with four significant digits.
+fn format_significant(v: f64) -> String {
     let digits = (3 - v.abs().max(1e-12).log10().floor() as i32).clamp(0, 5) as usize;
     format!("{v:.digits$}")
 }
--- a/crates/testing/fleet-sim/src/trace.rs
+++ b/crates/testing/fleet-sim/src/trace.rs
@@ -1,12 +1,12 @@
-//! What happened, as a digest that two runs can be compared by, and as a story that a person can read.
+//! Trace of a run: a digest for comparing two runs, and optionally a human-readable story.
 
 use interface::Time;
 use sha2::{Digest, Sha256};
 use std::fmt::Write as _;
 
-const FLUSH: usize = 1 << 16;
-/// The most lines of a story that are kept: the last ones.
-const MOST_LINES: usize = 200_000;
+const FLUSH_BYTES: usize = 1 << 16;
+/// Maximum number of story lines kept; older lines are dropped.
+const MAX_STORY_LINES: usize = 200_000;
 
 #[derive(Default)]
 pub struct Trace {
@@ -17,32 +17,32 @@
 }
 
 impl Trace {
-    /// With a story, which costs time and memory.
-    pub fn telling() -> Self {
+    /// Creates a trace that also keeps a story, which costs time and memory.
+    pub fn with_story() -> Self {
         Trace { story: Some(Default::default()), ..Trace::default() }
     }
 
-    /// Notes a step by plain numbers.
+    /// Adds a step to the digest as plain numbers.
     pub fn note(&mut self, words: &[u64]) {
         self.steps += 1;
         words.iter().for_each(|w| self.buffer.extend_from_slice(&w.to_be_bytes()));
-        if self.buffer.len() >= FLUSH {
+        if self.buffer.len() >= FLUSH_BYTES {
             self.hash.update(&self.buffer);
             self.buffer.clear();
         }
     }
 
-    /// Adds a line to the story, if there is one.
-    pub fn tell(&mut self, now: Time, line: impl FnOnce() -> String) {
+    /// Appends a line to the story, if one is kept.
+    pub fn log(&mut self, now: Time, line: impl FnOnce() -> String) {
         if let Some(story) = &mut self.story {
-            if story.len() >= MOST_LINES {
+            if story.len() >= MAX_STORY_LINES {
                 story.pop_front();
             }
             story.push_back(format!("{:10.3} ms  {}", now as f64 / 1e6, line()));
         }
     }
 
-    /// The digest so far, and the story's lines.
+    /// Returns the digest and the story's lines.
     pub fn finish(mut self) -> (String, Vec<String>) {
         self.hash.update(&self.buffer);
         let mut text = String::new();
