--- a/crates/testing/fleet-sim/src/members.rs
+++ b/crates/testing/fleet-sim/src/members.rs
@@ -19,8 +19,9 @@
     pub name: String,
     pub view: Option<View>,
     generation: u64,
-    /// While paused: the time at which it resumes, and the datagrams received meanwhile.
+    /// While paused: the time at which it resumes.
     paused_until: Option<Time>,
+    /// Datagrams received while paused; delivered when it resumes.
     inbox: Vec<Vec<u8>>,
     due: Time,
     pub datagrams: u64,
@@ -143,7 +144,8 @@
         self.kill(n);
     }
 
-    /// Pauses the member until then; the member does not notice the pause.
+    /// Pauses the member until the given time, which replaces that of an earlier pause; the member does not
+    /// notice the pause.
     pub fn pause(&mut self, n: usize, until: Time) {
         self.nodes[n].paused_until = Some(until);
         self.timers.push(Reverse((until, n)));
@@ -155,7 +157,7 @@
         (0..self.nodes.len()).filter(runs).collect()
     }
 
-    /// Delivers bytes to a member without a sender.
+    /// Queues a datagram without a sender for a member, with no delay and unaffected by link faults.
     pub fn inject(&mut self, to: usize, bytes: Vec<u8>) {
         self.sent += 1;
         self.queue.push(Reverse((self.now, self.sent, to, bytes)));
--- a/crates/testing/fleet-sim/src/record.rs
+++ b/crates/testing/fleet-sim/src/record.rs
@@ -10,7 +10,8 @@
 pub const QUANTILES: [f64; 15] =
     [0.01, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.6, 0.7, 0.8, 0.9, 0.95, 0.99, 0.999, 1.0];
 
-/// One second of a run.
+/// Tries counted in one second of simulated time: those that started, and those served, refused or
+/// failed, which may have started earlier. Other outcomes are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Second {
     pub asked: u64,
@@ -25,7 +26,8 @@
 pub struct Record {
     /// Time from a request's first try to its response, of requests served, in microseconds.
     pub latency: Histogram<u64>,
-    /// Work performed by each server, in nanoseconds of a warm core.
+    /// Work of all jobs that each server started during the run, finished or not, in nanoseconds of a warm
+    /// core.
     pub work: Vec<f64>,
     pub seconds: Vec<Second>,
 }
@@ -42,7 +44,7 @@
         Record { latency, work: vec![0.0; servers], seconds: Vec::new() }
     }
 
-    /// Returns the entry for the second that contains `now`.
+    /// Returns the entry for the second that contains `now`; adds it and those missing before it.
     pub fn second(&mut self, now: Time) -> &mut Second {
         let n = (now / 1_000_000_000) as usize;
         if self.seconds.len() <= n {
--- a/crates/testing/fleet-sim/src/spec.rs
+++ b/crates/testing/fleet-sim/src/spec.rs
@@ -46,19 +46,21 @@
     pub power_cut: Option<Time>,
     /// Tenths of the servers that the power cut hits.
     pub power_cut_tenths: usize,
-    /// Interval during which the first partner sends twice as many requests as all others: start, end.
+    /// Interval during which the first partner adds twice the load of all customers: start, end.
     pub flood: Option<(Time, Time)>,
     /// Mean time between false reports to each gateway of its position and the number of live gateways,
     /// if any.
     pub false_position_every: Option<Time>,
     /// Time at which the first gateway crashes; it restarts two seconds later.
     pub crash: Option<Time>,
-    /// Times at which gateways are killed, with the tenths of the gateways affected; they restart a
-    /// second later.
+    /// Times at which gateways are killed, with the tenths of the gateways affected; they restart
+    /// after about a second, or 200 to 600 ms with `bad_disks`.
     pub blackouts: [Option<(Time, usize)>; 2],
     /// Interval at which each gateway saves a snapshot for its next start; if none, it starts empty.
     pub snapshot_every: Option<Time>,
-    /// Whether snapshots are occasionally damaged, lost, outdated or those of another gateway.
+    /// Whether a starting gateway may find its snapshot damaged, lost, outdated or replaced by another
+    /// gateway's. Blackouts are then shorter, and one of all gateways follows the start
+    /// of each random flood.
     pub bad_disks: bool,
 }
 
--- a/crates/testing/fleet-sim/src/world.rs
+++ b/crates/testing/fleet-sim/src/world.rs
@@ -186,17 +186,19 @@
     Flood,
 }
 
-/// One try of a client.
+/// A client's request at its current try; a retry takes over all but the number of tries.
 #[derive(Clone, Debug)]
 struct ClientTry {
     customer: usize,
     class: usize,
     units: f64,
+    /// Number of earlier tries.
     tries: u32,
     first_try_at: Time,
-    /// Seed of the try's own random stream, independent of all other tries.
+    /// Seed of the request, the same for all its tries; each try seeds its own random stream with this and
+    /// its number.
     seed: u64,
-    /// Value of the request, if it was inside the quota at its first try.
+    /// Value of the request; 0 if it exceeded the quota at its first try.
     worth: f64,
 }
 
--- a/crates/testing/fleet-sim/src/world/clients.rs
+++ b/crates/testing/fleet-sim/src/world/clients.rs
@@ -113,8 +113,8 @@
         self.handle_input(gateway, Input::Received(incoming));
     }
 
-    /// Returns the value of a first try: zero if it is beyond the quota, which all first tries are
-    /// charged to.
+    /// Charges a request's first try to the customer's quota and returns the request's value; 0 if the
+    /// quota is exceeded.
     fn worth(&mut self, client_try: &ClientTry) -> f64 {
         let settings = self.spec.settings(0);
         let plan = &settings.plans[plan_of(client_try.customer)];
@@ -156,8 +156,8 @@
                 let left = *self.quotas.remaining(client_try.customer, &plan, self.now);
                 let room = !tried && left >= client_try.units;
                 self.counts.refused_with_room += u64::from(room);
-                // A third of the customers follow the advised delay, a third retry at once, a
-                // third after a fixed delay.
+                // A third of the customers wait as advised, but at least 10 ms, a third wait 5 ms, and a
+                // third 300 ms.
                 match client_try.customer % 3 {
                     0 => advice.max(10 * MS),
                     1 => 5 * MS,
--- a/crates/testing/fleet-sim/tests/members.rs
+++ b/crates/testing/fleet-sim/tests/members.rs
@@ -231,6 +231,8 @@
     Ok(())
 }
 
+/// All views agree on a leave within 1200 ms; after a crash they are given 2500 ms, in
+/// `a_crash_is_known_to_all`. The two times are not compared.
 fn a_leave_is_known_sooner_than_a_death(seed: u64) -> Result<(), String> {
     let mut net = fleet(24, seed)?;
     net.advance_to(5 * S);
