--- a/crates/gateway/proxy/src/backends/relay.rs
+++ b/crates/gateway/proxy/src/backends/relay.rs
@@ -18,7 +18,7 @@
 const BACKEND_PAUSE_TIMEOUT: Duration = Duration::from_secs(10);
 const CLIENT_READ_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Client side of a streamed response: the body that is still arriving. Dropping it stops the [`Relay`].
+/// Client side of a streamed response: the body that is still arriving. Dropping it stops the `Relay`.
 pub struct Stream {
     frames: mpsc::Receiver<Bytes>,
     /// Remaining bytes of the stated length, if any.
